--- a/src/main/java/meadowtrack/adapter/Instance.java
+++ b/src/main/java/heathswitch/policy/adapter/Instance.java
@@ -1,8 +1,8 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
-import meadowtrack.api.Actions;
-import meadowtrack.api.Settings;
-import meadowtrack.core.Balancer;
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.core.Balancer;
 
 /** One hosted balancer; writes its decisions as actions on the wire. */
 final class Instance implements Actions {
--- a/src/main/java/meadowtrack/adapter/Main.java
+++ b/src/main/java/heathswitch/policy/adapter/Main.java
@@ -1,4 +1,4 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -22,7 +22,7 @@
   /** 0 at the end of the input, 1 on bad input, 2 on a wrong command line. */
   static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
     if (args.length != 1 || !args[0].equals("adapter")) {
-      err.println("usage: java -jar meadowtrack.jar adapter");
+      err.println("usage: java -jar heathswitch.jar adapter");
       return 2;
     }
     try {
--- a/src/main/java/meadowtrack/adapter/ProtocolException.java
+++ b/src/main/java/heathswitch/policy/adapter/ProtocolException.java
@@ -1,4 +1,4 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
 /** Input that is not the wire; the message says where and what was expected. */
 final class ProtocolException extends Exception {
--- a/src/main/java/meadowtrack/adapter/SettingsReader.java
+++ b/src/main/java/heathswitch/policy/adapter/SettingsReader.java
@@ -1,11 +1,11 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.api.Tenant;
 
 /** Turns the settings object of the wire into {@link Settings}; unknown keys are skipped. */
 public final class SettingsReader {
--- a/src/main/java/meadowtrack/adapter/WireReader.java
+++ b/src/main/java/heathswitch/policy/adapter/WireReader.java
@@ -1,10 +1,16 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.io.JsonEOFException;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -14,12 +20,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 
 /** Reads batches token by token and hands each event to its instance. */
 final class WireReader {
--- a/src/main/java/meadowtrack/adapter/WireWriter.java
+++ b/src/main/java/heathswitch/policy/adapter/WireWriter.java
@@ -1,4 +1,4 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import java.io.IOException;
--- a/src/main/java/meadowtrack/api/Actions.java
+++ b/src/main/java/heathswitch/policy/api/Actions.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** What a balancer asks of its host. Calls are carried out in the order in which they are made. */
 public interface Actions {
--- a/src/main/java/meadowtrack/api/Form.java
+++ b/src/main/java/heathswitch/policy/api/Form.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** In what form a request comes: which servers can take it, and whether it may have a copy. */
 public enum Form {
--- a/src/main/java/meadowtrack/api/GiveUp.java
+++ b/src/main/java/heathswitch/policy/api/GiveUp.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** Why a request got its final answer without having been served, for the log. */
 public enum GiveUp {
--- a/src/main/java/meadowtrack/api/Health.java
+++ b/src/main/java/heathswitch/policy/api/Health.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** What discovery says of a server. */
 public enum Health {
--- a/src/main/java/meadowtrack/api/ListForm.java
+++ b/src/main/java/heathswitch/policy/api/ListForm.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** The forms in which discovery's news arrives. */
 public enum ListForm {
--- a/src/main/java/meadowtrack/api/Outcome.java
+++ b/src/main/java/heathswitch/policy/api/Outcome.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** How an attempt ended. */
 public enum Outcome {
--- a/src/main/java/meadowtrack/api/Part.java
+++ b/src/main/java/heathswitch/policy/api/Part.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** Whether a balancer among others is to use a server. */
 public enum Part {
--- a/src/main/java/meadowtrack/api/RequestClass.java
+++ b/src/main/java/heathswitch/policy/api/RequestClass.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** One class of requests, as the settings state it. */
 public record RequestClass(
--- a/src/main/java/meadowtrack/api/ServerEntry.java
+++ b/src/main/java/heathswitch/policy/api/ServerEntry.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /**
  * One line of the server list.
--- a/src/main/java/meadowtrack/api/Settings.java
+++ b/src/main/java/heathswitch/policy/api/Settings.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 import java.util.List;
 
--- a/src/main/java/meadowtrack/api/Tenant.java
+++ b/src/main/java/heathswitch/policy/api/Tenant.java
@@ -1,4 +1,4 @@
-package meadowtrack.api;
+package heathswitch.policy.api;
 
 /** A tenant and its share of the service; the quota is for all balancers together. */
 public record Tenant(String name, double portion, double quotaPerSecond) {
--- a/src/main/java/meadowtrack/core/Balancer.java
+++ b/src/main/java/heathswitch/policy/core/Balancer.java
@@ -1,19 +1,19 @@
-package meadowtrack.core;
-
+package heathswitch.policy.core;
+
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.GiveUp;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import meadowtrack.api.Actions;
-import meadowtrack.api.Form;
-import meadowtrack.api.GiveUp;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 
 /**
  * One balancer: a method for each event, each with the clock's reading, and decisions sent out
--- a/src/main/java/meadowtrack/core/EntryWindow.java
+++ b/src/main/java/heathswitch/policy/core/EntryWindow.java
@@ -1,4 +1,4 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 /**
  * The same window over all calls of an entry balancer, which alone can turn work away before any
--- a/src/main/java/meadowtrack/core/ListCalls.java
+++ b/src/main/java/heathswitch/policy/core/ListCalls.java
@@ -1,4 +1,4 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/meadowtrack/core/ListLease.java
+++ b/src/main/java/heathswitch/policy/core/ListLease.java
@@ -1,6 +1,6 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import meadowtrack.api.Settings;
+import heathswitch.policy.api.Settings;
 
 /**
  * For how long the newest list of servers may be acted on. A change counts as told some time after
--- a/src/main/java/meadowtrack/core/ListTrust.java
+++ b/src/main/java/heathswitch/policy/core/ListTrust.java
@@ -1,4 +1,4 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 /** To which servers a balancer may send by the list that it has. */
 enum ListTrust {
--- a/src/main/java/meadowtrack/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -1,5 +1,11 @@
-package meadowtrack.core;
-
+package heathswitch.policy.core;
+
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -7,12 +13,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import meadowtrack.api.Actions;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Part;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 
 /** Follows the list of servers: who is known, in service, cold; and asks where it must be asked. */
 final class Membership {
--- a/src/main/java/meadowtrack/core/Request.java
+++ b/src/main/java/heathswitch/policy/core/Request.java
@@ -1,7 +1,7 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass;
 
 /** One request and its attempts. */
 final class Request {
--- a/src/main/java/meadowtrack/core/RuleSet.java
+++ b/src/main/java/heathswitch/policy/core/RuleSet.java
@@ -1,10 +1,10 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.Tenant;
 import java.util.HashMap;
 import java.util.Map;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.api.Tenant;
 
 /**
  * One version of the settings with what is learned under it: delays of classes, quotas left. Each
--- a/src/main/java/meadowtrack/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -1,10 +1,10 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ServerEntry;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import meadowtrack.api.Health;
-import meadowtrack.api.Part;
-import meadowtrack.api.ServerEntry;
 
 /** What one balancer knows of one server. */
 final class Server {
--- a/src/main/java/meadowtrack/core/StartTimes.java
+++ b/src/main/java/heathswitch/policy/core/StartTimes.java
@@ -1,8 +1,8 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ServerEntry;
 import java.util.List;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.ServerEntry;
 
 /**
  * How old a start of a server is when it is first heard of. Its time was taken from the clock of
--- a/src/main/java/meadowtrack/core/WorkingSet.java
+++ b/src/main/java/heathswitch/policy/core/WorkingSet.java
@@ -1,11 +1,11 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Part;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
-import meadowtrack.api.Form;
-import meadowtrack.api.Part;
 
 /**
  * The adaptive set over one pool of servers: the member with room and fewest own calls takes the
--- a/src/main/java/meadowtrack/gateway/FarLink.java
+++ b/src/main/java/heathswitch/policy/gateway/FarLink.java
@@ -1,6 +1,6 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
-import meadowtrack.core.DelayWindow;
+import heathswitch.policy.core.DelayWindow;
 
 /** What a gateway knows of one gateway of another site. Its calls go through a delay window. */
 public final class FarLink {
--- a/src/main/java/meadowtrack/gateway/Gateway.java
+++ b/src/main/java/heathswitch/policy/gateway/Gateway.java
@@ -1,12 +1,12 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
 
 /**
  * One gateway of one site: to which other site a call goes that its own cannot carry, or that it is
--- a/src/main/java/meadowtrack/gateway/Lending.java
+++ b/src/main/java/heathswitch/policy/gateway/Lending.java
@@ -1,6 +1,6 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
-import meadowtrack.core.DelayWindow;
+import heathswitch.policy.core.DelayWindow;
 
 /**
  * What a site takes of others: as many calls at a time as a delay window allows that is cut when
--- a/src/main/java/meadowtrack/gateway/RoundTrip.java
+++ b/src/main/java/heathswitch/policy/gateway/RoundTrip.java
@@ -1,4 +1,4 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 /** What a link takes there and back, from what passes on it (RFC 6298, section 2). */
 final class RoundTrip {
--- a/src/main/java/meadowtrack/gateway/Strain.java
+++ b/src/main/java/heathswitch/policy/gateway/Strain.java
@@ -1,4 +1,4 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 /**
  * Whether a site's own servers take visibly longer than they do at ease: its present delay of a
--- a/src/main/java/meadowtrack/gateway/Trail.java
+++ b/src/main/java/heathswitch/policy/gateway/Trail.java
@@ -1,4 +1,4 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 import java.util.List;
 
--- a/src/main/java/meadowtrack/peers/Doors.java
+++ b/src/main/java/heathswitch/policy/gossip/Doors.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
--- a/src/main/java/meadowtrack/peers/Facts.java
+++ b/src/main/java/heathswitch/policy/gossip/Facts.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 /**
  * What a peer says of itself.
--- a/src/main/java/meadowtrack/peers/Gossip.java
+++ b/src/main/java/heathswitch/policy/gossip/Gossip.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/meadowtrack/peers/Pace.java
+++ b/src/main/java/heathswitch/policy/gossip/Pace.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 /**
  * How often and how patiently peers ask each other.
--- a/src/main/java/meadowtrack/peers/Standing.java
+++ b/src/main/java/heathswitch/policy/gossip/Standing.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 /** What is held of a peer; of two words of one incarnation the later one here goes. */
 public enum Standing {
--- a/src/main/java/meadowtrack/peers/Word.java
+++ b/src/main/java/heathswitch/policy/gossip/Word.java
@@ -1,4 +1,4 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 /**
  * What is said of one peer.
--- a/src/main/java/meadowtrack/grpc/Gathering.java
+++ b/src/main/java/heathswitch/policy/grpc/Gathering.java
@@ -1,4 +1,4 @@
-package meadowtrack.grpc;
+package heathswitch.policy.grpc;
 
 /**
  * When a call or its answer is no longer held back but goes on as it comes. What is held back can
--- a/src/main/java/meadowtrack/grpc/Status.java
+++ b/src/main/java/heathswitch/policy/grpc/Status.java
@@ -1,6 +1,6 @@
-package meadowtrack.grpc;
+package heathswitch.policy.grpc;
 
-import meadowtrack.api.Outcome;
+import heathswitch.policy.api.Outcome;
 
 /**
  * gRPC's status codes (the protocol's statuscodes page) and what an answer with each of them says
--- a/src/main/java/meadowtrack/grpc/package-info.java
+++ b/src/main/java/heathswitch/policy/grpc/package-info.java
@@ -1,2 +1,2 @@
 /** What gRPC's statuses mean for the decision module. Free of I/O, clocks and threads. */
-package meadowtrack.grpc;
+package heathswitch.policy.grpc;
--- a/src/main/java/meadowtrack/work/Floor.java
+++ b/src/main/java/heathswitch/policy/maintenance/Floor.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /**
  * Capacity that must stay in service while machines are out.
--- a/src/main/java/meadowtrack/work/Instance.java
+++ b/src/main/java/heathswitch/policy/maintenance/Instance.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /** A balancer that takes part. */
 final class Instance {
--- a/src/main/java/meadowtrack/work/LogClock.java
+++ b/src/main/java/heathswitch/policy/maintenance/LogClock.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /**
  * The log's own clock. Whoever leads goes on from the latest time that was taken, by its monotonic
--- a/src/main/java/meadowtrack/work/Machine.java
+++ b/src/main/java/heathswitch/policy/maintenance/Machine.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /**
  * A server as an order names it.
--- a/src/main/java/meadowtrack/work/Phase.java
+++ b/src/main/java/heathswitch/policy/maintenance/Phase.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /** Where one machine of an order stands. */
 public enum Phase {
--- a/src/main/java/meadowtrack/work/Release.java
+++ b/src/main/java/heathswitch/policy/maintenance/Release.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 /**
  * What an instance's program can take, and whom its configuration names.
--- a/src/main/java/meadowtrack/work/Rules.java
+++ b/src/main/java/heathswitch/policy/maintenance/Rules.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 import java.util.List;
 
--- a/src/main/java/meadowtrack/members/ListDiff.java
+++ b/src/main/java/heathswitch/policy/members/ListDiff.java
@@ -1,4 +1,4 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/meadowtrack/members/ListPolicy.java
+++ b/src/main/java/heathswitch/policy/members/ListPolicy.java
@@ -1,4 +1,4 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 /**
  * What a new list may do without being asked about.
--- a/src/main/java/meadowtrack/members/ListedServer.java
+++ b/src/main/java/heathswitch/policy/members/ListedServer.java
@@ -1,4 +1,4 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 /**
  * One server as a list names it.
--- a/src/main/java/meadowtrack/members/Placed.java
+++ b/src/main/java/heathswitch/policy/members/Placed.java
@@ -1,4 +1,4 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 /**
  * A line of a candidate list.
--- a/src/main/java/meadowtrack/members/package-info.java
+++ b/src/main/java/heathswitch/policy/members/package-info.java
@@ -3,4 +3,4 @@
  * and how servers that left are drained. Free of I/O, clocks and threads: times come in as
  * arguments.
  */
-package meadowtrack.members;
+package heathswitch.policy.members;
--- a/src/main/java/meadowtrack/rotation/Mark.java
+++ b/src/main/java/heathswitch/policy/rotation/Mark.java
@@ -1,4 +1,4 @@
-package meadowtrack.rotation;
+package heathswitch.policy.rotation;
 
 /**
  * What operators have said of one upstream.
--- a/src/main/java/meadowtrack/rotation/Rotation.java
+++ b/src/main/java/heathswitch/policy/rotation/Rotation.java
@@ -1,10 +1,10 @@
-package meadowtrack.rotation;
+package heathswitch.policy.rotation;
 
+import heathswitch.policy.api.Health;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import meadowtrack.api.Health;
 
 /** The marks that are in force, and what a listing means under them. */
 public final class Rotation {
--- a/src/main/java/meadowtrack/subsets/Flows.java
+++ b/src/main/java/heathswitch/policy/subsetting/Flows.java
@@ -1,4 +1,4 @@
-package meadowtrack.subsets;
+package heathswitch.policy.subsetting;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/meadowtrack/subsets/Rule.java
+++ b/src/main/java/heathswitch/policy/subsetting/Rule.java
@@ -1,4 +1,4 @@
-package meadowtrack.subsets;
+package heathswitch.policy.subsetting;
 
 /**
  * How wide balancers choose; the same for all of them, or their plans differ.
--- a/src/main/java/meadowtrack/subsets/Subset.java
+++ b/src/main/java/heathswitch/policy/subsetting/Subset.java
@@ -1,4 +1,4 @@
-package meadowtrack.subsets;
+package heathswitch.policy.subsetting;
 
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/meadowtrack/subsets/package-info.java
+++ b/src/main/java/heathswitch/policy/subsetting/package-info.java
@@ -2,4 +2,4 @@
  * Which servers a balancer is to use, so that the choices of all add up: each computes the same
  * plan from what it knows of the others. No I/O, no clock, no thread.
  */
-package meadowtrack.subsets;
+package heathswitch.policy.subsetting;
--- a/src/main/java/maplehall/Main.java
+++ b/src/main/java/heathswitch/proxy/Main.java
@@ -1,11 +1,11 @@
-package maplehall;
+package heathswitch.proxy;
 
+import heathswitch.proxy.cli.Commands;
+import heathswitch.proxy.platform.NodeConfig;
+import heathswitch.proxy.platform.PlatformNode;
+import heathswitch.proxy.platform.Rehearsal;
+import heathswitch.proxy.runtime.Log;
 import java.util.Map;
-import maplehall.cli.Commands;
-import maplehall.platform.NodeConfig;
-import maplehall.platform.PlatformNode;
-import maplehall.platform.Rehearsal;
-import maplehall.runtime.Log;
 
 /**
  * The command line: {@code serve} without a file is the balancer of the platform, {@code adapter}
@@ -21,7 +21,7 @@
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> exit(serve(System.getenv()));
       case "rehearse" -> System.exit(rehearse());
-      case "adapter" -> meadowtrack.adapter.Main.main(args);
+      case "adapter" -> heathswitch.policy.adapter.Main.main(args);
       default -> exit(Commands.run(args));
     }
   }
--- a/src/main/java/maplehall/admin/AdminServer.java
+++ b/src/main/java/heathswitch/proxy/admin/AdminServer.java
@@ -1,9 +1,11 @@
-package maplehall.admin;
+package heathswitch.proxy.admin;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.runtime.Listeners;
+import heathswitch.proxy.runtime.Log;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -26,8 +28,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import maplehall.runtime.Listeners;
-import maplehall.runtime.Log;
 
 /**
  * The admin listener: JSON over HTTP/1.1 on a loopback address, for operators and the command line.
--- a/src/main/java/maplehall/admin/AdminTable.java
+++ b/src/main/java/heathswitch/proxy/admin/AdminTable.java
@@ -1,7 +1,7 @@
-package maplehall.admin;
+package heathswitch.proxy.admin;
 
+import heathswitch.proxy.config.Section;
 import java.net.InetSocketAddress;
-import maplehall.config.Section;
 
 /**
  * The table {@code [admin]} of the configuration.
--- a/src/main/java/maplehall/cli/AdminClient.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminClient.java
@@ -1,13 +1,13 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.admin.AdminServer;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
 import java.net.URL;
 import java.util.Map;
-import maplehall.admin.AdminServer;
 
 /** Asks the admin listener of a running balancer. */
 final class AdminClient {
--- a/src/main/java/maplehall/cli/Asking.java
+++ b/src/main/java/heathswitch/proxy/cli/Asking.java
@@ -1,12 +1,12 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.standalone.StandaloneConfig;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import maplehall.standalone.StandaloneConfig;
 import picocli.CommandLine.Model.CommandSpec;
 
 /** What every command does that asks a running balancer. */
--- a/src/main/java/maplehall/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -1,14 +1,14 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
+import heathswitch.proxy.files.AtomicFile;
+import heathswitch.proxy.files.BoundedFile;
+import heathswitch.proxy.members.MembersCheck;
+import heathswitch.proxy.standalone.StandaloneConfig;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.files.AtomicFile;
-import maplehall.files.BoundedFile;
-import maplehall.members.MembersCheck;
-import maplehall.standalone.StandaloneConfig;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
--- a/src/main/java/maplehall/cli/SubsetCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/SubsetCommand.java
@@ -1,4 +1,4 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
 import java.nio.file.Path;
 import picocli.CommandLine.Command;
--- a/src/main/java/maplehall/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -1,14 +1,14 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.maintenance.WorkFolder;
+import heathswitch.proxy.standalone.StandaloneConfig;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import maplehall.standalone.StandaloneConfig;
-import maplehall.work.WorkFolder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
--- a/src/main/java/maplehall/config/Document.java
+++ b/src/main/java/heathswitch/proxy/config/Document.java
@@ -1,12 +1,12 @@
-package maplehall.config;
+package heathswitch.proxy.config;
 
+import heathswitch.proxy.files.BoundedFile;
+import heathswitch.proxy.files.FileFault;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import maplehall.files.BoundedFile;
-import maplehall.files.FileFault;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
--- a/src/main/java/maplehall/config/Fault.java
+++ b/src/main/java/heathswitch/proxy/config/Fault.java
@@ -1,4 +1,4 @@
-package maplehall.config;
+package heathswitch.proxy.config;
 
 /**
  * What is wrong at one place of a file.
--- a/src/main/java/maplehall/config/Nearest.java
+++ b/src/main/java/heathswitch/proxy/config/Nearest.java
@@ -1,4 +1,4 @@
-package maplehall.config;
+package heathswitch.proxy.config;
 
 import java.util.Collection;
 
--- a/src/main/java/maplehall/config/Section.java
+++ b/src/main/java/heathswitch/proxy/config/Section.java
@@ -1,5 +1,6 @@
-package maplehall.config;
+package heathswitch.proxy.config;
 
+import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +12,6 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import maplehall.runtime.Addresses;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
--- a/src/main/java/maplehall/agreement/Agreement.java
+++ b/src/main/java/heathswitch/proxy/consensus/Agreement.java
@@ -1,8 +1,9 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -18,7 +19,6 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Supplier;
-import maplehall.runtime.Log;
 import org.apache.ratis.client.RaftClient;
 import org.apache.ratis.conf.Parameters;
 import org.apache.ratis.conf.RaftProperties;
--- a/src/main/java/maplehall/agreement/LogClients.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogClients.java
@@ -1,12 +1,12 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
 import java.util.function.Supplier;
-import maplehall.runtime.Log;
 import org.apache.ratis.client.RaftClient;
 
 /**
--- a/src/main/java/maplehall/agreement/LogMachine.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogMachine.java
@@ -1,13 +1,13 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
+import heathswitch.policy.maintenance.LogClock;
+import heathswitch.proxy.files.AtomicFile;
+import heathswitch.proxy.runtime.Log;
 import java.io.File;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.util.concurrent.CompletableFuture;
-import maplehall.files.AtomicFile;
-import maplehall.runtime.Log;
-import meadowtrack.work.LogClock;
 import org.apache.ratis.io.MD5Hash;
 import org.apache.ratis.protocol.Message;
 import org.apache.ratis.protocol.RaftClientRequest;
--- a/src/main/java/maplehall/agreement/LogSettings.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogSettings.java
@@ -1,4 +1,4 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
--- a/src/main/java/maplehall/agreement/Replica.java
+++ b/src/main/java/heathswitch/proxy/consensus/Replica.java
@@ -1,4 +1,4 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
 /**
  * What is computed from the log, alike on every instance. Calls come one at a time, in the log's
--- a/src/main/java/maplehall/agreement/Ways.java
+++ b/src/main/java/heathswitch/proxy/consensus/Ways.java
@@ -1,4 +1,4 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
 import java.net.InetSocketAddress;
 import java.net.URI;
--- a/src/main/java/maplehall/agreement/package-info.java
+++ b/src/main/java/heathswitch/proxy/consensus/package-info.java
@@ -3,4 +3,4 @@
  * count. The library that keeps it (Apache Ratis) is known here alone; see {@code
  * docs/design/work.md}.
  */
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
--- a/src/main/java/maplehall/dispatch/Counters.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Counters.java
@@ -1,6 +1,6 @@
-package maplehall.dispatch;
+package heathswitch.proxy.dispatch;
 
-import meadowtrack.api.Outcome;
+import heathswitch.policy.api.Outcome;
 
 /** What happened since the last line of figures in the log. */
 public final class Counters {
--- a/src/main/java/maplehall/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -1,7 +1,24 @@
-package maplehall.dispatch;
+package heathswitch.proxy.dispatch;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.GiveUp;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.core.Balancer;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Transport;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.util.concurrent.EventExecutor;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,23 +30,6 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Predicate;
-import maplehall.border.Answer;
-import maplehall.border.Caller;
-import maplehall.border.Payload;
-import maplehall.border.Transport;
-import maplehall.border.Upstream;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import meadowtrack.api.Actions;
-import meadowtrack.api.Form;
-import meadowtrack.api.GiveUp;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
-import meadowtrack.core.Balancer;
 
 /**
  * Carries out what the decision module asks and tells it what happens. It decides nothing: which
--- a/src/main/java/maplehall/dispatch/Elsewhere.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Elsewhere.java
@@ -1,10 +1,10 @@
-package maplehall.dispatch;
+package heathswitch.proxy.dispatch;
 
-import maplehall.border.Attempt;
-import maplehall.border.Payload;
-import maplehall.border.Upstream;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Upstream;
 
 /**
  * Where a request may go that the servers here have no room for and none of them has begun to run.
--- a/src/main/java/maplehall/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -1,16 +1,16 @@
-package maplehall.dispatch;
-
+package heathswitch.proxy.dispatch;
+
+import heathswitch.policy.api.GiveUp;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import maplehall.border.Answer;
-import maplehall.border.Caller;
-import maplehall.border.Payload;
-import maplehall.border.Ticket;
-import maplehall.border.Upstream;
-import meadowtrack.api.GiveUp;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
 
 /** A request that has been taken: what it says, its attempts, and whether it has been answered. */
 final class LiveRequest implements Ticket {
@@ -28,7 +28,7 @@
   }
 
   /** One attempt of a request. */
-  static final class Attempt extends maplehall.border.Attempt {
+  static final class Attempt extends heathswitch.proxy.spi.Attempt {
     final LiveRequest request;
     final int number;
     final long sentNanos;
--- a/src/main/java/maplehall/dispatch/Member.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Member.java
@@ -1,10 +1,10 @@
-package maplehall.dispatch;
+package heathswitch.proxy.dispatch;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ServerEntry;
 import java.net.InetSocketAddress;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.Part;
-import meadowtrack.api.ServerEntry;
 
 /**
  * One upstream as a list names it.
--- a/src/main/java/maplehall/dispatch/RequestLog.java
+++ b/src/main/java/heathswitch/proxy/dispatch/RequestLog.java
@@ -1,8 +1,8 @@
-package maplehall.dispatch;
+package heathswitch.proxy.dispatch;
 
+import heathswitch.proxy.runtime.Log;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import maplehall.runtime.Log;
 
 /**
  * The log of requests that did not go their plain way: each further attempt, refusal and failure
--- a/src/main/java/maplehall/files/AtomicFile.java
+++ b/src/main/java/heathswitch/proxy/files/AtomicFile.java
@@ -1,4 +1,4 @@
-package maplehall.files;
+package heathswitch.proxy.files;
 
 import static java.nio.file.StandardCopyOption.ATOMIC_MOVE;
 import static java.nio.file.StandardCopyOption.REPLACE_EXISTING;
--- a/src/main/java/maplehall/files/BoundedFile.java
+++ b/src/main/java/heathswitch/proxy/files/BoundedFile.java
@@ -1,4 +1,4 @@
-package maplehall.files;
+package heathswitch.proxy.files;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/maplehall/gateway/Far.java
+++ b/src/main/java/heathswitch/proxy/gateway/Far.java
@@ -1,15 +1,15 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.gateway.FarLink;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.runtime.Channels;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.handler.ssl.SslHandler;
 import java.net.InetSocketAddress;
-import maplehall.border.Upstream;
-import maplehall.http2.Link;
-import maplehall.runtime.Channels;
-import maplehall.runtime.Log;
-import meadowtrack.gateway.FarLink;
 
 /**
  * One gateway of another site: connected as long as this one runs, asked by PING all the time, and
--- a/src/main/java/maplehall/gateway/GatewayTable.java
+++ b/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
@@ -1,15 +1,15 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.gateway.Trail;
+import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.Section;
+import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import maplehall.config.Document;
-import maplehall.config.Section;
-import maplehall.runtime.Addresses;
-import meadowtrack.gateway.Trail;
 
 /**
  * The table {@code [gateway]} of the configuration.
--- a/src/main/java/maplehall/gateway/Identity.java
+++ b/src/main/java/heathswitch/proxy/gateway/Identity.java
@@ -1,5 +1,6 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.files.BoundedFile;
 import io.netty.handler.ssl.ApplicationProtocolConfig;
 import io.netty.handler.ssl.ApplicationProtocolNames;
 import io.netty.handler.ssl.ClientAuth;
@@ -24,7 +25,6 @@
 import java.util.Collection;
 import java.util.Date;
 import java.util.List;
-import maplehall.files.BoundedFile;
 
 /**
  * What a gateway shows its peers, and whom it believes, as read from its files at one time. TLS 1.3
--- a/src/main/java/maplehall/gateway/IdentityFiles.java
+++ b/src/main/java/heathswitch/proxy/gateway/IdentityFiles.java
@@ -1,5 +1,6 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,7 +11,6 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import maplehall.runtime.Log;
 
 /**
  * Follows the files of an identity while the gateway runs: a replacement is read whole and taken if
--- a/src/main/java/maplehall/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -1,5 +1,19 @@
-package maplehall.gateway;
-
+package heathswitch.proxy.gateway;
+
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.gateway.Gateway;
+import heathswitch.policy.gateway.Trail;
+import heathswitch.proxy.http1.AnswerSink;
+import heathswitch.proxy.http1.AnswerSource;
+import heathswitch.proxy.http1.HeaderRules;
+import heathswitch.proxy.http1.HttpAnswer;
+import heathswitch.proxy.http1.HttpPayload;
+import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Ticket;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -16,20 +30,6 @@
 import io.netty.util.AsciiString;
 import java.util.Locale;
 import java.util.Map;
-import maplehall.border.Answer;
-import maplehall.border.Caller;
-import maplehall.border.Ticket;
-import maplehall.http1.AnswerSink;
-import maplehall.http1.AnswerSource;
-import maplehall.http1.HeaderRules;
-import maplehall.http1.HttpAnswer;
-import maplehall.http1.HttpPayload;
-import maplehall.http2.ServedLink;
-import maplehall.runtime.Log;
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass;
-import meadowtrack.gateway.Gateway;
-import meadowtrack.gateway.Trail;
 
 /**
  * One call of another site: served by this site's own servers or refused at once, and never sent
--- a/src/main/java/maplehall/gateway/InLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/InLink.java
@@ -1,9 +1,9 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.http2.ServedLink;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
-import maplehall.http2.ServedLink;
 
 /** One connection of a gateway of another site, with that site's calls on it. */
 final class InLink extends ServedLink {
--- a/src/main/java/maplehall/gateway/Inward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Inward.java
@@ -1,7 +1,16 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.gateway.Gateway;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.http1.UpstreamPool;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.node.Front;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Listeners;
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
@@ -13,15 +22,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import maplehall.dispatch.Dispatcher;
-import maplehall.http1.UpstreamPool;
-import maplehall.http2.Link;
-import maplehall.node.Front;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Listeners;
-import maplehall.runtime.Log;
-import meadowtrack.gateway.Gateway;
 
 /** Listens for the gateways of other sites; with it the links to them begin and end. */
 final class Inward implements Front {
--- a/src/main/java/maplehall/gateway/LinkCounts.java
+++ b/src/main/java/heathswitch/proxy/gateway/LinkCounts.java
@@ -1,8 +1,8 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.api.Outcome;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import meadowtrack.api.Outcome;
 
 /** What became of the calls of a link since the start. */
 final class LinkCounts {
--- a/src/main/java/maplehall/gateway/OutCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutCall.java
@@ -1,5 +1,15 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.gateway.Trail;
+import heathswitch.proxy.http1.AnswerSink;
+import heathswitch.proxy.http1.AnswerSource;
+import heathswitch.proxy.http1.HttpAnswer;
+import heathswitch.proxy.http1.HttpPayload;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,16 +24,6 @@
 import io.netty.handler.codec.http2.Http2Stream;
 import io.netty.util.AsciiString;
 import java.util.Map;
-import maplehall.border.Attempt;
-import maplehall.http1.AnswerSink;
-import maplehall.http1.AnswerSource;
-import maplehall.http1.HttpAnswer;
-import maplehall.http1.HttpPayload;
-import maplehall.http2.Link;
-import maplehall.runtime.Log;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.gateway.Trail;
 
 /**
  * One attempt at another site, as a stream of a link. It says truly whether the call may have run:
--- a/src/main/java/maplehall/gateway/OutLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutLink.java
@@ -1,9 +1,9 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.http2.Link;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
-import maplehall.http2.Link;
 
 /** One connection to a gateway of another site, with this site's calls on it. */
 final class OutLink extends Link {
--- a/src/main/java/maplehall/gateway/Outward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Outward.java
@@ -1,5 +1,18 @@
-package maplehall.gateway;
-
+package heathswitch.proxy.gateway;
+
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.gateway.FarLink;
+import heathswitch.policy.gateway.Gateway;
+import heathswitch.proxy.dispatch.Elsewhere;
+import heathswitch.proxy.http1.HttpPayload;
+import heathswitch.proxy.node.Front;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -8,19 +21,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import maplehall.border.Attempt;
-import maplehall.border.Payload;
-import maplehall.border.Upstream;
-import maplehall.dispatch.Elsewhere;
-import maplehall.http1.HttpPayload;
-import maplehall.node.Front;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.gateway.FarLink;
-import meadowtrack.gateway.Gateway;
 
 /** The links to other sites, and the calls that go over them. */
 final class Outward implements Elsewhere {
--- a/src/main/java/maplehall/gateway/PeerCounts.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerCounts.java
@@ -1,9 +1,9 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.gateway.Gateway;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import meadowtrack.gateway.Gateway;
 
 /** What became of the calls of another site since the start. */
 final class PeerCounts {
--- a/src/main/java/maplehall/gateway/SiteGateway.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
@@ -1,17 +1,17 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.gateway.FarLink;
+import heathswitch.policy.gateway.Gateway;
+import heathswitch.proxy.admin.AdminServer;
+import heathswitch.proxy.node.Front;
+import heathswitch.proxy.node.Node;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import maplehall.admin.AdminServer;
-import maplehall.node.Front;
-import maplehall.node.Node;
-import meadowtrack.api.RequestClass;
-import meadowtrack.gateway.FarLink;
-import meadowtrack.gateway.Gateway;
 
 /** The gateway of a node: puts its parts together, and shows them to operators. */
 public final class SiteGateway implements AutoCloseable {
--- a/src/main/java/maplehall/gateway/SiteHeaders.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteHeaders.java
@@ -1,4 +1,4 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import io.netty.handler.codec.http2.Http2Headers;
 import io.netty.util.AsciiString;
@@ -9,7 +9,7 @@
   /** What all of their names begin with. */
   static final AsciiString PREFIX = AsciiString.cached("x-site-");
 
-  /** {@link meadowtrack.gateway.Trail}. */
+  /** {@link heathswitch.policy.gateway.Trail}. */
   static final AsciiString TRAIL = AsciiString.cached("x-site-trail");
 
   /** Microseconds that the far site may use. */
--- a/src/main/java/maplehall/gateway/Verified.java
+++ b/src/main/java/heathswitch/proxy/gateway/Verified.java
@@ -1,5 +1,6 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.ssl.SslHandler;
@@ -7,7 +8,6 @@
 import java.util.List;
 import java.util.function.Predicate;
 import javax.net.ssl.SSLPeerUnverifiedException;
-import maplehall.runtime.Log;
 
 /**
  * Waits for the handshake and lets the peer in whose certificate names a site that is expected; the
--- a/src/main/java/maplehall/peers/Datagram.java
+++ b/src/main/java/heathswitch/proxy/gossip/Datagram.java
@@ -1,18 +1,18 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.policy.gossip.Doors.Stamp;
+import heathswitch.policy.gossip.Facts;
+import heathswitch.policy.gossip.Message;
+import heathswitch.policy.gossip.Standing;
+import heathswitch.policy.gossip.Word;
+import heathswitch.proxy.runtime.Addresses;
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import maplehall.runtime.Addresses;
-import meadowtrack.peers.Doors.Stamp;
-import meadowtrack.peers.Facts;
-import meadowtrack.peers.Message;
-import meadowtrack.peers.Standing;
-import meadowtrack.peers.Word;
 
 /**
  * The form of a datagram: a version, the key's id, the stamp, a message as a JSON array, the seal.
--- a/src/main/java/maplehall/peers/KeyFile.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyFile.java
@@ -1,13 +1,13 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
+import heathswitch.proxy.files.BoundedFile;
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import maplehall.files.BoundedFile;
-import maplehall.runtime.Log;
 
 /**
  * Follows the file of keys: one that is replaced is taken whole once it has stayed as it is for a
--- a/src/main/java/maplehall/peers/Keys.java
+++ b/src/main/java/heathswitch/proxy/gossip/Keys.java
@@ -1,5 +1,6 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
+import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -11,7 +12,6 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import maplehall.files.BoundedFile;
 
 /**
  * Secrets by id, from a file with a line for each: its id and the secret in Base64. The first
--- a/src/main/java/maplehall/peers/Peering.java
+++ b/src/main/java/heathswitch/proxy/gossip/Peering.java
@@ -1,7 +1,18 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.gossip.Doors;
+import heathswitch.policy.gossip.Facts;
+import heathswitch.policy.gossip.Gossip;
+import heathswitch.policy.gossip.Message;
+import heathswitch.policy.gossip.Standing;
+import heathswitch.policy.gossip.Word;
+import heathswitch.proxy.admin.AdminServer;
+import heathswitch.proxy.metrics.Metrics;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Addresses;
+import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -19,17 +30,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.RejectedExecutionException;
-import maplehall.admin.AdminServer;
-import maplehall.metrics.Metrics;
-import maplehall.node.Node;
-import maplehall.runtime.Addresses;
-import maplehall.runtime.Log;
-import meadowtrack.peers.Doors;
-import meadowtrack.peers.Facts;
-import meadowtrack.peers.Gossip;
-import meadowtrack.peers.Message;
-import meadowtrack.peers.Standing;
-import meadowtrack.peers.Word;
 
 /**
  * This balancer's part in the gossip: carries its messages in datagrams, gives it the time, and
--- a/src/main/java/maplehall/peers/PeersPages.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersPages.java
@@ -1,13 +1,13 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
+import heathswitch.policy.gossip.Gossip;
+import heathswitch.policy.gossip.Word;
+import heathswitch.proxy.admin.AdminServer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import maplehall.admin.AdminServer;
-import meadowtrack.peers.Gossip;
-import meadowtrack.peers.Word;
 
 /** The pages of peers on the admin listener, answered on the loop. */
 final class PeersPages {
--- a/src/main/java/maplehall/peers/PeersTable.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersTable.java
@@ -1,15 +1,15 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
+import heathswitch.policy.gossip.Pace;
+import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.Section;
+import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import maplehall.config.Document;
-import maplehall.config.Section;
-import maplehall.runtime.Addresses;
-import meadowtrack.peers.Pace;
 
 /**
  * The table {@code [peers]} of the configuration.
--- a/src/main/java/maplehall/grpc/ClientLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/ClientLink.java
@@ -1,12 +1,12 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Error;
 import io.netty.handler.codec.http2.Http2Settings;
-import maplehall.http2.ServedLink;
-import maplehall.runtime.Log;
 
 /** One client's connection, with its streams' calls. */
 final class ClientLink extends ServedLink {
--- a/src/main/java/maplehall/grpc/GrpcAnswer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcAnswer.java
@@ -1,7 +1,7 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.proxy.spi.Answer;
 import io.netty.handler.codec.http2.Http2Headers;
-import maplehall.border.Answer;
 
 /**
  * A whole answer.
--- a/src/main/java/maplehall/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -1,7 +1,17 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.Status;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Ticket;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -11,16 +21,6 @@
 import io.netty.handler.codec.http2.Http2Stream;
 import io.netty.util.AsciiString;
 import io.netty.util.concurrent.Future;
-import maplehall.border.Answer;
-import maplehall.border.Attempt;
-import maplehall.border.Caller;
-import maplehall.border.Payload;
-import maplehall.border.Ticket;
-import maplehall.http2.Link;
-import maplehall.http2.ServedLink;
-import meadowtrack.api.Form;
-import meadowtrack.grpc.Gathering;
-import meadowtrack.grpc.Status;
 
 /**
  * One call of a client, on a stream of its own. What has come of it is kept and can be sent again,
--- a/src/main/java/maplehall/grpc/GrpcHeaders.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcHeaders.java
@@ -1,5 +1,6 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.policy.grpc.Status;
 import io.netty.handler.codec.http2.DefaultHttp2Headers;
 import io.netty.handler.codec.http2.Http2Headers;
 import io.netty.util.AsciiString;
@@ -8,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import meadowtrack.grpc.Status;
 
 /** The headers of gRPC over HTTP/2 that the balancer reads or writes, and which ones go on. */
 final class GrpcHeaders {
--- a/src/main/java/maplehall/grpc/GrpcPool.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcPool.java
@@ -1,7 +1,15 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Channels;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Transport;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
@@ -14,14 +22,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import maplehall.border.Attempt;
-import maplehall.border.Transport;
-import maplehall.border.Upstream;
-import maplehall.http2.Link;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Channels;
-import maplehall.runtime.Clock;
-import meadowtrack.api.Settings;
 
 /** HTTP/2 connections to upstreams: opened as their streams run out, closed when idle or silent. */
 final class GrpcPool implements Transport {
--- a/src/main/java/maplehall/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -1,7 +1,14 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.node.Front;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Listeners;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
@@ -10,13 +17,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import maplehall.dispatch.Dispatcher;
-import maplehall.http2.Link;
-import maplehall.node.Front;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Listeners;
-import meadowtrack.api.Settings;
 
 /** Listens for gRPC clients, bounds what they may do, and ends their connections in good order. */
 public final class GrpcServer implements Front {
--- a/src/main/java/maplehall/grpc/GrpcStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
@@ -1,18 +1,18 @@
-package maplehall.grpc;
-
+package heathswitch.proxy.grpc;
+
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.Status;
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.handler.codec.http2.Http2Error;
 import io.netty.handler.codec.http2.Http2Headers;
 import io.netty.handler.codec.http2.Http2Stream;
-import maplehall.border.Attempt;
-import maplehall.border.Upstream;
-import maplehall.http2.Link;
-import maplehall.runtime.Log;
-import meadowtrack.api.Outcome;
-import meadowtrack.grpc.Gathering;
-import meadowtrack.grpc.Status;
 
 /**
  * One attempt as a stream of a connection to an upstream. It says truly whether the call may have
--- a/src/main/java/maplehall/grpc/GrpcTable.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
@@ -1,14 +1,14 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.grpc.Gathering;
+import heathswitch.proxy.config.Section;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import maplehall.config.Section;
-import meadowtrack.api.RequestClass;
-import meadowtrack.grpc.Gathering;
 
 /**
  * The table {@code [grpc]} of the configuration.
--- a/src/main/java/maplehall/grpc/GrpcTimeout.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcTimeout.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 /** The header {@code grpc-timeout}: at most eight digits and a unit (gRPC over HTTP/2). */
 final class GrpcTimeout {
--- a/src/main/java/maplehall/grpc/Held.java
+++ b/src/main/java/heathswitch/proxy/grpc/Held.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 /** Bytes of messages that are held, of all calls together. On the loop only. */
 final class Held {
--- a/src/main/java/maplehall/grpc/Messages.java
+++ b/src/main/java/heathswitch/proxy/grpc/Messages.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import io.netty.buffer.ByteBuf;
 
--- a/src/main/java/maplehall/grpc/Patience.java
+++ b/src/main/java/heathswitch/proxy/grpc/Patience.java
@@ -1,10 +1,10 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.proxy.runtime.Clock;
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
-import maplehall.runtime.Clock;
 
 /**
  * Tells all who wait that the same short time is over for them, by one timer in the order in which
--- a/src/main/java/maplehall/grpc/UpstreamLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/UpstreamLink.java
@@ -1,14 +1,14 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Error;
 import io.netty.handler.codec.http2.Http2Settings;
 import java.util.ArrayDeque;
-import maplehall.border.Upstream;
-import maplehall.http2.Link;
-import maplehall.runtime.Clock;
 
 /** One connection to an upstream with many streams, each of them an attempt. */
 final class UpstreamLink extends Link {
--- a/src/main/java/maplehall/http1/AnswerSource.java
+++ b/src/main/java/heathswitch/proxy/http1/AnswerSource.java
@@ -1,4 +1,4 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 /** What brings an answer that goes on as it comes. */
 public interface AnswerSource {
--- a/src/main/java/maplehall/http1/ClientHandler.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientHandler.java
@@ -1,7 +1,15 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Ticket;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -33,14 +41,6 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
-import maplehall.border.Answer;
-import maplehall.border.Caller;
-import maplehall.border.Ticket;
-import maplehall.dispatch.Dispatcher;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass;
 
 /** One client's connection: reads one request at a time and writes its one answer. */
 final class ClientHandler extends ChannelInboundHandlerAdapter implements Caller, AnswerSink {
--- a/src/main/java/maplehall/http1/ClientServer.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientServer.java
@@ -1,7 +1,12 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Listeners;
+import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -15,11 +20,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import maplehall.dispatch.Dispatcher;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Listeners;
-import maplehall.runtime.Log;
 
 /** Listens for clients and keeps their connections within the budget. */
 public final class ClientServer {
--- a/src/main/java/maplehall/http1/GatheredBody.java
+++ b/src/main/java/heathswitch/proxy/http1/GatheredBody.java
@@ -1,4 +1,4 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/maplehall/http1/HeaderRules.java
+++ b/src/main/java/heathswitch/proxy/http1/HeaderRules.java
@@ -1,5 +1,6 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.policy.api.RequestClass;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -9,7 +10,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import meadowtrack.api.RequestClass;
 
 /** The headers that the balancer itself reads or writes, and which ones go on. */
 public final class HeaderRules {
--- a/src/main/java/maplehall/http1/HttpAnswer.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpAnswer.java
@@ -1,8 +1,8 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.proxy.spi.Answer;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import maplehall.border.Answer;
 
 /** A whole answer over HTTP/1.1. */
 public record HttpAnswer(HttpResponse head, ByteBuf body) implements Answer {
--- a/src/main/java/maplehall/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -1,5 +1,7 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Payload;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
@@ -11,8 +13,6 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
-import maplehall.border.Attempt;
-import maplehall.border.Payload;
 
 /** A request over HTTP/1.1, whole or with a body that still comes. */
 public final class HttpPayload implements Payload {
--- a/src/main/java/maplehall/http1/RequestHead.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestHead.java
@@ -1,9 +1,9 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.proxy.dispatch.Dispatcher;
 import io.netty.handler.codec.http.HttpRequest;
 import java.util.List;
-import maplehall.dispatch.Dispatcher;
-import meadowtrack.api.RequestClass;
 
 /**
  * What the head of a request says of how it is to be served, under the settings that hold now.
--- a/src/main/java/maplehall/http1/StrictRequestDecoder.java
+++ b/src/main/java/heathswitch/proxy/http1/StrictRequestDecoder.java
@@ -1,4 +1,4 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpDecoderConfig;
--- a/src/main/java/maplehall/http1/Upload.java
+++ b/src/main/java/heathswitch/proxy/http1/Upload.java
@@ -1,9 +1,9 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.proxy.runtime.Budget;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.util.ArrayDeque;
-import maplehall.runtime.Budget;
 
 /**
  * A long body on its way from its client to the one attempt that gets it. What came first is kept
--- a/src/main/java/maplehall/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -1,7 +1,13 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.api.Outcome;
+import heathswitch.proxy.runtime.Channels;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -21,12 +27,6 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
-import maplehall.border.Attempt;
-import maplehall.border.Upstream;
-import maplehall.runtime.Channels;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import meadowtrack.api.Outcome;
 
 /**
  * One connection to an upstream, with one exchange at a time. It says how each attempt ended, by
--- a/src/main/java/maplehall/http1/UpstreamPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamPool.java
@@ -1,5 +1,12 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Channels;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Transport;
+import heathswitch.proxy.spi.Upstream;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -16,13 +23,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import maplehall.border.Attempt;
-import maplehall.border.Transport;
-import maplehall.border.Upstream;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Channels;
-import maplehall.runtime.Clock;
-import meadowtrack.api.Settings;
 
 /** Connections to upstreams: opens them, keeps idle ones for a while, and closes them in time. */
 public final class UpstreamPool implements Transport {
--- a/src/main/java/maplehall/http2/Link.java
+++ b/src/main/java/heathswitch/proxy/http2/Link.java
@@ -1,7 +1,8 @@
-package maplehall.http2;
+package heathswitch.proxy.http2;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.proxy.runtime.Log;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -25,7 +26,6 @@
 import io.netty.handler.codec.http2.UniformStreamByteDistributor;
 import java.util.Set;
 import java.util.function.Consumer;
-import maplehall.runtime.Log;
 
 /**
  * One HTTP/2 connection, of either side. Frames go from Netty's codec straight to the handler of
--- a/src/main/java/maplehall/http2/ServedLink.java
+++ b/src/main/java/heathswitch/proxy/http2/ServedLink.java
@@ -1,4 +1,4 @@
-package maplehall.http2;
+package heathswitch.proxy.http2;
 
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
--- a/src/main/java/maplehall/logging/Limited.java
+++ b/src/main/java/heathswitch/proxy/logging/Limited.java
@@ -1,9 +1,9 @@
-package maplehall.logging;
+package heathswitch.proxy.logging;
 
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.filter.Filter;
 import ch.qos.logback.core.spi.FilterReply;
-import maplehall.runtime.LineLimit;
+import heathswitch.proxy.runtime.LineLimit;
 import org.slf4j.Logger;
 
 /**
--- a/src/main/java/maplehall/logging/LogTable.java
+++ b/src/main/java/heathswitch/proxy/logging/LogTable.java
@@ -1,6 +1,6 @@
-package maplehall.logging;
+package heathswitch.proxy.logging;
 
-import maplehall.config.Section;
+import heathswitch.proxy.config.Section;
 
 /**
  * The table {@code [log]} of the configuration.
--- a/src/main/java/maplehall/logging/StructuredLog.java
+++ b/src/main/java/heathswitch/proxy/logging/StructuredLog.java
@@ -1,4 +1,4 @@
-package maplehall.logging;
+package heathswitch.proxy.logging;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
@@ -7,7 +7,7 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.spi.ContextAwareBase;
-import maplehall.runtime.Log;
+import heathswitch.proxy.runtime.Log;
 import org.slf4j.LoggerFactory;
 import org.slf4j.bridge.SLF4JBridgeHandler;
 import org.slf4j.event.KeyValuePair;
--- a/src/main/java/maplehall/work/Holdings.java
+++ b/src/main/java/heathswitch/proxy/maintenance/Holdings.java
@@ -1,5 +1,15 @@
-package maplehall.work;
-
+package heathswitch.proxy.maintenance;
+
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.Phase;
+import heathswitch.policy.maintenance.Report;
+import heathswitch.policy.maintenance.Settled;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Member;
+import heathswitch.proxy.spi.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,16 +18,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import maplehall.border.Upstream;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Member;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.work.Group;
-import meadowtrack.work.Machine;
-import meadowtrack.work.Phase;
-import meadowtrack.work.Report;
-import meadowtrack.work.Settled;
 
 /**
  * Lays what is settled over the lists of servers: what is held gets nothing new, what comes back is
--- a/src/main/java/maplehall/work/Ledger.java
+++ b/src/main/java/heathswitch/proxy/maintenance/Ledger.java
@@ -1,6 +1,12 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.Form;
+import heathswitch.policy.maintenance.Release;
+import heathswitch.policy.maintenance.Reply;
+import heathswitch.policy.maintenance.Settled;
+import heathswitch.proxy.consensus.Replica;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -11,12 +17,6 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import maplehall.agreement.Replica;
-import meadowtrack.work.Command;
-import meadowtrack.work.Form;
-import meadowtrack.work.Release;
-import meadowtrack.work.Reply;
-import meadowtrack.work.Settled;
 
 /**
  * What is settled, as this instance has taken it from the log; for any thread. An entry takes as
--- a/src/main/java/maplehall/work/Steps.java
+++ b/src/main/java/heathswitch/proxy/maintenance/Steps.java
@@ -1,11 +1,11 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
+import heathswitch.policy.maintenance.Settled;
+import heathswitch.proxy.runtime.Log;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import maplehall.runtime.Log;
-import meadowtrack.work.Settled;
 
 /** Writes to the log what became of each machine of an order, as this instance hears of it. */
 final class Steps {
--- a/src/main/java/maplehall/work/WorkCheck.java
+++ b/src/main/java/heathswitch/proxy/maintenance/WorkCheck.java
@@ -1,12 +1,12 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
+import heathswitch.policy.maintenance.Floor;
+import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.members.ListedServer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import meadowtrack.members.ListedServer;
-import meadowtrack.work.Floor;
-import meadowtrack.work.Group;
-import meadowtrack.work.Participant;
 
 /**
  * Holds a table against what it meets: floors against a list of servers, whose orders would wait
--- a/src/main/java/maplehall/work/WorkFolder.java
+++ b/src/main/java/heathswitch/proxy/maintenance/WorkFolder.java
@@ -1,4 +1,4 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/maplehall/work/WorkOrders.java
+++ b/src/main/java/heathswitch/proxy/maintenance/WorkOrders.java
@@ -1,8 +1,19 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.Release;
+import heathswitch.policy.maintenance.Reply;
+import heathswitch.policy.maintenance.Report;
+import heathswitch.policy.maintenance.Settled;
+import heathswitch.proxy.admin.AdminServer;
+import heathswitch.proxy.consensus.Agreement;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.util.List;
@@ -14,17 +25,6 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicLong;
-import maplehall.admin.AdminServer;
-import maplehall.agreement.Agreement;
-import maplehall.node.Node;
-import maplehall.runtime.Log;
-import meadowtrack.work.Command;
-import meadowtrack.work.Machine;
-import meadowtrack.work.Participant;
-import meadowtrack.work.Release;
-import meadowtrack.work.Reply;
-import meadowtrack.work.Report;
-import meadowtrack.work.Settled;
 
 /**
  * This balancer among those that settle which machine goes out when: carries out what its {@link
--- a/src/main/java/maplehall/work/WorkPages.java
+++ b/src/main/java/heathswitch/proxy/maintenance/WorkPages.java
@@ -1,5 +1,12 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
+import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.Phase;
+import heathswitch.policy.maintenance.Reply;
+import heathswitch.policy.maintenance.Rules;
+import heathswitch.policy.maintenance.Settled;
+import heathswitch.proxy.admin.AdminServer;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -12,13 +19,6 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import maplehall.admin.AdminServer;
-import meadowtrack.work.Command;
-import meadowtrack.work.Machine;
-import meadowtrack.work.Phase;
-import meadowtrack.work.Reply;
-import meadowtrack.work.Rules;
-import meadowtrack.work.Settled;
 
 /** The pages of work orders on the admin listener. */
 final class WorkPages {
--- a/src/main/java/maplehall/work/WorkTable.java
+++ b/src/main/java/heathswitch/proxy/maintenance/WorkTable.java
@@ -1,16 +1,16 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
+import heathswitch.policy.maintenance.Floor;
+import heathswitch.policy.maintenance.Rules;
+import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.Section;
+import heathswitch.proxy.consensus.Peer;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import maplehall.agreement.Peer;
-import maplehall.config.Document;
-import maplehall.config.Section;
-import meadowtrack.work.Floor;
-import meadowtrack.work.Rules;
 
 /**
  * The table {@code [work]} of the configuration.
--- a/src/main/java/maplehall/members/Digests.java
+++ b/src/main/java/heathswitch/proxy/members/Digests.java
@@ -1,4 +1,4 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
--- a/src/main/java/maplehall/members/MembersCheck.java
+++ b/src/main/java/heathswitch/proxy/members/MembersCheck.java
@@ -1,17 +1,17 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.policy.members.ListDiff;
+import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
+import heathswitch.policy.members.Verdict;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import maplehall.config.Fault;
-import maplehall.files.BoundedFile;
-import meadowtrack.members.ListDiff;
-import meadowtrack.members.ListJudge;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
-import meadowtrack.members.Verdict;
 
 /**
  * Says what a running balancer would say to files of servers, from the state that it keeps, and
--- a/src/main/java/maplehall/members/MembersFormat.java
+++ b/src/main/java/heathswitch/proxy/members/MembersFormat.java
@@ -1,17 +1,17 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.files.BoundedFile;
+import heathswitch.proxy.files.FileFault;
+import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.regex.Pattern;
-import maplehall.config.Fault;
-import maplehall.files.BoundedFile;
-import maplehall.files.FileFault;
-import maplehall.runtime.Addresses;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
 
 /**
  * A table of servers as people write it: a line each, then a line that says how many there are.
--- a/src/main/java/maplehall/members/MembersKeeper.java
+++ b/src/main/java/heathswitch/proxy/members/MembersKeeper.java
@@ -1,17 +1,17 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.policy.members.Departures;
+import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
+import heathswitch.policy.members.Verdict;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import maplehall.config.Fault;
-import maplehall.runtime.Log;
-import meadowtrack.members.Departures;
-import meadowtrack.members.ListJudge;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
-import meadowtrack.members.Verdict;
 
 /**
  * Follows the files: has each new content judged, keeps what was accepted on disk, and says what is
--- a/src/main/java/maplehall/members/MembersPages.java
+++ b/src/main/java/heathswitch/proxy/members/MembersPages.java
@@ -1,10 +1,10 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.policy.members.Verdict;
+import heathswitch.proxy.admin.AdminServer;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import maplehall.admin.AdminServer;
-import meadowtrack.members.Verdict;
 
 /** What the admin listener shows and takes for the members. */
 public final class MembersPages {
--- a/src/main/java/maplehall/members/MembersState.java
+++ b/src/main/java/heathswitch/proxy/members/MembersState.java
@@ -1,5 +1,12 @@
-package maplehall.members;
-
+package heathswitch.proxy.members;
+
+import heathswitch.policy.members.History;
+import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
+import heathswitch.proxy.files.AtomicFile;
+import heathswitch.proxy.files.BoundedFile;
+import heathswitch.proxy.files.FileFault;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -13,13 +20,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import maplehall.files.AtomicFile;
-import maplehall.files.BoundedFile;
-import maplehall.files.FileFault;
-import meadowtrack.members.History;
-import meadowtrack.members.ListJudge;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
 
 /**
  * The state folder: the last accepted list with its version, digest and the record of who joined
--- a/src/main/java/maplehall/members/MembersTable.java
+++ b/src/main/java/heathswitch/proxy/members/MembersTable.java
@@ -1,10 +1,10 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.policy.members.ListPolicy;
+import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.Section;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.config.Document;
-import maplehall.config.Section;
-import meadowtrack.members.ListPolicy;
 
 /**
  * The table {@code [members]} of the configuration.
--- a/src/main/java/maplehall/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -1,7 +1,17 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.members.Departures;
+import heathswitch.policy.members.Verdict;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Member;
+import heathswitch.proxy.node.MemberSource;
+import heathswitch.proxy.runtime.Addresses;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,16 +24,6 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.Consumer;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Member;
-import maplehall.node.MemberSource;
-import maplehall.runtime.Addresses;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.members.Departures;
-import meadowtrack.members.Verdict;
 
 /**
  * The members of a node from watched files: one thread looks at them, and hands what is to be told
--- a/src/main/java/maplehall/members/WatchedFile.java
+++ b/src/main/java/heathswitch/proxy/members/WatchedFile.java
@@ -1,10 +1,10 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.config.Fault;
-import maplehall.files.BoundedFile;
 
 /**
  * One file, looked at again and again. It is read once it has stayed as it is for a while, and
--- a/src/main/java/maplehall/metrics/Metrics.java
+++ b/src/main/java/heathswitch/proxy/metrics/Metrics.java
@@ -1,5 +1,6 @@
-package maplehall.metrics;
+package heathswitch.proxy.metrics;
 
+import heathswitch.proxy.admin.AdminServer;
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.prometheusmetrics.PrometheusConfig;
@@ -7,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import maplehall.admin.AdminServer;
 
 /**
  * The figures of one balancer. Each is read when somebody asks, on the event loop; there are as
--- a/src/main/java/maplehall/node/Emptying.java
+++ b/src/main/java/heathswitch/proxy/node/Emptying.java
@@ -1,11 +1,11 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
-import maplehall.http1.ClientServer;
-import maplehall.runtime.Log;
 
 /**
  * A balancer that operators empty while it runs, and take into use again. The front hears of it at
--- a/src/main/java/maplehall/node/Front.java
+++ b/src/main/java/heathswitch/proxy/node/Front.java
@@ -1,11 +1,11 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.http1.UpstreamPool;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
 import io.netty.channel.EventLoop;
 import java.util.function.BooleanSupplier;
-import maplehall.dispatch.Dispatcher;
-import maplehall.http1.UpstreamPool;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
 
 /** A listener in another protocol, on the same loop and before the same dispatcher. */
 public interface Front {
--- a/src/main/java/maplehall/node/MemberSource.java
+++ b/src/main/java/heathswitch/proxy/node/MemberSource.java
@@ -1,7 +1,7 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
+import heathswitch.proxy.dispatch.Dispatcher;
 import io.netty.channel.EventLoop;
-import maplehall.dispatch.Dispatcher;
 
 /** Where the list of upstreams comes from. All calls come on the loop. */
 public interface MemberSource {
--- a/src/main/java/maplehall/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -1,20 +1,20 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.http1.UpstreamPool;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.LoopWatch;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import maplehall.dispatch.Dispatcher;
-import maplehall.http1.ClientServer;
-import maplehall.http1.UpstreamPool;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Clock;
-import maplehall.runtime.Log;
-import maplehall.runtime.LoopWatch;
-import meadowtrack.api.Settings;
 
 /** One running balancer: its parts, put together on one event loop. */
 public final class Node {
--- a/src/main/java/maplehall/node/NodeSettings.java
+++ b/src/main/java/heathswitch/proxy/node/NodeSettings.java
@@ -1,7 +1,7 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
+import heathswitch.policy.api.Settings;
 import java.net.InetSocketAddress;
-import meadowtrack.api.Settings;
 
 /**
  * What every balancer is told, wherever its list of upstreams comes from.
--- a/src/main/java/maplehall/node/Shutdown.java
+++ b/src/main/java/heathswitch/proxy/node/Shutdown.java
@@ -1,16 +1,16 @@
-package maplehall.node;
+package heathswitch.proxy.node;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
-import maplehall.dispatch.Dispatcher;
-import maplehall.http1.ClientServer;
-import maplehall.runtime.Log;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
 
 /**
  * SIGTERM: new connections still come for up to 0.4 s and are served. Clients use those that they
--- a/src/main/java/maplehall/operations/Console.java
+++ b/src/main/java/heathswitch/proxy/operations/Console.java
@@ -1,8 +1,11 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Listeners;
+import heathswitch.proxy.runtime.Log;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -27,9 +30,6 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Listeners;
-import maplehall.runtime.Log;
 
 /**
  * The second address: a call to a connection, in HTTP/1.1, answered with a status and a line. It
--- a/src/main/java/maplehall/operations/Generation.java
+++ b/src/main/java/heathswitch/proxy/operations/Generation.java
@@ -1,5 +1,6 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.file.DirectoryIteratorException;
 import java.nio.file.DirectoryStream;
@@ -9,7 +10,6 @@
 import java.nio.file.attribute.FileTime;
 import java.util.HashMap;
 import java.util.Map;
-import maplehall.runtime.Log;
 
 /**
  * The number of this process among those that have served this balancer, one after the other, since
--- a/src/main/java/maplehall/operations/Marks.java
+++ b/src/main/java/heathswitch/proxy/operations/Marks.java
@@ -1,7 +1,11 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Rotation;
+import heathswitch.proxy.files.AtomicFile;
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.DirectoryStream;
@@ -11,10 +15,6 @@
 import java.util.Base64;
 import java.util.HashMap;
 import java.util.Map;
-import maplehall.files.AtomicFile;
-import maplehall.runtime.Log;
-import meadowtrack.rotation.Mark;
-import meadowtrack.rotation.Rotation;
 
 /**
  * The marks of operators, a file for each, in a folder that all processes of one balancer share.
--- a/src/main/java/maplehall/operations/Operations.java
+++ b/src/main/java/heathswitch/proxy/operations/Operations.java
@@ -1,7 +1,11 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.rotation.Mark;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.runtime.Log;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,10 +14,6 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.function.Consumer;
-import maplehall.node.Node;
-import maplehall.runtime.Budget;
-import maplehall.runtime.Log;
-import meadowtrack.rotation.Mark;
 
 /**
  * What operators do with a running balancer. Files are read and written by a thread of their own,
--- a/src/main/java/maplehall/operations/Standings.java
+++ b/src/main/java/heathswitch/proxy/operations/Standings.java
@@ -1,16 +1,16 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Rotation;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Member;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.rotation.Mark;
-import meadowtrack.rotation.Rotation;
 
 /** Lays the marks of operators over the lists of discovery. On the loop alone. */
 final class Standings implements Dispatcher.Overlay {
--- a/src/main/java/maplehall/operations/package-info.java
+++ b/src/main/java/heathswitch/proxy/operations/package-info.java
@@ -2,4 +2,4 @@
  * What operators do with a running balancer on the platform: the console, upstreams taken out,
  * emptying, and the processes that follow one another.
  */
-package maplehall.operations;
+package heathswitch.proxy.operations;
--- a/src/main/java/maplehall/platform/CallLog.java
+++ b/src/main/java/heathswitch/proxy/platform/CallLog.java
@@ -1,7 +1,7 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
+import heathswitch.proxy.runtime.Log;
 import java.net.InetSocketAddress;
-import maplehall.runtime.Log;
 
 /**
  * The log of calls to discovery: each has a number, and its end says why it was made, how long it
--- a/src/main/java/maplehall/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -1,7 +1,13 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Member;
+import heathswitch.proxy.node.MemberSource;
+import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
@@ -10,12 +16,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Member;
-import maplehall.node.MemberSource;
-import maplehall.runtime.Log;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Settings;
 
 /**
  * Asks discovery for the list and for its changes, when the module wants it. Where lists are pushed
--- a/src/main/java/maplehall/platform/DiscoveryList.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryList.java
@@ -1,13 +1,13 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
+import heathswitch.policy.api.Health;
+import heathswitch.proxy.dispatch.Member;
+import heathswitch.proxy.runtime.Addresses;
+import heathswitch.proxy.runtime.Log;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import maplehall.dispatch.Member;
-import maplehall.runtime.Addresses;
-import maplehall.runtime.Log;
-import meadowtrack.api.Health;
 
 /**
  * A list of upstreams as discovery tells it.
--- a/src/main/java/maplehall/platform/ListCall.java
+++ b/src/main/java/heathswitch/proxy/platform/ListCall.java
@@ -1,8 +1,11 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.policy.api.ListForm;
+import heathswitch.proxy.runtime.Channels;
+import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -28,9 +31,6 @@
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.NoRouteToHostException;
-import maplehall.runtime.Channels;
-import maplehall.runtime.Log;
-import meadowtrack.api.ListForm;
 
 /**
  * One call to discovery on a connection of its own, a watch or the whole list once: its framing,
--- a/src/main/java/maplehall/platform/ListClock.java
+++ b/src/main/java/heathswitch/proxy/platform/ListClock.java
@@ -1,6 +1,6 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
-import meadowtrack.api.Settings;
+import heathswitch.policy.api.Settings;
 
 /**
  * By when a call to discovery has to have brought something. A change of the list counts as told
--- a/src/main/java/maplehall/platform/ListFramer.java
+++ b/src/main/java/heathswitch/proxy/platform/ListFramer.java
@@ -1,4 +1,4 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/maplehall/platform/NodeConfig.java
+++ b/src/main/java/heathswitch/proxy/platform/NodeConfig.java
@@ -1,6 +1,11 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.policy.adapter.SettingsReader;
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.node.NodeSettings;
+import heathswitch.proxy.runtime.Addresses;
+import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.CharacterCodingException;
@@ -9,11 +14,6 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.locks.LockSupport;
-import maplehall.node.NodeSettings;
-import maplehall.runtime.Addresses;
-import maplehall.runtime.Log;
-import meadowtrack.adapter.SettingsReader;
-import meadowtrack.api.Settings;
 
 /**
  * What the platform tells one balancer at its start.
--- a/src/main/java/maplehall/platform/PlatformNode.java
+++ b/src/main/java/heathswitch/proxy/platform/PlatformNode.java
@@ -1,9 +1,9 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.operations.Operations;
 import java.nio.file.Path;
 import java.util.Map;
-import maplehall.node.Node;
-import maplehall.operations.Operations;
 
 /**
  * A balancer on the platform: its list comes from discovery, SIGHUP moves to another one, and
--- a/src/main/java/maplehall/platform/Rehearsal.java
+++ b/src/main/java/heathswitch/proxy/platform/Rehearsal.java
@@ -1,10 +1,12 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
+import heathswitch.proxy.http1.HeaderRules;
+import heathswitch.proxy.node.Node;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.InetAddress;
@@ -13,8 +15,6 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import maplehall.http1.HeaderRules;
-import maplehall.node.Node;
 
 /**
  * One exchange of each kind on loopback, played once by the build, which keeps the classes that it
--- a/src/main/java/maplehall/platform/Reload.java
+++ b/src/main/java/heathswitch/proxy/platform/Reload.java
@@ -1,10 +1,10 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.SignalledRead;
+import heathswitch.proxy.runtime.Signals;
 import java.util.Map;
-import maplehall.node.Node;
-import maplehall.runtime.Log;
-import maplehall.runtime.SignalledRead;
-import maplehall.runtime.Signals;
 
 /**
  * SIGHUP: the configuration is read again. Requests that are taken from then on go by its settings,
--- a/src/main/java/maplehall/runtime/Addresses.java
+++ b/src/main/java/heathswitch/proxy/runtime/Addresses.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/maplehall/runtime/ListenerChannel.java
+++ b/src/main/java/heathswitch/proxy/runtime/ListenerChannel.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
--- a/src/main/java/maplehall/runtime/Listeners.java
+++ b/src/main/java/heathswitch/proxy/runtime/Listeners.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/maplehall/runtime/Log.java
+++ b/src/main/java/heathswitch/proxy/runtime/Log.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 import java.time.Instant;
 import java.util.function.Supplier;
@@ -15,7 +15,7 @@
  * them.
  */
 public final class Log {
-  private static final Logger LOGGER = Logger.getLogger("maplehall");
+  private static final Logger LOGGER = Logger.getLogger("heathswitch.proxy");
   private static final LineLimit LIMIT = new LineLimit();
 
   /** Where lines go that the limit lets through; null for the JDK's own log. */
--- a/src/main/java/maplehall/runtime/SignalledRead.java
+++ b/src/main/java/heathswitch/proxy/runtime/SignalledRead.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 /**
  * Reads a file at each signal, one read at a time, so that what was read last is also handed on
--- a/src/main/java/maplehall/border/Attempt.java
+++ b/src/main/java/heathswitch/proxy/spi/Attempt.java
@@ -1,6 +1,6 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
-import meadowtrack.api.Outcome;
+import heathswitch.policy.api.Outcome;
 
 /** One attempt at one upstream, as its transport sees it; whoever makes it is told how it ended. */
 public abstract class Attempt {
--- a/src/main/java/maplehall/border/Caller.java
+++ b/src/main/java/heathswitch/proxy/spi/Caller.java
@@ -1,4 +1,4 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
 /** Whoever waits for the one answer to a request; exactly one of the three is called, once. */
 public interface Caller {
--- a/src/main/java/maplehall/border/Payload.java
+++ b/src/main/java/heathswitch/proxy/spi/Payload.java
@@ -1,4 +1,4 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
 /** What a request asks, in the form of its protocol, for as many attempts as it takes. */
 public interface Payload {
--- a/src/main/java/maplehall/border/Ticket.java
+++ b/src/main/java/heathswitch/proxy/spi/Ticket.java
@@ -1,4 +1,4 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
 /** A request that has been taken, in the hands of its caller. */
 public interface Ticket {
--- a/src/main/java/maplehall/border/Transport.java
+++ b/src/main/java/heathswitch/proxy/spi/Transport.java
@@ -1,4 +1,4 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
 /** Connections to upstreams in one protocol, as far as the dispatcher knows them. */
 public interface Transport {
--- a/src/main/java/maplehall/border/Upstream.java
+++ b/src/main/java/heathswitch/proxy/spi/Upstream.java
@@ -1,4 +1,4 @@
-package maplehall.border;
+package heathswitch.proxy.spi;
 
 import java.net.InetSocketAddress;
 
--- a/src/main/java/maplehall/standalone/BalancerTables.java
+++ b/src/main/java/heathswitch/proxy/standalone/BalancerTables.java
@@ -1,15 +1,15 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.Tenant;
+import heathswitch.proxy.config.Section;
+import heathswitch.proxy.node.NodeSettings;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import maplehall.config.Section;
-import maplehall.node.NodeSettings;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.api.Tenant;
 
 /**
  * The tables that every installation has: {@code [balancer]}, {@code [limits]}, {@code [rules]},
--- a/src/main/java/maplehall/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -1,19 +1,19 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.admin.AdminTable;
+import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.gateway.GatewayTable;
+import heathswitch.proxy.gossip.PeersTable;
+import heathswitch.proxy.grpc.GrpcTable;
+import heathswitch.proxy.logging.LogTable;
+import heathswitch.proxy.maintenance.WorkTable;
+import heathswitch.proxy.members.MembersTable;
+import heathswitch.proxy.node.NodeSettings;
+import heathswitch.proxy.subsetting.SubsetTable;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.admin.AdminTable;
-import maplehall.config.Document;
-import maplehall.config.Fault;
-import maplehall.gateway.GatewayTable;
-import maplehall.grpc.GrpcTable;
-import maplehall.logging.LogTable;
-import maplehall.members.MembersTable;
-import maplehall.node.NodeSettings;
-import maplehall.peers.PeersTable;
-import maplehall.subsets.SubsetTable;
-import maplehall.work.WorkTable;
-import meadowtrack.api.Settings;
 
 /**
  * The configuration of an installation of its own. A subsystem adds its table here with one line:
--- a/src/main/java/maplehall/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -1,5 +1,19 @@
-package maplehall.standalone;
-
+package heathswitch.proxy.standalone;
+
+import heathswitch.proxy.admin.AdminServer;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.gateway.SiteGateway;
+import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.grpc.GrpcServer;
+import heathswitch.proxy.maintenance.WorkOrders;
+import heathswitch.proxy.members.MembersPages;
+import heathswitch.proxy.members.MembersWatcher;
+import heathswitch.proxy.metrics.Metrics;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.node.NodeSettings;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.SignalledRead;
+import heathswitch.proxy.subsetting.Subsetting;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -9,20 +23,6 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.stream.Collectors;
-import maplehall.admin.AdminServer;
-import maplehall.config.Fault;
-import maplehall.gateway.SiteGateway;
-import maplehall.grpc.GrpcServer;
-import maplehall.members.MembersPages;
-import maplehall.members.MembersWatcher;
-import maplehall.metrics.Metrics;
-import maplehall.node.Node;
-import maplehall.node.NodeSettings;
-import maplehall.peers.Peering;
-import maplehall.runtime.Log;
-import maplehall.runtime.SignalledRead;
-import maplehall.subsets.Subsetting;
-import maplehall.work.WorkOrders;
 
 /** A balancer on its own: its configuration is a TOML file, its members come from watched files. */
 public final class StandaloneNode {
--- a/src/main/java/maplehall/subsets/Narrowing.java
+++ b/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
@@ -1,15 +1,15 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Part;
+import heathswitch.policy.subsetting.Census;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Member;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Part;
-import meadowtrack.subsets.Census;
 
 /**
  * Lays over the lists which servers are this balancer's own, and what goes to each of them against
--- a/src/main/java/maplehall/subsets/SubsetPages.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetPages.java
@@ -1,14 +1,14 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Plan;
+import heathswitch.proxy.admin.AdminServer;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import maplehall.admin.AdminServer;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Plan;
 
 /** The pages of subsets on the admin listener, answered on the loop. */
 final class SubsetPages {
--- a/src/main/java/maplehall/subsets/SubsetTable.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetTable.java
@@ -1,8 +1,8 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
-import maplehall.config.Section;
-import meadowtrack.subsets.Rule;
-import meadowtrack.subsets.Subset;
+import heathswitch.policy.subsetting.Rule;
+import heathswitch.policy.subsetting.Subset;
+import heathswitch.proxy.config.Section;
 
 /**
  * The table {@code [subset]} of the configuration.
--- a/src/main/java/maplehall/subsets/Subsetting.java
+++ b/src/main/java/heathswitch/proxy/subsetting/Subsetting.java
@@ -1,7 +1,16 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
+import heathswitch.policy.gossip.Word;
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Plan;
+import heathswitch.policy.subsetting.Subset;
+import heathswitch.proxy.admin.AdminServer;
+import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.metrics.Metrics;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Log;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -11,15 +20,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
-import maplehall.admin.AdminServer;
-import maplehall.metrics.Metrics;
-import maplehall.node.Node;
-import maplehall.peers.Peering;
-import maplehall.runtime.Log;
-import meadowtrack.peers.Word;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Plan;
-import meadowtrack.subsets.Subset;
 
 /**
  * This balancer's subset: a thread of its own looks at who is there and what is listed, computes
--- a/src/main/java/loadrig/Main.java
+++ b/src/main/java/heathswitch/testbed/Main.java
@@ -1,16 +1,16 @@
-package loadrig;
+package heathswitch.testbed;
 
+import heathswitch.testbed.demo.Demo;
+import heathswitch.testbed.explore.AttemptsMeasurement;
+import heathswitch.testbed.maintenance.WorkMeasurement;
+import heathswitch.testbed.measure.GatewayMeasurement;
+import heathswitch.testbed.measure.GrpcMeasurement;
+import heathswitch.testbed.measure.Measurement;
+import heathswitch.testbed.measure.MembersMeasurement;
+import heathswitch.testbed.platform.SoakMeasurement;
+import heathswitch.testbed.subsetting.SubsetsMeasurement;
 import java.util.List;
 import java.util.Map;
-import loadrig.demo.Demo;
-import loadrig.explore.AttemptsMeasurement;
-import loadrig.measure.GatewayMeasurement;
-import loadrig.measure.GrpcMeasurement;
-import loadrig.measure.Measurement;
-import loadrig.measure.MembersMeasurement;
-import loadrig.platform.SoakMeasurement;
-import loadrig.subsets.SubsetsMeasurement;
-import loadrig.work.WorkMeasurement;
 
 /** The rig's command line: {@code demo} and {@code measure NAME [--short]}. */
 public final class Main {
--- a/src/main/java/loadrig/balancer/BalancerProcess.java
+++ b/src/main/java/heathswitch/testbed/balancer/BalancerProcess.java
@@ -1,6 +1,7 @@
-package loadrig.balancer;
+package heathswitch.testbed.balancer;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.admin.AdminServer;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.BindException;
@@ -16,7 +17,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import maplehall.admin.AdminServer;
 
 /** A balancer in a process of its own, started from a configuration file and asked over HTTP. */
 public final class BalancerProcess implements AutoCloseable {
@@ -29,7 +29,7 @@
   private static final int PORTS = 12_000;
 
   /** A number for each of two rigs side by side, or a port of one that is dead might be taken. */
-  private static final int BESIDE = Integer.getInteger("loadrig.beside", 0);
+  private static final int BESIDE = Integer.getInteger("heathswitch.testbed.beside", 0);
 
   /** Begins anywhere, so that rigs that know nothing of each other seldom meet. */
   private static final AtomicInteger NEXT_PORT =
@@ -86,7 +86,7 @@
     command.addAll(flags);
     command.add("-cp");
     command.add(classPath);
-    command.add("maplehall.Main");
+    command.add("heathswitch.proxy.Main");
     command.add("serve");
     command.add("--config");
     command.add(config.toString());
--- a/src/main/java/loadrig/balancer/Folders.java
+++ b/src/main/java/heathswitch/testbed/balancer/Folders.java
@@ -1,4 +1,4 @@
-package loadrig.balancer;
+package heathswitch.testbed.balancer;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/loadrig/balancer/Workplace.java
+++ b/src/main/java/heathswitch/testbed/balancer/Workplace.java
@@ -1,14 +1,14 @@
-package loadrig.balancer;
+package heathswitch.testbed.balancer;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.proxy.members.MembersFormat;
+import heathswitch.testbed.server.StandIn;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Collectors;
-import loadrig.server.StandIn;
-import maplehall.members.MembersFormat;
-import meadowtrack.members.ListedServer;
 
 /** A folder of its own for one balancer: its configuration, its lists of servers, its log. */
 public final class Workplace implements AutoCloseable {
--- a/src/main/java/loadrig/client/GrpcKinds.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcKinds.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/loadrig/client/GrpcLoad.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcLoad.java
@@ -1,7 +1,8 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.testbed.server.GrpcDuty;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -16,7 +17,6 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
-import loadrig.server.GrpcDuty;
 
 /** gRPC calls of one method over one connection; each message is the call's id. */
 public final class GrpcLoad extends Load {
--- a/src/main/java/loadrig/client/Http2Client.java
+++ b/src/main/java/heathswitch/testbed/client/Http2Client.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/loadrig/client/Kind.java
+++ b/src/main/java/heathswitch/testbed/client/Kind.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 /**
  * One kind of request.
--- a/src/main/java/loadrig/client/Ledger.java
+++ b/src/main/java/heathswitch/testbed/client/Ledger.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
--- a/src/main/java/loadrig/client/OpenLoop.java
+++ b/src/main/java/heathswitch/testbed/client/OpenLoop.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
--- a/src/main/java/loadrig/client/Tally.java
+++ b/src/main/java/heathswitch/testbed/client/Tally.java
@@ -1,4 +1,4 @@
-package loadrig.client;
+package heathswitch.testbed.client;
 
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
--- a/src/main/java/loadrig/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -1,5 +1,18 @@
-package loadrig.demo;
+package heathswitch.testbed.demo;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
+import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.members.MembersFormat;
+import heathswitch.proxy.runtime.Addresses;
+import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,19 +21,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadrig.balancer.BalancerProcess;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import maplehall.config.Fault;
-import maplehall.members.MembersFormat;
-import maplehall.runtime.Addresses;
-import maplehall.standalone.StandaloneConfig;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loadrig/explore/AttemptsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/explore/AttemptsMeasurement.java
@@ -1,8 +1,8 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
-import loadrig.measure.Figures;
-import loadrig.measure.Measurement;
-import loadrig.mutants.Mutant;
+import heathswitch.testbed.measure.Figures;
+import heathswitch.testbed.measure.Measurement;
+import heathswitch.testbed.mutants.Mutant;
 
 /** Every order of events in small worlds, and whether faults that are put in are found. */
 public final class AttemptsMeasurement implements Measurement {
--- a/src/main/java/loadrig/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -1,5 +1,7 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass.Effect;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -8,8 +10,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass.Effect;
 
 /**
  * Plays every order of steps up to a depth in every world, each from a world made anew, and lets
--- a/src/main/java/loadrig/explore/MutantRun.java
+++ b/src/main/java/heathswitch/testbed/explore/MutantRun.java
@@ -1,15 +1,19 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
+import heathswitch.testbed.mutants.Copies;
+import heathswitch.testbed.mutants.Mutant;
 import java.lang.reflect.Method;
 import java.util.List;
-import loadrig.mutants.Copies;
-import loadrig.mutants.Mutant;
 
 /** Explores the worlds with a fault put into a copy of a class. */
 final class MutantRun {
   private final Copies copies =
       Copies.ofThisProgram(
-          List.of("meadowtrack.", "maplehall.dispatch.", "maplehall.border.", "loadrig.explore."));
+          List.of(
+              "heathswitch.policy.",
+              "heathswitch.proxy.dispatch.",
+              "heathswitch.proxy.spi.",
+              "heathswitch.testbed.explore."));
 
   /** Steps of the shortest order that shows the fault, or -1 if none of so many steps does. */
   int steps(Mutant mutant, int depth) throws Exception {
--- a/src/main/java/loadrig/explore/Mutants.java
+++ b/src/main/java/heathswitch/testbed/explore/Mutants.java
@@ -1,17 +1,17 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
+import heathswitch.testbed.mutants.Mutant;
 import java.util.List;
-import loadrig.mutants.Mutant;
 
 /** Faults in what carries an attempt. */
 final class Mutants {
-  private static final String DISPATCHER = "maplehall.dispatch.Dispatcher";
-  private static final String LIVE = "maplehall.dispatch.LiveRequest";
-  private static final String BALANCER = "meadowtrack.core.Balancer";
-  private static final String REQUEST = "meadowtrack.core.Request";
-  private static final String SERVER = "meadowtrack.core.Server";
-  private static final String MEMBERSHIP = "meadowtrack.core.Membership";
-  private static final String ENTRY = "meadowtrack.core.EntryWindow";
+  private static final String DISPATCHER = "heathswitch.proxy.dispatch.Dispatcher";
+  private static final String LIVE = "heathswitch.proxy.dispatch.LiveRequest";
+  private static final String BALANCER = "heathswitch.policy.core.Balancer";
+  private static final String REQUEST = "heathswitch.policy.core.Request";
+  private static final String SERVER = "heathswitch.policy.core.Server";
+  private static final String MEMBERSHIP = "heathswitch.policy.core.Membership";
+  private static final String ENTRY = "heathswitch.policy.core.EntryWindow";
 
   static final List<Mutant> ALL =
       List.of(
--- a/src/main/java/loadrig/explore/Property.java
+++ b/src/main/java/heathswitch/testbed/explore/Property.java
@@ -1,4 +1,4 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
 /** What has to hold in every order of events; the page for maintainers says each in full. */
 public enum Property {
--- a/src/main/java/loadrig/explore/Step.java
+++ b/src/main/java/heathswitch/testbed/explore/Step.java
@@ -1,4 +1,4 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
 /** One event of a world, named so that a sequence of them can be read and pasted. */
 public enum Step {
--- a/src/main/java/loadrig/explore/VirtualLoop.java
+++ b/src/main/java/heathswitch/testbed/explore/VirtualLoop.java
@@ -1,4 +1,4 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
 import io.netty.util.concurrent.AbstractScheduledEventExecutor;
 import io.netty.util.concurrent.DefaultPromise;
--- a/src/main/java/loadrig/explore/Walks.java
+++ b/src/main/java/heathswitch/testbed/explore/Walks.java
@@ -1,11 +1,11 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass.Effect;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass.Effect;
 
 /** Long random orders in larger worlds, each told by its seed alone. */
 public final class Walks {
--- a/src/main/java/loadrig/explore/World.java
+++ b/src/main/java/heathswitch/testbed/explore/World.java
@@ -1,26 +1,26 @@
-package loadrig.explore;
-
+package heathswitch.testbed.explore;
+
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.dispatch.Elsewhere;
+import heathswitch.proxy.dispatch.Member;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Attempt;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.Payload;
+import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import maplehall.border.Answer;
-import maplehall.border.Attempt;
-import maplehall.border.Caller;
-import maplehall.border.Payload;
-import maplehall.border.Ticket;
-import maplehall.border.Upstream;
-import maplehall.dispatch.Dispatcher;
-import maplehall.dispatch.Elsewhere;
-import maplehall.dispatch.Member;
-import maplehall.runtime.Clock;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
 
 /**
  * The real dispatcher and the real module between two callers and up to two servers that a sequence
--- a/src/main/java/loadrig/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -1,5 +1,17 @@
-package loadrig.fleet;
-
+package heathswitch.testbed.fleet;
+
+import heathswitch.policy.members.ListedServer;
+import heathswitch.proxy.maintenance.WorkFolder;
+import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.site.DatagramLine;
+import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -17,18 +29,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Workplace;
-import loadrig.client.Kind;
-import loadrig.client.Ledger;
-import loadrig.client.OpenLoop;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import loadrig.site.DatagramLine;
-import loadrig.site.DelayLine;
-import maplehall.standalone.StandaloneConfig;
-import maplehall.work.WorkFolder;
-import meadowtrack.members.ListedServer;
 
 /** Instances of the program before stand-in servers, with every way between instances a relay. */
 public final class Fleet implements AutoCloseable {
--- a/src/main/java/loadrig/fleet/History.java
+++ b/src/main/java/heathswitch/testbed/fleet/History.java
@@ -1,10 +1,10 @@
-package loadrig.fleet;
+package heathswitch.testbed.fleet;
 
+import heathswitch.testbed.server.StandIn;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadrig.server.StandIn;
 
 /**
  * What was seen, by one clock: calls as they began at servers, and for how long operators were told
--- a/src/main/java/loadrig/fleet/Node.java
+++ b/src/main/java/heathswitch/testbed/fleet/Node.java
@@ -1,5 +1,11 @@
-package loadrig.fleet;
-
+package heathswitch.testbed.fleet;
+
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Folders;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.site.DatagramLine;
+import heathswitch.testbed.site.DelayLine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -11,12 +17,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Folders;
-import loadrig.balancer.Workplace;
-import loadrig.server.StandIn;
-import loadrig.site.DatagramLine;
-import loadrig.site.DelayLine;
 
 /** One instance of a fleet: a process that may be stopped, killed and started again. */
 public final class Node {
--- a/src/main/java/loadrig/fleet/Terms.java
+++ b/src/main/java/heathswitch/testbed/fleet/Terms.java
@@ -1,4 +1,4 @@
-package loadrig.fleet;
+package heathswitch.testbed.fleet;
 
 /**
  * What a fleet is told of its work orders.
--- a/src/main/java/loadrig/peers/Chatter.java
+++ b/src/main/java/heathswitch/testbed/gossip/Chatter.java
@@ -1,4 +1,4 @@
-package loadrig.peers;
+package heathswitch.testbed.gossip;
 
 /** What members of a fleet of any size send each other in calm. */
 public final class Chatter {
--- a/src/main/java/loadrig/peers/Colony.java
+++ b/src/main/java/heathswitch/testbed/gossip/Colony.java
@@ -1,5 +1,11 @@
-package loadrig.peers;
-
+package heathswitch.testbed.gossip;
+
+import heathswitch.policy.gossip.Facts;
+import heathswitch.policy.gossip.Gossip;
+import heathswitch.policy.gossip.Message;
+import heathswitch.policy.gossip.Pace;
+import heathswitch.policy.gossip.Standing;
+import heathswitch.policy.gossip.Word;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,12 +15,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import meadowtrack.peers.Facts;
-import meadowtrack.peers.Gossip;
-import meadowtrack.peers.Message;
-import meadowtrack.peers.Pace;
-import meadowtrack.peers.Standing;
-import meadowtrack.peers.Word;
 
 /**
  * Instances with the real module, in virtual time: each with a clock of its own that began anywhere
--- a/src/main/java/loadrig/peers/PeersExplorer.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
@@ -1,5 +1,6 @@
-package loadrig.peers;
+package heathswitch.testbed.gossip;
 
+import heathswitch.testbed.gossip.Colony.Node;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -7,7 +8,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.LongStream;
-import loadrig.peers.Colony.Node;
 
 /** Many schedules of faults, each by a seed, and what has to hold during and after each of them. */
 final class PeersExplorer {
--- a/src/main/java/loadrig/peers/PeersMutants.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersMutants.java
@@ -1,14 +1,14 @@
-package loadrig.peers;
+package heathswitch.testbed.gossip;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 
 /** Faults in the gossip, and whether the schedules find them. */
 final class PeersMutants {
-  private static final String GOSSIP = "meadowtrack.peers.Gossip";
-  private static final String WORD = "meadowtrack.peers.Word";
-  private static final String STANDING = "meadowtrack.peers.Standing";
+  private static final String GOSSIP = "heathswitch.policy.gossip.Gossip";
+  private static final String WORD = "heathswitch.policy.gossip.Word";
+  private static final String STANDING = "heathswitch.policy.gossip.Standing";
 
   static final List<Mutant> ALL =
       List.of(
@@ -54,7 +54,8 @@
   private PeersMutants() {}
 
   static Trials trials() {
-    return new Trials(List.of("meadowtrack.peers.", "loadrig.peers."), PeersMutants.class);
+    return new Trials(
+        List.of("heathswitch.policy.gossip.", "heathswitch.testbed.gossip."), PeersMutants.class);
   }
 
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
--- a/src/main/java/loadrig/peers/Weather.java
+++ b/src/main/java/heathswitch/testbed/gossip/Weather.java
@@ -1,4 +1,4 @@
-package loadrig.peers;
+package heathswitch.testbed.gossip;
 
 /**
  * What becomes of datagrams between instances.
--- a/src/main/java/loadrig/peers/package-info.java
+++ b/src/main/java/heathswitch/testbed/gossip/package-info.java
@@ -1,2 +1,2 @@
 /** Gossip among many instances in virtual time, with faults between them. */
-package loadrig.peers;
+package heathswitch.testbed.gossip;
--- a/src/main/java/loadrig/work/Sim.java
+++ b/src/main/java/heathswitch/testbed/maintenance/Sim.java
@@ -1,18 +1,18 @@
-package loadrig.work;
-
+package heathswitch.testbed.maintenance;
+
+import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.Phase;
+import heathswitch.policy.maintenance.Release;
+import heathswitch.policy.maintenance.Report;
+import heathswitch.policy.maintenance.Rules;
+import heathswitch.policy.maintenance.Settled;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import meadowtrack.work.Command;
-import meadowtrack.work.Group;
-import meadowtrack.work.Participant;
-import meadowtrack.work.Phase;
-import meadowtrack.work.Release;
-import meadowtrack.work.Report;
-import meadowtrack.work.Rules;
-import meadowtrack.work.Settled;
 
 /** One instance in virtual time: the real participant and the real state, with calls in flight. */
 final class Sim implements Participant.Here {
--- a/src/main/java/loadrig/work/WorkExplorer.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkExplorer.java
@@ -1,4 +1,4 @@
-package loadrig.work;
+package heathswitch.testbed.maintenance;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/loadrig/work/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -1,5 +1,15 @@
-package loadrig.work;
-
+package heathswitch.testbed.maintenance;
+
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.fleet.Terms;
+import heathswitch.testbed.measure.Figures;
+import heathswitch.testbed.measure.Measurement;
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -15,16 +25,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.fleet.Terms;
-import loadrig.measure.Figures;
-import loadrig.measure.Measurement;
-import loadrig.mutants.Mutant;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
 
 /**
  * Machines taken out for work by several processes with faults between them, beside the same faults
--- a/src/main/java/loadrig/work/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -1,16 +1,16 @@
-package loadrig.work;
+package heathswitch.testbed.maintenance;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 
 /** Faults in what settles work orders, and whether the schedules find them. */
 final class WorkMutants {
-  private static final String SETTLED = "meadowtrack.work.Settled";
-  private static final String ORDER = "meadowtrack.work.Order";
-  private static final String PARTICIPANT = "meadowtrack.work.Participant";
-  private static final String CLOCK = "meadowtrack.work.LogClock";
-  private static final String PHASE = "meadowtrack.work.Phase";
+  private static final String SETTLED = "heathswitch.policy.maintenance.Settled";
+  private static final String ORDER = "heathswitch.policy.maintenance.Order";
+  private static final String PARTICIPANT = "heathswitch.policy.maintenance.Participant";
+  private static final String CLOCK = "heathswitch.policy.maintenance.LogClock";
+  private static final String PHASE = "heathswitch.policy.maintenance.Phase";
 
   static final List<Mutant> ALL =
       List.of(
@@ -79,7 +79,9 @@
   private WorkMutants() {}
 
   static Trials trials() {
-    return new Trials(List.of("meadowtrack.work.", "loadrig.work."), WorkMutants.class);
+    return new Trials(
+        List.of("heathswitch.policy.maintenance.", "heathswitch.testbed.maintenance."),
+        WorkMutants.class);
   }
 
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
--- a/src/main/java/loadrig/work/World.java
+++ b/src/main/java/heathswitch/testbed/maintenance/World.java
@@ -1,5 +1,16 @@
-package loadrig.work;
-
+package heathswitch.testbed.maintenance;
+
+import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.Floor;
+import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.LogClock;
+import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.Phase;
+import heathswitch.policy.maintenance.Release;
+import heathswitch.policy.maintenance.Reply;
+import heathswitch.policy.maintenance.Rules;
+import heathswitch.policy.maintenance.Settled;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,17 +18,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import meadowtrack.work.Command;
-import meadowtrack.work.Floor;
-import meadowtrack.work.Group;
-import meadowtrack.work.LogClock;
-import meadowtrack.work.Machine;
-import meadowtrack.work.Participant;
-import meadowtrack.work.Phase;
-import meadowtrack.work.Release;
-import meadowtrack.work.Reply;
-import meadowtrack.work.Rules;
-import meadowtrack.work.Settled;
 
 /**
  * Three instances, four machines and one log in virtual time. Whatever is said may be lost, held
--- a/src/main/java/loadrig/measure/Figures.java
+++ b/src/main/java/heathswitch/testbed/measure/Figures.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
--- a/src/main/java/loadrig/measure/GatewayMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
@@ -1,5 +1,13 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
+import heathswitch.testbed.balancer.Folders;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.site.Authority;
+import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,14 +19,6 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import loadrig.balancer.Folders;
-import loadrig.client.Ledger;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.site.Authority;
-import loadrig.site.DelayLine;
 
 /**
  * Four sites with two gateways each, ways of 5.6 to 10 ms between them and TLS on every link: how
--- a/src/main/java/loadrig/measure/GrpcMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
@@ -1,5 +1,19 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.GrpcKinds;
+import heathswitch.testbed.client.GrpcLoad;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.Load;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.GrpcDuty;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -12,20 +26,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Workplace;
-import loadrig.client.GrpcKinds;
-import loadrig.client.GrpcLoad;
-import loadrig.client.Kind;
-import loadrig.client.Ledger;
-import loadrig.client.Load;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.GrpcDuty;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import meadowtrack.members.ListedServer;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loadrig/measure/ListDraw.java
+++ b/src/main/java/heathswitch/testbed/measure/ListDraw.java
@@ -1,10 +1,10 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.testbed.balancer.Workplace;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadrig.balancer.Workplace;
-import meadowtrack.members.ListedServer;
 
 /**
  * Draws lists: good ones that follow each other in small steps, and bad ones of every sort. Each
--- a/src/main/java/loadrig/measure/Measurement.java
+++ b/src/main/java/heathswitch/testbed/measure/Measurement.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 /** One subsystem's measurement, run by {@code heathswitch measure NAME}. */
 public interface Measurement {
--- a/src/main/java/loadrig/measure/MembersMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
@@ -1,5 +1,15 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.proxy.members.MembersFormat;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,16 +26,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Workplace;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import maplehall.members.MembersFormat;
-import meadowtrack.members.ListedServer;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/loadrig/measure/Rewriter.java
+++ b/src/main/java/heathswitch/testbed/measure/Rewriter.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/loadrig/measure/RoomWatch.java
+++ b/src/main/java/heathswitch/testbed/measure/RoomWatch.java
@@ -1,8 +1,8 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
+import heathswitch.testbed.server.StandIn;
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
-import loadrig.server.StandIn;
 
 /** Looks several times a millisecond whether any of some servers could begin to work on a call. */
 final class RoomWatch implements AutoCloseable {
--- a/src/main/java/loadrig/measure/Rounds.java
+++ b/src/main/java/heathswitch/testbed/measure/Rounds.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 /**
  * Figures of several things over rounds that are alike, so that what changed can be told from
--- a/src/main/java/loadrig/measure/SiteOracle.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteOracle.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
--- a/src/main/java/loadrig/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -1,5 +1,15 @@
-package loadrig.measure;
-
+package heathswitch.testbed.measure;
+
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.site.Authority;
+import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,16 +20,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Workplace;
-import loadrig.client.Kind;
-import loadrig.client.Ledger;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import loadrig.site.Authority;
-import loadrig.site.DelayLine;
 
 /** One site: stand-in servers, two gateways in processes of their own, and ways to other sites. */
 final class SiteRig implements AutoCloseable {
--- a/src/main/java/loadrig/measure/WindowSeries.java
+++ b/src/main/java/heathswitch/testbed/measure/WindowSeries.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/loadrig/mutants/Mutant.java
+++ b/src/main/java/heathswitch/testbed/mutants/Mutant.java
@@ -1,4 +1,4 @@
-package loadrig.mutants;
+package heathswitch.testbed.mutants;
 
 /**
  * A fault that is put into a copy of a class: a text that stands once in its source, and what
--- a/src/main/java/loadrig/mutants/Trials.java
+++ b/src/main/java/heathswitch/testbed/mutants/Trials.java
@@ -1,4 +1,4 @@
-package loadrig.mutants;
+package heathswitch.testbed.mutants;
 
 import java.io.IOException;
 import java.lang.reflect.Method;
--- a/src/main/java/loadrig/mutants/package-info.java
+++ b/src/main/java/heathswitch/testbed/mutants/package-info.java
@@ -1,2 +1,2 @@
 /** Faults put into copies of classes, to see that a checker finds them. */
-package loadrig.mutants;
+package heathswitch.testbed.mutants;
--- a/src/main/java/loadrig/package-info.java
+++ b/src/main/java/heathswitch/testbed/package-info.java
@@ -2,4 +2,4 @@
  * The rig: stand-in servers, an open-loop client and measurements, all of them on loopback. The
  * balancer loads nothing of it.
  */
-package loadrig;
+package heathswitch.testbed;
--- a/src/main/java/loadrig/platform/ListService.java
+++ b/src/main/java/heathswitch/testbed/platform/ListService.java
@@ -1,9 +1,10 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.runtime.Listeners;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -39,7 +40,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import maplehall.runtime.Listeners;
 
 /**
  * A stand-in for discovery. Where it is asked it is one service for all balancers, which works
--- a/src/main/java/loadrig/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -1,5 +1,10 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,11 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadrig.client.Kind;
-import loadrig.client.Ledger;
-import loadrig.client.OpenLoop;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 
 /**
  * Balancers of the platform in processes of their own, before stand-in servers that discovery
--- a/src/main/java/loadrig/platform/PlatformProcess.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformProcess.java
@@ -1,6 +1,8 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.balancer.Folders;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
@@ -13,8 +15,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadrig.balancer.BalancerProcess;
-import loadrig.balancer.Folders;
 
 /**
  * A balancer as the platform runs it: {@code serve} with its configuration named by EDGE_CONFIG.
@@ -82,7 +82,7 @@
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(FLAGS);
-    command.addAll(List.of("-cp", PROGRAM, "maplehall.Main", "serve"));
+    command.addAll(List.of("-cp", PROGRAM, "heathswitch.proxy.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().put("EDGE_CONFIG", file().toString());
     builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
--- a/src/main/java/loadrig/platform/Reachability.java
+++ b/src/main/java/heathswitch/testbed/platform/Reachability.java
@@ -1,4 +1,4 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/loadrig/platform/RoutingRecord.java
+++ b/src/main/java/heathswitch/testbed/platform/RoutingRecord.java
@@ -1,11 +1,11 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
+import heathswitch.testbed.server.StandIn;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import loadrig.server.StandIn;
 
 /** Which request reached which server when, held against what discovery had told. Any thread. */
 public final class RoutingRecord implements StandIn.Observer {
--- a/src/main/java/loadrig/platform/Soak.java
+++ b/src/main/java/heathswitch/testbed/platform/Soak.java
@@ -1,4 +1,4 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import java.io.IOException;
 import java.net.Socket;
--- a/src/main/java/loadrig/platform/SoakFault.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakFault.java
@@ -1,4 +1,4 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 /** What goes wrong in a soak. */
 enum SoakFault {
--- a/src/main/java/loadrig/platform/SoakMeasurement.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakMeasurement.java
@@ -1,12 +1,12 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
+import heathswitch.testbed.measure.Figures;
+import heathswitch.testbed.measure.Measurement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import loadrig.measure.Figures;
-import loadrig.measure.Measurement;
 
 /**
  * The soak over a row of seeds, some side by side. What broke a rule is printed with its schedule;
--- a/src/main/java/loadrig/platform/SoakSettings.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakSettings.java
@@ -1,10 +1,10 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
 
 /**
  * What one run of the soak is drawn to be: how many balancers under which load, what their settings
--- a/src/main/java/loadrig/platform/SteadyLoad.java
+++ b/src/main/java/heathswitch/testbed/platform/SteadyLoad.java
@@ -1,8 +1,9 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.testbed.client.HttpDialer;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -21,7 +22,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
-import loadrig.client.HttpDialer;
 
 /**
  * Clients of one balancer as the platform has them: they use every connection that stays open, up
--- a/src/main/java/loadrig/server/Faults.java
+++ b/src/main/java/heathswitch/testbed/server/Faults.java
@@ -1,4 +1,4 @@
-package loadrig.server;
+package heathswitch.testbed.server;
 
 /**
  * What goes wrong at a stand-in; may be switched from any thread while it runs. Shares are from 0
--- a/src/main/java/loadrig/server/GrpcDuty.java
+++ b/src/main/java/heathswitch/testbed/server/GrpcDuty.java
@@ -1,5 +1,6 @@
-package loadrig.server;
+package heathswitch.testbed.server;
 
+import heathswitch.proxy.runtime.Listeners;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -20,7 +21,6 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import maplehall.runtime.Listeners;
 
 /** The gRPC side of a stand-in: calls go through the same cores and the same queue. */
 public final class GrpcDuty implements AutoCloseable {
--- a/src/main/java/loadrig/server/ServiceTime.java
+++ b/src/main/java/heathswitch/testbed/server/ServiceTime.java
@@ -1,4 +1,4 @@
-package loadrig.server;
+package heathswitch.testbed.server;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/loadrig/server/Shape.java
+++ b/src/main/java/heathswitch/testbed/server/Shape.java
@@ -1,4 +1,4 @@
-package loadrig.server;
+package heathswitch.testbed.server;
 
 /**
  * What a stand-in can do.
--- a/src/main/java/loadrig/server/StandIn.java
+++ b/src/main/java/heathswitch/testbed/server/StandIn.java
@@ -1,7 +1,8 @@
-package loadrig.server;
+package heathswitch.testbed.server;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.proxy.runtime.Listeners;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -27,7 +28,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import maplehall.runtime.Listeners;
 
 /**
  * A server over HTTP/1.1 on a loopback port, with cores, a queue, a cold start and faults. Its work
--- a/src/main/java/loadrig/site/Authority.java
+++ b/src/main/java/heathswitch/testbed/site/Authority.java
@@ -1,4 +1,4 @@
-package loadrig.site;
+package heathswitch.testbed.site;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/loadrig/site/DatagramLine.java
+++ b/src/main/java/heathswitch/testbed/site/DatagramLine.java
@@ -1,7 +1,8 @@
-package loadrig.site;
+package heathswitch.testbed.site;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -18,7 +19,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import maplehall.runtime.Log;
 
 /**
  * A way for datagrams between two processes on loopback. Each is passed on after a time drawn for
--- a/src/main/java/loadrig/site/DelayLine.java
+++ b/src/main/java/heathswitch/testbed/site/DelayLine.java
@@ -1,7 +1,8 @@
-package loadrig.site;
+package heathswitch.testbed.site;
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
+import heathswitch.proxy.runtime.Listeners;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -18,7 +19,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
-import maplehall.runtime.Listeners;
 
 /**
  * A way between two sites on loopback: what comes is passed on after a time that is drawn for each
--- a/src/main/java/loadrig/site/package-info.java
+++ b/src/main/java/heathswitch/testbed/site/package-info.java
@@ -1,4 +1,4 @@
 /**
  * What lies between sites: ways that take time, lose things and break, and an authority for them.
  */
-package loadrig.site;
+package heathswitch.testbed.site;
--- a/src/main/java/loadrig/subsets/Comparison.java
+++ b/src/main/java/heathswitch/testbed/subsetting/Comparison.java
@@ -1,5 +1,8 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Census.Instance;
+import heathswitch.policy.subsetting.Census.Server;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -7,9 +10,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Census.Instance;
-import meadowtrack.subsets.Census.Server;
 
 /** One way by figures: how even, how many connections, and what a change moves. */
 final class Comparison {
--- a/src/main/java/loadrig/subsets/Sample.java
+++ b/src/main/java/heathswitch/testbed/subsetting/Sample.java
@@ -1,11 +1,11 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Census.Instance;
+import heathswitch.policy.subsetting.Census.Server;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Census.Instance;
-import meadowtrack.subsets.Census.Server;
 
 /** Fleets to hold ways against each other on, and what changes in them. */
 final class Sample {
--- a/src/main/java/loadrig/subsets/SubsetExplorer.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetExplorer.java
@@ -1,12 +1,12 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.policy.subsetting.Rule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.LongStream;
-import meadowtrack.subsets.Rule;
 
 /** Many schedules of changes and faults, each by a seed, and what has to hold in each of them. */
 final class SubsetExplorer {
--- a/src/main/java/loadrig/subsets/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -1,15 +1,15 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 
 /** Faults in the choice of subsets, and whether the schedules find them. */
 final class SubsetMutants {
-  private static final String PLAN = "meadowtrack.subsets.Plan";
-  private static final String PASSAGE = "meadowtrack.subsets.Passage";
-  private static final String SUBSET = "meadowtrack.subsets.Subset";
-  private static final String CENSUS = "meadowtrack.subsets.Census";
+  private static final String PLAN = "heathswitch.policy.subsetting.Plan";
+  private static final String PASSAGE = "heathswitch.policy.subsetting.Passage";
+  private static final String SUBSET = "heathswitch.policy.subsetting.Subset";
+  private static final String CENSUS = "heathswitch.policy.subsetting.Census";
 
   static final List<Mutant> ALL =
       List.of(
@@ -45,7 +45,9 @@
   private SubsetMutants() {}
 
   static Trials trials() {
-    return new Trials(List.of("meadowtrack.subsets.", "loadrig.subsets."), SubsetMutants.class);
+    return new Trials(
+        List.of("heathswitch.policy.subsetting.", "heathswitch.testbed.subsetting."),
+        SubsetMutants.class);
   }
 
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
--- a/src/main/java/loadrig/subsets/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -1,5 +1,16 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.gossip.Chatter;
+import heathswitch.testbed.measure.Figures;
+import heathswitch.testbed.measure.Measurement;
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,17 +24,6 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.measure.Figures;
-import loadrig.measure.Measurement;
-import loadrig.mutants.Mutant;
-import loadrig.peers.Chatter;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 
 /**
  * Several processes that each use a part of the servers, through growth, kills, a split and stops,
--- a/src/main/java/loadrig/subsets/Way.java
+++ b/src/main/java/heathswitch/testbed/subsetting/Way.java
@@ -1,5 +1,10 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Census.Instance;
+import heathswitch.policy.subsetting.Census.Server;
+import heathswitch.policy.subsetting.Plan;
+import heathswitch.policy.subsetting.Rule;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -8,11 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Census.Instance;
-import meadowtrack.subsets.Census.Server;
-import meadowtrack.subsets.Plan;
-import meadowtrack.subsets.Rule;
 
 /**
  * How balancers choose their servers without a word to each other: from the same census each
--- a/src/main/java/loadrig/subsets/World.java
+++ b/src/main/java/heathswitch/testbed/subsetting/World.java
@@ -1,5 +1,9 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
+import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.Plan;
+import heathswitch.policy.subsetting.Rule;
+import heathswitch.policy.subsetting.Subset;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,10 +13,6 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import meadowtrack.subsets.Census;
-import meadowtrack.subsets.Plan;
-import meadowtrack.subsets.Rule;
-import meadowtrack.subsets.Subset;
 
 /**
  * Balancers with the real module in virtual time, each with a clock of its own; what changes in the
--- a/src/main/java/loadrig/subsets/package-info.java
+++ b/src/main/java/heathswitch/testbed/subsetting/package-info.java
@@ -1,2 +1,2 @@
 /** Ways to give each balancer a part of the servers, compared by figures; see the design note. */
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
--- a/src/test/java/architecture/BordersTest.java
+++ b/src/test/java/architecture/BordersTest.java
@@ -24,8 +24,8 @@
     all =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("meadowtrack", "maplehall", "loadrig");
-    assertTrue(all.contain("maplehall.dispatch.Dispatcher"), "the classes were found");
+            .importPackages("heathswitch.policy", "heathswitch.proxy", "heathswitch.testbed");
+    assertTrue(all.contain("heathswitch.proxy.dispatch.Dispatcher"), "the classes were found");
   }
 
   /** No Netty, no files, no sockets, no threads: what decides has only what it is told. */
@@ -34,25 +34,25 @@
     classes()
         .that()
         .resideInAnyPackage(
-            "meadowtrack.core..",
-            "meadowtrack.api..",
-            "meadowtrack.members..",
-            "meadowtrack.gateway..",
-            "meadowtrack.grpc..",
-            "meadowtrack.peers..",
-            "meadowtrack.subsets..",
-            "meadowtrack.work..")
+            "heathswitch.policy.core..",
+            "heathswitch.policy.api..",
+            "heathswitch.policy.members..",
+            "heathswitch.policy.gateway..",
+            "heathswitch.policy.grpc..",
+            "heathswitch.policy.gossip..",
+            "heathswitch.policy.subsetting..",
+            "heathswitch.policy.maintenance..")
         .should()
         .onlyDependOnClassesThat(
             resideInAnyPackage(
-                    "meadowtrack.core..",
-                    "meadowtrack.api..",
-                    "meadowtrack.members..",
-                    "meadowtrack.gateway..",
-                    "meadowtrack.grpc..",
-                    "meadowtrack.peers..",
-                    "meadowtrack.subsets..",
-                    "meadowtrack.work..")
+                    "heathswitch.policy.core..",
+                    "heathswitch.policy.api..",
+                    "heathswitch.policy.members..",
+                    "heathswitch.policy.gateway..",
+                    "heathswitch.policy.grpc..",
+                    "heathswitch.policy.gossip..",
+                    "heathswitch.policy.subsetting..",
+                    "heathswitch.policy.maintenance..")
                 .or(resideInAnyPackage("java.lang", "java.util", "java.util.function"))
                 .or(resideInAnyPackage("java.lang.invoke", "java.lang.runtime"))
                 .or(resideInAPackage("java.util.stream")))
@@ -65,14 +65,14 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "meadowtrack.core..",
-            "meadowtrack.api..",
-            "meadowtrack.members..",
-            "meadowtrack.gateway..",
-            "meadowtrack.grpc..",
-            "meadowtrack.peers..",
-            "meadowtrack.subsets..",
-            "meadowtrack.work..")
+            "heathswitch.policy.core..",
+            "heathswitch.policy.api..",
+            "heathswitch.policy.members..",
+            "heathswitch.policy.gateway..",
+            "heathswitch.policy.grpc..",
+            "heathswitch.policy.gossip..",
+            "heathswitch.policy.subsetting..",
+            "heathswitch.policy.maintenance..")
         .should()
         .callMethod(System.class, "nanoTime")
         .orShould()
@@ -97,7 +97,10 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "maplehall.work..", "maplehall.agreement..", "maplehall.peers..", "maplehall.subsets..")
+            "heathswitch.proxy.maintenance..",
+            "heathswitch.proxy.consensus..",
+            "heathswitch.proxy.gossip..",
+            "heathswitch.proxy.subsetting..")
         .should()
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
@@ -113,15 +116,15 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "maplehall.border..",
-            "maplehall.dispatch..",
-            "maplehall.http1..",
-            "maplehall.http2..",
-            "maplehall.node..",
-            "maplehall.platform..",
-            "maplehall.operations..",
-            "maplehall.grpc..",
-            "maplehall.gateway..")
+            "heathswitch.proxy.spi..",
+            "heathswitch.proxy.dispatch..",
+            "heathswitch.proxy.http1..",
+            "heathswitch.proxy.http2..",
+            "heathswitch.proxy.node..",
+            "heathswitch.proxy.platform..",
+            "heathswitch.proxy.operations..",
+            "heathswitch.proxy.grpc..",
+            "heathswitch.proxy.gateway..")
         .should()
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
@@ -131,9 +134,9 @@
 
   @Test
   void importsRunOneWay() {
-    slices().matching("maplehall.(*)..").should().beFreeOfCycles().check(all);
-    slices().matching("meadowtrack.(*)..").should().beFreeOfCycles().check(all);
-    slices().matching("loadrig.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("heathswitch.proxy.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("heathswitch.policy.(*)..").should().beFreeOfCycles().check(all);
+    slices().matching("heathswitch.testbed.(*)..").should().beFreeOfCycles().check(all);
     slices().matching("(*)..").should().beFreeOfCycles().check(all);
   }
 
@@ -143,27 +146,27 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "maplehall.runtime..",
-            "maplehall.border..",
-            "maplehall.dispatch..",
-            "maplehall.http1..",
-            "maplehall.node..")
+            "heathswitch.proxy.runtime..",
+            "heathswitch.proxy.spi..",
+            "heathswitch.proxy.dispatch..",
+            "heathswitch.proxy.http1..",
+            "heathswitch.proxy.node..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "maplehall.platform..",
-            "maplehall.standalone..",
-            "maplehall.members..",
-            "maplehall.config..",
-            "maplehall.files..",
-            "maplehall.admin..",
-            "maplehall.grpc..",
-            "maplehall.gateway..",
-            "maplehall.agreement..",
-            "maplehall.work..",
-            "maplehall.peers..",
-            "maplehall.subsets..",
-            "maplehall.cli..")
+            "heathswitch.proxy.platform..",
+            "heathswitch.proxy.standalone..",
+            "heathswitch.proxy.members..",
+            "heathswitch.proxy.config..",
+            "heathswitch.proxy.files..",
+            "heathswitch.proxy.admin..",
+            "heathswitch.proxy.grpc..",
+            "heathswitch.proxy.gateway..",
+            "heathswitch.proxy.consensus..",
+            "heathswitch.proxy.maintenance..",
+            "heathswitch.proxy.gossip..",
+            "heathswitch.proxy.subsetting..",
+            "heathswitch.proxy.cli..")
         .check(all);
   }
 
@@ -173,12 +176,12 @@
     noClasses()
         .that()
         .resideInAnyPackage(
-            "maplehall.platform..",
-            "maplehall.runtime..",
-            "maplehall.border..",
-            "maplehall.dispatch..",
-            "maplehall.http1..",
-            "maplehall.node..")
+            "heathswitch.proxy.platform..",
+            "heathswitch.proxy.runtime..",
+            "heathswitch.proxy.spi..",
+            "heathswitch.proxy.dispatch..",
+            "heathswitch.proxy.http1..",
+            "heathswitch.proxy.node..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
@@ -193,7 +196,7 @@
             "io.micrometer..")
         .check(all);
     noClasses()
-        .that(not(resideInAPackage("maplehall.metrics..")))
+        .that(not(resideInAPackage("heathswitch.proxy.metrics..")))
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("io.micrometer..", "io.prometheus..")
@@ -204,7 +207,7 @@
   @Test
   void onlyTheLogKnowsItsLibrary() {
     noClasses()
-        .that(not(resideInAPackage("maplehall.agreement..")))
+        .that(not(resideInAPackage("heathswitch.proxy.consensus..")))
         .should()
         .dependOnClassesThat()
         .resideInAPackage("org.apache.ratis..")
@@ -213,15 +216,15 @@
         .that(
             not(
                 resideInAnyPackage(
-                    "maplehall.work..",
-                    "maplehall.agreement..",
-                    "maplehall.standalone..",
-                    "maplehall.cli..",
-                    "meadowtrack.work..",
-                    "loadrig..")))
+                    "heathswitch.proxy.maintenance..",
+                    "heathswitch.proxy.consensus..",
+                    "heathswitch.proxy.standalone..",
+                    "heathswitch.proxy.cli..",
+                    "heathswitch.policy.maintenance..",
+                    "heathswitch.testbed..")))
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("maplehall.work..", "meadowtrack.work..")
+        .resideInAnyPackage("heathswitch.proxy.maintenance..", "heathswitch.policy.maintenance..")
         .check(all);
   }
 
@@ -232,20 +235,20 @@
         .that(
             not(
                 resideInAnyPackage(
-                    "maplehall.peers..",
-                    "maplehall.subsets..",
-                    "maplehall.standalone..",
-                    "maplehall.cli..",
-                    "meadowtrack.peers..",
-                    "meadowtrack.subsets..",
-                    "loadrig..")))
+                    "heathswitch.proxy.gossip..",
+                    "heathswitch.proxy.subsetting..",
+                    "heathswitch.proxy.standalone..",
+                    "heathswitch.proxy.cli..",
+                    "heathswitch.policy.gossip..",
+                    "heathswitch.policy.subsetting..",
+                    "heathswitch.testbed..")))
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "maplehall.peers..",
-            "maplehall.subsets..",
-            "meadowtrack.peers..",
-            "meadowtrack.subsets..",
+            "heathswitch.proxy.gossip..",
+            "heathswitch.proxy.subsetting..",
+            "heathswitch.policy.gossip..",
+            "heathswitch.policy.subsetting..",
             "javax.crypto..")
         .check(all);
   }
@@ -255,25 +258,28 @@
   void neitherProtocolKnowsTheOther() {
     noClasses()
         .that()
-        .resideInAPackage("maplehall.http1..")
+        .resideInAPackage("heathswitch.proxy.http1..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("maplehall.grpc..", "io.netty.handler.codec.http2..")
+        .resideInAnyPackage("heathswitch.proxy.grpc..", "io.netty.handler.codec.http2..")
         .check(all);
     noClasses()
         .that()
-        .resideInAPackage("maplehall.grpc..")
+        .resideInAPackage("heathswitch.proxy.grpc..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("maplehall.http1..", "io.netty.handler.codec.http..")
+        .resideInAnyPackage("heathswitch.proxy.http1..", "io.netty.handler.codec.http..")
         .check(all);
     noClasses()
         .that()
-        .resideInAnyPackage("maplehall.border..", "maplehall.dispatch..")
+        .resideInAnyPackage("heathswitch.proxy.spi..", "heathswitch.proxy.dispatch..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "maplehall.http1..", "maplehall.grpc..", "io.netty.handler..", "io.netty.buffer..")
+            "heathswitch.proxy.http1..",
+            "heathswitch.proxy.grpc..",
+            "io.netty.handler..",
+            "io.netty.buffer..")
         .check(all);
   }
 
@@ -284,24 +290,25 @@
         .that(
             not(
                 resideInAnyPackage(
-                    "maplehall.gateway..",
-                    "maplehall.standalone..",
-                    "maplehall.cli..",
-                    "meadowtrack.gateway..",
-                    "loadrig..")))
+                    "heathswitch.proxy.gateway..",
+                    "heathswitch.proxy.standalone..",
+                    "heathswitch.proxy.cli..",
+                    "heathswitch.policy.gateway..",
+                    "heathswitch.testbed..")))
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("maplehall.gateway..", "meadowtrack.gateway..", "javax.net.ssl..")
+        .resideInAnyPackage(
+            "heathswitch.proxy.gateway..", "heathswitch.policy.gateway..", "javax.net.ssl..")
         .check(all);
   }
 
   @Test
   void theBalancerLoadsNothingOfTheRig() {
     noClasses()
-        .that(not(resideInAPackage("loadrig..")))
+        .that(not(resideInAPackage("heathswitch.testbed..")))
         .should()
         .dependOnClassesThat()
-        .resideInAPackage("loadrig..")
+        .resideInAPackage("heathswitch.testbed..")
         .check(all);
   }
 }
--- a/src/test/java/meadowtrack/EmbeddingTest.java
+++ b/src/test/java/heathswitch/policy/EmbeddingTest.java
@@ -1,21 +1,21 @@
-package meadowtrack;
+package heathswitch.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestClass.Group;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.core.Balancer;
 import java.util.ArrayList;
 import java.util.List;
-import meadowtrack.api.Actions;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.RequestClass.Effect;
-import meadowtrack.api.RequestClass.Group;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
-import meadowtrack.core.Balancer;
 import org.junit.jupiter.api.Test;
 
 /** The README's example. */
--- a/src/test/java/meadowtrack/adapter/AdapterTest.java
+++ b/src/test/java/heathswitch/policy/adapter/AdapterTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.adapter;
+package heathswitch.policy.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/meadowtrack/core/BalancerTest.java
+++ b/src/test/java/heathswitch/policy/core/BalancerTest.java
@@ -1,26 +1,26 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.MS;
-import static meadowtrack.core.Harness.SECOND;
-import static meadowtrack.core.Harness.entry;
-import static meadowtrack.core.Harness.ready;
-import static meadowtrack.core.Harness.safe;
-import static meadowtrack.core.Harness.settings;
-import static meadowtrack.core.Harness.type;
+import static heathswitch.policy.core.Harness.MS;
+import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.entry;
+import static heathswitch.policy.core.Harness.ready;
+import static heathswitch.policy.core.Harness.safe;
+import static heathswitch.policy.core.Harness.settings;
+import static heathswitch.policy.core.Harness.type;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestClass.Group;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass.Effect;
-import meadowtrack.api.RequestClass.Group;
 import org.junit.jupiter.api.Test;
 
 class BalancerTest {
@@ -343,8 +343,8 @@
     Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL)));
     h.servers(
         ready(1),
-        new meadowtrack.api.ServerEntry(2, "b", "kind", 0, Health.READY, 1, 0),
-        new meadowtrack.api.ServerEntry(3, "b", "kind", 0, Health.READY, 1, 0));
+        new heathswitch.policy.api.ServerEntry(2, "b", "kind", 0, Health.READY, 1, 0),
+        new heathswitch.policy.api.ServerEntry(3, "b", "kind", 0, Health.READY, 1, 0));
     long[] calls = new long[4];
     for (int i = 1; i <= 8; i++) {
       h.request(i, "pay");
--- a/src/test/java/meadowtrack/core/BegunTest.java
+++ b/src/test/java/heathswitch/policy/core/BegunTest.java
@@ -1,9 +1,9 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import meadowtrack.api.Outcome;
+import heathswitch.policy.api.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Answers that go on as they come, at the pace of whoever reads them. */
--- a/src/test/java/meadowtrack/core/ColdFleetTest.java
+++ b/src/test/java/heathswitch/policy/core/ColdFleetTest.java
@@ -1,19 +1,19 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.MS;
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.MS;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/meadowtrack/core/DelayWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/DelayWindowTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/meadowtrack/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -1,13 +1,13 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.MS;
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.MS;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Form;
 import java.util.ArrayDeque;
-import meadowtrack.api.Form;
 import org.junit.jupiter.api.Test;
 
 class EntryWindowTest {
--- a/src/test/java/meadowtrack/core/FlightTest.java
+++ b/src/test/java/heathswitch/policy/core/FlightTest.java
@@ -1,11 +1,11 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Outcome;
 import java.util.ArrayList;
 import java.util.List;
-import meadowtrack.api.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/meadowtrack/core/Harness.java
+++ b/src/test/java/heathswitch/policy/core/Harness.java
@@ -1,16 +1,16 @@
-package meadowtrack.core;
-
+package heathswitch.policy.core;
+
+import heathswitch.policy.api.Actions;
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.Tenant;
 import java.util.ArrayList;
 import java.util.List;
-import meadowtrack.api.Actions;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
-import meadowtrack.api.Tenant;
 
 /** A balancer under test with a clock that the test moves and actions that it can read. */
 final class Harness implements Actions {
--- a/src/test/java/meadowtrack/core/ListHerdTest.java
+++ b/src/test/java/heathswitch/policy/core/ListHerdTest.java
@@ -1,12 +1,12 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.MS;
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.MS;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.ListForm;
 import java.util.ArrayList;
 import java.util.List;
-import meadowtrack.api.ListForm;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/meadowtrack/core/MembershipTest.java
+++ b/src/test/java/heathswitch/policy/core/MembershipTest.java
@@ -1,14 +1,14 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.util.List;
 import java.util.SplittableRandom;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Machines are replaced under new ids for as long as a balancer runs. */
--- a/src/test/java/meadowtrack/core/PartTest.java
+++ b/src/test/java/heathswitch/policy/core/PartTest.java
@@ -1,8 +1,13 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ServerEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -10,11 +15,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.Part;
-import meadowtrack.api.ServerEntry;
 import org.junit.jupiter.api.Test;
 
 /** A balancer among others that is told which servers are its own. */
--- a/src/test/java/meadowtrack/core/RareMomentsTest.java
+++ b/src/test/java/heathswitch/policy/core/RareMomentsTest.java
@@ -1,18 +1,18 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.MS;
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.MS;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.core.Harness.Sent;
 import java.util.List;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.core.Harness.Sent;
 import org.junit.jupiter.api.Test;
 
 /** What was decided a while ago may not begin any more; what was taken keeps its settings. */
--- a/src/test/java/meadowtrack/core/ReplayTest.java
+++ b/src/test/java/heathswitch/policy/core/ReplayTest.java
@@ -1,8 +1,13 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.ServerEntry;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -12,11 +17,6 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.SplittableRandom;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.ServerEntry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/meadowtrack/core/RuleSetTest.java
+++ b/src/test/java/heathswitch/policy/core/RuleSetTest.java
@@ -1,13 +1,13 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.Tenant;
 import java.util.List;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.api.Tenant;
 import org.junit.jupiter.api.Test;
 
 class RuleSetTest {
--- a/src/test/java/meadowtrack/core/SpeaksTest.java
+++ b/src/test/java/heathswitch/policy/core/SpeaksTest.java
@@ -1,17 +1,17 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.ServerEntry;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import meadowtrack.api.Form;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.ServerEntry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/meadowtrack/core/StartTimesTest.java
+++ b/src/test/java/heathswitch/policy/core/StartTimesTest.java
@@ -1,16 +1,16 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
-import static meadowtrack.core.Harness.SECOND;
+import static heathswitch.policy.core.Harness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import meadowtrack.api.Health;
-import meadowtrack.api.ListForm;
-import meadowtrack.api.ServerEntry;
-import meadowtrack.api.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
