--- a/src/test/java/meadowtrack/core/WeightTest.java
+++ b/src/test/java/heathswitch/policy/core/WeightTest.java
@@ -1,14 +1,14 @@
-package meadowtrack.core;
+package heathswitch.policy.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.ServerEntry;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import meadowtrack.api.Health;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.ServerEntry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/meadowtrack/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/policy/gateway/GatewayTest.java
@@ -1,16 +1,16 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.gateway.Gateway.Kept;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import meadowtrack.api.Outcome;
-import meadowtrack.api.RequestClass;
-import meadowtrack.gateway.Gateway.Kept;
 import org.junit.jupiter.api.Test;
 
 /** What goes to which site, in virtual time. */
--- a/src/test/java/meadowtrack/gateway/LendingTest.java
+++ b/src/test/java/heathswitch/policy/gateway/LendingTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/meadowtrack/gateway/TrailTest.java
+++ b/src/test/java/heathswitch/policy/gateway/TrailTest.java
@@ -1,12 +1,12 @@
-package meadowtrack.gateway;
+package heathswitch.policy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import heathswitch.policy.gateway.Gateway.Entry;
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import meadowtrack.gateway.Gateway.Entry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/meadowtrack/peers/DoorsTest.java
+++ b/src/test/java/heathswitch/policy/gossip/DoorsTest.java
@@ -1,17 +1,17 @@
-package meadowtrack.peers;
+package heathswitch.policy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.gossip.Doors.Stamp;
+import heathswitch.policy.gossip.Doors.Verdict;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import meadowtrack.peers.Doors.Stamp;
-import meadowtrack.peers.Doors.Verdict;
 import org.junit.jupiter.api.Test;
 
 /** What is taken once, and what never. */
--- a/src/test/java/meadowtrack/grpc/GatheringTest.java
+++ b/src/test/java/heathswitch/policy/grpc/GatheringTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.grpc;
+package heathswitch.policy.grpc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/meadowtrack/work/SettledTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/SettledTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.work;
+package heathswitch.policy.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/meadowtrack/members/DeparturesTest.java
+++ b/src/test/java/heathswitch/policy/members/DeparturesTest.java
@@ -1,10 +1,10 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import heathswitch.policy.members.Departures.News;
+import heathswitch.policy.members.Departures.State;
 import java.util.List;
-import meadowtrack.members.Departures.News;
-import meadowtrack.members.Departures.State;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/meadowtrack/members/ListJudgeTest.java
+++ b/src/test/java/heathswitch/policy/members/ListJudgeTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.members;
+package heathswitch.policy.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
--- a/src/test/java/meadowtrack/rotation/RotationTest.java
+++ b/src/test/java/heathswitch/policy/rotation/RotationTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.rotation;
+package heathswitch.policy.rotation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Health;
+import heathswitch.policy.rotation.Rotation.Standing;
 import java.util.Map;
 import java.util.Set;
-import meadowtrack.api.Health;
-import meadowtrack.rotation.Rotation.Standing;
 import org.junit.jupiter.api.Test;
 
 /** What a listing means while operators have taken its upstream out, and after they put it back. */
--- a/src/test/java/meadowtrack/subsets/PlanTest.java
+++ b/src/test/java/heathswitch/policy/subsetting/PlanTest.java
@@ -1,4 +1,4 @@
-package meadowtrack.subsets;
+package heathswitch.policy.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/maplehall/cli/CommandsTest.java
+++ b/src/test/java/heathswitch/proxy/cli/CommandsTest.java
@@ -1,4 +1,4 @@
-package maplehall.cli;
+package heathswitch.proxy.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/maplehall/config/SectionTest.java
+++ b/src/test/java/heathswitch/proxy/config/SectionTest.java
@@ -1,4 +1,4 @@
-package maplehall.config;
+package heathswitch.proxy.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/maplehall/agreement/LogClientsTest.java
+++ b/src/test/java/heathswitch/proxy/consensus/LogClientsTest.java
@@ -1,4 +1,4 @@
-package maplehall.agreement;
+package heathswitch.proxy.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
--- a/src/test/java/maplehall/files/AtomicFileTest.java
+++ b/src/test/java/heathswitch/proxy/files/AtomicFileTest.java
@@ -1,4 +1,4 @@
-package maplehall.files;
+package heathswitch.proxy.files;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/maplehall/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -1,14 +1,14 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.config.Document;
+import heathswitch.testbed.site.Authority;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import loadrig.site.Authority;
-import maplehall.config.Document;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/maplehall/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
@@ -1,14 +1,14 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.site.DelayLine;
 import java.util.ArrayList;
 import java.util.List;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.site.DelayLine;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/maplehall/gateway/LongServer.java
+++ b/src/test/java/heathswitch/proxy/gateway/LongServer.java
@@ -1,4 +1,4 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/src/test/java/maplehall/gateway/PeerTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/PeerTest.java
@@ -1,9 +1,10 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.http2.Link;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -20,7 +21,6 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import maplehall.http2.Link;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/maplehall/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -1,5 +1,17 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
+import heathswitch.proxy.members.MembersFormat;
+import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.proxy.standalone.StandaloneNode;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.site.Authority;
+import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -11,18 +23,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import loadrig.balancer.Workplace;
-import loadrig.client.Kind;
-import loadrig.client.Ledger;
-import loadrig.client.OpenLoop;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import loadrig.site.Authority;
-import loadrig.site.DelayLine;
-import maplehall.members.MembersFormat;
-import maplehall.standalone.StandaloneConfig;
-import maplehall.standalone.StandaloneNode;
 import testing.Await;
 
 /** Several sites in this process, each with stand-in servers, a gateway, and ways to the others. */
--- a/src/test/java/maplehall/gateway/TrustTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/TrustTest.java
@@ -1,10 +1,14 @@
-package maplehall.gateway;
+package heathswitch.proxy.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.site.Authority;
 import io.netty.handler.ssl.JdkSslContext;
 import io.netty.handler.ssl.SslContextBuilder;
 import io.netty.handler.ssl.SslProvider;
@@ -16,10 +20,6 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.SSLServerSocket;
 import javax.net.ssl.SSLSocket;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.site.Authority;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/maplehall/peers/DatagramTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/DatagramTest.java
@@ -1,19 +1,19 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.gossip.Doors.Stamp;
+import heathswitch.policy.gossip.Facts;
+import heathswitch.policy.gossip.Message;
+import heathswitch.policy.gossip.Standing;
+import heathswitch.policy.gossip.Word;
+import heathswitch.proxy.gossip.Datagram.Refusal;
+import heathswitch.proxy.gossip.Datagram.Refused;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
-import maplehall.peers.Datagram.Refusal;
-import maplehall.peers.Datagram.Refused;
-import meadowtrack.peers.Doors.Stamp;
-import meadowtrack.peers.Facts;
-import meadowtrack.peers.Message;
-import meadowtrack.peers.Standing;
-import meadowtrack.peers.Word;
 import org.junit.jupiter.api.Test;
 
 /** The form of datagrams, and the file of keys. */
--- a/src/test/java/maplehall/peers/PeersTableTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTableTest.java
@@ -1,13 +1,13 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.config.Document;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.config.Document;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/maplehall/peers/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -1,9 +1,15 @@
-package maplehall.peers;
+package heathswitch.proxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.site.DatagramLine.Weather;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -17,12 +23,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import loadrig.client.OpenLoop;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.site.DatagramLine.Weather;
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
@@ -299,7 +299,7 @@
         send(socket, victim, flipped);
         send(socket, victim, Arrays.copyOf(each, (int) (wrong * 11 % each.length)));
         byte[] forged =
-            new Datagram(new meadowtrack.peers.Doors.Stamp(1, 1, 1), null, 1)
+            new Datagram(new heathswitch.policy.gossip.Doors.Stamp(1, 1, 1), null, 1)
                 .bytes(Keys.parse("k1 " + "Zm9yZ2VkLWZvcmdlZC1mb3JnZWQtMTIzNA==\n"));
         send(socket, victim, forged);
         wrong++;
--- a/src/test/java/maplehall/grpc/Echo.java
+++ b/src/test/java/heathswitch/proxy/grpc/Echo.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import io.grpc.ForwardingServerCall;
 import io.grpc.ForwardingServerCallListener;
--- a/src/test/java/maplehall/grpc/GrpcFixture.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcFixture.java
@@ -1,5 +1,7 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
+import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.proxy.standalone.StandaloneNode;
 import io.grpc.ManagedChannel;
 import io.grpc.netty.shaded.io.grpc.netty.NettyChannelBuilder;
 import java.nio.file.Files;
@@ -8,8 +10,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import maplehall.standalone.StandaloneConfig;
-import maplehall.standalone.StandaloneNode;
 import testing.Await;
 
 /** A balancer with a gRPC front in this process, and grpc-java clients of it. */
--- a/src/test/java/maplehall/grpc/GrpcTimeoutTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
@@ -1,11 +1,11 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Outcome;
+import heathswitch.policy.grpc.Status;
 import java.util.SplittableRandom;
-import meadowtrack.api.Outcome;
-import meadowtrack.grpc.Status;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/maplehall/grpc/HardCasesTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/HardCasesTest.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/maplehall/grpc/MessagesTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/MessagesTest.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/maplehall/grpc/RawClient.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawClient.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
--- a/src/test/java/maplehall/grpc/RawServer.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawServer.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/test/java/maplehall/grpc/StreamingTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/StreamingTest.java
@@ -1,4 +1,4 @@
-package maplehall.grpc;
+package heathswitch.proxy.grpc;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.members.MembersStatus;
 import io.grpc.CallOptions;
 import io.grpc.ClientCall;
 import io.grpc.ManagedChannel;
@@ -23,7 +24,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import maplehall.members.MembersStatus;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/maplehall/http1/PipelinedPartsTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelinedPartsTest.java
@@ -1,4 +1,4 @@
-package maplehall.http1;
+package heathswitch.proxy.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/maplehall/logging/LinesTest.java
+++ b/src/test/java/heathswitch/proxy/logging/LinesTest.java
@@ -1,4 +1,4 @@
-package maplehall.logging;
+package heathswitch.proxy.logging;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/maplehall/logging/StructuredLogTest.java
+++ b/src/test/java/heathswitch/proxy/logging/StructuredLogTest.java
@@ -1,4 +1,4 @@
-package maplehall.logging;
+package heathswitch.proxy.logging;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,12 +6,12 @@
 
 import ch.qos.logback.classic.LoggerContext;
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.runtime.Log;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import maplehall.runtime.Log;
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
--- a/src/test/java/maplehall/work/WorkFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/WorkFixture.java
@@ -1,21 +1,21 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.History;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadrig.client.OpenLoop;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.History;
-import loadrig.fleet.Node;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
 import testing.Await;
 
 /** What tests of work orders in several processes do to a fleet, and their verdict. */
--- a/src/test/java/maplehall/work/WorkTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/WorkTest.java
@@ -1,19 +1,24 @@
-package maplehall.work;
+package heathswitch.proxy.maintenance;
 
-import static maplehall.work.WorkFixture.SHAPE;
-import static maplehall.work.WorkFixture.ask;
-import static maplehall.work.WorkFixture.askedAtLast;
-import static maplehall.work.WorkFixture.awaitOut;
-import static maplehall.work.WorkFixture.done;
-import static maplehall.work.WorkFixture.fenced;
-import static maplehall.work.WorkFixture.phase;
-import static maplehall.work.WorkFixture.version;
+import static heathswitch.proxy.maintenance.WorkFixture.SHAPE;
+import static heathswitch.proxy.maintenance.WorkFixture.ask;
+import static heathswitch.proxy.maintenance.WorkFixture.askedAtLast;
+import static heathswitch.proxy.maintenance.WorkFixture.awaitOut;
+import static heathswitch.proxy.maintenance.WorkFixture.done;
+import static heathswitch.proxy.maintenance.WorkFixture.fenced;
+import static heathswitch.proxy.maintenance.WorkFixture.phase;
+import static heathswitch.proxy.maintenance.WorkFixture.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.fleet.Terms;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -21,11 +26,6 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import loadrig.client.OpenLoop;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.fleet.Terms;
-import maplehall.standalone.StandaloneConfig;
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
--- a/src/test/java/maplehall/members/MembersFormatTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
@@ -1,4 +1,4 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.policy.members.Placed;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import meadowtrack.members.ListedServer;
-import meadowtrack.members.Placed;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/maplehall/members/MembersKeeperTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersKeeperTest.java
@@ -1,4 +1,4 @@
-package maplehall.members;
+package heathswitch.proxy.members;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.members.Departures.News;
+import heathswitch.policy.members.Departures.State;
+import heathswitch.policy.members.ListPolicy;
+import heathswitch.policy.members.Verdict;
+import heathswitch.proxy.files.BoundedFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
@@ -19,11 +24,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import maplehall.files.BoundedFile;
-import meadowtrack.members.Departures.News;
-import meadowtrack.members.Departures.State;
-import meadowtrack.members.ListPolicy;
-import meadowtrack.members.Verdict;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/maplehall/operations/GenerationTest.java
+++ b/src/test/java/heathswitch/proxy/operations/GenerationTest.java
@@ -1,4 +1,4 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/maplehall/operations/MarksTest.java
+++ b/src/test/java/heathswitch/proxy/operations/MarksTest.java
@@ -1,15 +1,15 @@
-package maplehall.operations;
+package heathswitch.proxy.operations;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.rotation.Mark;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import meadowtrack.rotation.Mark;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/maplehall/platform/ClosingTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ClosingTest.java
@@ -1,10 +1,13 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.node.Node;
+import heathswitch.proxy.runtime.Clock;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -12,9 +15,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
-import maplehall.http1.ClientServer;
-import maplehall.node.Node;
-import maplehall.runtime.Clock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/maplehall/platform/Fixture.java
+++ b/src/test/java/heathswitch/proxy/platform/Fixture.java
@@ -1,6 +1,7 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.proxy.node.Node;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -8,7 +9,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import maplehall.node.Node;
 import testing.Await;
 
 /** A node in this process, on a free port, with upstreams that it knows from the start. */
--- a/src/test/java/maplehall/platform/LoopGate.java
+++ b/src/test/java/heathswitch/proxy/platform/LoopGate.java
@@ -1,4 +1,4 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
--- a/src/test/java/maplehall/platform/Peer.java
+++ b/src/test/java/heathswitch/proxy/platform/Peer.java
@@ -1,4 +1,4 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/src/test/java/maplehall/platform/RehearsalTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RehearsalTest.java
@@ -1,4 +1,4 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 
--- a/src/test/java/maplehall/platform/RollingRestartTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
@@ -1,18 +1,18 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import loadrig.client.OpenLoop;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/maplehall/platform/SitesTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SitesTest.java
@@ -1,10 +1,14 @@
-package maplehall.platform;
+package heathswitch.proxy.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.policy.adapter.SettingsReader;
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.Settings;
+import heathswitch.policy.core.Balancer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -14,10 +18,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import meadowtrack.adapter.SettingsReader;
-import meadowtrack.api.RequestClass;
-import meadowtrack.api.Settings;
-import meadowtrack.core.Balancer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
--- a/src/test/java/maplehall/runtime/ListenerChannelTest.java
+++ b/src/test/java/heathswitch/proxy/runtime/ListenerChannelTest.java
@@ -1,4 +1,4 @@
-package maplehall.runtime;
+package heathswitch.proxy.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/maplehall/standalone/AdminTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/AdminTest.java
@@ -1,9 +1,11 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
+import heathswitch.testbed.balancer.BalancerProcess;
+import heathswitch.testbed.client.OpenLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -14,8 +16,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadrig.balancer.BalancerProcess;
-import loadrig.client.OpenLoop;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/maplehall/standalone/ColdServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
@@ -1,19 +1,19 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadrig.client.OpenLoop;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/maplehall/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -1,5 +1,12 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
+import heathswitch.policy.members.ListedServer;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -10,13 +17,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadrig.balancer.Workplace;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
-import meadowtrack.members.ListedServer;
 
 /** A balancer of its own in this process, with stand-in servers and a load. */
 final class StandaloneFixture implements AutoCloseable {
--- a/src/test/java/maplehall/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -1,10 +1,15 @@
-package maplehall.standalone;
+package heathswitch.proxy.standalone;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.proxy.members.MembersWatcher;
+import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
@@ -13,11 +18,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadrig.balancer.Workplace;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import maplehall.members.MembersWatcher;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/maplehall/subsets/SubsetTableTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
@@ -1,15 +1,15 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.subsetting.Rule;
+import heathswitch.policy.subsetting.Subset;
+import heathswitch.proxy.config.Document;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import maplehall.config.Document;
-import meadowtrack.subsets.Rule;
-import meadowtrack.subsets.Subset;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/maplehall/subsets/SubsetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetTest.java
@@ -1,9 +1,16 @@
-package maplehall.subsets;
+package heathswitch.proxy.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,13 +18,6 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicReference;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.fleet.Fleet;
-import loadrig.fleet.Node;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
--- a/src/test/java/loadrig/ChecksTest.java
+++ b/src/test/java/heathswitch/testbed/ChecksTest.java
@@ -1,9 +1,9 @@
-package loadrig;
+package heathswitch.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import loadrig.client.Ledger;
-import loadrig.client.Tally;
+import heathswitch.testbed.client.Ledger;
+import heathswitch.testbed.client.Tally;
 import org.junit.jupiter.api.Test;
 
 /** What the measurements check by, with faults put in: each of them can fall short. */
--- a/src/test/java/loadrig/RigTest.java
+++ b/src/test/java/heathswitch/testbed/RigTest.java
@@ -1,9 +1,15 @@
-package loadrig;
+package heathswitch.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.Kind;
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
+import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,12 +17,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadrig.client.Kind;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
-import loadrig.server.StandIn;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/loadrig/explore/ExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
@@ -1,15 +1,15 @@
-package loadrig.explore;
+package heathswitch.testbed.explore;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.testbed.mutants.Mutant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import loadrig.mutants.Mutant;
-import meadowtrack.api.Form;
-import meadowtrack.api.RequestClass.Effect;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/loadrig/fleet/HistoryTest.java
+++ b/src/test/java/heathswitch/testbed/fleet/HistoryTest.java
@@ -1,4 +1,4 @@
-package loadrig.fleet;
+package heathswitch.testbed.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/loadrig/peers/PeersExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/gossip/PeersExplorerTest.java
@@ -1,13 +1,13 @@
-package loadrig.peers;
+package heathswitch.testbed.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 import org.junit.jupiter.api.Test;
 
 /** Who is there, by gossip: the real module among many instances in virtual time. */
@@ -25,7 +25,8 @@
     Trials trials = PeersMutants.trials();
     assertEquals(List.of(), trials.unseen(PeersMutants.ALL));
     Mutant none =
-        new Mutant("meadowtrack.peers.Gossip", "private int slowness;", "private int slowness ;");
+        new Mutant(
+            "heathswitch.policy.gossip.Gossip", "private int slowness;", "private int slowness ;");
     assertFalse(trials.found(none, 300, 1));
   }
 
--- a/src/test/java/loadrig/work/WorkExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
@@ -1,13 +1,13 @@
-package loadrig.work;
+package heathswitch.testbed.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 import org.junit.jupiter.api.Test;
 
 /** What is settled of work orders, under schedules of faults and every order of a few events. */
@@ -32,7 +32,10 @@
     Trials mutants = WorkMutants.trials();
     assertEquals(List.of(), mutants.unseen(WorkMutants.ALL));
     Mutant none =
-        new Mutant("meadowtrack.work.Order", "private int waiting;", "private int waiting ;");
+        new Mutant(
+            "heathswitch.policy.maintenance.Order",
+            "private int waiting;",
+            "private int waiting ;");
     assertFalse(mutants.found(none, 1000, 2));
   }
 }
--- a/src/test/java/loadrig/measure/RoundsTest.java
+++ b/src/test/java/heathswitch/testbed/measure/RoundsTest.java
@@ -1,4 +1,4 @@
-package loadrig.measure;
+package heathswitch.testbed.measure;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/loadrig/platform/CrowdedDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
@@ -1,14 +1,14 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import java.util.ArrayList;
 import java.util.List;
-import loadrig.client.OpenLoop;
-import loadrig.client.Tally;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
--- a/src/test/java/loadrig/platform/ReloadSeriesTest.java
+++ b/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
@@ -1,9 +1,9 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/loadrig/platform/SoakTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SoakTest.java
@@ -1,4 +1,4 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/loadrig/platform/SystemFaultsTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
@@ -1,8 +1,10 @@
-package loadrig.platform;
+package heathswitch.testbed.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.server.ServiceTime;
+import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -10,8 +12,6 @@
 import java.nio.file.Files;
 import java.time.Instant;
 import java.util.List;
-import loadrig.server.ServiceTime;
-import loadrig.server.Shape;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/loadrig/site/DatagramLineTest.java
+++ b/src/test/java/heathswitch/testbed/site/DatagramLineTest.java
@@ -1,4 +1,4 @@
-package loadrig.site;
+package heathswitch.testbed.site;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/loadrig/subsets/ComparisonTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/ComparisonTest.java
@@ -1,12 +1,12 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.subsetting.Census;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import meadowtrack.subsets.Census;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/loadrig/subsets/SubsetExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
@@ -1,13 +1,13 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.Trials;
 import java.util.List;
-import loadrig.mutants.Mutant;
-import loadrig.mutants.Trials;
 import org.junit.jupiter.api.Test;
 
 /** Fleets that share servers, under many schedules in virtual time. */
@@ -34,7 +34,9 @@
     assertEquals(List.of(), trials.unseen(SubsetMutants.ALL));
     Mutant none =
         new Mutant(
-            "meadowtrack.subsets.Plan", "int wanted = users(rule);", "int wanted = (users(rule));");
+            "heathswitch.policy.subsetting.Plan",
+            "int wanted = users(rule);",
+            "int wanted = (users(rule));");
     assertFalse(trials.found(none, 100, 1));
   }
 }
--- a/src/test/java/loadrig/subsets/SubsetSizesTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/SubsetSizesTest.java
@@ -1,12 +1,12 @@
-package loadrig.subsets;
+package heathswitch.testbed.subsetting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.subsetting.Rule;
 import java.util.List;
 import java.util.Set;
-import meadowtrack.subsets.Rule;
 import org.junit.jupiter.api.Test;
 
 /** Fleets that grow and shrink, in virtual time. */
