--- a/src/main/java/heathswitch/policy/maintenance/Floor.java
+++ b/src/main/java/heathswitch/policy/maintenance/CapacityFloor.java
@@ -5,11 +5,11 @@
  *
  * @param kind of the servers that it speaks of, or {@code *} for all
  * @param zone likewise
- * @param least part of the listed weight, from 0 to 1
+ * @param minShare part of the listed weight, from 0 to 1
  */
-public record Floor(String kind, String zone, double least) {
+public record CapacityFloor(String kind, String zone, double minShare) {
   /** Whether it speaks of servers of that kind in that zone. */
-  public boolean covers(Group group) {
+  public boolean covers(ServerGroup group) {
     return !group.kind().equals(Machine.BALANCER)
         && (kind.equals("*") || kind.equals(group.kind()))
         && (zone.equals("*") || zone.equals(group.zone()));
@@ -17,6 +17,6 @@
 
   @Override
   public String toString() {
-    return "floor " + least + " of kind " + kind + " in zone " + zone;
+    return "floor " + minShare + " of kind " + kind + " in zone " + zone;
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Report.java
+++ b/src/main/java/heathswitch/policy/maintenance/CapacityReport.java
@@ -10,16 +10,16 @@
  * @param groups the capacity of each kind in each zone
  * @param warm machines on their way back that it sees in full service
  */
-public record Report(long index, Map<Group, Capacity> groups, Set<String> warm) {
+public record CapacityReport(long index, Map<ServerGroup, Capacity> groups, Set<String> warm) {
   /**
    * Weights of a group.
    *
    * @param listed of all servers on the list, those that are out among them
-   * @param worth of those that no order holds, as much as each can do now
+   * @param available of those that no order holds, as much as each can do now
    */
-  public record Capacity(double listed, double worth) {}
+  public record Capacity(double listed, double available) {}
 
-  public Report {
+  public CapacityReport {
     groups = Map.copyOf(groups);
     warm = Set.copyOf(warm);
   }
--- a/src/main/java/heathswitch/policy/maintenance/Command.java
+++ b/src/main/java/heathswitch/policy/maintenance/Command.java
@@ -21,12 +21,12 @@
       long before,
       boolean idle,
       boolean stops,
-      Rules rules,
-      Release release)
+      MaintenanceRules rules,
+      FormatSupport release)
       implements Command {}
 
   /** An instance is there, and says what it sees; null for nothing new. */
-  record Renew(String instance, long incarnation, Report report) implements Command {}
+  record Renew(String instance, long incarnation, CapacityReport report) implements Command {}
 
   /** An instance sends nothing new to a machine and has nothing there in flight. */
   record Free(String instance, long incarnation, long order, String machine) implements Command {}
--- a/src/main/java/heathswitch/policy/maintenance/Form.java
+++ b/src/main/java/heathswitch/policy/maintenance/CommandCodec.java
@@ -14,11 +14,11 @@
  * A field that is not known is passed over, so that a later release may add one; a kind that is not
  * known is an error, as an instance that passed an entry over would compute another state.
  */
-public final class Form {
-  private Form() {}
+public final class CommandCodec {
+  private CommandCodec() {}
 
   /** The tree of a command. */
-  public static Map<String, Object> of(Command command) {
+  public static Map<String, Object> encode(Command command) {
     Map<String, Object> tree = new LinkedHashMap<>();
     if (command instanceof Command.Join join) {
       tree.put("kind", "join");
@@ -27,15 +27,15 @@
       tree.put("before", join.before());
       tree.put("idle", join.idle());
       tree.put("stops", join.stops());
-      tree.put("rules", of(join.rules()));
-      tree.put("knows", join.release().knows());
+      tree.put("rules", encode(join.rules()));
+      tree.put("knows", join.release().latestFormat());
       tree.put("peers", join.release().peers());
     } else if (command instanceof Command.Renew renew) {
       tree.put("kind", "renew");
       tree.put("instance", renew.instance());
       tree.put("incarnation", renew.incarnation());
       if (renew.report() != null) {
-        tree.put("report", of(renew.report()));
+        tree.put("report", encode(renew.report()));
       }
     } else if (command instanceof Command.Free free) {
       tree.put("kind", "free");
@@ -53,7 +53,7 @@
       tree.put("forget", fence.forget());
     } else if (command instanceof Command.Ask ask) {
       tree.put("kind", "ask");
-      tree.putAll(of(ask));
+      tree.putAll(encode(ask));
     } else if (command instanceof Command.Done done) {
       tree.put("kind", "done");
       tree.put("order", done.order());
@@ -76,43 +76,47 @@
    *
    * @throws IllegalArgumentException for a kind that is not known, or a field that is missing
    */
-  public static Command command(Map<?, ?> tree) {
-    String kind = text(tree, "kind");
+  public static Command decodeCommand(Map<?, ?> tree) {
+    String kind = requireString(tree, "kind");
     return switch (kind) {
       case "join" ->
           new Command.Join(
-              text(tree, "instance"),
-              whole(tree, "incarnation"),
-              whole(tree, "before"),
-              flag(tree, "idle"),
-              flag(tree, "stops"),
-              rules(map(tree, "rules")),
-              new Release(
-                  (int) whole(tree, "knows", Release.FIRST), (int) whole(tree, "peers", 0)));
+              requireString(tree, "instance"),
+              requireLong(tree, "incarnation"),
+              requireLong(tree, "before"),
+              requireBoolean(tree, "idle"),
+              requireBoolean(tree, "stops"),
+              decodeRules(requireMap(tree, "rules")),
+              new FormatSupport(
+                  (int) longOrDefault(tree, "knows", FormatSupport.FIRST),
+                  (int) longOrDefault(tree, "peers", 0)));
       case "renew" ->
           new Command.Renew(
-              text(tree, "instance"),
-              whole(tree, "incarnation"),
-              tree.containsKey("report") ? report(map(tree, "report")) : null);
+              requireString(tree, "instance"),
+              requireLong(tree, "incarnation"),
+              tree.containsKey("report") ? decodeReport(requireMap(tree, "report")) : null);
       case "free" ->
           new Command.Free(
-              text(tree, "instance"),
-              whole(tree, "incarnation"),
-              whole(tree, "order"),
-              text(tree, "machine"));
-      case "leave" -> new Command.Leave(text(tree, "instance"), whole(tree, "incarnation"));
-      case "fence" -> new Command.Fence(text(tree, "instance"), flag(tree, "forget"));
-      case "ask" -> ask(tree);
+              requireString(tree, "instance"),
+              requireLong(tree, "incarnation"),
+              requireLong(tree, "order"),
+              requireString(tree, "machine"));
+      case "leave" ->
+          new Command.Leave(requireString(tree, "instance"), requireLong(tree, "incarnation"));
+      case "fence" ->
+          new Command.Fence(requireString(tree, "instance"), requireBoolean(tree, "forget"));
+      case "ask" -> decodeAsk(tree);
       case "done" ->
           new Command.Done(
-              whole(tree, "order"), tree.containsKey("machine") ? text(tree, "machine") : null);
-      case "extend" -> new Command.Extend(whole(tree, "order"), whole(tree, "millis"));
-      case "cancel" -> new Command.Cancel(whole(tree, "order"));
+              requireLong(tree, "order"),
+              tree.containsKey("machine") ? requireString(tree, "machine") : null);
+      case "extend" -> new Command.Extend(requireLong(tree, "order"), requireLong(tree, "millis"));
+      case "cancel" -> new Command.Cancel(requireLong(tree, "order"));
       default -> throw new IllegalArgumentException("an entry of the kind " + kind);
     };
   }
 
-  static Map<String, Object> of(Command.Ask ask) {
+  static Map<String, Object> encode(Command.Ask ask) {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("key", ask.key());
     tree.put("who", ask.who());
@@ -132,9 +136,9 @@
     return tree;
   }
 
-  static Command.Ask ask(Map<?, ?> tree) {
+  static Command.Ask decodeAsk(Map<?, ?> tree) {
     List<Machine> machines = new ArrayList<>();
-    for (Object each : list(tree, "machines")) {
+    for (Object each : requireList(tree, "machines")) {
       List<?> row = (List<?>) each;
       machines.add(
           new Machine(
@@ -146,111 +150,113 @@
               (String) row.get(5)));
     }
     return new Command.Ask(
-        text(tree, "key"),
-        text(tree, "who"),
-        text(tree, "why"),
-        flag(tree, "urgent"),
-        (int) whole(tree, "at_once"),
-        whole(tree, "for_ms"),
-        whole(tree, "after"),
-        whole(tree, "not_before_ms"),
-        whole(tree, "not_after_ms"),
+        requireString(tree, "key"),
+        requireString(tree, "who"),
+        requireString(tree, "why"),
+        requireBoolean(tree, "urgent"),
+        (int) requireLong(tree, "at_once"),
+        requireLong(tree, "for_ms"),
+        requireLong(tree, "after"),
+        requireLong(tree, "not_before_ms"),
+        requireLong(tree, "not_after_ms"),
         machines);
   }
 
-  static Map<String, Object> of(Rules rules) {
+  static Map<String, Object> encode(MaintenanceRules rules) {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("version", rules.version());
     tree.put("lease_ms", rules.leaseMillis());
     tree.put("margin_ms", rules.marginMillis());
-    tree.put("most_out", rules.mostOut());
-    tree.put("most_out_in_cell", rules.mostOutInCell());
+    tree.put("most_out", rules.maxOut());
+    tree.put("most_out_in_cell", rules.maxOutInCell());
     List<Object> floors = new ArrayList<>();
-    for (Floor floor : rules.floors()) {
-      floors.add(List.of(floor.kind(), floor.zone(), floor.least()));
+    for (CapacityFloor floor : rules.floors()) {
+      floors.add(List.of(floor.kind(), floor.zone(), floor.minShare()));
     }
     tree.put("floors", floors);
     return tree;
   }
 
-  static Rules rules(Map<?, ?> tree) {
-    List<Floor> floors = new ArrayList<>();
-    for (Object each : list(tree, "floors")) {
+  static MaintenanceRules decodeRules(Map<?, ?> tree) {
+    List<CapacityFloor> floors = new ArrayList<>();
+    for (Object each : requireList(tree, "floors")) {
       List<?> row = (List<?>) each;
       floors.add(
-          new Floor((String) row.get(0), (String) row.get(1), ((Number) row.get(2)).doubleValue()));
+          new CapacityFloor(
+              (String) row.get(0), (String) row.get(1), ((Number) row.get(2)).doubleValue()));
     }
-    return new Rules(
-        whole(tree, "version"),
-        whole(tree, "lease_ms"),
-        whole(tree, "margin_ms"),
-        (int) whole(tree, "most_out"),
-        (int) whole(tree, "most_out_in_cell"),
+    return new MaintenanceRules(
+        requireLong(tree, "version"),
+        requireLong(tree, "lease_ms"),
+        requireLong(tree, "margin_ms"),
+        (int) requireLong(tree, "most_out"),
+        (int) requireLong(tree, "most_out_in_cell"),
         floors);
   }
 
-  static Map<String, Object> of(Report report) {
+  static Map<String, Object> encode(CapacityReport report) {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("index", report.index());
     List<Object> groups = new ArrayList<>();
     // Sorted, so that whoever has computed the same writes the same.
-    List<Group> order = new ArrayList<>(report.groups().keySet());
-    order.sort(Comparator.comparing(Group::kind).thenComparing(Group::zone));
-    for (Group group : order) {
-      Report.Capacity capacity = report.groups().get(group);
-      groups.add(List.of(group.kind(), group.zone(), capacity.listed(), capacity.worth()));
+    List<ServerGroup> order = new ArrayList<>(report.groups().keySet());
+    order.sort(Comparator.comparing(ServerGroup::kind).thenComparing(ServerGroup::zone));
+    for (ServerGroup group : order) {
+      CapacityReport.Capacity capacity = report.groups().get(group);
+      groups.add(List.of(group.kind(), group.zone(), capacity.listed(), capacity.available()));
     }
     tree.put("groups", groups);
     tree.put("warm", new ArrayList<>(new TreeSet<>(report.warm())));
     return tree;
   }
 
-  static Report report(Map<?, ?> tree) {
-    Map<Group, Report.Capacity> groups = new HashMap<>();
-    for (Object each : list(tree, "groups")) {
+  static CapacityReport decodeReport(Map<?, ?> tree) {
+    Map<ServerGroup, CapacityReport.Capacity> groups = new HashMap<>();
+    for (Object each : requireList(tree, "groups")) {
       List<?> row = (List<?>) each;
       groups.put(
-          new Group((String) row.get(0), (String) row.get(1)),
-          new Report.Capacity(
+          new ServerGroup((String) row.get(0), (String) row.get(1)),
+          new CapacityReport.Capacity(
               ((Number) row.get(2)).doubleValue(), ((Number) row.get(3)).doubleValue()));
     }
-    return new Report(whole(tree, "index"), groups, new HashSet<>(texts(tree, "warm")));
+    return new CapacityReport(
+        requireLong(tree, "index"), groups, new HashSet<>(requireStrings(tree, "warm")));
   }
 
-  static String text(Map<?, ?> tree, String key) {
-    return (String) value(tree, key, String.class);
+  static String requireString(Map<?, ?> tree, String key) {
+    return (String) require(tree, key, String.class);
   }
 
-  static long whole(Map<?, ?> tree, String key) {
-    return ((Number) value(tree, key, Number.class)).longValue();
+  static long requireLong(Map<?, ?> tree, String key) {
+    return ((Number) require(tree, key, Number.class)).longValue();
   }
 
   /** A field that an earlier release does not write. */
-  static long whole(Map<?, ?> tree, String key, long otherwise) {
-    return tree.containsKey(key) ? whole(tree, key) : otherwise;
+  static long longOrDefault(Map<?, ?> tree, String key, long otherwise) {
+    return tree.containsKey(key) ? requireLong(tree, key) : otherwise;
   }
 
-  static boolean flag(Map<?, ?> tree, String key) {
-    return (Boolean) value(tree, key, Boolean.class);
+  static boolean requireBoolean(Map<?, ?> tree, String key) {
+    return (Boolean) require(tree, key, Boolean.class);
   }
 
-  static Map<?, ?> map(Map<?, ?> tree, String key) {
-    return (Map<?, ?>) value(tree, key, Map.class);
+  static Map<?, ?> requireMap(Map<?, ?> tree, String key) {
+    return (Map<?, ?>) require(tree, key, Map.class);
   }
 
-  static List<?> list(Map<?, ?> tree, String key) {
-    return (List<?>) value(tree, key, List.class);
+  static List<?> requireList(Map<?, ?> tree, String key) {
+    return (List<?>) require(tree, key, List.class);
   }
 
-  static List<String> texts(Map<?, ?> tree, String key) {
+  static List<String> requireStrings(Map<?, ?> tree, String key) {
     List<String> texts = new ArrayList<>();
-    for (Object each : list(tree, key)) {
+    for (Object each : requireList(tree, key)) {
       texts.add((String) each);
     }
     return texts;
   }
 
-  private static Object value(Map<?, ?> tree, String key, Class<?> type) {
+  private static Object require(Map<?, ?> tree, String key, Class<?> type) {
     Object value = tree.get(key);
     if (!type.isInstance(value)) {
       throw new IllegalArgumentException("an entry with " + key + " = " + value);
--- a/src/main/java/heathswitch/policy/maintenance/Release.java
+++ b/src/main/java/heathswitch/policy/maintenance/FormatSupport.java
@@ -3,10 +3,10 @@
 /**
  * What an instance's program can take, and whom its configuration names.
  *
- * @param knows the latest form of entries and of what follows from them
+ * @param latestFormat the latest form of entries and of what follows from them
  * @param peers instances that its configuration names; 0 where that is not said
  */
-public record Release(int knows, int peers) {
+public record FormatSupport(int latestFormat, int peers) {
   /** The first form. */
   public static final int FIRST = 1;
 
@@ -17,5 +17,5 @@
   public static final int LATEST = WANTED_BACK;
 
   /** What a program of the first form says of itself: nothing. */
-  public static final Release OLDEST = new Release(FIRST, 0);
+  public static final FormatSupport UNSTATED = new FormatSupport(FIRST, 0);
 }
--- a/src/main/java/heathswitch/policy/maintenance/Participant.java
+++ b/src/main/java/heathswitch/policy/maintenance/InstanceSession.java
@@ -13,49 +13,49 @@
  * what it said; anything may be lost, late or told twice. Times are nanoseconds of a monotonic
  * clock of its own.
  */
-public final class Participant {
+public final class InstanceSession {
   /** What the participant can see where it is. */
-  public interface Here {
+  public interface LocalView {
     /** The latest process of this instance by what has been taken here, 0 for none. */
-    long incarnation();
+    long latestIncarnation();
 
     /** Whether the entry with which such a process joined has been taken here. */
-    boolean joined(long incarnation);
+    boolean hasJoined(long incarnation);
 
     /** The last entry that has been taken here. */
-    long index();
+    long appliedIndex();
 
     /**
      * What is in service, with all laid over the lists that has been taken here; null for no list.
      */
-    Report report();
+    CapacityReport capacityReport();
 
     /** Whether nothing is in flight to any server. */
     boolean idle();
 
     /** Machines that are being emptied, get nothing new from here and have nothing in flight. */
-    List<Settled.Away> empty();
+    List<MaintenanceState.AwayMachine> drainedMachines();
 
     /** The lease by the rules in force. */
     long leaseMillis();
 
     /** Whether an order has this balancer itself leave, or stay away. */
-    boolean leaves();
+    boolean mustLeave();
 
     /** Whether its clients have gone, and none can come. */
-    boolean emptied();
+    boolean clientsGone();
 
     /**
      * Whether this instance leads and a machine has waited long enough for one that is not heard:
      * what only an entry lets go of.
      */
-    boolean due();
+    boolean expiryDue();
 
     /** Whether its log has stopped until its next start, so that it hears of no order any more. */
-    boolean deaf();
+    boolean logStopped();
 
     /** A number that nobody has drawn before, above 0. */
-    long draw();
+    long newIncarnation();
   }
 
   private static final long MILLI = 1_000_000L;
@@ -91,8 +91,8 @@
   private final String name;
   private final boolean stops;
   private final long stoppingNanos;
-  private final Rules rules;
-  private final Release release;
+  private final MaintenanceRules rules;
+  private final FormatSupport release;
 
   private State state = State.OUTSIDE;
   private boolean everInside;
@@ -117,9 +117,9 @@
   private long awaited;
 
   /** Since when a machine has been empty, and what has been said to be. */
-  private final Map<Settled.Away, Long> emptySince = new HashMap<>();
+  private final Map<MaintenanceState.AwayMachine, Long> emptySince = new HashMap<>();
 
-  private final Set<Settled.Away> told = new HashSet<>();
+  private final Set<MaintenanceState.AwayMachine> told = new HashSet<>();
 
   /**
    * One that is outside.
@@ -129,8 +129,12 @@
    * @param rules as its configuration states them
    * @param release what this program can take
    */
-  public Participant(
-      String name, boolean stops, long stoppingMillis, Rules rules, Release release) {
+  public InstanceSession(
+      String name,
+      boolean stops,
+      long stoppingMillis,
+      MaintenanceRules rules,
+      FormatSupport release) {
     this.name = name;
     this.stops = stops;
     this.stoppingNanos = stoppingMillis * MILLI;
@@ -147,7 +151,7 @@
   }
 
   /** Whether new clients may come: what they ask for can be answered within the lease. */
-  public boolean takesClients(long nowNanos) {
+  public boolean acceptsClients(long nowNanos) {
     return maySend(nowNanos) && !leaving && (!stops || leaseUntilNanos - nowNanos > stoppingNanos);
   }
 
@@ -156,7 +160,7 @@
     return !stops ? -1 : state == State.INSIDE ? Math.max(0, leaseUntilNanos - nowNanos) : 0;
   }
 
-  public boolean inside() {
+  public boolean joined() {
     return state == State.INSIDE;
   }
 
@@ -165,7 +169,7 @@
   }
 
   /** What is to be said now; to be called every few milliseconds. */
-  public List<Command> step(long nowNanos, Here here) {
+  public List<Command> step(long nowNanos, LocalView here) {
     List<Command> say = new ArrayList<>();
     switch (state) {
       case OUTSIDE -> join(nowNanos, here, say);
@@ -175,7 +179,7 @@
         }
       }
       case TAKING -> {
-        if (here.joined(incarnation)) {
+        if (here.hasJoined(incarnation)) {
           state = State.INSIDE;
           everInside = true;
           leaseUntilNanos = sentNanos + here.leaseMillis() * MILLI;
@@ -193,7 +197,7 @@
         leave(nowNanos, here, say);
       }
       case LEFT -> {
-        if (!here.leaves()) {
+        if (!here.mustLeave()) {
           outside(nowNanos);
         }
       }
@@ -209,7 +213,7 @@
     awaited = 0;
   }
 
-  private void join(long nowNanos, Here here, List<Command> say) {
+  private void join(long nowNanos, LocalView here, List<Command> say) {
     if (nextNanos != Long.MIN_VALUE && nowNanos - nextNanos < 0) {
       return;
     }
@@ -218,15 +222,15 @@
     if (stops && !idle) {
       return;
     }
-    incarnation = here.draw();
-    before = before == 0 ? here.incarnation() : before;
+    incarnation = here.newIncarnation();
+    before = before == 0 ? here.latestIncarnation() : before;
     sentNanos = nowNanos;
     state = State.JOINING;
     say.add(new Command.Join(name, incarnation, before, idle, stops, rules, release));
   }
 
-  private void renew(long nowNanos, Here here, List<Command> say) {
-    if (awaited > 0 && here.index() >= awaited) {
+  private void renew(long nowNanos, LocalView here, List<Command> say) {
+    if (awaited > 0 && here.appliedIndex() >= awaited) {
       awaited = 0;
       renewed(here);
     }
@@ -234,19 +238,19 @@
       renewing = false;
     }
     // What others need not wait for any more is let go of now, not when the next one is to renew.
-    boolean early = nowNanos - sentNanos >= AGAIN_NANOS && here.due();
+    boolean early = nowNanos - sentNanos >= AGAIN_NANOS && here.expiryDue();
     // Who hears of no grant must not have the others wait for longer than it does already.
-    if (!renewing && (early || nowNanos - nextNanos >= 0) && !here.deaf()) {
+    if (!renewing && (early || nowNanos - nextNanos >= 0) && !here.logStopped()) {
       renewing = true;
       sentNanos = nowNanos;
-      lastRenewal = new Command.Renew(name, incarnation, here.report());
+      lastRenewal = new Command.Renew(name, incarnation, here.capacityReport());
       say.add(lastRenewal);
     }
   }
 
-  private void leave(long nowNanos, Here here, List<Command> say) {
+  private void leave(long nowNanos, LocalView here, List<Command> say) {
     boolean before = leaving;
-    leaving = here.leaves();
+    leaving = here.mustLeave();
     if (saidLeave && !leaving) {
       outside(nowNanos); // Let back; what it said may still be on its way, so it joins anew.
       return;
@@ -254,18 +258,18 @@
     if (leaving && !before) {
       leftNanos = nowNanos - PATIENCE_NANOS;
     }
-    if (leaving && here.emptied() && here.idle() && nowNanos - leftNanos >= PATIENCE_NANOS) {
+    if (leaving && here.clientsGone() && here.idle() && nowNanos - leftNanos >= PATIENCE_NANOS) {
       leftNanos = nowNanos;
       saidLeave = true;
       say.add(new Command.Leave(name, incarnation));
     }
   }
 
-  private void free(long nowNanos, Here here, List<Command> say) {
-    List<Settled.Away> empty = here.empty();
+  private void free(long nowNanos, LocalView here, List<Command> say) {
+    List<MaintenanceState.AwayMachine> empty = here.drainedMachines();
     emptySince.keySet().retainAll(empty);
     told.retainAll(empty);
-    for (Settled.Away each : empty) {
+    for (MaintenanceState.AwayMachine each : empty) {
       long since = emptySince.computeIfAbsent(each, any -> nowNanos);
       if (nowNanos - since >= QUIET_NANOS && told.add(each)) {
         say.add(new Command.Free(name, incarnation, each.order(), each.machine()));
@@ -278,7 +282,7 @@
    *
    * @param reply null where that is not known: it may have been taken or not
    */
-  public void answered(Command command, Reply reply, long nowNanos, Here here) {
+  public void onResult(Command command, CommandResult reply, long nowNanos, LocalView here) {
     if (command instanceof Command.Join join) {
       if (state == State.JOINING && join.incarnation() == incarnation) {
         joinAnswered(reply, nowNanos);
@@ -304,47 +308,47 @@
     }
   }
 
-  private void joinAnswered(Reply reply, long nowNanos) {
+  private void joinAnswered(CommandResult reply, long nowNanos) {
     if (reply != null && reply.ok()) {
       state = State.TAKING;
       before = 0;
       return;
     }
     outside(nowNanos);
-    if (reply != null && reply.message().equals(Settled.LATE)) {
-      before = reply.order();
+    if (reply != null && reply.message().equals(MaintenanceState.LATE)) {
+      before = reply.value();
       nextNanos = nowNanos;
     }
   }
 
-  private void renewAnswered(Reply reply, long nowNanos, Here here) {
+  private void renewAnswered(CommandResult reply, long nowNanos, LocalView here) {
     if (reply == null) {
       renewing = false;
       nextNanos = nowNanos + AGAIN_NANOS;
     } else if (!reply.ok()) {
       outside(nowNanos); // Fenced.
-    } else if (here.index() < reply.order()) {
-      awaited = reply.order();
+    } else if (here.appliedIndex() < reply.value()) {
+      awaited = reply.value();
     } else {
       renewed(here);
     }
   }
 
   /** From one renewal to the next. */
-  public static long betweenMillis(long leaseMillis) {
+  public static long renewalIntervalMillis(long leaseMillis) {
     return Math.min(MOST_BETWEEN_MILLIS, leaseMillis / RENEWALS);
   }
 
-  private void renewed(Here here) {
+  private void renewed(LocalView here) {
     renewing = false;
     long lease = here.leaseMillis() * MILLI;
     long until = sentNanos + lease;
     leaseUntilNanos = until - leaseUntilNanos > 0 ? until : leaseUntilNanos;
-    nextNanos = sentNanos + betweenMillis(here.leaseMillis()) * MILLI;
+    nextNanos = sentNanos + renewalIntervalMillis(here.leaseMillis()) * MILLI;
   }
 
   /** Whether the others have taken its last renewal for so long, and its own log has not. */
-  public boolean standsStill(long nowNanos) {
+  public boolean isLogStalled(long nowNanos) {
     return state == State.INSIDE && awaited > 0 && nowNanos - sentNanos > PATIENCE_NANOS;
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Instance.java
+++ b/src/main/java/heathswitch/policy/maintenance/InstanceState.java
@@ -1,22 +1,22 @@
 package heathswitch.policy.maintenance;
 
 /** A balancer that takes part. */
-final class Instance {
+final class InstanceState {
   final String name;
   long incarnation;
   boolean stops;
 
   /** The latest form that its program knows. */
-  int knows = Release.FIRST;
+  int knows = FormatSupport.FIRST;
 
   /** Counted as one that sends nothing: it has left, was fenced by a person, or its lease ended. */
   boolean fenced;
 
   long renewedMillis;
   long reportedMillis;
-  Report report;
+  CapacityReport report;
 
-  Instance(String name) {
+  InstanceState(String name) {
     this.name = name;
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/LogClock.java
+++ b/src/main/java/heathswitch/policy/maintenance/LogClock.java
@@ -10,19 +10,19 @@
   /** The time of an entry that has none to be relied on. */
   public static final long NO_TIME = -1;
 
-  private long takenMillis;
+  private long appliedMillis;
   private long term = -1;
   private long fromMillis;
   private long fromNanos;
 
   /** The latest time of an entry that was taken. */
-  public long takenMillis() {
-    return takenMillis;
+  public long appliedMillis() {
+    return appliedMillis;
   }
 
   /** Goes on from what was kept. */
   public void restore(long millis) {
-    takenMillis = millis;
+    appliedMillis = millis;
   }
 
   /**
@@ -33,18 +33,18 @@
   public long read(long inTerm, long nowNanos) {
     if (inTerm != term) {
       term = inTerm;
-      fromMillis = takenMillis;
+      fromMillis = appliedMillis;
       fromNanos = nowNanos;
     }
     return fromMillis + (nowNanos - fromNanos) / 1_000_000;
   }
 
   /** Takes an entry's reading; {@link #NO_TIME} where that does not count. */
-  public long take(long entryTerm, long readTerm, long readMillis) {
+  public long apply(long entryTerm, long readTerm, long readMillis) {
     if (entryTerm != readTerm) {
       return NO_TIME;
     }
-    takenMillis = Math.max(takenMillis, readMillis);
+    appliedMillis = Math.max(appliedMillis, readMillis);
     return readMillis;
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Machine.java
+++ b/src/main/java/heathswitch/policy/maintenance/Machine.java
@@ -27,7 +27,7 @@
     return instance(id);
   }
 
-  Group group() {
-    return new Group(kind, zone);
+  ServerGroup group() {
+    return new ServerGroup(kind, zone);
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Rules.java
+++ b/src/main/java/heathswitch/policy/maintenance/MaintenanceRules.java
@@ -8,17 +8,17 @@
  * @param leaseMillis after its last renewal an instance may send no longer than this
  * @param marginMillis beyond the lease until others count it as fenced: what clocks may differ in
  *     rate and what an end takes
- * @param mostOut machines held at once
- * @param mostOutInCell machines held at once in one cell
+ * @param maxOut machines held at once
+ * @param maxOutInCell machines held at once in one cell
  */
-public record Rules(
+public record MaintenanceRules(
     long version,
     long leaseMillis,
     long marginMillis,
-    int mostOut,
-    int mostOutInCell,
-    List<Floor> floors) {
-  public Rules {
+    int maxOut,
+    int maxOutInCell,
+    List<CapacityFloor> floors) {
+  public MaintenanceRules {
     floors = List.copyOf(floors);
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Settled.java
+++ b/src/main/java/heathswitch/policy/maintenance/MaintenanceState.java
@@ -16,7 +16,7 @@
  * Which machines are out, and which go next: the same on every instance that has taken the same
  * entries. Time is what the entries say, a span that never runs faster than any instance's clock.
  */
-public final class Settled {
+public final class MaintenanceState {
   /** Orders that have not ended; one more is refused. */
   public static final int MOST_ORDERS = 1024;
 
@@ -43,19 +43,20 @@
   /** One that was heard so long ago counts as there. */
   private static final long HEARD_MILLIS = 3000;
 
-  private static final Rules NO_RULES = new Rules(0, 4000, 1000, 1, 1, List.of());
+  private static final MaintenanceRules NO_RULES =
+      new MaintenanceRules(0, 4000, 1000, 1, 1, List.of());
   private static final Comparator<Order> TURNS =
       Comparator.<Order>comparingLong(o -> o.round - (o.ask.urgent() ? URGENT_ROUNDS : 0))
           .thenComparingLong(o -> o.id);
 
-  private final Map<String, Instance> instances = new TreeMap<>();
+  private final Map<String, InstanceState> instances = new TreeMap<>();
   private final Map<Long, Order> orders = new TreeMap<>();
   private final Map<Long, Order> ended = new LinkedHashMap<>();
 
   /** Places that are held or on their way back, by machine. */
   private final Map<String, Order.Place> away = new TreeMap<>();
 
-  private Rules rules = NO_RULES;
+  private MaintenanceRules rules = NO_RULES;
   private long nowMillis;
   private long index;
   private long nextOrder = 1;
@@ -65,7 +66,7 @@
   private long changes;
 
   /** The form in force: what every instance that there is can take. It never falls. */
-  private int form = Release.FIRST;
+  private int form = FormatSupport.FIRST;
 
   /** Instances that there are to be, as the last one that joined was told. */
   private int peers;
@@ -77,12 +78,12 @@
    * @param stampMillis when whoever led took it, on the log's own clock, or {@link
    *     LogClock#NO_TIME}
    */
-  public Reply apply(long entry, long stampMillis, Command command) {
+  public CommandResult apply(long entry, long stampMillis, Command command) {
     index = entry;
     nowMillis = Math.max(nowMillis, stampMillis);
-    Reply reply;
+    CommandResult reply;
     if (stampMillis < 0 && (command instanceof Command.Join || command instanceof Command.Renew)) {
-      reply = Reply.no("no time that a lease could run from; once more");
+      reply = CommandResult.no("no time that a lease could run from; once more");
     } else if (command instanceof Command.Join join) {
       reply = join(join);
     } else if (command instanceof Command.Renew renew) {
@@ -108,37 +109,37 @@
 
   // ---- instances ----
 
-  private Reply join(Command.Join join) {
-    Instance instance = instances.get(join.instance());
+  private CommandResult join(Command.Join join) {
+    InstanceState instance = instances.get(join.instance());
     if (instance == null) {
       if (instances.size() >= MOST_INSTANCES) {
-        return Reply.no("there are " + MOST_INSTANCES + " instances already");
+        return CommandResult.no("there are " + MOST_INSTANCES + " instances already");
       }
-      instance = new Instance(join.instance());
+      instance = new InstanceState(join.instance());
       instances.put(join.instance(), instance);
     } else if (instance.incarnation == join.incarnation()) {
-      return Reply.ok(0); // The same entry a second time.
+      return CommandResult.ok(0); // The same entry a second time.
     } else if (instance.incarnation != join.before()) {
-      return new Reply(false, instance.incarnation, LATE);
+      return new CommandResult(false, instance.incarnation, LATE);
     }
-    if (join.release().knows() < form) {
-      return Reply.no(
+    if (join.release().latestFormat() < form) {
+      return CommandResult.no(
           "entries of form "
               + form
               + " are in force, and this release knows none beyond "
-              + join.release().knows()
+              + join.release().latestFormat()
               + "; a later release expected");
     }
     Order.Place own = away.get(Machine.balancer(join.instance()).id());
     if (own != null && own.phase == Phase.OUT) {
-      return Reply.no("taken out by order " + own.order.id + " until that is done");
+      return CommandResult.no("taken out by order " + own.order.id + " until that is done");
     }
     instance.incarnation = join.incarnation();
     instance.stops = join.stops();
     instance.fenced = false;
     instance.renewedMillis = nowMillis;
     instance.report = null;
-    instance.knows = join.release().knows();
+    instance.knows = join.release().latestFormat();
     peers = join.release().peers() > 0 ? join.release().peers() : peers;
     raise();
     String said = takeRules(join.rules());
@@ -152,7 +153,7 @@
         }
       }
     }
-    return new Reply(true, 0, said);
+    return new CommandResult(true, 0, said);
   }
 
   /**
@@ -166,7 +167,7 @@
     }
   }
 
-  private String takeRules(Rules stated) {
+  private String takeRules(MaintenanceRules stated) {
     if (stated.version() > rules.version()) {
       rules = stated;
     } else if (stated.version() == rules.version() && !stated.equals(rules)) {
@@ -178,81 +179,81 @@
   }
 
   /** The instance if this process of it may speak, else null. */
-  private Instance speaking(String name, long incarnation) {
-    Instance instance = instances.get(name);
+  private InstanceState speaking(String name, long incarnation) {
+    InstanceState instance = instances.get(name);
     return instance == null || instance.fenced || instance.incarnation != incarnation
         ? null
         : instance;
   }
 
-  private Reply renew(Command.Renew renew, long stampMillis) {
-    Instance instance = speaking(renew.instance(), renew.incarnation());
+  private CommandResult renew(Command.Renew renew, long stampMillis) {
+    InstanceState instance = speaking(renew.instance(), renew.incarnation());
     if (instance == null) {
-      return Reply.no("fenced; to join anew");
+      return CommandResult.no("fenced; to join anew");
     }
     // The entry's own time, not the latest: the lease runs from before it was sent.
     instance.renewedMillis = Math.max(instance.renewedMillis, stampMillis);
     // One that was held up on its way says nothing newer.
-    Report before = instance.report;
+    CapacityReport before = instance.report;
     if (renew.report() != null && (before == null || renew.report().index() >= before.index())) {
       instance.report = renew.report();
       instance.reportedMillis = nowMillis;
     }
-    return Reply.ok(index); // So that it knows when it has taken this entry itself.
+    return CommandResult.ok(index); // So that it knows when it has taken this entry itself.
   }
 
-  private Reply free(Command.Free free) {
-    Instance instance = speaking(free.instance(), free.incarnation());
+  private CommandResult free(Command.Free free) {
+    InstanceState instance = speaking(free.instance(), free.incarnation());
     if (instance == null) {
-      return Reply.no("fenced; to join anew");
+      return CommandResult.no("fenced; to join anew");
     }
     Order order = orders.get(free.order());
     Order.Place place = order == null ? null : order.place(free.machine());
     if (place != null && place.phase == Phase.EMPTYING) {
       place.freed.add(instance.name);
     }
-    return Reply.ok(free.order());
+    return CommandResult.ok(free.order());
   }
 
   /** What it said before and is still on its way counts for nothing: a join least of all. */
-  private void goneForGood(Instance instance) {
+  private void goneForGood(InstanceState instance) {
     instance.fenced = true;
     instance.incarnation = -index;
   }
 
-  private Reply leave(Command.Leave leave) {
-    Instance instance = speaking(leave.instance(), leave.incarnation());
+  private CommandResult leave(Command.Leave leave) {
+    InstanceState instance = speaking(leave.instance(), leave.incarnation());
     if (instance == null) {
-      return Reply.no("not there");
+      return CommandResult.no("not there");
     }
     goneForGood(instance);
-    return Reply.ok(0);
+    return CommandResult.ok(0);
   }
 
-  private Reply fence(Command.Fence fence) {
-    Instance instance = instances.get(fence.instance());
+  private CommandResult fence(Command.Fence fence) {
+    InstanceState instance = instances.get(fence.instance());
     if (instance == null) {
-      return Reply.no("no instance " + fence.instance());
+      return CommandResult.no("no instance " + fence.instance());
     }
     goneForGood(instance);
     if (fence.forget()) {
       instances.remove(instance.name);
       raise();
     }
-    return Reply.ok(0);
+    return CommandResult.ok(0);
   }
 
   // ---- orders ----
 
-  private Reply ask(Command.Ask ask) {
+  private CommandResult ask(Command.Ask ask) {
     for (Order order : orders.values()) {
       if (order.ask.key().equals(ask.key())) {
-        return new Reply(true, order.id, "asked before");
+        return new CommandResult(true, order.id, "asked before");
       }
     }
     String refused = refusal(ask);
     if (refused != null) {
-      return Reply.no(refused);
+      return CommandResult.no(refused);
     }
     long turn = round;
     for (Order order : orders.values()) {
@@ -262,7 +263,7 @@
     }
     Order order = new Order(nextOrder++, ask, nowMillis, turn);
     orders.put(order.id, order);
-    return Reply.ok(order.id);
+    return CommandResult.ok(order.id);
   }
 
   /** Why it can never be granted, or null. */
@@ -290,10 +291,10 @@
     if (ask.after() != 0 && !orders.containsKey(ask.after()) && !ended.containsKey(ask.after())) {
       return "comes after order " + ask.after() + ", which there is not";
     }
-    if (rules.mostOut() < 1 || rules.mostOutInCell() < 1) {
+    if (rules.maxOut() < 1 || rules.maxOutInCell() < 1) {
       return "no machine may be out by the rules of version " + rules.version();
     }
-    Set<Group> looked = new HashSet<>();
+    Set<ServerGroup> looked = new HashSet<>();
     Set<String> ids = new HashSet<>();
     for (Machine machine : ask.machines()) {
       if (!ids.add(machine.id())) {
@@ -305,11 +306,11 @@
       if (machine.instance() != null && !instances.containsKey(machine.instance())) {
         return "names " + machine.instance() + ", which is no instance";
       }
-      for (Floor floor : rules.floors()) {
+      for (CapacityFloor floor : rules.floors()) {
         // Groups of like servers are judged once; a heavier one waits, if need be for good.
         if (floor.covers(machine.group()) && looked.add(machine.group())) {
           double listed = listed(floor);
-          if (listed > 0 && listed - machine.weight() < floor.least() * listed) {
+          if (listed > 0 && listed - machine.weight() < floor.minShare() * listed) {
             return machine.id() + " can never go: " + floor + " allows no machine of its weight";
           }
         }
@@ -318,10 +319,10 @@
     return null;
   }
 
-  private Reply done(Command.Done done) {
+  private CommandResult done(Command.Done done) {
     Order order = orders.get(done.order());
     if (order == null) {
-      return Reply.no("no order " + done.order());
+      return CommandResult.no("no order " + done.order());
     }
     int back = 0;
     for (Order.Place place : order.places()) {
@@ -331,26 +332,28 @@
         back++;
       }
     }
-    return back > 0 ? Reply.ok(order.id) : Reply.no("nothing of order " + order.id + " is out");
+    return back > 0
+        ? CommandResult.ok(order.id)
+        : CommandResult.no("nothing of order " + order.id + " is out");
   }
 
-  private Reply extend(Command.Extend extend) {
+  private CommandResult extend(Command.Extend extend) {
     Order order = orders.get(extend.order());
     if (order == null || extend.millis() < 1 || extend.millis() > MOST_MILLIS) {
-      return Reply.no("no order " + extend.order() + " that could be extended so");
+      return CommandResult.no("no order " + extend.order() + " that could be extended so");
     }
     for (Order.Place place : order.places()) {
       if (place.phase == Phase.OUT) {
         place.dueMillis = Math.max(place.dueMillis, nowMillis) + extend.millis();
       }
     }
-    return Reply.ok(order.id);
+    return CommandResult.ok(order.id);
   }
 
-  private Reply cancel(Command.Cancel cancel) {
+  private CommandResult cancel(Command.Cancel cancel) {
     Order order = orders.get(cancel.order());
     if (order == null) {
-      return Reply.no("no order " + cancel.order());
+      return CommandResult.no("no order " + cancel.order());
     }
     boolean out = false;
     for (Order.Place place : order.places()) {
@@ -360,7 +363,7 @@
       out |= place.phase == Phase.OUT;
     }
     // Somebody may have a hand in what is out: that comes back by "done" alone.
-    return new Reply(true, order.id, out ? "machines are out; done puts them back" : "");
+    return new CommandResult(true, order.id, out ? "machines are out; done puts them back" : "");
   }
 
   private void move(Order.Place place, Phase to) {
@@ -376,7 +379,7 @@
   // ---- what follows from an entry ----
 
   private void settle() {
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       instance.fenced |= nowMillis >= endMillis(instance);
     }
     for (Order.Place place : List.copyOf(away.values())) {
@@ -399,7 +402,7 @@
       }
     }
     grant();
-    if (form >= Release.WANTED_BACK) {
+    if (form >= FormatSupport.WANTED_BACK) {
       wantBack();
     }
     for (Order order : List.copyOf(orders.values())) {
@@ -418,7 +421,7 @@
    * is said and nothing else: only those who work on a machine know when it can be put back.
    */
   private void wantBack() {
-    Map<Floor, Boolean> under = new HashMap<>();
+    Map<CapacityFloor, Boolean> under = new HashMap<>();
     for (Order.Place place : away.values()) {
       boolean wanted =
           place.phase == Phase.OUT
@@ -435,13 +438,13 @@
   }
 
   /** What is in service where that is less than the floor, else null; null where nobody says. */
-  private Worth shortOf(Floor floor) {
+  private Worth shortOf(CapacityFloor floor) {
     Worth worth = worth(floor);
-    return worth != null && worth.weight() < floor.least() * listed(floor) ? worth : null;
+    return worth != null && worth.weight() < floor.minShare() * listed(floor) ? worth : null;
   }
 
   /** When an instance counts as stopped if it is not heard again; never for one that goes on. */
-  private long endMillis(Instance instance) {
+  private long endMillis(InstanceState instance) {
     return instance.stops
         ? instance.renewedMillis + rules.leaseMillis() + rules.marginMillis()
         : Long.MAX_VALUE;
@@ -452,7 +455,7 @@
    * an instance that is not heard; {@link Long#MAX_VALUE} where none waits so. It is the next entry
    * that lets it go, so somebody has to say something then.
    */
-  public long dueMillis() {
+  public long nextExpiryMillis() {
     long due = Long.MAX_VALUE;
     for (Order.Place place : away.values()) {
       if (place.phase == Phase.EMPTYING) {
@@ -468,7 +471,7 @@
   private List<String> waitsFor(Order.Place place) {
     List<String> names = new ArrayList<>();
     String balancer = place.machine.instance();
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       // A balancer that is taken out says itself that it is: it leaves.
       if (balancer != null) {
         if (!instance.fenced && instance.name.equals(balancer)) {
@@ -481,15 +484,17 @@
     return names;
   }
 
-  /** Seen in full service by all who have looked since it came back, and by one at least. */
+  /**
+   * InstanceStatus in full service by all who have looked since it came back, and by one at least.
+   */
   private boolean warm(Order.Place place) {
     String balancer = place.machine.instance();
     if (balancer != null) {
-      Instance back = instances.get(balancer);
+      InstanceState back = instances.get(balancer);
       return back == null || fresh(back) && back.report.index() >= place.index;
     }
     boolean seen = false;
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       if (fresh(instance)) {
         if (instance.report.index() < place.index
             || !instance.report.warm().contains(place.machine.id())) {
@@ -554,7 +559,7 @@
       return true;
     }
     for (Object each : kept) {
-      if (each instanceof Floor floor && floor.covers(machine.group())) {
+      if (each instanceof CapacityFloor floor && floor.covers(machine.group())) {
         return true;
       }
     }
@@ -588,7 +593,7 @@
         return new Obstacle(place.machine.instance() + " is away", machine.group());
       }
     }
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       if (!heard(instance) && !instance.name.equals(machine.instance())) {
         return new Obstacle(instance.name + " is not there", machine.group());
       }
@@ -597,7 +602,7 @@
   }
 
   /** It renews only what its own log has taken, so it has the log up to about now. */
-  private boolean heard(Instance instance) {
+  private boolean heard(InstanceState instance) {
     return instance != null
         && !instance.fenced
         && nowMillis - instance.renewedMillis <= HEARD_MILLIS;
@@ -612,7 +617,7 @@
    * @param sinceMillis on the log's clock; whoever joins must have been heard after it
    */
   public String voteObstacle(Collection<String> voters, String joins, long sinceMillis) {
-    Instance instance = joins == null ? null : instances.get(joins);
+    InstanceState instance = joins == null ? null : instances.get(joins);
     if (joins != null && (!heard(instance) || instance.renewedMillis <= sinceMillis)) {
       return joins + " is not there with the log yet";
     }
@@ -634,23 +639,23 @@
         outInCell += place.machine.cell() == machine.cell() ? 1 : 0;
       }
     }
-    if (out >= rules.mostOut()) {
-      return new Obstacle(out + " machines are out, " + rules.mostOut() + " at most", this);
+    if (out >= rules.maxOut()) {
+      return new Obstacle(out + " machines are out, " + rules.maxOut() + " at most", this);
     }
-    if (outInCell >= rules.mostOutInCell()) {
+    if (outInCell >= rules.maxOutInCell()) {
       return new Obstacle(
           outInCell
               + " machines of cell "
               + machine.cell()
               + " are out, "
-              + rules.mostOutInCell()
+              + rules.maxOutInCell()
               + " at most",
           machine.cell());
     }
-    for (Floor floor : rules.floors()) {
+    for (CapacityFloor floor : rules.floors()) {
       if (floor.covers(machine.group())) {
         Worth worth = worth(floor);
-        double least = floor.least() * listed(floor);
+        double least = floor.minShare() * listed(floor);
         if (worth == null || worth.weight() - machine.weight() < least) {
           return new Obstacle(
               worth == null ? "no balancer says what is in service" : seen(floor, worth, least),
@@ -661,19 +666,20 @@
     return null;
   }
 
-  private boolean fresh(Instance instance) {
+  private boolean fresh(InstanceState instance) {
     return !instance.fenced
         && instance.report != null
         && nowMillis - instance.reportedMillis <= REPORT_MILLIS;
   }
 
   /** The weight that the most generous list names. */
-  private double listed(Floor floor) {
+  private double listed(CapacityFloor floor) {
     double most = 0;
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       if (fresh(instance)) {
         double sum = 0;
-        for (Map.Entry<Group, Report.Capacity> group : instance.report.groups().entrySet()) {
+        for (Map.Entry<ServerGroup, CapacityReport.Capacity> group :
+            instance.report.groups().entrySet()) {
           sum += floor.covers(group.getKey()) ? group.getValue().listed() : 0;
         }
         most = Math.max(most, sum);
@@ -689,13 +695,14 @@
    * What is in service by whoever sees least; null where nobody says. What was granted after
    * somebody looked is taken off what was seen.
    */
-  private Worth worth(Floor floor) {
+  private Worth worth(CapacityFloor floor) {
     Worth least = null;
-    for (Instance instance : instances.values()) {
+    for (InstanceState instance : instances.values()) {
       if (fresh(instance)) {
         double sum = 0;
-        for (Map.Entry<Group, Report.Capacity> group : instance.report.groups().entrySet()) {
-          sum += floor.covers(group.getKey()) ? group.getValue().worth() : 0;
+        for (Map.Entry<ServerGroup, CapacityReport.Capacity> group :
+            instance.report.groups().entrySet()) {
+          sum += floor.covers(group.getKey()) ? group.getValue().available() : 0;
         }
         for (Order.Place place : away.values()) {
           boolean unseen = place.phase.held() && place.grantedAfter(instance.report.index());
@@ -712,12 +719,12 @@
   // ---- what is asked of it ----
 
   /** Grows with every step of a machine. */
-  public long changes() {
+  public long changeCount() {
     return changes;
   }
 
   /** The last entry that was taken. */
-  public long index() {
+  public long appliedIndex() {
     return index;
   }
 
@@ -725,12 +732,12 @@
     return nowMillis;
   }
 
-  public Rules rules() {
+  public MaintenanceRules rules() {
     return rules;
   }
 
   /** The latest form of entries that all instances can take; it never falls. */
-  public int form() {
+  public int formatVersion() {
     return form;
   }
 
@@ -739,14 +746,14 @@
    *
    * @param wanted whether it is out and wanted back, as capacity is under its floor
    */
-  public record Away(
+  public record AwayMachine(
       long order, String machine, String address, Phase phase, long index, boolean wanted) {}
 
-  public List<Away> away() {
-    List<Away> list = new ArrayList<>(away.size());
+  public List<AwayMachine> awayMachines() {
+    List<AwayMachine> list = new ArrayList<>(away.size());
     for (Order.Place place : away.values()) {
       list.add(
-          new Away(
+          new AwayMachine(
               place.order.id,
               place.machine.id(),
               place.machine.address(),
@@ -758,24 +765,24 @@
   }
 
   /** Whether this process of an instance has joined and was not fenced since. */
-  public boolean joined(String instance, long incarnation) {
+  public boolean hasJoined(String instance, long incarnation) {
     return speaking(instance, incarnation) != null;
   }
 
   /** The latest process of an instance, 0 for none. */
   public long incarnation(String instance) {
-    Instance known = instances.get(instance);
+    InstanceState known = instances.get(instance);
     return known == null ? 0 : known.incarnation;
   }
 
   /** Whether an order has an instance leave, or stay away: its process sends nothing meanwhile. */
-  public boolean leaves(String instance) {
+  public boolean mustLeave(String instance) {
     Order.Place place = away.get(Machine.balancer(instance).id());
     return place != null && place.phase.held();
   }
 
   /** The orders that can be shown, the latest last. */
-  public List<Long> orders() {
+  public List<Long> orderIds() {
     List<Long> ids = new ArrayList<>(ended.keySet());
     ids.addAll(orders.keySet());
     return ids;
@@ -787,7 +794,7 @@
   }
 
   /** How many machines of an order stand where; null where there is no such order. */
-  public Map<Phase, Integer> phases(long id) {
+  public Map<Phase, Integer> phaseCounts(long id) {
     Order order = find(id);
     if (order == null) {
       return null;
@@ -800,7 +807,7 @@
   }
 
   /** How many machines of an order are wanted back. */
-  public int wantedBack(long id) {
+  public int wantedBackCount(long id) {
     Order order = find(id);
     int wanted = 0;
     for (Order.Place place : order == null ? List.<Order.Place>of() : order.places()) {
@@ -810,13 +817,13 @@
   }
 
   /** What is wanted, or null. */
-  public Command.Ask wanted(long id) {
+  public Command.Ask request(long id) {
     Order order = find(id);
     return order == null ? null : order.ask;
   }
 
   /** One machine of an order as it is shown. */
-  public record Standing(
+  public record MachineStatus(
       String machine,
       Phase phase,
       long sinceMillis,
@@ -825,15 +832,15 @@
       String waitsFor) {}
 
   /** So many machines of an order at most, those first that wait or are away. */
-  public List<Standing> standings(long id, int most) {
-    List<Standing> list = new ArrayList<>();
+  public List<MachineStatus> machineStatuses(long id, int most) {
+    List<MachineStatus> list = new ArrayList<>();
     Order order = find(id);
     Collection<Order.Place> places = order == null ? List.of() : order.places();
     for (int pass = 0; pass < 2; pass++) {
       for (Order.Place place : places) {
         if (list.size() < most && place.phase.ended() == (pass == 1)) {
           list.add(
-              new Standing(
+              new MachineStatus(
                   place.machine.id(),
                   place.phase,
                   nowMillis - (place.index == 0 ? order.askedMillis : place.sinceMillis),
@@ -874,16 +881,16 @@
   }
 
   private String wantedBack(Machine machine) {
-    for (Floor floor : rules.floors()) {
+    for (CapacityFloor floor : rules.floors()) {
       Worth worth = floor.covers(machine.group()) ? shortOf(floor) : null;
       if (worth != null) {
-        return "wanted back: " + seen(floor, worth, floor.least() * listed(floor));
+        return "wanted back: " + seen(floor, worth, floor.minShare() * listed(floor));
       }
     }
     return "wanted back";
   }
 
-  private static String seen(Floor floor, Worth worth, double least) {
+  private static String seen(CapacityFloor floor, Worth worth, double least) {
     return String.format(
         Locale.ROOT,
         "%s: %s sees %.2f in service, %.2f must be left",
@@ -903,21 +910,23 @@
   }
 
   /** An instance as it is shown. */
-  public record Seen(String name, boolean stops, boolean fenced, long heardMillisAgo, int knows) {}
+  public record InstanceStatus(
+      String name, boolean stops, boolean fenced, long heardMillisAgo, int latestFormat) {}
 
-  public List<Seen> instances() {
-    List<Seen> list = new ArrayList<>();
-    for (Instance each : instances.values()) {
+  public List<InstanceStatus> instanceStatuses() {
+    List<InstanceStatus> list = new ArrayList<>();
+    for (InstanceState each : instances.values()) {
       list.add(
-          new Seen(each.name, each.stops, each.fenced, nowMillis - each.renewedMillis, each.knows));
+          new InstanceStatus(
+              each.name, each.stops, each.fenced, nowMillis - each.renewedMillis, each.knows));
     }
     return list;
   }
 
   // ---- kept and taken up again ----
 
-  /** All of it as a tree, see {@link Form}. */
-  public Map<String, Object> save() {
+  /** All of it as a tree, see {@link CommandCodec}. */
+  public Map<String, Object> toSnapshot() {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("index", index);
     tree.put("now_ms", nowMillis);
@@ -925,9 +934,9 @@
     tree.put("round", round);
     tree.put("form", form);
     tree.put("peers", peers);
-    tree.put("rules", Form.of(rules));
+    tree.put("rules", CommandCodec.encode(rules));
     List<Object> rows = new ArrayList<>();
-    for (Instance each : instances.values()) {
+    for (InstanceState each : instances.values()) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("name", each.name);
       row.put("incarnation", each.incarnation);
@@ -937,7 +946,7 @@
       row.put("renewed_ms", each.renewedMillis);
       row.put("reported_ms", each.reportedMillis);
       if (each.report != null) {
-        row.put("report", Form.of(each.report));
+        row.put("report", CommandCodec.encode(each.report));
       }
       rows.add(row);
     }
@@ -954,7 +963,7 @@
       row.put("id", order.id);
       row.put("asked_ms", order.askedMillis);
       row.put("round", order.round);
-      row.put("ask", Form.of(order.ask));
+      row.put("ask", CommandCodec.encode(order.ask));
       List<Object> places = new ArrayList<>();
       for (Order.Place place : order.places()) {
         places.add(
@@ -974,29 +983,32 @@
   }
 
   /** What was saved. */
-  public static Settled load(Map<?, ?> tree) {
-    Settled settled = new Settled();
-    settled.index = Form.whole(tree, "index");
-    settled.nowMillis = Form.whole(tree, "now_ms");
-    settled.nextOrder = Form.whole(tree, "next_order");
-    settled.round = Form.whole(tree, "round");
-    settled.form = (int) Form.whole(tree, "form", Release.FIRST);
-    settled.peers = (int) Form.whole(tree, "peers", 0);
-    settled.rules = Form.rules(Form.map(tree, "rules"));
-    for (Object each : Form.list(tree, "instances")) {
+  public static MaintenanceState fromSnapshot(Map<?, ?> tree) {
+    MaintenanceState settled = new MaintenanceState();
+    settled.index = CommandCodec.requireLong(tree, "index");
+    settled.nowMillis = CommandCodec.requireLong(tree, "now_ms");
+    settled.nextOrder = CommandCodec.requireLong(tree, "next_order");
+    settled.round = CommandCodec.requireLong(tree, "round");
+    settled.form = (int) CommandCodec.longOrDefault(tree, "form", FormatSupport.FIRST);
+    settled.peers = (int) CommandCodec.longOrDefault(tree, "peers", 0);
+    settled.rules = CommandCodec.decodeRules(CommandCodec.requireMap(tree, "rules"));
+    for (Object each : CommandCodec.requireList(tree, "instances")) {
       Map<?, ?> row = (Map<?, ?>) each;
-      Instance instance = new Instance(Form.text(row, "name"));
-      instance.incarnation = Form.whole(row, "incarnation");
-      instance.stops = Form.flag(row, "stops");
-      instance.knows = (int) Form.whole(row, "knows", Release.FIRST);
-      instance.fenced = Form.flag(row, "fenced");
-      instance.renewedMillis = Form.whole(row, "renewed_ms");
-      instance.reportedMillis = Form.whole(row, "reported_ms");
-      instance.report = row.containsKey("report") ? Form.report(Form.map(row, "report")) : null;
+      InstanceState instance = new InstanceState(CommandCodec.requireString(row, "name"));
+      instance.incarnation = CommandCodec.requireLong(row, "incarnation");
+      instance.stops = CommandCodec.requireBoolean(row, "stops");
+      instance.knows = (int) CommandCodec.longOrDefault(row, "knows", FormatSupport.FIRST);
+      instance.fenced = CommandCodec.requireBoolean(row, "fenced");
+      instance.renewedMillis = CommandCodec.requireLong(row, "renewed_ms");
+      instance.reportedMillis = CommandCodec.requireLong(row, "reported_ms");
+      instance.report =
+          row.containsKey("report")
+              ? CommandCodec.decodeReport(CommandCodec.requireMap(row, "report"))
+              : null;
       settled.instances.put(instance.name, instance);
     }
-    settled.load(Form.list(tree, "orders"), settled.orders);
-    settled.load(Form.list(tree, "ended"), settled.ended);
+    settled.load(CommandCodec.requireList(tree, "orders"), settled.orders);
+    settled.load(CommandCodec.requireList(tree, "ended"), settled.ended);
     return settled;
   }
 
@@ -1005,12 +1017,12 @@
       Map<?, ?> row = (Map<?, ?>) each;
       Order order =
           new Order(
-              Form.whole(row, "id"),
-              Form.ask(Form.map(row, "ask")),
-              Form.whole(row, "asked_ms"),
-              Form.whole(row, "round"));
+              CommandCodec.requireLong(row, "id"),
+              CommandCodec.decodeAsk(CommandCodec.requireMap(row, "ask")),
+              CommandCodec.requireLong(row, "asked_ms"),
+              CommandCodec.requireLong(row, "round"));
       int at = 0;
-      List<?> places = Form.list(row, "places");
+      List<?> places = CommandCodec.requireList(row, "places");
       for (Order.Place place : order.places()) {
         List<?> fields = (List<?>) places.get(at++);
         order.move(
--- a/src/main/java/heathswitch/policy/maintenance/Group.java
+++ b/src/main/java/heathswitch/policy/maintenance/ServerGroup.java
@@ -1,4 +1,4 @@
 package heathswitch.policy.maintenance;
 
 /** The servers of one kind in one zone, whose capacity is counted together. */
-public record Group(String kind, String zone) {}
+public record ServerGroup(String kind, String zone) {}
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -6,8 +6,8 @@
 import heathswitch.proxy.gossip.Peering;
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.logging.StructuredLog;
-import heathswitch.proxy.maintenance.WorkCheck;
-import heathswitch.proxy.maintenance.WorkOrders;
+import heathswitch.proxy.maintenance.MaintenanceConfigCheck;
+import heathswitch.proxy.maintenance.MaintenanceService;
 import heathswitch.proxy.members.MembersCheck;
 import heathswitch.proxy.members.MembersWatcher;
 import heathswitch.proxy.runtime.Log;
@@ -73,7 +73,7 @@
       balancer = new StandaloneNode(file, result.config());
     } catch (MembersWatcher.CannotStart
         | SiteGateway.CannotStart
-        | WorkOrders.CannotStart
+        | MaintenanceService.StartException
         | Peering.CannotStart e) {
       err().println(file + ": " + e.getMessage());
       return 1;
@@ -117,10 +117,10 @@
     if (unread != null) {
       out().println(unread);
     }
-    WorkCheck.Found floors =
+    MaintenanceConfigCheck.Found floors =
         result.config().work() == null || !report.faults().isEmpty()
-            ? new WorkCheck.Found(List.of(), List.of())
-            : WorkCheck.look(result.config().work(), report.servers());
+            ? new MaintenanceConfigCheck.Found(List.of(), List.of())
+            : MaintenanceConfigCheck.check(result.config().work(), report.servers());
     floors.faults().forEach(out()::println);
     floors.notes().forEach(out()::println);
     boolean good = report.good() && unusable == null && unread == null && floors.faults().isEmpty();
--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.cli;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import heathswitch.proxy.maintenance.WorkFolder;
+import heathswitch.proxy.maintenance.VoterFolder;
 import heathswitch.proxy.standalone.StandaloneConfig;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -63,7 +63,7 @@
       return 1;
     }
     try {
-      boolean made = WorkFolder.make(read.work());
+      boolean made = VoterFolder.create(read.work());
       out().println(read.work().folder() + (made ? " is made" : " is there already"));
       return 0;
     } catch (IOException e) {
--- a/src/main/java/heathswitch/proxy/consensus/LogMachine.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogMachine.java
@@ -138,7 +138,7 @@
     byte[] saved = replica.save();
     ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + saved.length);
     synchronized (clock) {
-      bytes.putLong(clock.takenMillis());
+      bytes.putLong(clock.appliedMillis());
     }
     bytes.put(saved);
     File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
@@ -186,7 +186,7 @@
       data.get(bytes);
       long time;
       synchronized (clock) {
-        time = clock.take(entry.getTerm(), term, stamp);
+        time = clock.apply(entry.getTerm(), term, stamp);
       }
       byte[] answer = replica.take(entry.getIndex(), time, bytes);
       taken = entry.getIndex();
--- a/src/main/java/heathswitch/proxy/maintenance/WorkTable.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfig.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.maintenance;
 
-import heathswitch.policy.maintenance.Floor;
-import heathswitch.policy.maintenance.Rules;
+import heathswitch.policy.maintenance.CapacityFloor;
+import heathswitch.policy.maintenance.MaintenanceRules;
 import heathswitch.proxy.config.Document;
 import heathswitch.proxy.config.Section;
 import heathswitch.proxy.consensus.Peer;
@@ -22,14 +22,14 @@
  * @param stoppingMillis before the end of the lease it takes no more clients
  * @param warmMillis from a machine's start until it can do all, and {@code coldShare} at its start
  */
-public record WorkTable(
+public record MaintenanceConfig(
     String instance,
     InetSocketAddress listen,
     Path folder,
     boolean stops,
     long stoppingMillis,
     List<Peer> peers,
-    Rules rules,
+    MaintenanceRules rules,
     long warmMillis,
     double coldShare) {
 
@@ -43,7 +43,7 @@
   }
 
   /** Reads and checks the table; null where there is none, and the subsystem is off. */
-  public static WorkTable read(Document document, long warmMillis, double coldShare) {
+  public static MaintenanceConfig read(Document document, long warmMillis, double coldShare) {
     Section table = document.root().table("work");
     if (table == null) {
       return null;
@@ -54,7 +54,7 @@
     table.nearby("listen", listen, apart, OPEN);
     String folder = table.text("folder", null);
     CutOff cutOff = table.choice("when_cut_off", CutOff.SERVE, CutOff.class);
-    Rules rules = rules(table);
+    MaintenanceRules rules = rules(table);
     long stopping = table.millis("stopping", "1s", "10ms", "10min");
     if (cutOff == CutOff.STOP && stopping * 2 > rules.leaseMillis()) {
       table.fault("stopping", "is over half of the lease; a shorter time, or a longer lease");
@@ -70,7 +70,7 @@
     table.end();
     return instance == null || listen == null || folder == null
         ? null
-        : new WorkTable(
+        : new MaintenanceConfig(
             instance,
             listen,
             document.resolve(folder),
@@ -110,7 +110,7 @@
     return List.copyOf(peers);
   }
 
-  private static Rules rules(Section table) {
+  private static MaintenanceRules rules(Section table) {
     long version = 1;
     long lease = 4000;
     long margin = 1000;
@@ -125,7 +125,7 @@
       mostInCell = (int) section.whole("most_out_in_cell", 1L, 0, 10_000);
       section.end();
     }
-    List<Floor> floors = new ArrayList<>();
+    List<CapacityFloor> floors = new ArrayList<>();
     Set<String> stated = new HashSet<>();
     for (Section floor : table.tables("floor")) {
       String kind = floor.text("kind", "*");
@@ -138,8 +138,8 @@
         floor.fault("least", "is 1, so that no machine could ever go; less expected");
       }
       floor.end();
-      floors.add(new Floor(kind, zone, least));
+      floors.add(new CapacityFloor(kind, zone, least));
     }
-    return new Rules(version, lease, margin, mostOut, mostInCell, floors);
+    return new MaintenanceRules(version, lease, margin, mostOut, mostInCell, floors);
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/WorkCheck.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfigCheck.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.maintenance;
 
-import heathswitch.policy.maintenance.Floor;
-import heathswitch.policy.maintenance.Group;
-import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.CapacityFloor;
+import heathswitch.policy.maintenance.InstanceSession;
+import heathswitch.policy.maintenance.ServerGroup;
 import heathswitch.policy.members.ListedServer;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,8 +12,8 @@
  * Holds a table against what it meets: floors against a list of servers, whose orders would wait
  * for good, and a lease against the time until somebody else leads.
  */
-public final class WorkCheck {
-  private WorkCheck() {}
+public final class MaintenanceConfigCheck {
+  private MaintenanceConfigCheck() {}
 
   /** Until another one leads after whoever led has died, at worst. */
   private static final long TAKEOVER_MILLIS = 2000;
@@ -31,16 +31,16 @@
    *
    * @param listed all servers of the list, those that are out of service among them
    */
-  public static Found look(WorkTable table, List<ListedServer> listed) {
+  public static Found check(MaintenanceConfig table, List<ListedServer> listed) {
     List<String> faults = new ArrayList<>();
     List<String> notes = new ArrayList<>();
-    for (Floor floor : table.rules().floors()) {
+    for (CapacityFloor floor : table.rules().floors()) {
       double all = 0;
       double heaviest = 0;
       double lightest = Double.MAX_VALUE;
       String heavy = "";
       for (ListedServer each : listed) {
-        if (floor.covers(new Group(each.kind(), each.zone()))) {
+        if (floor.covers(new ServerGroup(each.kind(), each.zone()))) {
           all += each.weight();
           lightest = Math.min(lightest, each.weight());
           if (each.weight() > heaviest) {
@@ -49,7 +49,7 @@
           }
         }
       }
-      double spare = all - floor.least() * all;
+      double spare = all - floor.minShare() * all;
       String left = String.format(Locale.ROOT, "%.2f of %.2f can be spared", spare, all);
       if (all == 0) {
         faults.add(
@@ -61,7 +61,7 @@
       }
     }
     long lease = table.rules().leaseMillis();
-    long left = lease - Participant.betweenMillis(lease) - table.stoppingMillis();
+    long left = lease - InstanceSession.renewalIntervalMillis(lease) - table.stoppingMillis();
     if (table.stops() && left < TAKEOVER_MILLIS) {
       notes.add(
           String.format(
--- a/src/main/java/heathswitch/proxy/maintenance/Holdings.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
@@ -2,11 +2,11 @@
 
 import heathswitch.policy.api.Health;
 import heathswitch.policy.api.ListForm;
-import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.CapacityReport;
 import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.policy.maintenance.Phase;
-import heathswitch.policy.maintenance.Report;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.ServerGroup;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import heathswitch.proxy.spi.Upstream;
@@ -23,12 +23,12 @@
  * Lays what is settled over the lists of servers: what is held gets nothing new, what comes back is
  * cold. On the loop alone.
  */
-final class Holdings implements Dispatcher.Overlay {
+final class MaintenanceOverlay implements Dispatcher.Overlay {
   /** As the files list them; as long as their lists. */
   private final Map<String, Member> listed = new LinkedHashMap<>();
 
   /** Machines that orders have a hand on, by id. */
-  private Map<String, Settled.Away> away = Map.of();
+  private Map<String, MaintenanceState.AwayMachine> away = Map.of();
 
   /** Addresses of those that are held: another id there is the same machine. */
   private final Map<String, String> heldAt = new HashMap<>();
@@ -71,7 +71,7 @@
     if (entry.health() == Health.GONE) {
       return entry;
     }
-    Settled.Away held = away.get(entry.id());
+    MaintenanceState.AwayMachine held = away.get(entry.id());
     if (held != null && held.phase().held() || heldAt.containsKey(place(entry))) {
       return entry.with(Health.DRAINING, entry.startedMillis());
     }
@@ -84,12 +84,12 @@
    *
    * @param nowMillis by the node's own clock, which goes on when the machine's is set
    */
-  void update(List<Settled.Away> now, Dispatcher dispatcher, long nowMillis) {
-    Map<String, Settled.Away> before = away;
+  void update(List<MaintenanceState.AwayMachine> now, Dispatcher dispatcher, long nowMillis) {
+    Map<String, MaintenanceState.AwayMachine> before = away;
     Set<String> addresses = new HashSet<>(heldAt.keySet());
     away = new HashMap<>();
     heldAt.clear();
-    for (Settled.Away each : now) {
+    for (MaintenanceState.AwayMachine each : now) {
       if (Machine.instance(each.machine()) != null) {
         continue; // A balancer is on no list.
       }
@@ -102,8 +102,8 @@
     addresses.addAll(heldAt.keySet());
     List<Member> changed = new ArrayList<>();
     for (Member entry : listed.values()) {
-      Settled.Away then = before.get(entry.id());
-      Settled.Away here = away.get(entry.id());
+      MaintenanceState.AwayMachine then = before.get(entry.id());
+      MaintenanceState.AwayMachine here = away.get(entry.id());
       boolean wasHeld = then != null && then.phase().held();
       if (here != null && here.phase() == Phase.RETURNING && !back.containsKey(entry.id())) {
         back.put(entry.id(), nowMillis);
@@ -119,9 +119,9 @@
   }
 
   /** The machines that are being emptied and have nothing of this balancer's in flight. */
-  List<Settled.Away> free(Dispatcher dispatcher) {
-    List<Settled.Away> free = new ArrayList<>();
-    for (Settled.Away each : away.values()) {
+  List<MaintenanceState.AwayMachine> free(Dispatcher dispatcher) {
+    List<MaintenanceState.AwayMachine> free = new ArrayList<>();
+    for (MaintenanceState.AwayMachine each : away.values()) {
       if (each.phase() == Phase.EMPTYING
           && dispatcher.inFlight(upstream -> is(upstream, each)) == 0) {
         free.add(each);
@@ -130,7 +130,7 @@
     return free;
   }
 
-  private static boolean is(Upstream upstream, Settled.Away machine) {
+  private static boolean is(Upstream upstream, MaintenanceState.AwayMachine machine) {
     return upstream.name.equals(machine.machine())
         || text(upstream.address).equals(machine.address())
         || text(upstream.grpcAddress).equals(machine.address());
@@ -142,12 +142,12 @@
    * @param upTo the entry of the log up to which all has been laid over the lists
    * @param nowMillis by the node's own clock
    */
-  Report report(long upTo, Dispatcher dispatcher, WorkTable table, long nowMillis) {
+  CapacityReport report(long upTo, Dispatcher dispatcher, MaintenanceConfig table, long nowMillis) {
     Map<String, int[]> loads = dispatcher.loads(Integer.MAX_VALUE);
-    Map<Group, double[]> groups = new HashMap<>();
+    Map<ServerGroup, double[]> groups = new HashMap<>();
     Set<String> resting = new HashSet<>();
     for (Member entry : listed.values()) {
-      Group group = new Group(entry.kind(), entry.zone());
+      ServerGroup group = new ServerGroup(entry.kind(), entry.zone());
       double[] sums = groups.computeIfAbsent(group, any -> new double[2]);
       sums[0] += entry.weight();
       Member now = standing(entry);
@@ -164,7 +164,7 @@
     }
     rested = resting;
     Set<String> warm = new HashSet<>();
-    for (Settled.Away each : away.values()) {
+    for (MaintenanceState.AwayMachine each : away.values()) {
       Member entry = listed.get(each.machine());
       if (each.phase() == Phase.RETURNING
           && (entry == null
@@ -174,12 +174,13 @@
         warm.add(each.machine());
       }
     }
-    Map<Group, Report.Capacity> capacities = new HashMap<>();
-    groups.forEach((group, sums) -> capacities.put(group, new Report.Capacity(sums[0], sums[1])));
-    return new Report(upTo, capacities, warm);
+    Map<ServerGroup, CapacityReport.Capacity> capacities = new HashMap<>();
+    groups.forEach(
+        (group, sums) -> capacities.put(group, new CapacityReport.Capacity(sums[0], sums[1])));
+    return new CapacityReport(upTo, capacities, warm);
   }
 
-  private static double warmth(Member entry, WorkTable table, long nowMillis) {
+  private static double warmth(Member entry, MaintenanceConfig table, long nowMillis) {
     if (entry.startedMillis() <= 0 || table.warmMillis() <= 0) {
       return 1;
     }
--- a/src/main/java/heathswitch/proxy/maintenance/WorkPages.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenancePages.java
@@ -1,11 +1,11 @@
 package heathswitch.proxy.maintenance;
 
 import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.CommandResult;
 import heathswitch.policy.maintenance.Machine;
+import heathswitch.policy.maintenance.MaintenanceRules;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.policy.maintenance.Phase;
-import heathswitch.policy.maintenance.Reply;
-import heathswitch.policy.maintenance.Rules;
-import heathswitch.policy.maintenance.Settled;
 import heathswitch.proxy.admin.AdminServer;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.ArrayList;
@@ -21,16 +21,20 @@
 import java.util.function.Function;
 
 /** The pages of work orders on the admin listener. */
-final class WorkPages {
+final class MaintenancePages {
   /** Machines of one order that are shown. */
   private static final int MOST_SHOWN = 200;
 
-  private final WorkOrders orders;
-  private final WorkTable table;
-  private final Ledger ledger;
+  private final MaintenanceService orders;
+  private final MaintenanceConfig table;
+  private final MaintenanceReplica ledger;
   private final Executor thread;
 
-  WorkPages(WorkOrders orders, WorkTable table, Ledger ledger, Executor thread) {
+  MaintenancePages(
+      MaintenanceService orders,
+      MaintenanceConfig table,
+      MaintenanceReplica ledger,
+      Executor thread) {
     this.orders = orders;
     this.table = table;
     this.ledger = ledger;
@@ -44,13 +48,13 @@
 
   /** What a question makes of the ledger, off the loop. */
   private void read(String rest, Consumer<AdminServer.Reply> reply) {
-    Function<Settled, Map<String, Object>> question;
+    Function<MaintenanceState, Map<String, Object>> question;
     if (rest.isEmpty()) {
       long lease = orders.leaseLeftMillis();
       String trouble = orders.trouble();
       question = settled -> overview(settled, lease, trouble);
     } else if (rest.equals("settled")) {
-      question = Settled::save;
+      question = MaintenanceState::toSnapshot;
     } else if (rest.matches("\\d{1,18}")) {
       question = settled -> order(settled, Long.parseLong(rest));
     } else {
@@ -71,46 +75,46 @@
     }
   }
 
-  private Map<String, Object> overview(Settled settled, long leaseMillis, String trouble) {
+  private Map<String, Object> overview(MaintenanceState settled, long leaseMillis, String trouble) {
     Map<String, Object> page = new LinkedHashMap<>();
     page.put("instance", table.instance());
     page.put("leader", orders.leader());
     page.put("voters", orders.voters());
-    page.put("entry", settled.index());
+    page.put("entry", settled.appliedIndex());
     page.put("log_ms", settled.nowMillis());
-    page.put("form", settled.form());
+    page.put("form", settled.formatVersion());
     page.put("when_cut_off", table.stops() ? "stop" : "serve");
     page.put("lease_left_ms", leaseMillis);
     page.put("trouble", trouble);
-    Rules rules = settled.rules();
+    MaintenanceRules rules = settled.rules();
     Map<String, Object> inForce = new LinkedHashMap<>();
     inForce.put("version", rules.version());
     inForce.put("lease_ms", rules.leaseMillis());
-    inForce.put("most_out", rules.mostOut());
-    inForce.put("most_out_in_cell", rules.mostOutInCell());
+    inForce.put("most_out", rules.maxOut());
+    inForce.put("most_out_in_cell", rules.maxOutInCell());
     inForce.put("floors", rules.floors().stream().map(Object::toString).toList());
     page.put("rules", inForce);
     List<Object> instances = new ArrayList<>();
-    for (Settled.Seen each : settled.instances()) {
+    for (MaintenanceState.InstanceStatus each : settled.instanceStatuses()) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("name", each.name());
       row.put("when_cut_off", each.stops() ? "stop" : "serve");
       row.put("fenced", each.fenced());
-      row.put("knows_form", each.knows());
+      row.put("knows_form", each.latestFormat());
       row.put("heard_ms_ago", each.heardMillisAgo());
       instances.add(row);
     }
     page.put("instances", instances);
     List<Object> rows = new ArrayList<>();
-    for (long id : settled.orders()) {
+    for (long id : settled.orderIds()) {
       rows.add(brief(settled, id));
     }
     page.put("orders", rows);
     return page;
   }
 
-  private static Map<String, Object> brief(Settled settled, long id) {
-    Command.Ask ask = settled.wanted(id);
+  private static Map<String, Object> brief(MaintenanceState settled, long id) {
+    Command.Ask ask = settled.request(id);
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("order", id);
     row.put("who", ask.who());
@@ -118,16 +122,16 @@
     row.put("machines", ask.machines().size());
     row.put("at_once", ask.atOnce());
     Map<String, Object> phases = new LinkedHashMap<>();
-    for (Map.Entry<Phase, Integer> each : settled.phases(id).entrySet()) {
+    for (Map.Entry<Phase, Integer> each : settled.phaseCounts(id).entrySet()) {
       phases.put(each.getKey().name().toLowerCase(Locale.ROOT), each.getValue());
     }
     row.put("phases", phases);
-    row.put("wanted_back", settled.wantedBack(id));
+    row.put("wanted_back", settled.wantedBackCount(id));
     return row;
   }
 
-  private static Map<String, Object> order(Settled settled, long id) {
-    Command.Ask ask = settled.wanted(id);
+  private static Map<String, Object> order(MaintenanceState settled, long id) {
+    Command.Ask ask = settled.request(id);
     if (ask == null) {
       return null;
     }
@@ -136,7 +140,7 @@
     page.put("for_ms", ask.forMillis());
     page.put("after", ask.after());
     List<Object> rows = new ArrayList<>();
-    for (Settled.Standing each : settled.standings(id, MOST_SHOWN)) {
+    for (MaintenanceState.MachineStatus each : settled.machineStatuses(id, MOST_SHOWN)) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("machine", each.machine());
       row.put("phase", each.phase().name().toLowerCase(Locale.ROOT));
@@ -241,14 +245,14 @@
     orders
         .submitAndKnow(command)
         .whenComplete(
-            (Reply said, Throwable failure) -> {
+            (CommandResult said, Throwable failure) -> {
               if (said == null) {
                 reply.accept(
                     AdminServer.Reply.error(
                         503, "not known to be taken, ask again: " + failure.getMessage()));
               } else if (said.ok()) {
                 Map<String, Object> body = new LinkedHashMap<>();
-                body.put("order", said.order());
+                body.put("order", said.value());
                 body.put("message", said.message());
                 reply.accept(AdminServer.Reply.ok(body));
               } else {
--- a/src/main/java/heathswitch/proxy/maintenance/Ledger.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceReplica.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import heathswitch.policy.maintenance.Command;
-import heathswitch.policy.maintenance.Form;
-import heathswitch.policy.maintenance.Release;
-import heathswitch.policy.maintenance.Reply;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.CommandCodec;
+import heathswitch.policy.maintenance.CommandResult;
+import heathswitch.policy.maintenance.FormatSupport;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.proxy.consensus.Replica;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -22,7 +22,7 @@
  * What is settled, as this instance has taken it from the log; for any thread. An entry takes as
  * long as it takes: the event loop reads {@link #known}, which waits for nothing.
  */
-final class Ledger implements Replica {
+final class MaintenanceReplica implements Replica {
   /**
    * What the event loop needs of it, as of one entry.
    *
@@ -33,11 +33,11 @@
    * @param leaves whether an order has this instance leave, or stay away
    * @param form of entries in force
    * @param nowMillis the log's time as of that entry, and {@code takenNanos} when it was taken here
-   * @param dueMillis see {@link Settled#dueMillis}
+   * @param dueMillis see {@link MaintenanceState#dueMillis}
    */
   record Known(
       long index,
-      List<Settled.Away> away,
+      List<MaintenanceState.AwayMachine> away,
       long incarnation,
       boolean speaks,
       boolean leaves,
@@ -59,7 +59,7 @@
   private final Runnable news;
   private final PriorityQueue<Waiting> waiting =
       new PriorityQueue<>(Comparator.comparingLong(Waiting::index));
-  private Settled settled = new Settled();
+  private MaintenanceState settled = new MaintenanceState();
   private long toldChanges = -1;
   private volatile Known known;
 
@@ -71,7 +71,7 @@
    * @param news told, on the log's thread, whenever what is {@link #known} of machines that orders
    *     have a hand on has changed; must return at once
    */
-  Ledger(String instance, int knows, Runnable news) {
+  MaintenanceReplica(String instance, int knows, Runnable news) {
     this.instance = instance;
     this.knows = knows;
     this.news = news;
@@ -81,7 +81,7 @@
   byte[] bytes(Command command) {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("format", known.form());
-    tree.putAll(Form.of(command));
+    tree.putAll(CommandCodec.encode(command));
     return json(tree);
   }
 
@@ -102,12 +102,12 @@
   }
 
   /** What became of an entry, and its number in the log; 0 where an earlier release said it. */
-  record Taken(Reply reply, long index) {}
+  record Taken(CommandResult reply, long index) {}
 
   static Taken reply(byte[] json) {
     Map<String, Object> tree = tree(json);
     return new Taken(
-        new Reply(
+        new CommandResult(
             (Boolean) tree.get("ok"),
             ((Number) tree.get("order")).longValue(),
             (String) tree.get("message")),
@@ -118,52 +118,52 @@
   public byte[] take(long index, long stampMillis, byte[] entry) {
     Map<String, Object> tree = tree(entry);
     if (!(tree.get("format") instanceof Number format)
-        || format.intValue() < Release.FIRST
+        || format.intValue() < FormatSupport.FIRST
         || format.intValue() > knows) {
       throw new IllegalArgumentException(
           "entry " + index + " is of the form " + tree.get("format") + ", beyond " + knows);
     }
-    Command command = Form.command(tree);
-    Reply reply;
+    Command command = CommandCodec.decodeCommand(tree);
+    CommandResult reply;
     synchronized (this) {
       reply = settled.apply(index, stampMillis, command);
       tell();
     }
     Map<String, Object> answer = new LinkedHashMap<>();
     answer.put("ok", reply.ok());
-    answer.put("order", reply.order());
+    answer.put("order", reply.value());
     answer.put("message", reply.message());
     answer.put("index", index);
     return json(answer);
   }
 
   private void tell() {
-    if (settled.changes() != toldChanges) {
-      toldChanges = settled.changes();
-      publish(settled.away());
+    if (settled.changeCount() != toldChanges) {
+      toldChanges = settled.changeCount();
+      publish(settled.awayMachines());
       news.run();
     } else {
       publish(known.away());
     }
-    while (!waiting.isEmpty() && waiting.peek().index() <= settled.index()) {
+    while (!waiting.isEmpty() && waiting.peek().index() <= settled.appliedIndex()) {
       waiting.poll().taken().complete(null);
     }
   }
 
-  private void publish(List<Settled.Away> away) {
+  private void publish(List<MaintenanceState.AwayMachine> away) {
     long incarnation = settled.incarnation(instance);
     known =
         new Known(
-            settled.index(),
+            settled.appliedIndex(),
             away,
             incarnation,
-            settled.joined(instance, incarnation),
-            settled.leaves(instance),
+            settled.hasJoined(instance, incarnation),
+            settled.mustLeave(instance),
             settled.rules().leaseMillis(),
-            settled.form(),
+            settled.formatVersion(),
             settled.nowMillis(),
             System.nanoTime(),
-            settled.dueMillis());
+            settled.nextExpiryMillis());
   }
 
   /** What the event loop needs, as of the latest entry. */
@@ -177,7 +177,7 @@
    */
   synchronized CompletableFuture<Void> taken(long index) {
     CompletableFuture<Void> taken = new CompletableFuture<>();
-    if (index <= settled.index()) {
+    if (index <= settled.appliedIndex()) {
       taken.complete(null);
     } else {
       waiting.removeIf(each -> each.taken().isDone()); // Those that nobody waits for any more.
@@ -188,23 +188,23 @@
 
   @Override
   public synchronized byte[] save() {
-    return json(settled.save());
+    return json(settled.toSnapshot());
   }
 
   @Override
   public synchronized void load(byte[] saved) {
-    settled = Settled.load(tree(saved));
+    settled = MaintenanceState.fromSnapshot(tree(saved));
     toldChanges = -1;
     tell();
   }
 
   /** Asks what is settled now. */
-  synchronized <T> T ask(Function<Settled, T> question) {
+  synchronized <T> T ask(Function<MaintenanceState, T> question) {
     return question.apply(settled);
   }
 
   /** A digest of all that is settled: the same on instances that have taken the same entries. */
   synchronized String picture() {
-    return new String(json(settled.save()), StandardCharsets.UTF_8);
+    return new String(json(settled.toSnapshot()), StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/WorkOrders.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
@@ -3,13 +3,13 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
+import heathswitch.policy.maintenance.CapacityReport;
 import heathswitch.policy.maintenance.Command;
+import heathswitch.policy.maintenance.CommandResult;
+import heathswitch.policy.maintenance.FormatSupport;
+import heathswitch.policy.maintenance.InstanceSession;
 import heathswitch.policy.maintenance.Machine;
-import heathswitch.policy.maintenance.Participant;
-import heathswitch.policy.maintenance.Release;
-import heathswitch.policy.maintenance.Reply;
-import heathswitch.policy.maintenance.Report;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.consensus.Agreement;
 import heathswitch.proxy.node.Node;
@@ -28,15 +28,15 @@
 
 /**
  * This balancer among those that settle which machine goes out when: carries out what its {@link
- * Participant} says, lays what is settled over the lists, and keeps the first byte of every attempt
- * within the lease.
+ * InstanceSession} says, lays what is settled over the lists, and keeps the first byte of every
+ * attempt within the lease.
  */
-public final class WorkOrders implements AutoCloseable, Participant.Here {
+public final class MaintenanceService implements AutoCloseable, InstanceSession.LocalView {
   /** A log that cannot be opened; the message says why. */
-  public static final class CannotStart extends Exception {
+  public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    CannotStart(String message) {
+    StartException(String message) {
       super(message);
     }
   }
@@ -60,18 +60,19 @@
    * earlier release fares among later ones.
    */
   private static final int KNOWS =
-      Math.min(Release.LATEST, Integer.getInteger("heathswitch.work.knows", Release.LATEST));
+      Math.min(
+          FormatSupport.LATEST, Integer.getInteger("heathswitch.work.knows", FormatSupport.LATEST));
 
   /** Questions of operators that may wait; one more is told so. */
   private static final int MOST_QUESTIONS = 64;
 
   private final Node node;
-  private final WorkTable table;
-  private final Ledger ledger;
+  private final MaintenanceConfig table;
+  private final MaintenanceReplica ledger;
   private final Agreement agreement;
-  private final Participant participant;
-  private final Holdings holdings = new Holdings();
-  private final Steps steps = new Steps();
+  private final InstanceSession participant;
+  private final MaintenanceOverlay holdings = new MaintenanceOverlay();
+  private final OrderProgressLogger steps = new OrderProgressLogger();
   private final SecureRandom random = new SecureRandom();
   private final ThreadPoolExecutor thread;
 
@@ -94,26 +95,26 @@
   private boolean begun;
 
   /** Lays itself over the node's lists; before its start. */
-  public WorkOrders(Node node, WorkTable table) throws CannotStart {
+  public MaintenanceService(Node node, MaintenanceConfig table) throws StartException {
     this.node = node;
     this.table = table;
-    String lost = WorkFolder.missing(table);
+    String lost = VoterFolder.startObstacle(table);
     if (lost != null) {
-      throw new CannotStart(lost);
+      throw new StartException(lost);
     }
-    ledger = new Ledger(table.instance(), KNOWS, this::news);
+    ledger = new MaintenanceReplica(table.instance(), KNOWS, this::news);
     participant =
-        new Participant(
+        new InstanceSession(
             table.instance(),
             table.stops(),
             table.stoppingMillis(),
             table.rules(),
-            new Release(KNOWS, table.peers().size()));
+            new FormatSupport(KNOWS, table.peers().size()));
     try {
       agreement =
           new Agreement(table.instance(), table.listen(), table.peers(), table.folder(), ledger);
     } catch (IOException | RuntimeException e) {
-      throw new CannotStart("the log of work orders cannot be opened: " + e);
+      throw new StartException("the log of work orders cannot be opened: " + e);
     }
     thread =
         new ThreadPoolExecutor(
@@ -137,7 +138,7 @@
     agreement.start();
     node.loop().scheduleAtFixedRate(this::step, 0, STEP_MILLIS, MILLISECONDS);
     long told = System.nanoTime();
-    while (!node.loop().submit(participant::inside).syncUninterruptibly().getNow()) {
+    while (!node.loop().submit(participant::joined).syncUninterruptibly().getNow()) {
       if (System.nanoTime() - told > MILLISECONDS.toNanos(TELL_MILLIS)) {
         told = System.nanoTime();
         Log.warn("work", "not joined yet, so no clients are taken; leader: " + agreement.leader());
@@ -160,19 +161,19 @@
 
   // ---- on the loop ----
 
-  private void update(List<Settled.Away> away) {
+  private void update(List<MaintenanceState.AwayMachine> away) {
     steps.tell(away);
     holdings.update(away, node.dispatcher(), node.nowMillis());
   }
 
   private void step() {
     try {
-      boolean inside = participant.inside();
+      boolean inside = participant.joined();
       for (Command command : participant.step(System.nanoTime(), this)) {
         say(command);
       }
-      if (inside != participant.inside()) {
-        begun |= participant.inside();
+      if (inside != participant.joined()) {
+        begun |= participant.joined();
         Log.info("work", table.instance() + (inside ? " is outside" : " is inside"));
       }
       watchClients();
@@ -195,16 +196,16 @@
             });
   }
 
-  private void answered(Command command, Reply reply, Throwable failure) {
+  private void answered(Command command, CommandResult reply, Throwable failure) {
     String what = command.getClass().getSimpleName();
     if (failure != null) {
       Log.warn("work", what + " is not known to be taken: " + failure.getMessage());
     } else if (!reply.message().isEmpty()) {
       Log.warn("work", what + ": " + reply.message());
     }
-    boolean inside = participant.inside();
-    participant.answered(command, reply, System.nanoTime(), this);
-    if (inside && !participant.inside()) {
+    boolean inside = participant.joined();
+    participant.onResult(command, reply, System.nanoTime(), this);
+    if (inside && !participant.joined()) {
       Log.warn("work", table.instance() + " was fenced by the others and joins again");
     }
   }
@@ -218,7 +219,7 @@
       return; // Before it is inside for the first time it takes nobody.
     }
     long now = System.nanoTime();
-    if (participant.takesClients(now)) {
+    if (participant.acceptsClients(now)) {
       cut = false;
       if (emptied) {
         emptied = false;
@@ -229,7 +230,7 @@
     if (!emptied) {
       Log.warn(
           "work",
-          leaves()
+          mustLeave()
               ? "taken out: no more clients are taken"
               : "the lease cannot be renewed: no more clients are taken");
       emptied = true;
@@ -251,7 +252,7 @@
       lookedNanos = now;
       agreement.watch(now);
     }
-    if (participant.standsStill(now) && now - stillToldNanos > MILLISECONDS.toNanos(TELL_MILLIS)) {
+    if (participant.isLogStalled(now) && now - stillToldNanos > MILLISECONDS.toNanos(TELL_MILLIS)) {
       stillToldNanos = now;
       String reason = trouble();
       Log.warn("log stands still", reason, "reason", reason);
@@ -263,7 +264,7 @@
     String failed = agreement.trouble();
     return !failed.isEmpty()
         ? failed
-        : participant.standsStill(System.nanoTime())
+        : participant.isLogStalled(System.nanoTime())
             ? "others settle more, and this instance has taken nothing since entry "
                 + ledger.known().index()
             : "";
@@ -273,7 +274,7 @@
   private void handOn() {
     long now = System.nanoTime();
     if (emptied
-        && leaves()
+        && mustLeave()
         && now - handedNanos > MILLISECONDS.toNanos(HAND_ON_MILLIS)
         && agreement.leader().equals(table.instance())) {
       handedNanos = now;
@@ -289,13 +290,13 @@
   // ---- what the participant sees, on the loop ----
 
   @Override
-  public boolean leaves() {
+  public boolean mustLeave() {
     return ledger.known().leaves();
   }
 
   /** After that time the drain has sent away whoever had nothing to wait for. */
   @Override
-  public boolean emptied() {
+  public boolean clientsGone() {
     return emptied
         && System.nanoTime() - emptiedNanos > MILLISECONDS.toNanos(EMPTY_MILLIS)
         && node.dispatcher().live() == 0
@@ -303,13 +304,13 @@
   }
 
   @Override
-  public long incarnation() {
+  public long latestIncarnation() {
     return ledger.known().incarnation();
   }
 
   @Override
-  public boolean joined(long as) {
-    Ledger.Known known = ledger.known();
+  public boolean hasJoined(long as) {
+    MaintenanceReplica.Known known = ledger.known();
     boolean joined = known.speaks() && known.incarnation() == as;
     if (joined) {
       current();
@@ -319,18 +320,18 @@
 
   /** Lays all that has been taken over the lists; the entry up to which that is. */
   private long current() {
-    Ledger.Known known = ledger.known();
+    MaintenanceReplica.Known known = ledger.known();
     update(known.away());
     return known.index();
   }
 
   @Override
-  public long index() {
+  public long appliedIndex() {
     return ledger.known().index();
   }
 
   @Override
-  public Report report() {
+  public CapacityReport capacityReport() {
     long upTo = current();
     return holdings.listsNothing()
         ? null // Not read yet: it would say that nothing is in service.
@@ -343,7 +344,7 @@
   }
 
   @Override
-  public List<Settled.Away> empty() {
+  public List<MaintenanceState.AwayMachine> drainedMachines() {
     return holdings.free(node.dispatcher());
   }
 
@@ -353,17 +354,17 @@
   }
 
   @Override
-  public boolean due() {
+  public boolean expiryDue() {
     return ledger.known().due(System.nanoTime()) && agreement.leader().equals(table.instance());
   }
 
   @Override
-  public boolean deaf() {
+  public boolean logStopped() {
     return !agreement.trouble().isEmpty();
   }
 
   @Override
-  public long draw() {
+  public long newIncarnation() {
     return random.nextLong() >>> 11 | 1;
   }
 
@@ -371,21 +372,21 @@
 
   /** Adds the pages of orders to the admin listener. */
   public void addPages(AdminServer admin) {
-    new WorkPages(this, table, ledger, thread).add(admin);
+    new MaintenancePages(this, table, ledger, thread).add(admin);
   }
 
   /** What the participant says: before whatever people ask for here. */
-  private CompletableFuture<Reply> submit(Command command) {
+  private CompletableFuture<CommandResult> submit(Command command) {
     return agreement
         .submitFirst(() -> ledger.bytes(command))
-        .thenApply(answer -> Ledger.reply(answer).reply());
+        .thenApply(answer -> MaintenanceReplica.reply(answer).reply());
   }
 
   /** Answers when this instance knows of it, too: who asks here next is told what came of it. */
-  CompletableFuture<Reply> submitAndKnow(Command command) {
+  CompletableFuture<CommandResult> submitAndKnow(Command command) {
     return agreement
         .submit(() -> ledger.bytes(command))
-        .thenApply(Ledger::reply)
+        .thenApply(MaintenanceReplica::reply)
         .thenCompose(
             taken ->
                 ledger
--- a/src/main/java/heathswitch/proxy/maintenance/Steps.java
+++ b/src/main/java/heathswitch/proxy/maintenance/OrderProgressLogger.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.maintenance;
 
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.proxy.runtime.Log;
 import java.util.HashMap;
 import java.util.List;
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /** Writes to the log what became of each machine of an order, as this instance hears of it. */
-final class Steps {
+final class OrderProgressLogger {
   /** As many as are away, which the rules bound. */
-  private Map<String, Settled.Away> before = Map.of();
+  private Map<String, MaintenanceState.AwayMachine> before = Map.of();
 
   /** Takes all that orders have a hand on, again and again; on one thread. */
-  void tell(List<Settled.Away> now) {
-    Map<String, Settled.Away> away = new HashMap<>();
-    for (Settled.Away each : now) {
+  void tell(List<MaintenanceState.AwayMachine> now) {
+    Map<String, MaintenanceState.AwayMachine> away = new HashMap<>();
+    for (MaintenanceState.AwayMachine each : now) {
       away.put(each.machine(), each);
-      Settled.Away then = before.get(each.machine());
+      MaintenanceState.AwayMachine then = before.get(each.machine());
       if (then == null || then.order() != each.order() || then.phase() != each.phase()) {
         line(each, each.phase().name().toLowerCase(Locale.ROOT));
       }
@@ -36,7 +36,7 @@
         line(each, "no longer wanted back");
       }
     }
-    for (Settled.Away each : before.values()) {
+    for (MaintenanceState.AwayMachine each : before.values()) {
       if (!away.containsKey(each.machine())) {
         line(each, each.phase().held() ? "called off" : "done");
       }
@@ -44,7 +44,7 @@
     before = away;
   }
 
-  private static void line(Settled.Away each, String step) {
+  private static void line(MaintenanceState.AwayMachine each, String step) {
     Log.info(
         "work order",
         each.machine() + " of order " + each.order() + ": " + step,
--- a/src/main/java/heathswitch/proxy/maintenance/WorkFolder.java
+++ b/src/main/java/heathswitch/proxy/maintenance/VoterFolder.java
@@ -9,18 +9,18 @@
  * of a lost one it could vote a second time, and an entry that a majority has could be lost. So a
  * voter starts only with a folder that a person has made for it.
  */
-public final class WorkFolder {
+public final class VoterFolder {
   private static final String MADE = "voter";
 
-  private WorkFolder() {}
+  private VoterFolder() {}
 
-  private static boolean votes(WorkTable table) {
+  private static boolean votes(MaintenanceConfig table) {
     return table.peers().stream()
         .anyMatch(peer -> peer.votes() && peer.name().equals(table.instance()));
   }
 
   /** Why the instance must not start with its folder as it is, or null. */
-  static String missing(WorkTable table) {
+  static String startObstacle(MaintenanceConfig table) {
     return !votes(table) || Files.exists(table.folder().resolve(MADE))
         ? null
         : table.folder()
@@ -33,7 +33,7 @@
    *
    * @throws IOException if it cannot be written
    */
-  public static boolean make(WorkTable table) throws IOException {
+  public static boolean create(MaintenanceConfig table) throws IOException {
     Path folder = table.folder();
     if (Files.exists(folder.resolve(MADE))) {
       return false;
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -8,7 +8,7 @@
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.grpc.GrpcTable;
 import heathswitch.proxy.logging.LogTable;
-import heathswitch.proxy.maintenance.WorkTable;
+import heathswitch.proxy.maintenance.MaintenanceConfig;
 import heathswitch.proxy.members.MembersTable;
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.subsetting.SubsetTable;
@@ -33,7 +33,7 @@
     AdminTable admin,
     GrpcTable grpc,
     GatewayTable gateway,
-    WorkTable work,
+    MaintenanceConfig work,
     PeersTable peers,
     SubsetTable subset,
     LogTable log) {
@@ -44,11 +44,11 @@
    */
   public record Result(StandaloneConfig config, List<Fault> faults, boolean unreadable) {}
 
-  private static WorkTable work(Document document, NodeSettings node) {
+  private static MaintenanceConfig work(Document document, NodeSettings node) {
     Settings.Obligations rules = node == null ? null : node.settings().obligations();
     return rules == null
-        ? WorkTable.read(document, 0, 1)
-        : WorkTable.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
+        ? MaintenanceConfig.read(document, 0, 1)
+        : MaintenanceConfig.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
   }
 
   /** What this balancer is called among others, and else by its own name. */
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -5,7 +5,7 @@
 import heathswitch.proxy.gateway.SiteGateway;
 import heathswitch.proxy.gossip.Peering;
 import heathswitch.proxy.grpc.GrpcServer;
-import heathswitch.proxy.maintenance.WorkOrders;
+import heathswitch.proxy.maintenance.MaintenanceService;
 import heathswitch.proxy.members.MembersPages;
 import heathswitch.proxy.members.MembersWatcher;
 import heathswitch.proxy.metrics.Metrics;
@@ -37,7 +37,7 @@
   private AdminServer admin;
   private GrpcServer grpc;
   private SiteGateway gateway;
-  private WorkOrders work;
+  private MaintenanceService work;
   private Peering peers;
   private Subsetting subsets;
 
@@ -45,7 +45,7 @@
   public StandaloneNode(Path path, StandaloneConfig config)
       throws MembersWatcher.CannotStart,
           SiteGateway.CannotStart,
-          WorkOrders.CannotStart,
+          MaintenanceService.StartException,
           Peering.CannotStart {
     this.path = path;
     this.config = config;
@@ -74,7 +74,7 @@
       peers = new Peering(node, config.peers());
     }
     if (config.work() != null) {
-      work = new WorkOrders(node, config.work());
+      work = new MaintenanceService(node, config.work());
     }
     if (config.subset() != null) { // Over what work orders say: what is held is in no plan.
       subsets =
--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.fleet;
 
 import heathswitch.policy.members.ListedServer;
-import heathswitch.proxy.maintenance.WorkFolder;
+import heathswitch.proxy.maintenance.VoterFolder;
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.testbed.balancer.BalancerProcess;
 import heathswitch.testbed.balancer.Workplace;
@@ -163,7 +163,7 @@
       }
       configure(node, voters, terms);
       if (terms != null) {
-        WorkFolder.make(StandaloneConfig.read(node.config).config().work());
+        VoterFolder.create(StandaloneConfig.read(node.config).config().work());
       }
     }
     for (Node node : nodes.values()) {
--- a/src/main/java/heathswitch/testbed/maintenance/Sim.java
+++ b/src/main/java/heathswitch/testbed/maintenance/Sim.java
@@ -1,13 +1,13 @@
 package heathswitch.testbed.maintenance;
 
+import heathswitch.policy.maintenance.CapacityReport;
 import heathswitch.policy.maintenance.Command;
-import heathswitch.policy.maintenance.Group;
-import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.FormatSupport;
+import heathswitch.policy.maintenance.InstanceSession;
+import heathswitch.policy.maintenance.MaintenanceRules;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.policy.maintenance.Phase;
-import heathswitch.policy.maintenance.Release;
-import heathswitch.policy.maintenance.Report;
-import heathswitch.policy.maintenance.Rules;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.ServerGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /** One instance in virtual time: the real participant and the real state, with calls in flight. */
-final class Sim implements Participant.Here {
+final class Sim implements InstanceSession.LocalView {
   private static final int ENDING_STEPS = 6;
   private static final long RETURN_NANOS = 300_000_000L;
 
@@ -31,18 +31,18 @@
 
   final String name;
   private final World world;
-  private final Rules rules;
+  private final MaintenanceRules rules;
   private final boolean stops;
 
   /** What its program can take: a later one with a new process, if it is upgraded. */
-  Release release;
+  FormatSupport release;
 
   /** How fast its clock runs, and where it began; both are its own. */
   private final double rate;
 
   private final long offset;
-  Participant participant;
-  Settled settled;
+  InstanceSession participant;
+  MaintenanceState settled;
 
   /** Entries of the log that it has taken. */
   int taken;
@@ -71,11 +71,11 @@
   Sim(
       World world,
       String name,
-      Rules rules,
+      MaintenanceRules rules,
       boolean stops,
       double rate,
       long offset,
-      Release release) {
+      FormatSupport release) {
     this.world = world;
     this.name = name;
     this.rules = rules;
@@ -83,8 +83,8 @@
     this.rate = rate;
     this.offset = offset;
     this.release = release;
-    settled = new Settled();
-    participant = new Participant(name, stops, 100, rules, release);
+    settled = new MaintenanceState();
+    participant = new InstanceSession(name, stops, 100, rules, release);
   }
 
   long clock() {
@@ -106,12 +106,12 @@
   /** A new process, which knows what its disk has; with none it takes the whole log anew. */
   void start(boolean disk) {
     alive = true;
-    participant = new Participant(name, stops, 100, rules, release);
+    participant = new InstanceSession(name, stops, 100, rules, release);
     backNanos.clear();
     if (disk) {
-      settled = Settled.load(settled.save());
+      settled = MaintenanceState.fromSnapshot(settled.toSnapshot());
     } else {
-      settled = new Settled();
+      settled = new MaintenanceState();
       taken = 0;
     }
   }
@@ -120,7 +120,7 @@
     settled.apply(index, stampMillis, command);
     taken++;
     tookNanos = clock();
-    for (Settled.Away each : settled.away()) {
+    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
       if (each.phase() == Phase.RETURNING) {
         backNanos.putIfAbsent(each.machine(), clock());
       } else {
@@ -130,7 +130,7 @@
   }
 
   boolean holds(String machine) {
-    for (Settled.Away each : settled.away()) {
+    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
       if (each.machine().equals(machine) && each.phase().held()) {
         return true;
       }
@@ -174,25 +174,25 @@
   // ---- what the participant sees ----
 
   @Override
-  public long incarnation() {
+  public long latestIncarnation() {
     return settled.incarnation(name);
   }
 
   @Override
-  public boolean joined(long incarnation) {
-    return settled.joined(name, incarnation);
+  public boolean hasJoined(long incarnation) {
+    return settled.hasJoined(name, incarnation);
   }
 
   @Override
-  public long index() {
-    return settled.index();
+  public long appliedIndex() {
+    return settled.appliedIndex();
   }
 
   @Override
-  public Report report() {
+  public CapacityReport capacityReport() {
     double worth = World.MACHINES.size() - world.ill();
     List<String> warm = new ArrayList<>();
-    for (Settled.Away each : settled.away()) {
+    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
       if (!World.MACHINES.contains(each.machine())) {
         continue; // A balancer.
       }
@@ -204,9 +204,10 @@
         warm.add(each.machine());
       }
     }
-    Map<Group, Report.Capacity> groups = new TreeMap<>((a, b) -> a.kind().compareTo(b.kind()));
-    groups.put(World.GROUP, new Report.Capacity(World.MACHINES.size(), worth));
-    return new Report(settled.index(), groups, new java.util.HashSet<>(warm));
+    Map<ServerGroup, CapacityReport.Capacity> groups =
+        new TreeMap<>((a, b) -> a.kind().compareTo(b.kind()));
+    groups.put(World.GROUP, new CapacityReport.Capacity(World.MACHINES.size(), worth));
+    return new CapacityReport(settled.appliedIndex(), groups, new java.util.HashSet<>(warm));
   }
 
   @Override
@@ -215,9 +216,9 @@
   }
 
   @Override
-  public List<Settled.Away> empty() {
-    List<Settled.Away> empty = new ArrayList<>();
-    for (Settled.Away each : settled.away()) {
+  public List<MaintenanceState.AwayMachine> drainedMachines() {
+    List<MaintenanceState.AwayMachine> empty = new ArrayList<>();
+    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
       if (World.MACHINES.contains(each.machine())
           && each.phase() == Phase.EMPTYING
           && calls.stream().noneMatch(call -> call.machine.equals(each.machine()))) {
@@ -233,28 +234,28 @@
   }
 
   @Override
-  public boolean leaves() {
-    return settled.leaves(name);
+  public boolean mustLeave() {
+    return settled.mustLeave(name);
   }
 
   @Override
-  public boolean emptied() {
+  public boolean clientsGone() {
     return calls.isEmpty();
   }
 
   @Override
-  public boolean due() {
+  public boolean expiryDue() {
     return world.leads(this)
-        && settled.nowMillis() + (clock() - tookNanos) / 1_000_000 >= settled.dueMillis();
+        && settled.nowMillis() + (clock() - tookNanos) / 1_000_000 >= settled.nextExpiryMillis();
   }
 
   @Override
-  public boolean deaf() {
+  public boolean logStopped() {
     return deaf;
   }
 
   @Override
-  public long draw() {
+  public long newIncarnation() {
     return world.draw();
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -6,9 +6,9 @@
 
 /** Faults in what settles work orders, and whether the schedules find them. */
 final class WorkMutants {
-  private static final String SETTLED = "heathswitch.policy.maintenance.Settled";
+  private static final String SETTLED = "heathswitch.policy.maintenance.MaintenanceState";
   private static final String ORDER = "heathswitch.policy.maintenance.Order";
-  private static final String PARTICIPANT = "heathswitch.policy.maintenance.Participant";
+  private static final String PARTICIPANT = "heathswitch.policy.maintenance.InstanceSession";
   private static final String CLOCK = "heathswitch.policy.maintenance.LogClock";
   private static final String PHASE = "heathswitch.policy.maintenance.Phase";
 
@@ -24,8 +24,8 @@
               SETTLED, "rules.leaseMillis() + rules.marginMillis()", "rules.leaseMillis() / 2"),
           new Mutant(SETTLED, "instance.incarnation != join.before()", "false"),
           new Mutant(SETTLED, "if (away.containsKey(place.machine.id())) {", "if (false) {"),
-          new Mutant(SETTLED, "if (out >= rules.mostOut()) {", "if (out > rules.mostOut()) {"),
-          new Mutant(SETTLED, "if (outInCell >= rules.mostOutInCell()) {", "if (false) {"),
+          new Mutant(SETTLED, "if (out >= rules.maxOut()) {", "if (out > rules.maxOut()) {"),
+          new Mutant(SETTLED, "if (outInCell >= rules.maxOutInCell()) {", "if (false) {"),
           new Mutant(
               SETTLED, "worth.weight() - machine.weight() < least", "worth.weight() < least"),
           new Mutant(
@@ -52,8 +52,8 @@
               "boolean idle = !everInside || stops && here.idle();",
               "boolean idle = true;"),
           new Mutant(PARTICIPANT, "      outside(nowNanos); // Fenced.\n", ""),
-          new Mutant(PARTICIPANT, "if (here.joined(incarnation)) {", "if (true) {"),
-          new Mutant(PARTICIPANT, "      before = reply.order();\n", ""),
+          new Mutant(PARTICIPANT, "if (here.hasJoined(incarnation)) {", "if (true) {"),
+          new Mutant(PARTICIPANT, "      before = reply.value();\n", ""),
           new Mutant(PARTICIPANT, "    if (saidLeave) {\n      return false;", "    if (false) {"),
           new Mutant(PARTICIPANT, "if (saidLeave && !leaving) {", "if (false) {"),
           new Mutant(SETTLED, "if (place.machine.instance() != null) {", "if (false) {"),
@@ -63,13 +63,15 @@
               CLOCK,
               "      fromMillis = takenMillis;\n",
               "      fromMillis = takenMillis + 5000;\n"),
-          new Mutant(PARTICIPANT, "if (here.index() < reply.order()) {", "if (false) {"),
+          new Mutant(PARTICIPANT, "if (here.appliedIndex() < reply.value()) {", "if (false) {"),
           new Mutant(PARTICIPANT, "renewing && awaited == 0 && nowNanos", "renewing && nowNanos"),
           new Mutant(SETTLED, "peers > 0 && instances.size() >= peers", "peers > 0"),
           new Mutant(
               SETTLED, "mapToInt(each -> each.knows).min()", "mapToInt(each -> each.knows).max()"),
           new Mutant(
-              SETTLED, "settled.form = (int) Form.whole(tree, \"form\", Release.FIRST);", ""),
+              SETTLED,
+              "settled.form = (int) CommandCodec.longOrDefault(tree, \"form\", FormatSupport.FIRST);",
+              ""),
           new Mutant(
               SETTLED,
               "place.wantedMillis = fields.size() > 6 ? ((Number) fields.get(6)).longValue() : 0;",
--- a/src/main/java/heathswitch/testbed/maintenance/World.java
+++ b/src/main/java/heathswitch/testbed/maintenance/World.java
@@ -1,16 +1,16 @@
 package heathswitch.testbed.maintenance;
 
+import heathswitch.policy.maintenance.CapacityFloor;
 import heathswitch.policy.maintenance.Command;
-import heathswitch.policy.maintenance.Floor;
-import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.CommandResult;
+import heathswitch.policy.maintenance.FormatSupport;
+import heathswitch.policy.maintenance.InstanceSession;
 import heathswitch.policy.maintenance.LogClock;
 import heathswitch.policy.maintenance.Machine;
-import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.MaintenanceRules;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.policy.maintenance.Phase;
-import heathswitch.policy.maintenance.Release;
-import heathswitch.policy.maintenance.Reply;
-import heathswitch.policy.maintenance.Rules;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.ServerGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -25,16 +25,16 @@
  * leads changes. The log itself is one list: that it is, is the library's to keep.
  */
 final class World {
-  static final Group GROUP = new Group("store", "a");
+  static final ServerGroup GROUP = new ServerGroup("store", "a");
   static final List<String> MACHINES = List.of("m1", "m2", "m3", "m4");
 
   /** One limit at a time, or each would hide that another does not hold. */
-  private static final List<Rules> LIMITS =
+  private static final List<MaintenanceRules> LIMITS =
       List.of(
-          new Rules(1, 1000, 100, 9, 9, List.of(new Floor("store", "*", 0.5))),
-          new Rules(1, 1000, 100, 2, 9, List.of()),
-          new Rules(1, 1000, 100, 9, 1, List.of()),
-          new Rules(1, 1000, 100, 9, 9, List.of()));
+          new MaintenanceRules(1, 1000, 100, 9, 9, List.of(new CapacityFloor("store", "*", 0.5))),
+          new MaintenanceRules(1, 1000, 100, 2, 9, List.of()),
+          new MaintenanceRules(1, 1000, 100, 9, 1, List.of()),
+          new MaintenanceRules(1, 1000, 100, 9, 9, List.of()));
 
   /** Each kind of limits with instances of one release, and with one of an earlier release. */
   static final int LIMITED = LIMITS.size() * 2;
@@ -117,7 +117,7 @@
   /** Something that was said and has not been answered. */
   private static final class Said {
     final Sim by;
-    final Participant process;
+    final InstanceSession process;
     final Command command;
     final int form;
     long readTerm = -1;
@@ -139,7 +139,7 @@
   private final List<Entry> log = new ArrayList<>();
 
   /** What anybody may have been told: all of the log, taken at once. */
-  private final Settled all = new Settled();
+  private final MaintenanceState all = new MaintenanceState();
 
   /** What was computed from the log up to each entry. */
   private final List<Object> computed = new ArrayList<>();
@@ -167,18 +167,19 @@
   World(boolean stops, int limited) {
     this.stops = stops;
     this.limited = limited;
-    Rules rules = rules();
+    MaintenanceRules rules = rules();
     int older = limited < LIMITS.size() ? -1 : INSTANCES - 1;
     double[] rates = {1.0, 1.02, 0.98};
     for (int i = 0; i < INSTANCES; i++) {
-      Release release = new Release(i == older ? Release.FIRST : Release.LATEST, INSTANCES);
+      FormatSupport release =
+          new FormatSupport(i == older ? FormatSupport.FIRST : FormatSupport.LATEST, INSTANCES);
       sims.add(
           new Sim(this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
       clocks.add(new LogClock());
     }
   }
 
-  private Rules rules() {
+  private MaintenanceRules rules() {
     return LIMITS.get(limited % LIMITS.size());
   }
 
@@ -199,7 +200,7 @@
     return finding;
   }
 
-  Settled settled() {
+  MaintenanceState settled() {
     return all;
   }
 
@@ -212,7 +213,7 @@
   // ---- told by the instances ----
 
   void began(Sim by, String machine) {
-    for (Settled.Away each : all.away()) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (each.machine().equals(machine) && each.phase() == Phase.OUT) {
         found(Property.OUT_MEANS_OUT, by.name + " began a call at " + machine);
       }
@@ -221,9 +222,9 @@
 
   void said(Sim by, Command command) {
     if (!by.cut && pending.size() < MOST_PENDING) {
-      pending.add(new Said(by, command, by.settled.form()));
+      pending.add(new Said(by, command, by.settled.formatVersion()));
     } else {
-      by.participant.answered(command, null, by.clock(), by);
+      by.participant.onResult(command, null, by.clock(), by);
     }
   }
 
@@ -263,7 +264,7 @@
         list.add(new Event(Kind.START, i));
         list.add(new Event(Kind.LOSE, i));
         list.add(new Event(Kind.FENCE, i));
-        if (sim.release.knows() < Release.LATEST) {
+        if (sim.release.latestFormat() < FormatSupport.LATEST) {
           list.add(new Event(Kind.UPGRADE, i));
         }
       }
@@ -281,7 +282,7 @@
     if (asked < 6) {
       list.add(new Event(Kind.ASK, asked));
     }
-    for (long order : all.orders()) {
+    for (long order : all.orderIds()) {
       list.add(new Event(Kind.DONE, (int) order));
       list.add(new Event(Kind.CANCEL, (int) order));
     }
@@ -315,7 +316,7 @@
       }
       case START -> start(at);
       case UPGRADE -> {
-        sims.get(at).release = new Release(Release.LATEST, INSTANCES);
+        sims.get(at).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
         start(at);
       }
       case ILL -> ill = !ill;
@@ -343,7 +344,7 @@
   private void start(int at) {
     sims.get(at).start(true);
     LogClock clock = new LogClock();
-    clock.restore(clocks.get(at).takenMillis());
+    clock.restore(clocks.get(at).appliedMillis());
     clocks.set(at, clock);
   }
 
@@ -365,19 +366,19 @@
   private void take(Sim sim) {
     Entry entry = log.get(sim.taken);
     long stamp =
-        clocks.get(sims.indexOf(sim)).take(entry.term(), entry.readTerm(), entry.readMillis());
-    if (entry.form() > sim.release.knows()) {
+        clocks.get(sims.indexOf(sim)).apply(entry.term(), entry.readTerm(), entry.readMillis());
+    if (entry.form() > sim.release.latestFormat()) {
       found(Property.FORMS, sim.name + " is given an entry of form " + entry.form());
     }
     sim.take(sim.taken + 1, stamp, entry.command());
-    if (!sim.settled.save().equals(computed.get(sim.taken - 1))) {
+    if (!sim.settled.toSnapshot().equals(computed.get(sim.taken - 1))) {
       found(
           Property.SAME,
           sim.name
               + " differs after entry "
               + sim.taken
               + ": "
-              + sim.settled.save()
+              + sim.settled.toSnapshot()
               + " and "
               + computed.get(sim.taken - 1));
     }
@@ -421,9 +422,9 @@
     }
     Entry entry = new Entry(term, said.readTerm, said.readMillis, said.command, said.form);
     log.add(entry);
-    long stamp = allClock.take(entry.term(), entry.readTerm(), entry.readMillis());
-    Reply reply = all.apply(log.size(), stamp, said.command);
-    computed.add(all.save());
+    long stamp = allClock.apply(entry.term(), entry.readTerm(), entry.readMillis());
+    CommandResult reply = all.apply(log.size(), stamp, said.command);
+    computed.add(all.toSnapshot());
     if (again && !said.repeated) {
       said.repeated = true;
       said.readTerm = -1;
@@ -437,16 +438,16 @@
     answer(pending.remove(0), null);
   }
 
-  private void answer(Said said, Reply reply) {
+  private void answer(Said said, CommandResult reply) {
     Sim by = said.by;
     if (by != null && by.alive && by.participant == said.process) {
       // One that is stopped hears it when it wakes, and by its own clock then; this is no sooner.
-      by.participant.answered(said.command, by.cut ? null : reply, by.clock(), by);
+      by.participant.onResult(said.command, by.cut ? null : reply, by.clock(), by);
     }
   }
 
   private void say(Command command) {
-    pending.add(0, new Said(null, command, all.form()));
+    pending.add(0, new Said(null, command, all.formatVersion()));
     append(false);
     pending.removeIf(said -> said.by == null);
   }
@@ -461,7 +462,7 @@
       int m = (number + i) % MACHINES.size();
       machines.add(new Machine(MACHINES.get(m), "store", "a", m / 2, 1, "at-" + m));
     }
-    int before = all.orders().size();
+    int before = all.orderIds().size();
     say(
         new Command.Ask(
             "k" + number,
@@ -474,7 +475,7 @@
             0,
             0,
             machines));
-    asked += all.orders().size() > before ? 1 : 0;
+    asked += all.orderIds().size() > before ? 1 : 0;
   }
 
   // ---- properties ----
@@ -483,10 +484,10 @@
     Set<String> held = new HashSet<>();
     Map<Long, Integer> cells = new HashMap<>();
     Map<Long, Integer> orders = new HashMap<>();
-    Rules rules = rules();
+    MaintenanceRules rules = rules();
     int out = 0;
     int balancers = 0;
-    for (Settled.Away each : all.away()) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (!held.add(each.machine())) {
         found(Property.ONE_ORDER, each.machine() + " is with two orders");
       }
@@ -495,15 +496,15 @@
       if (each.phase().held() && balancer == null) {
         out++;
         long cell = MACHINES.indexOf(each.machine()) / 2;
-        if (cells.merge(cell, 1, Integer::sum) > rules.mostOutInCell()) {
+        if (cells.merge(cell, 1, Integer::sum) > rules.maxOutInCell()) {
           found(Property.FLOORS, "too many machines of one cell are out");
         }
-        if (orders.merge(each.order(), 1, Integer::sum) > all.wanted(each.order()).atOnce()) {
+        if (orders.merge(each.order(), 1, Integer::sum) > all.request(each.order()).atOnce()) {
           found(Property.AT_ONCE, "order " + each.order() + " has too many machines out");
         }
       }
     }
-    for (Settled.Away each : all.away()) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       String balancer = Machine.instance(each.machine());
       if (balancer != null) {
         stays(balancer, each.phase());
@@ -513,18 +514,18 @@
       found(Property.FLOORS, balancers + " balancers are away");
     }
     double least = 0;
-    for (Floor floor : rules.floors()) {
-      least = floor.least() * MACHINES.size();
+    for (CapacityFloor floor : rules.floors()) {
+      least = floor.minShare() * MACHINES.size();
     }
-    if (out > rules.mostOut() || MACHINES.size() - out < least) {
+    if (out > rules.maxOut() || MACHINES.size() - out < least) {
       found(Property.FLOORS, out + " machines are out");
     }
     for (Sim sim : sims) {
       if (stops
           && sim.runs()
-          && sim.participant.inside()
+          && sim.participant.joined()
           && sim.participant.maySend(sim.clock())
-          && !all.joined(sim.name, sim.participant.incarnation())) {
+          && !all.hasJoined(sim.name, sim.participant.incarnation())) {
         found(Property.LEASE, sim.name + " may send and is fenced");
       }
     }
@@ -536,7 +537,7 @@
       if (sim.name.equals(balancer)) {
         if (phase == Phase.OUT) {
           wentOut.add(balancer);
-          if (all.joined(balancer, all.incarnation(balancer))) {
+          if (all.hasJoined(balancer, all.incarnation(balancer))) {
             found(Property.OUT_MEANS_OUT, balancer + " is out and has joined");
           }
         } else if (phase == Phase.RETURNING
@@ -591,8 +592,8 @@
         }
       }
       for (int i = 0; i < sims.size(); i++) {
-        Settled.Away own = null;
-        for (Settled.Away each : all.away()) {
+        MaintenanceState.AwayMachine own = null;
+        for (MaintenanceState.AwayMachine each : all.awayMachines()) {
           own = sims.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
         }
         if (own != null && own.phase() == Phase.OUT && i != dead) {
@@ -603,12 +604,12 @@
         }
       }
       boolean left = false;
-      for (long order : all.orders()) {
-        boolean servers = Machine.instance(all.standings(order, 1).get(0).machine()) == null;
-        if (servers && all.phases(order).containsKey(Phase.OUT)) {
+      for (long order : all.orderIds()) {
+        boolean servers = Machine.instance(all.machineStatuses(order, 1).get(0).machine()) == null;
+        if (servers && all.phaseCounts(order).containsKey(Phase.OUT)) {
           play(new Event(Kind.DONE, (int) order));
         }
-        Set<Phase> phases = new HashSet<>(all.phases(order).keySet());
+        Set<Phase> phases = new HashSet<>(all.phaseCounts(order).keySet());
         phases.remove(Phase.DONE);
         phases.remove(Phase.ABANDONED);
         left |= !phases.isEmpty();
@@ -622,8 +623,9 @@
       }
     }
     StringBuilder left = new StringBuilder();
-    all.orders().forEach(order -> left.append(order).append(all.standings(order, 9)).append(' '));
-    found(Property.NOT_STUCK, left + " with " + all.instances());
+    all.orderIds()
+        .forEach(order -> left.append(order).append(all.machineStatuses(order, 9)).append(' '));
+    found(Property.NOT_STUCK, left + " with " + all.instanceStatuses());
     return this;
   }
 
--- a/src/test/java/heathswitch/policy/maintenance/ParticipantTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/InstanceSessionTest.java
@@ -8,33 +8,33 @@
 import org.junit.jupiter.api.Test;
 
 /** One instance's lease, by what it is told and when. */
-class ParticipantTest {
+class InstanceSessionTest {
   private static final long MILLI = 1_000_000L;
-  private static final Rules RULES = new Rules(1, 1000, 100, 1, 1, List.of());
+  private static final MaintenanceRules RULES = new MaintenanceRules(1, 1000, 100, 1, 1, List.of());
 
   /** What it can see; its own log is as far as the test says. */
-  private static final class Seen implements Participant.Here {
+  private static final class Seen implements InstanceSession.LocalView {
     long index = 5;
     boolean due;
     boolean deaf;
 
     @Override
-    public long incarnation() {
+    public long latestIncarnation() {
       return 0;
     }
 
     @Override
-    public boolean joined(long as) {
+    public boolean hasJoined(long as) {
       return true;
     }
 
     @Override
-    public long index() {
+    public long appliedIndex() {
       return index;
     }
 
     @Override
-    public Report report() {
+    public CapacityReport capacityReport() {
       return null;
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public List<Settled.Away> empty() {
+    public List<MaintenanceState.AwayMachine> drainedMachines() {
       return List.of();
     }
 
@@ -54,37 +54,38 @@
     }
 
     @Override
-    public boolean leaves() {
+    public boolean mustLeave() {
       return false;
     }
 
     @Override
-    public boolean emptied() {
+    public boolean clientsGone() {
       return false;
     }
 
     @Override
-    public boolean due() {
+    public boolean expiryDue() {
       return due;
     }
 
     @Override
-    public boolean deaf() {
+    public boolean logStopped() {
       return deaf;
     }
 
     @Override
-    public long draw() {
+    public long newIncarnation() {
       return 7;
     }
   }
 
   private final Seen here = new Seen();
-  private final Participant one = new Participant("a", true, 100, RULES, Release.OLDEST);
+  private final InstanceSession one =
+      new InstanceSession("a", true, 100, RULES, FormatSupport.UNSTATED);
 
   private Command inside() {
     Command join = one.step(0, here).get(0);
-    one.answered(join, Reply.ok(0), 0, here);
+    one.onResult(join, CommandResult.ok(0), 0, here);
     one.step(0, here);
     return one.step(0, here).get(0);
   }
@@ -93,8 +94,8 @@
   @Test
   void aLeaseRunsFromTheRenewalThatWasTaken() {
     Command renewal = inside();
-    one.answered(renewal, Reply.ok(6), MILLI, here);
-    one.answered(renewal, null, MILLI, here);
+    one.onResult(renewal, CommandResult.ok(6), MILLI, here);
+    one.onResult(renewal, null, MILLI, here);
     assertEquals(List.of(), one.step(700 * MILLI, here), "its own log has not taken that one");
     here.index = 6;
     one.step(701 * MILLI, here);
@@ -105,11 +106,11 @@
   /** Once in 100 ms at most, however long what is due stays so. */
   @Test
   void whoeverLeadsRenewsEarlyWhereSomethingIsDue() {
-    one.answered(inside(), Reply.ok(5), MILLI, here);
+    one.onResult(inside(), CommandResult.ok(5), MILLI, here);
     assertEquals(List.of(), one.step(120 * MILLI, here), "a quarter of the lease is 250 ms");
     here.due = true;
     Command early = one.step(121 * MILLI, here).get(0);
-    one.answered(early, Reply.ok(5), 122 * MILLI, here);
+    one.onResult(early, CommandResult.ok(5), 122 * MILLI, here);
     assertEquals(List.of(), one.step(220 * MILLI, here));
     assertEquals(1, one.step(221 * MILLI, here).size());
   }
@@ -117,7 +118,7 @@
   /** It hears of no grant, so each renewal would have the others wait for it once more. */
   @Test
   void oneWhoseLogHasStoppedRenewsNoMore() {
-    one.answered(inside(), Reply.ok(5), MILLI, here);
+    one.onResult(inside(), CommandResult.ok(5), MILLI, here);
     here.deaf = true;
     here.due = true;
     for (long at = 0; at < 4000; at += 5) {
@@ -130,11 +131,11 @@
   @Test
   void oneWhoseLogStandsStillRenewsNoMore() {
     Command renewal = inside();
-    one.answered(renewal, Reply.ok(6), MILLI, here);
+    one.onResult(renewal, CommandResult.ok(6), MILLI, here);
     for (long at = 0; at < 4000; at += 5) {
       assertEquals(List.of(), one.step(at * MILLI, here));
     }
     assertFalse(one.maySend(4000 * MILLI));
-    assertTrue(one.standsStill(4000 * MILLI));
+    assertTrue(one.isLogStalled(4000 * MILLI));
   }
 }
--- a/src/test/java/heathswitch/policy/maintenance/SettledTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
@@ -11,25 +11,28 @@
 import org.junit.jupiter.api.Test;
 
 /** What the log adds up to, entry by entry. */
-class SettledTest {
-  private static final Group STORE = new Group("store", "a");
-  private final Settled settled = new Settled();
+class MaintenanceStateTest {
+  private static final ServerGroup STORE = new ServerGroup("store", "a");
+  private final MaintenanceState settled = new MaintenanceState();
   private long index;
   private long now;
 
-  private Reply say(Command command) {
+  private CommandResult say(Command command) {
     return settled.apply(++index, now, command);
   }
 
   private void join(String instance, boolean stops, int mostOut, double least) {
-    Rules rules =
-        new Rules(1, 4000, 1000, mostOut, mostOut, List.of(new Floor("store", "*", least)));
-    assertTrue(say(new Command.Join(instance, 1, 0, true, stops, rules, Release.OLDEST)).ok());
+    MaintenanceRules rules =
+        new MaintenanceRules(
+            1, 4000, 1000, mostOut, mostOut, List.of(new CapacityFloor("store", "*", least)));
+    assertTrue(
+        say(new Command.Join(instance, 1, 0, true, stops, rules, FormatSupport.UNSTATED)).ok());
   }
 
   private void report(String instance, double listed, double worth, String... warm) {
-    Report report =
-        new Report(index, Map.of(STORE, new Report.Capacity(listed, worth)), Set.of(warm));
+    CapacityReport report =
+        new CapacityReport(
+            index, Map.of(STORE, new CapacityReport.Capacity(listed, worth)), Set.of(warm));
     assertTrue(say(new Command.Renew(instance, 1, report)).ok());
   }
 
@@ -46,7 +49,7 @@
   }
 
   private Phase phase(long order) {
-    return settled.phases(order).keySet().iterator().next();
+    return settled.phaseCounts(order).keySet().iterator().next();
   }
 
   @Test
@@ -54,11 +57,11 @@
     join("a", false, 1, 0.5);
     join("b", false, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
+    long order = say(ask("k", "ann", false, 1)).value();
     assertEquals(Phase.EMPTYING, phase(order));
     say(new Command.Free("a", 1, order, "m1"));
     assertEquals(Phase.EMPTYING, phase(order));
-    assertTrue(settled.standings(order, 1).get(0).waitsFor().contains("b (heard"));
+    assertTrue(settled.machineStatuses(order, 1).get(0).waitsFor().contains("b (heard"));
     say(new Command.Free("b", 1, order, "m1"));
     assertEquals(Phase.OUT, phase(order));
     say(new Command.Done(order, null));
@@ -75,19 +78,19 @@
     join("a", true, 1, 0.5);
     join("b", true, 1, 0.5);
     report("a", 4, 4);
-    assertEquals(Long.MAX_VALUE, settled.dueMillis(), "no machine waits for anybody");
+    assertEquals(Long.MAX_VALUE, settled.nextExpiryMillis(), "no machine waits for anybody");
     now = 1000;
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
-    assertEquals(5000, settled.dueMillis(), "b was heard at 0; lease and margin are 5 s");
+    long order = say(ask("k", "ann", false, 1)).value();
+    assertEquals(5000, settled.nextExpiryMillis(), "b was heard at 0; lease and margin are 5 s");
     say(new Command.Free("a", 1, order, "m1"));
     now = 4999;
     report("a", 4, 4);
     assertEquals(Phase.EMPTYING, phase(order));
-    now = settled.dueMillis();
+    now = settled.nextExpiryMillis();
     report("a", 4, 4);
     assertEquals(Phase.OUT, phase(order));
-    assertEquals(Long.MAX_VALUE, settled.dueMillis());
+    assertEquals(Long.MAX_VALUE, settled.nextExpiryMillis());
   }
 
   /**
@@ -98,14 +101,16 @@
     join("a", false, 1, 0.5);
     join("b", false, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
+    long order = say(ask("k", "ann", false, 1)).value();
     say(new Command.Free("b", 1, order, "m1"));
     say(new Command.Fence("b", false));
-    Rules rules = settled.rules();
+    MaintenanceRules rules = settled.rules();
     assertFalse(
-        say(new Command.Join("b", 3, 1, true, false, rules, Release.OLDEST)).ok(), "said before");
+        say(new Command.Join("b", 3, 1, true, false, rules, FormatSupport.UNSTATED)).ok(),
+        "said before");
     long known = settled.incarnation("b");
-    assertTrue(say(new Command.Join("b", 2, known, false, false, rules, Release.OLDEST)).ok());
+    assertTrue(
+        say(new Command.Join("b", 2, known, false, false, rules, FormatSupport.UNSTATED)).ok());
     say(new Command.Free("a", 1, order, "m1"));
     assertEquals(Phase.EMPTYING, phase(order));
     say(new Command.Free("b", 2, order, "m1"));
@@ -117,7 +122,7 @@
     join("a", true, 1, 0.5);
     join("b", true, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
+    long order = say(ask("k", "ann", false, 1)).value();
     say(new Command.Free("a", 1, order, "m1"));
     now = 4999;
     report("a", 4, 4);
@@ -132,43 +137,50 @@
   @Test
   void anEntryWithoutATimeRenewsNoLease() {
     join("a", true, 1, 0.5);
-    Settled.Seen before = settled.instances().get(0);
+    MaintenanceState.InstanceStatus before = settled.instanceStatuses().get(0);
     assertFalse(settled.apply(++index, -1, new Command.Renew("a", 1, null)).ok());
-    assertEquals(before, settled.instances().get(0));
-    Command join = new Command.Join("b", 1, 0, true, true, settled.rules(), Release.OLDEST);
+    assertEquals(before, settled.instanceStatuses().get(0));
+    Command join = new Command.Join("b", 1, 0, true, true, settled.rules(), FormatSupport.UNSTATED);
     assertFalse(settled.apply(++index, -1, join).ok());
     LogClock clock = new LogClock();
-    assertEquals(LogClock.NO_TIME, clock.take(2, 1, 50));
-    assertEquals(0, clock.takenMillis());
+    assertEquals(LogClock.NO_TIME, clock.apply(2, 1, 50));
+    assertEquals(0, clock.appliedMillis());
   }
 
   @Test
   void whatCanNeverBeGrantedIsRefusedAtOnce() {
     join("a", false, 1, 0.9);
     report("a", 4, 4);
-    Reply reply = say(ask("k", "ann", false, 1));
+    CommandResult reply = say(ask("k", "ann", false, 1));
     assertFalse(reply.ok());
     assertTrue(reply.message().contains("can never go"), reply.message());
     assertFalse(say(ask("none", "ann", false)).ok());
     assertFalse(say(ask("twice", "ann", false, 1, 1)).ok());
   }
 
-  /** Rules of a later version hold from then on; what is out stays out. */
+  /** MaintenanceRules of a later version hold from then on; what is out stays out. */
   @Test
   void floorsThatAreRaisedHoldForWhatWaits() {
     join("a", false, 3, 0.2);
     report("a", 4, 4);
-    long first = say(ask("k", "ann", false, 1)).order();
-    Rules raised = new Rules(2, 4000, 1000, 3, 3, List.of(new Floor("store", "*", 0.75)));
-    assertTrue(say(new Command.Join("b", 1, 0, true, false, raised, Release.OLDEST)).ok());
-    long second = say(ask("l", "ann", false, 2)).order();
+    long first = say(ask("k", "ann", false, 1)).value();
+    MaintenanceRules raised =
+        new MaintenanceRules(2, 4000, 1000, 3, 3, List.of(new CapacityFloor("store", "*", 0.75)));
+    assertTrue(say(new Command.Join("b", 1, 0, true, false, raised, FormatSupport.UNSTATED)).ok());
+    long second = say(ask("l", "ann", false, 2)).value();
     assertEquals(Phase.EMPTYING, phase(first));
     assertEquals(Phase.WAITING, phase(second));
-    assertTrue(settled.standings(second, 1).get(0).waitsFor().contains("floor 0.75"));
-    Reply older =
+    assertTrue(settled.machineStatuses(second, 1).get(0).waitsFor().contains("floor 0.75"));
+    CommandResult older =
         say(
             new Command.Join(
-                "c", 1, 0, true, false, new Rules(1, 1, 1, 1, 1, List.of()), Release.OLDEST));
+                "c",
+                1,
+                0,
+                true,
+                false,
+                new MaintenanceRules(1, 1, 1, 1, 1, List.of()),
+                FormatSupport.UNSTATED));
     assertTrue(older.ok() && older.message().contains("version 2"), older.message());
     assertEquals(raised, settled.rules());
   }
@@ -177,16 +189,16 @@
   void theSameRequestTwiceIsOneOrder() {
     join("a", false, 1, 0.5);
     report("a", 4, 4);
-    long first = say(ask("k", "ann", false, 1)).order();
-    assertEquals(first, say(ask("k", "ann", false, 1)).order());
-    assertEquals(1, settled.orders().size());
+    long first = say(ask("k", "ann", false, 1)).value();
+    assertEquals(first, say(ask("k", "ann", false, 1)).value());
+    assertEquals(1, settled.orderIds().size());
   }
 
   /** The order in which machines go out, each put back and warm again at once. */
   private List<Long> granted(long... orders) {
     List<Long> granted = new ArrayList<>();
     for (int i = 0; i < 200 && granted.size() < orders.length; i++) {
-      for (Settled.Away each : settled.away()) {
+      for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
         if (each.phase() == Phase.EMPTYING) {
           granted.add(each.order());
           say(new Command.Free("a", 1, each.order(), each.machine()));
@@ -205,9 +217,9 @@
     report("a", 12, 12);
     long[] many = new long[6];
     for (int i = 0; i < 6; i++) {
-      many[i] = say(ask("k" + i, "ann", false, i)).order();
+      many[i] = say(ask("k" + i, "ann", false, i)).value();
     }
-    long one = say(ask("one", "bo", false, 7)).order();
+    long one = say(ask("one", "bo", false, 7)).value();
     List<Long> granted = granted(many[0], many[1], many[2], many[3], many[4], many[5], one);
     assertEquals(7, granted.size());
     assertTrue(granted.indexOf(one) <= 1, "went as " + granted.indexOf(one));
@@ -219,10 +231,10 @@
     join("a", false, 1, 0.5);
     report("a", 12, 12);
     say(ask("first", "zoe", false, 0));
-    long plain = say(ask("plain", "bo", false, 1)).order();
+    long plain = say(ask("plain", "bo", false, 1)).value();
     long[] all = new long[14];
     for (int i = 0; i < 14; i++) {
-      all[i] = say(ask("u" + i, "ann", true, 2 + i % 9)).order();
+      all[i] = say(ask("u" + i, "ann", true, 2 + i % 9)).value();
     }
     List<Long> granted = granted(new long[16]);
     assertEquals(16, granted.size());
@@ -237,8 +249,8 @@
     report("a", 12, 7);
     Machine heavy = new Machine("heavy", "store", "a", 99, 4, "at-heavy");
     long large =
-        say(new Command.Ask("l", "ann", "", false, 1, 60_000, 0, 0, 0, List.of(heavy))).order();
-    long small = say(ask("s", "bo", false, 1)).order();
+        say(new Command.Ask("l", "ann", "", false, 1, 60_000, 0, 0, 0, List.of(heavy))).value();
+    long small = say(ask("s", "bo", false, 1)).value();
     assertEquals(Phase.WAITING, phase(large));
     assertEquals(Phase.WAITING, phase(small));
     report("a", 12, 12);
@@ -262,65 +274,71 @@
     double millis = (System.nanoTime() - began) / 1e6 / 1000;
     assertTrue(millis < 50, "an entry takes " + millis + " ms");
     assertFalse(say(ask("more", "ann", false, machines)).ok(), "more than are kept");
-    Settled again = Settled.load(settled.save());
-    assertEquals(settled.save(), again.save());
+    MaintenanceState again = MaintenanceState.fromSnapshot(settled.toSnapshot());
+    assertEquals(settled.toSnapshot(), again.toSnapshot());
   }
 
   @Test
   void aMachineIsOverdueAndBlocksNobodyElse() {
     join("a", false, 2, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
+    long order = say(ask("k", "ann", false, 1)).value();
     say(new Command.Free("a", 1, order, "m1"));
     now += 60_001;
     report("a", 4, 3);
-    assertTrue(settled.standings(order, 1).get(0).overdue());
+    assertTrue(settled.machineStatuses(order, 1).get(0).overdue());
     assertEquals(Phase.OUT, phase(order), "nothing is put back while somebody works on it");
-    long other = say(ask("o", "bo", false, 2)).order();
+    long other = say(ask("o", "bo", false, 2)).value();
     assertEquals(Phase.EMPTYING, phase(other));
     say(new Command.Extend(order, 60_000));
-    assertFalse(settled.standings(order, 1).get(0).overdue());
+    assertFalse(settled.machineStatuses(order, 1).get(0).overdue());
   }
 
   /** Said and nothing more: nobody but who works there knows when a machine can come back. */
   @Test
   void machinesAtWorkAreWantedBackWhileCapacityIsUnderItsFloor() {
-    Rules rules = new Rules(1, 4000, 1000, 2, 2, List.of(new Floor("store", "*", 0.5)));
-    say(new Command.Join("a", 1, 0, true, false, rules, new Release(Release.LATEST, 1)));
+    MaintenanceRules rules =
+        new MaintenanceRules(1, 4000, 1000, 2, 2, List.of(new CapacityFloor("store", "*", 0.5)));
+    say(
+        new Command.Join(
+            "a", 1, 0, true, false, rules, new FormatSupport(FormatSupport.LATEST, 1)));
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).order();
+    long order = say(ask("k", "ann", false, 1)).value();
     say(new Command.Free("a", 1, order, "m1"));
     report("a", 4, 2);
-    assertEquals(0, settled.wantedBack(order));
-    long changes = settled.changes();
+    assertEquals(0, settled.wantedBackCount(order));
+    long changes = settled.changeCount();
     report("a", 4, 1.5);
-    assertEquals(1, settled.wantedBack(order));
+    assertEquals(1, settled.wantedBackCount(order));
     assertEquals(Phase.OUT, phase(order));
-    assertTrue(settled.changes() > changes && settled.away().get(0).wanted());
-    String said = settled.standings(order, 1).get(0).waitsFor();
+    assertTrue(settled.changeCount() > changes && settled.awayMachines().get(0).wanted());
+    String said = settled.machineStatuses(order, 1).get(0).waitsFor();
     assertTrue(said.contains("wanted back") && said.contains("a sees 1.50"), said);
-    assertEquals(settled.save(), Settled.load(settled.save()).save());
-    long other = say(ask("o", "bo", false, 2)).order();
+    assertEquals(
+        settled.toSnapshot(), MaintenanceState.fromSnapshot(settled.toSnapshot()).toSnapshot());
+    long other = say(ask("o", "bo", false, 2)).value();
     assertEquals(Phase.WAITING, phase(other));
     report("a", 4, 3);
-    assertEquals(0, settled.wantedBack(order));
+    assertEquals(0, settled.wantedBackCount(order));
     assertEquals(Phase.EMPTYING, phase(other));
   }
 
   /** An earlier release computes as it always did until all have been upgraded. */
   @Test
   void aLaterFormIsInForceWhenAllInstancesKnowIt() {
-    Rules rules = new Rules(1, 4000, 1000, 2, 2, List.of(new Floor("store", "*", 0.9)));
-    Release late = new Release(Release.LATEST, 2);
+    MaintenanceRules rules =
+        new MaintenanceRules(1, 4000, 1000, 2, 2, List.of(new CapacityFloor("store", "*", 0.9)));
+    FormatSupport late = new FormatSupport(FormatSupport.LATEST, 2);
     say(new Command.Join("a", 1, 0, true, false, rules, late));
-    assertEquals(Release.FIRST, settled.form(), "there is to be another");
-    say(new Command.Join("b", 1, 0, true, false, rules, Release.OLDEST));
+    assertEquals(FormatSupport.FIRST, settled.formatVersion(), "there is to be another");
+    say(new Command.Join("b", 1, 0, true, false, rules, FormatSupport.UNSTATED));
     report("a", 4, 1);
-    assertEquals(Release.FIRST, settled.form());
+    assertEquals(FormatSupport.FIRST, settled.formatVersion());
     say(new Command.Join("b", 2, 1, true, false, rules, late));
-    assertEquals(Release.LATEST, settled.form());
-    assertEquals(Release.LATEST, Settled.load(settled.save()).form());
-    Reply back = say(new Command.Join("b", 3, 2, true, false, rules, Release.OLDEST));
+    assertEquals(FormatSupport.LATEST, settled.formatVersion());
+    assertEquals(FormatSupport.LATEST, MaintenanceState.fromSnapshot(settled.toSnapshot()).formatVersion());
+    CommandResult back =
+        say(new Command.Join("b", 3, 2, true, false, rules, FormatSupport.UNSTATED));
     assertFalse(back.ok());
     assertTrue(back.message().contains("a later release expected"), back.message());
   }
@@ -328,11 +346,13 @@
   /** Everything that can be said goes through the form in which the log has it. */
   @Test
   void everyCommandIsReadAsItWasWritten() {
-    Rules rules = new Rules(7, 4000, 500, 3, 2, List.of(new Floor("*", "b", 0.75)));
-    Report report = new Report(9, Map.of(STORE, new Report.Capacity(3, 2.5)), Set.of("m4"));
+    MaintenanceRules rules =
+        new MaintenanceRules(7, 4000, 500, 3, 2, List.of(new CapacityFloor("*", "b", 0.75)));
+    CapacityReport report =
+        new CapacityReport(9, Map.of(STORE, new CapacityReport.Capacity(3, 2.5)), Set.of("m4"));
     for (Command command :
         List.of(
-            new Command.Join("a", 4, 3, true, false, rules, new Release(2, 5)),
+            new Command.Join("a", 4, 3, true, false, rules, new FormatSupport(2, 5)),
             new Command.Renew("a", 4, report),
             new Command.Renew("a", 4, null),
             new Command.Free("a", 4, 2, "m"),
@@ -343,7 +363,7 @@
             new Command.Done(3, null),
             new Command.Extend(3, 5),
             new Command.Cancel(3))) {
-      assertEquals(command, Form.command(Form.of(command)));
+      assertEquals(command, CommandCodec.decodeCommand(CommandCodec.encode(command)));
     }
   }
 
--- a/src/test/java/heathswitch/proxy/maintenance/WorkHardCasesTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -1,16 +1,16 @@
 package heathswitch.proxy.maintenance;
 
-import static heathswitch.proxy.maintenance.WorkFixture.SHAPE;
-import static heathswitch.proxy.maintenance.WorkFixture.ask;
-import static heathswitch.proxy.maintenance.WorkFixture.askedAtLast;
-import static heathswitch.proxy.maintenance.WorkFixture.awaitOut;
-import static heathswitch.proxy.maintenance.WorkFixture.done;
-import static heathswitch.proxy.maintenance.WorkFixture.fenced;
-import static heathswitch.proxy.maintenance.WorkFixture.lines;
-import static heathswitch.proxy.maintenance.WorkFixture.phase;
-import static heathswitch.proxy.maintenance.WorkFixture.shown;
-import static heathswitch.proxy.maintenance.WorkFixture.standing;
-import static heathswitch.proxy.maintenance.WorkFixture.version;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.SHAPE;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.ask;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.askedAtLast;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.awaitOut;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.done;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.fenced;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.lines;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.phase;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.shown;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.standing;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -33,10 +33,10 @@
 import testing.Await;
 
 /** Work orders in several processes whose disks, programs, lists and servers fail. */
-class WorkHardCasesTest {
+class MaintenanceFaultTest {
   private static final String FLOOR = "[[work.floor]]\nkind = \"front\"\nleast = %s\n";
 
-  private final WorkFixture work = new WorkFixture();
+  private final MaintenanceFixture work = new MaintenanceFixture();
 
   private static Node other(Fleet fleet, Node than) {
     return fleet.nodes().stream().filter(node -> node != than).findFirst().orElseThrow();
@@ -322,7 +322,7 @@
     }
   }
 
-  /** Rules of a later version, with a higher floor, come with the restart of one. */
+  /** MaintenanceRules of a later version, with a higher floor, come with the restart of one. */
   @Test
   void floorsThatAreRaisedWhileOrdersRunHoldAtOnce() throws Exception {
     try (Fleet fleet = new Fleet(19)) {
--- a/src/test/java/heathswitch/proxy/maintenance/WorkFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -19,7 +19,7 @@
 import testing.Await;
 
 /** What tests of work orders in several processes do to a fleet, and their verdict. */
-final class WorkFixture {
+final class MaintenanceFixture {
   static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
 
   private static final int PER_SECOND = 60;
--- a/src/test/java/heathswitch/proxy/maintenance/WorkTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
@@ -1,13 +1,13 @@
 package heathswitch.proxy.maintenance;
 
-import static heathswitch.proxy.maintenance.WorkFixture.SHAPE;
-import static heathswitch.proxy.maintenance.WorkFixture.ask;
-import static heathswitch.proxy.maintenance.WorkFixture.askedAtLast;
-import static heathswitch.proxy.maintenance.WorkFixture.awaitOut;
-import static heathswitch.proxy.maintenance.WorkFixture.done;
-import static heathswitch.proxy.maintenance.WorkFixture.fenced;
-import static heathswitch.proxy.maintenance.WorkFixture.phase;
-import static heathswitch.proxy.maintenance.WorkFixture.version;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.SHAPE;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.ask;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.askedAtLast;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.awaitOut;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.done;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.fenced;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.phase;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -30,8 +30,8 @@
 import testing.Await;
 
 /** Several processes of the program settle which machine goes out, with faults between them. */
-class WorkTest {
-  private final WorkFixture work = new WorkFixture();
+class MaintenanceFleetTest {
+  private final MaintenanceFixture work = new MaintenanceFixture();
 
   /** The first that counts: three processes, one machine, and the death of whoever led. */
   @Test
@@ -173,7 +173,7 @@
       fleet.node(2).post("work/fence/edge-1");
       fleet.node(2).post("work/fence/edge-3");
       awaitOut(fleet, fleet.node(2), order, "front-1");
-      WorkFolder.make(StandaloneConfig.read(voter.config()).config().work());
+      VoterFolder.create(StandaloneConfig.read(voter.config()).config().work());
       voter.start();
       assertEquals(
           List.of("edge-2", "edge-3", "edge-4"),
