--- a/src/main/java/heathswitch/proxy/gateway/Far.java
+++ b/src/main/java/heathswitch/proxy/gateway/Far.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.gateway;
 
 import heathswitch.policy.gateway.FarLink;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Channels;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Upstream;
@@ -65,7 +65,7 @@
         link.context().channel().close();
       } else if (now - pingNanos >= PING_NANOS) {
         pingNanos = now;
-        link.ping(now);
+        link.writePing(now);
       }
     } else if (dialing != null) {
       dialedNanos += stalledNanos;
@@ -84,7 +84,7 @@
     }
     dialedNanos = now;
     OutLink next =
-        Link.build(
+        MultiplexedConnection.build(
             false,
             0,
             SiteHeaders.MOST_BYTES,
@@ -153,7 +153,7 @@
     pingNanos = now;
     outward.gateway().onUp(now, state);
     Log.info("gateway", place.name + " is linked");
-    of.ping(now); // Calls go once the way is known.
+    of.writePing(now); // Calls go once the way is known.
   }
 
   void heard(OutLink of) {
--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -4,12 +4,12 @@
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.gateway.Gateway;
 import heathswitch.policy.gateway.Trail;
-import heathswitch.proxy.http1.AnswerSink;
-import heathswitch.proxy.http1.AnswerSource;
 import heathswitch.proxy.http1.HeaderRules;
 import heathswitch.proxy.http1.HttpAnswer;
 import heathswitch.proxy.http1.HttpPayload;
-import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.http1.StreamedAnswerSink;
+import heathswitch.proxy.http1.StreamedAnswerSource;
+import heathswitch.proxy.http2.InboundConnection;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
@@ -35,7 +35,7 @@
  * One call of another site: served by this site's own servers or refused at once, and never sent
  * on. Everything that its peer says is checked before anything is done for it.
  */
-final class InCall implements ServedLink.Call, Caller, AnswerSink {
+final class InCall implements InboundConnection.Call, Caller, StreamedAnswerSink {
   /** A front gathers no longer body, so no peer sends one. */
   private static final int MOST_BODY_BYTES = 1 << 20;
 
@@ -62,7 +62,7 @@
   private Ticket ticket;
 
   /** Brings an answer that goes on as it comes. */
-  private AnswerSource source;
+  private StreamedAnswerSource source;
 
   /** Bytes of the answer that the peer has not taken, and when it last took or sent any. */
   private int unsent;
@@ -128,10 +128,11 @@
       return "class " + name + " is " + own + " here and " + effect + " there";
     }
     CharSequence call = frame.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
-    if (call == null || !HeaderRules.isToken(call.toString(), MOST_ID_LENGTH)) {
+    if (call == null || !HeaderRules.isVisibleAscii(call.toString(), MOST_ID_LENGTH)) {
       return "no readable id";
     }
-    boolean clear = frame.path() != null && HeaderRules.isToken(frame.path().toString(), MOST_PATH);
+    boolean clear =
+        frame.path() != null && HeaderRules.isVisibleAscii(frame.path().toString(), MOST_PATH);
     return frame.method() == null || !clear || SiteHeaders.number(frame, SiteHeaders.LEFT) < 0
         ? "no clear method, path or time"
         : null;
@@ -171,13 +172,14 @@
     HttpMethod method;
     try {
       method = HttpMethod.valueOf(head.method().toString());
-      HeaderRules.copyEndToEnd(said(), forwarded);
+      HeaderRules.copyEndToEndHeaders(said(), forwarded);
     } catch (IllegalArgumentException e) { // Over HTTP/1.1 it could say more than one request.
       Log.warn("gateway", "call of " + site + " refused: " + e.getMessage());
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
-    if (!HeaderRules.fits(type, method, forwarded.contains(HeaderRules.IDEMPOTENCY_KEY))) {
+    if (!HeaderRules.methodMatchesClass(
+        type, method, forwarded.contains(HeaderRules.IDEMPOTENCY_KEY))) {
       Log.warn("gateway", "call of " + site + " refused: method or key does not fit its class");
       answer(SiteHeaders.Result.REFUSED);
       return;
@@ -263,7 +265,7 @@
   private void begin(HttpResponse from, boolean last) {
     Http2Headers headers = said("200", SiteHeaders.Result.SERVED);
     HttpHeaders kept = new DefaultHttpHeaders(false);
-    HeaderRules.copyEndToEnd(from.headers(), kept);
+    HeaderRules.copyEndToEndHeaders(from.headers(), kept);
     for (Map.Entry<String, String> header : kept) {
       AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
       if (!SiteHeaders.own(name)) {
@@ -275,7 +277,7 @@
       headers.set(HttpHeaderNames.CONTENT_LENGTH, length); // Its client is told how much comes.
     }
     over(true);
-    link.headers(id, headers, last);
+    link.writeHeaders(id, headers, last);
   }
 
   private Http2Headers said(String status, SiteHeaders.Result result) {
@@ -295,7 +297,7 @@
     }
     over(false);
     Http2Headers headers = said(result == SiteHeaders.Result.REFUSED ? "503" : "502", result);
-    ChannelFuture writing = link.headers(id, headers, true);
+    ChannelFuture writing = link.writeHeaders(id, headers, true);
     if (!ended) { // A peer that goes on sending is told to stop (RFC 9113, section 8.1).
       writing.addListener(done -> link.reset(id, Http2Error.NO_ERROR));
     }
@@ -317,14 +319,14 @@
   // ---- an answer that goes on as it comes ----
 
   @Override
-  public void pass(HttpResponse from, AnswerSource by) {
+  public void answerStarted(HttpResponse from, StreamedAnswerSource by) {
     ticket = null;
     source = by;
     begin(from, false);
   }
 
   @Override
-  public void passPiece(ByteBuf piece) {
+  public void answerData(ByteBuf piece) {
     send(piece, false);
   }
 
@@ -334,32 +336,32 @@
       movedNanos = inward.now();
     }
     unsent += bytes;
-    link.data(id, piece, last)
+    link.writeData(id, piece, last)
         .addListener(
             done -> {
               unsent -= bytes;
               movedNanos = inward.now();
               if (source != null && unsent <= MOST_UNSENT / 2) {
-                source.pause(false);
+                source.setPaused(false);
               }
             });
   }
 
   @Override
-  public void passFlush() {
+  public void answerFlush() {
     if (source != null && unsent > MOST_UNSENT) {
-      source.pause(true);
+      source.setPaused(true);
     }
   }
 
   @Override
-  public void passEnd() {
+  public void answerEnd() {
     source = null;
-    link.data(id, Unpooled.EMPTY_BUFFER, true);
+    link.writeData(id, Unpooled.EMPTY_BUFFER, true);
   }
 
   @Override
-  public void passBroken() {
+  public void answerAborted() {
     source = null;
     link.reset(id, Http2Error.INTERNAL_ERROR);
   }
@@ -368,12 +370,12 @@
 
   /** Of a body that comes, all of it has to be there in time; of an answer, each part taken. */
   @Override
-  public boolean stuckSince(long nanos) {
+  public boolean stalledSince(long nanos) {
     return answered ? unsent > 0 && movedNanos < nanos : !ended && begunNanos < nanos;
   }
 
   @Override
-  public void cut() {
+  public void abort() {
     if (answered) {
       Log.warn("gateway", site + " does not take its answer: call given up");
       link.reset(id, Http2Error.CANCEL);
@@ -392,7 +394,7 @@
     gone();
     inward.giveBack(held);
     held = 0;
-    link.callDone();
+    link.callClosed();
   }
 
   private void gone() {
@@ -400,9 +402,9 @@
       over(false);
     }
     if (source != null) {
-      AnswerSource by = source;
+      StreamedAnswerSource by = source;
       source = null;
-      by.clientGone();
+      by.clientDisconnected();
     }
     if (ticket != null) {
       Ticket live = ticket;
--- a/src/main/java/heathswitch/proxy/gateway/InLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/InLink.java
@@ -1,12 +1,12 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.http2.InboundConnection;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One connection of a gateway of another site, with that site's calls on it. */
-final class InLink extends ServedLink {
+final class InLink extends InboundConnection {
   /** Peers ask by PING several times a second; one that says nothing for so long has gone. */
   private static final long SILENT_NANOS = 10_000_000_000L;
 
@@ -39,12 +39,12 @@
   }
 
   @Override
-  protected Call begun(int id) {
+  protected Call createCall(int id) {
     return new InCall(inward, this, id);
   }
 
   @Override
-  protected void heard() {
+  protected void onFrameRead() {
     heardNanos = inward.now();
   }
 
@@ -54,7 +54,7 @@
       context().channel().close();
     } else if (now - lookedNanos > inward.patienceNanos() / LOOKS) {
       lookedNanos = now;
-      cutStuck(now - inward.patienceNanos());
+      abortStalledCalls(now - inward.patienceNanos());
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/Inward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Inward.java
@@ -4,8 +4,8 @@
 
 import heathswitch.policy.gateway.Gateway;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.UpstreamPool;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http1.UpstreamConnectionPool;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.node.Front;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
@@ -36,7 +36,7 @@
   private final Clock clock;
   private final Budget budget;
   private final Dispatcher dispatcher;
-  private final UpstreamPool pool;
+  private final UpstreamConnectionPool pool;
   private final Map<String, PeerCounts> peers = new LinkedHashMap<>();
   private final Set<Channel> channels = new HashSet<>();
   private final Set<InLink> links = new HashSet<>();
@@ -105,7 +105,7 @@
 
   private void letIn(Channel channel, String peer) {
     InLink link =
-        Link.build(
+        MultiplexedConnection.build(
             true,
             table.mostStreams(),
             SiteHeaders.MOST_BYTES,
@@ -143,7 +143,7 @@
     return dispatcher;
   }
 
-  UpstreamPool pool() {
+  UpstreamConnectionPool pool() {
     return pool;
   }
 
@@ -178,7 +178,7 @@
 
   @Override
   public void drain() {
-    List.copyOf(links).forEach(InLink::leave);
+    List.copyOf(links).forEach(InLink::closeGracefully);
     draining = true;
   }
 
--- a/src/main/java/heathswitch/proxy/gateway/OutCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutCall.java
@@ -3,11 +3,11 @@
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.gateway.Trail;
-import heathswitch.proxy.http1.AnswerSink;
-import heathswitch.proxy.http1.AnswerSource;
 import heathswitch.proxy.http1.HttpAnswer;
 import heathswitch.proxy.http1.HttpPayload;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http1.StreamedAnswerSink;
+import heathswitch.proxy.http1.StreamedAnswerSource;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Attempt;
 import io.netty.buffer.ByteBuf;
@@ -29,7 +29,8 @@
  * One attempt at another site, as a stream of a link. It says truly whether the call may have run:
  * it cannot before its last byte was written, nor where the far site says that it refused it.
  */
-final class OutCall implements Link.Handler, Attempt.Carrier, AnswerSource {
+final class OutCall
+    implements MultiplexedConnection.StreamHandler, Attempt.Carrier, StreamedAnswerSource {
   /** A longer answer goes on as it comes, as one of a server does. */
   private static final int GATHERED_BYTES = 64 << 10;
 
@@ -49,7 +50,7 @@
   private CompositeByteBuf gathered;
 
   /** Whoever gets the answer as it comes, once that has begun. */
-  private AnswerSink sink;
+  private StreamedAnswerSink sink;
 
   private boolean paused;
 
@@ -74,9 +75,9 @@
 
   /** Sends the call; false if the link has no stream for it, and then nothing was sent. */
   boolean begin() {
-    ByteBuf body = payload.shareBody();
+    ByteBuf body = payload.retainedBody();
     boolean empty = !body.isReadable();
-    id = link.open(this, headers(), empty);
+    id = link.openStream(this, headers(), empty);
     if (id < 0) {
       body.release();
       return false;
@@ -87,7 +88,7 @@
       body.release();
       written = true;
     } else {
-      link.data(id, body, true).addListener(done -> written |= done.isSuccess());
+      link.writeData(id, body, true).addListener(done -> written |= done.isSuccess());
     }
     return true;
   }
@@ -204,26 +205,26 @@
       return; // It has another one, and this one is about to be called off.
     }
     sink = payload.sink();
-    sink.pass(head, this);
+    sink.answerStarted(head, this);
     ByteBuf first = gathered;
     gathered = null;
-    sink.passPiece(first);
-    sink.passFlush();
+    sink.answerData(first);
+    sink.answerFlush();
     end(Outcome.OK, null);
   }
 
   private int passOn(ByteBuf data, boolean last) {
     int bytes = data.readableBytes();
     if (bytes > 0) {
-      sink.passPiece(data.retainedSlice());
+      sink.answerData(data.retainedSlice());
     }
     if (last) {
-      AnswerSink to = sink;
+      StreamedAnswerSink to = sink;
       sink = null;
-      to.passEnd();
+      to.answerEnd();
       return bytes;
     }
-    sink.passFlush();
+    sink.answerFlush();
     if (paused) {
       owed += bytes;
       return 0;
@@ -232,17 +233,17 @@
   }
 
   @Override
-  public void pause(boolean pause) {
+  public void setPaused(boolean pause) {
     paused = pause;
     if (!pause && owed > 0) {
       int bytes = owed;
       owed = 0;
-      link.consume(id, bytes);
+      link.returnWindow(id, bytes);
     }
   }
 
   @Override
-  public void clientGone() {
+  public void clientDisconnected() {
     sink = null;
     link.reset(id, Http2Error.CANCEL);
   }
@@ -256,9 +257,9 @@
 
   private void lost(Outcome outcome) {
     if (sink != null) {
-      AnswerSink to = sink;
+      StreamedAnswerSink to = sink;
       sink = null;
-      to.passBroken();
+      to.answerAborted();
     }
     end(outcome, null);
   }
--- a/src/main/java/heathswitch/proxy/gateway/OutLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutLink.java
@@ -1,12 +1,12 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One connection to a gateway of another site, with this site's calls on it. */
-final class OutLink extends Link {
+final class OutLink extends MultiplexedConnection {
   private final Far far;
   private int streams;
   private boolean leaving;
@@ -42,7 +42,7 @@
   }
 
   @Override
-  protected void heard() {
+  protected void onFrameRead() {
     far.heard(this);
   }
 
--- a/src/main/java/heathswitch/proxy/gateway/Outward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Outward.java
@@ -114,7 +114,7 @@
 
   @Override
   public Upstream choose(RequestClass type, Payload payload, long leftNanos, int tries) {
-    if (!(payload instanceof HttpPayload http) || !http.whole()) {
+    if (!(payload instanceof HttpPayload http) || !http.isBodyComplete()) {
       return null; // What still comes can be sent to one place only.
     }
     FarLink link = gateway.choose(now(), type, leftNanos, tries);
--- a/src/main/java/heathswitch/proxy/grpc/ClientLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/ClientLink.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.grpc;
 
-import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.http2.InboundConnection;
 import heathswitch.proxy.runtime.Log;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.handler.codec.http2.Http2ConnectionDecoder;
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One client's connection, with its streams' calls. */
-final class ClientLink extends ServedLink {
+final class ClientLink extends InboundConnection {
   /** PING and SETTINGS frames that a connection may send in the time below. */
   private static final int MOST_CONTROL_FRAMES = 200;
 
@@ -41,23 +41,24 @@
   }
 
   @Override
-  protected Call begun(int id) {
+  protected Call createCall(int id) {
     return new GrpcCall(server, this, id);
   }
 
   @Override
-  public void callDone() {
+  public void callClosed() {
     idleSinceNanos = server.clock().nowNanos();
-    super.callDone();
+    super.callClosed();
   }
 
   /** Ends what is old, idle or stuck. */
   void tick(long now) {
-    boolean idle = calls() == 0 && now - idleSinceNanos > server.table().idleMillis() * 1_000_000L;
+    boolean idle =
+        openCalls() == 0 && now - idleSinceNanos > server.table().idleMillis() * 1_000_000L;
     if (idle || now - leaveAtNanos >= 0) {
-      leave();
+      closeGracefully();
     }
-    cutStuck(now - WRITE_NANOS);
+    abortStalledCalls(now - WRITE_NANOS);
   }
 
   @Override
@@ -80,7 +81,7 @@
     }
     if (++controlFrames == MOST_CONTROL_FRAMES) {
       Log.info("gRPC client", "flood of PING or SETTINGS: connection closed");
-      goAway(connection().remote().lastStreamCreated(), Http2Error.ENHANCE_YOUR_CALM)
+      sendGoAway(connection().remote().lastStreamCreated(), Http2Error.ENHANCE_YOUR_CALM)
           .addListener(ChannelFutureListener.CLOSE);
     }
   }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -5,8 +5,8 @@
 import heathswitch.policy.api.Form;
 import heathswitch.policy.grpc.Gathering;
 import heathswitch.policy.grpc.Status;
-import heathswitch.proxy.http2.Link;
-import heathswitch.proxy.http2.ServedLink;
+import heathswitch.proxy.http2.InboundConnection;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Attempt;
 import heathswitch.proxy.spi.Caller;
@@ -27,7 +27,7 @@
  * until it is longer than that: then it goes on to the one attempt that it has, drawn from the
  * client only as fast as the upstream takes it.
  */
-final class GrpcCall implements ServedLink.Call, Caller, Payload, Patience.Waiting {
+final class GrpcCall implements InboundConnection.Call, Caller, Payload, Patience.Waiting {
   private static final String HEALTH = "/grpc.health.v1.Health/";
 
   private final GrpcServer server;
@@ -125,7 +125,7 @@
   private int mostKept(GrpcTable table) {
     return method.mode() == Gathering.UNARY
         ? table.mostMessage() + Messages.PREFIX
-        : table.gathered() + 2 * Link.WINDOW;
+        : table.gathered() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
   }
 
   @Override
@@ -248,7 +248,7 @@
     int before = owed;
     owed = 0;
     if (kept.size() > 0 || ended) {
-      stream.pass(kept.share(), ended).addListener(done -> link.consume(id, before));
+      stream.pass(kept.share(), ended).addListener(done -> link.returnWindow(id, before));
     }
     if (!ended) {
       upstream = stream;
@@ -285,7 +285,7 @@
         .addListener(
             done -> {
               server.held().give(bytes);
-              link.consume(id, bytes);
+              link.returnWindow(id, bytes);
             });
     forgetIfLong();
     return 0;
@@ -303,12 +303,12 @@
   void passHeaders(GrpcStream from, Http2Headers head) {
     answering = from;
     watchDeadline();
-    link.headers(id, head, false);
+    link.writeHeaders(id, head, false);
   }
 
   /** Passes a piece of the answer on, which it takes over; done when the client has it. */
   ChannelFuture passData(ByteBuf data) {
-    return link.data(id, data, false);
+    return link.writeData(id, data, false);
   }
 
   void passTrailers(Http2Headers trailers) {
@@ -337,10 +337,10 @@
 
   private void write(GrpcAnswer whole, Http2Headers trailers) {
     if (whole.headers() != null) {
-      link.headers(id, whole.headers(), false);
+      link.writeHeaders(id, whole.headers(), false);
       if (whole.message() != null && whole.message().size() > 0) {
         // The bytes count as held until the client has taken them.
-        link.data(id, whole.message().share(), false).addListener(done -> whole.release());
+        link.writeData(id, whole.message().share(), false).addListener(done -> whole.release());
       } else {
         whole.release();
       }
@@ -421,9 +421,9 @@
     int serving = server.draining() ? 2 : 1; // HealthCheckResponse.ServingStatus
     Http2Headers head =
         new DefaultHttp2Headers().status("200").set(GrpcHeaders.CONTENT_TYPE, GrpcHeaders.GRPC);
-    link.headers(id, head, false);
+    link.writeHeaders(id, head, false);
     byte[] message = {0, 0, 0, 0, 2, 8, (byte) serving};
-    link.data(id, Unpooled.wrappedBuffer(message), false);
+    link.writeData(id, Unpooled.wrappedBuffer(message), false);
     last(new DefaultHttp2Headers().setInt(GrpcHeaders.STATUS, Status.OK.code()));
   }
 
@@ -439,9 +439,9 @@
     }
     drop();
     unwrittenNanos = server.clock().nowNanos();
-    ChannelFuture writing = link.headers(id, trailers, true);
+    ChannelFuture writing = link.writeHeaders(id, trailers, true);
     if (!ended) { // A client that goes on sending is told to stop (RFC 9113, section 8.1).
-      link.consume(id, owed);
+      link.returnWindow(id, owed);
       owed = 0;
       writing.addListener(done -> link.reset(id, Http2Error.NO_ERROR));
     }
@@ -484,12 +484,12 @@
 
   /** Whether its client has not taken the end of its answer since then. */
   @Override
-  public boolean stuckSince(long nanos) {
+  public boolean stalledSince(long nanos) {
     return answered && unwrittenNanos < nanos;
   }
 
   @Override
-  public void cut() {
+  public void abort() {
     link.reset(id, Http2Error.CANCEL);
   }
 
@@ -500,7 +500,7 @@
 
   @Override
   public void onClosed(Http2Stream stream) {
-    link.callDone();
+    link.callClosed();
     gone();
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcPool.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcPool.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.SECONDS;
 
 import heathswitch.policy.api.Settings;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Channels;
 import heathswitch.proxy.runtime.Clock;
@@ -99,7 +99,7 @@
 
   private UpstreamLink dial(Upstream upstream) {
     UpstreamLink link =
-        Link.build(
+        MultiplexedConnection.build(
             false,
             0,
             GrpcHeaders.MOST_BYTES,
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -4,7 +4,7 @@
 
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.node.Front;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
@@ -75,7 +75,7 @@
       return;
     }
     ClientLink link =
-        Link.build(
+        MultiplexedConnection.build(
             true,
             table.mostStreams(),
             GrpcHeaders.MOST_BYTES,
@@ -87,7 +87,7 @@
     link.accepted(now, now + (long) (table.ageMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
     channel.pipeline().addLast(link);
     if (draining) {
-      link.leave();
+      link.closeGracefully();
     }
   }
 
@@ -141,7 +141,7 @@
   @Override
   public void drain() {
     draining = true;
-    List.copyOf(links).forEach(ClientLink::leave);
+    List.copyOf(links).forEach(ClientLink::closeGracefully);
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
@@ -3,7 +3,7 @@
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.grpc.Gathering;
 import heathswitch.policy.grpc.Status;
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Attempt;
 import heathswitch.proxy.spi.Upstream;
@@ -21,7 +21,10 @@
  * never did (RFC 9113, sections 8.7 and 6.8).
  */
 final class GrpcStream
-    implements Link.Handler, Attempt.Carrier, ChannelFutureListener, Patience.Waiting {
+    implements MultiplexedConnection.StreamHandler,
+        Attempt.Carrier,
+        ChannelFutureListener,
+        Patience.Waiting {
   private final GrpcServer server;
   private final GrpcCall call;
   private UpstreamLink link;
@@ -70,7 +73,9 @@
   boolean begin(long nowNanos) {
     boolean whole = call.whole();
     boolean empty = whole && call.kept().size() == 0;
-    id = link.open(this, call.attemptHeaders(attempt.deadlineNanos() - nowNanos, attempt), empty);
+    id =
+        link.openStream(
+            this, call.attemptHeaders(attempt.deadlineNanos() - nowNanos, attempt), empty);
     if (id < 0) {
       return false;
     }
@@ -96,7 +101,7 @@
 
   /** Passes a piece of the call on, which it takes over; done when it is on the socket. */
   ChannelFuture pass(ByteBuf data, boolean last) {
-    ChannelFuture writing = link.data(id, data, last);
+    ChannelFuture writing = link.writeData(id, data, last);
     if (last) {
       writing.addListener(this);
     }
@@ -178,7 +183,7 @@
         .addListener(
             done -> {
               server.held().give(bytes);
-              link.consume(id, bytes);
+              link.returnWindow(id, bytes);
             });
     return 0;
   }
--- a/src/main/java/heathswitch/proxy/grpc/UpstreamLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/UpstreamLink.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.grpc;
 
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.spi.Upstream;
 import io.netty.channel.ChannelFuture;
@@ -11,7 +11,7 @@
 import java.util.ArrayDeque;
 
 /** One connection to an upstream with many streams, each of them an attempt. */
-final class UpstreamLink extends Link {
+final class UpstreamLink extends MultiplexedConnection {
   /** Until the upstream's SETTINGS tell, as RFC 9113 section 6.5.2 recommends at least. */
   private static final int STREAMS_UNTOLD = 100;
 
@@ -82,7 +82,7 @@
     future.addListener(
         done -> {
           if (done.isSuccess()) {
-            heard();
+            onFrameRead();
           } else {
             closed();
           }
@@ -139,21 +139,21 @@
   }
 
   @Override
-  protected void heard() {
+  protected void onFrameRead() {
     heardNanos = clock.nowNanos();
     upstream.silentSinceNanos = heardNanos;
     pingNanos = 0;
   }
 
   @Override
-  protected void spoke() {
+  protected void onHeadersOrDataRead() {
     asked = 0;
   }
 
   @Override
   protected void onPing(boolean answer, long content) {
     if (answer) {
-      heard();
+      onFrameRead();
     }
   }
 
@@ -213,7 +213,7 @@
     } else if (open && streams > 0 && pingNanos == 0 && now - heardNanos > patience()) {
       pingNanos = now;
       asked++;
-      ping(now);
+      writePing(now);
     } else if (pingNanos != 0 && now - pingNanos > ANSWER_NANOS) {
       connecting.channel().close(); // All its streams end as broken ones.
     }
--- a/src/main/java/heathswitch/proxy/http1/ClientHandler.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -43,7 +43,8 @@
 import java.io.IOException;
 
 /** One client's connection: reads one request at a time and writes its one answer. */
-final class ClientHandler extends ChannelInboundHandlerAdapter implements Caller, AnswerSink {
+final class ClientConnection extends ChannelInboundHandlerAdapter
+    implements Caller, StreamedAnswerSink {
   /** A longer body is turned away by its length, before it is read. Clients send up to 32 MB. */
   static final long MOST_BODY_BYTES = 40L << 20;
 
@@ -101,12 +102,12 @@
     LINGER
   }
 
-  private final ClientServer server;
+  private final ClientListener server;
   private final Dispatcher dispatcher;
   private final Clock clock;
   private final Channel channel;
   private final StrictRequestDecoder decoder;
-  private final PipelinedParts pipelined = new PipelinedParts();
+  private final PipelineQueue pipelined = new PipelineQueue();
   private Phase phase = Phase.IDLE;
   private long sinceNanos;
   private long headSinceNanos;
@@ -118,7 +119,7 @@
   private boolean keepAlive;
   private RequestClass type;
   private long ttlNanos;
-  private GatheredBody body;
+  private RequestBodyBuffer body;
   private long bodyBytes;
   private long reserved;
   private Object waiting;
@@ -136,22 +137,22 @@
   private boolean asked;
   private int readsBefore;
   private long lingerBytes;
-  private Linger linger = Linger.ANSWERED;
+  private LingeringClose linger = LingeringClose.ANSWERED;
   private ChannelFuture answering;
   private HttpVersion version = HttpVersion.HTTP_1_1;
   private long pieceNanos;
-  private Upload upload;
+  private StreamedRequestBody upload;
   private boolean readingPaused;
 
   /** Brings an answer that goes on as it comes. */
-  private AnswerSource passing;
+  private StreamedAnswerSource passing;
 
   private boolean passKeep;
   private boolean passChunked;
   private final ChannelFutureListener progress = done -> madeProgress();
 
-  public ClientHandler(
-      ClientServer server,
+  public ClientConnection(
+      ClientListener server,
       Dispatcher dispatcher,
       Clock clock,
       Channel channel,
@@ -232,7 +233,7 @@
   }
 
   private void thrownAway(HttpObject part) {
-    lingerBytes += Linger.bytes(part);
+    lingerBytes += LingeringClose.bytes(part);
     if (linger.endsAt(lingerBytes, part)) {
       channel.close();
     }
@@ -272,7 +273,7 @@
       reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
       return;
     }
-    body = new GatheredBody(channel.alloc(), HttpUtil.getContentLength(next, -1L));
+    body = new RequestBodyBuffer(channel.alloc(), HttpUtil.getContentLength(next, -1L));
     if (length > FREE_BODY_BYTES && length <= GATHERED_BYTES) {
       reserve(length);
     } else {
@@ -282,7 +283,7 @@
 
   /** Reads what a head says; what is wrong with it, or null. */
   private String fault(HttpRequest next) {
-    RequestHead read = RequestHead.read(next, dispatcher, server.forbidden());
+    RequestHead read = RequestHead.read(next, dispatcher, server.forbiddenHeader());
     type = read.type();
     ttlNanos = read.ttlNanos();
     return read.fault();
@@ -367,7 +368,7 @@
     long held = reserved;
     reserved = 0;
     long length = HttpUtil.getContentLength(head, -1L);
-    upload = new Upload(this, server.budget, length, ttlNanos, body.take(), held);
+    upload = new StreamedRequestBody(this, server.budget, length, ttlNanos, body.take(), held);
     body = null;
     HttpRequest taken = head;
     head = null;
@@ -422,7 +423,7 @@
   /** Its upstream takes nothing. The last byte was never sent on, so a retry is harmless. */
   private void giveUpUpload() {
     Ticket live = request;
-    linger = Linger.UPLOADING;
+    linger = LingeringClose.UPLOADING;
     reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
     if (live != null) {
       request = null;
@@ -475,7 +476,7 @@
   private void dispatch(HttpRequest taken, ByteBuf whole, long ttl, Form form) {
     HttpHeaders headers = taken.headers();
     HttpHeaders forwarded = new DefaultHttpHeaders(false);
-    HeaderRules.copyEndToEnd(headers, forwarded);
+    HeaderRules.copyEndToEndHeaders(headers, forwarded);
     dispatcher.onRequest(
         this,
         type,
@@ -499,7 +500,7 @@
     HttpResponseStatus status =
         !get
             ? HttpResponseStatus.METHOD_NOT_ALLOWED
-            : server.draining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
+            : server.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
     answer(text(status, status.reasonPhrase()));
   }
 
@@ -511,7 +512,7 @@
     HttpAnswer from = (HttpAnswer) whole; // The only kind that an HttpPayload brings.
     FullHttpResponse answer =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.body());
-    HeaderRules.copyEndToEnd(from.head().headers(), answer.headers());
+    HeaderRules.copyEndToEndHeaders(from.head().headers(), answer.headers());
     answer(answer);
   }
 
@@ -520,7 +521,7 @@
   public void refuse(long retryAfterNanos, Answer last) {
     FullHttpResponse answer = text(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
     if (retryAfterNanos > 0) {
-      answer.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderRules.seconds(retryAfterNanos));
+      answer.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderRules.formatSeconds(retryAfterNanos));
     }
     answer(answer);
   }
@@ -534,11 +535,11 @@
   // ---- an answer that goes on as it comes ----
 
   @Override
-  public void pass(HttpResponse from, AnswerSource source) {
+  public void answerStarted(HttpResponse from, StreamedAnswerSource source) {
     request = null;
     passing = source;
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    HeaderRules.copyEndToEnd(from.headers(), answer.headers());
+    HeaderRules.copyEndToEndHeaders(from.headers(), answer.headers());
     long length = HttpUtil.getContentLength(from, -1L);
     passChunked = length < 0 && version.equals(HttpVersion.HTTP_1_1);
     if (length >= 0) {
@@ -554,26 +555,26 @@
   }
 
   @Override
-  public void passPiece(ByteBuf piece) {
+  public void answerData(ByteBuf piece) {
     channel.write(new DefaultHttpContent(piece)).addListener(progress);
   }
 
   @Override
-  public void passFlush() {
+  public void answerFlush() {
     channel.flush();
     if (passing != null) {
-      passing.pause(!channel.isWritable());
+      passing.setPaused(!channel.isWritable());
     }
   }
 
   @Override
-  public void passEnd() {
+  public void answerEnd() {
     passing = null;
     finish(passKeep, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
   }
 
   @Override
-  public void passBroken() {
+  public void answerAborted() {
     passing = null;
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
     channel.close();
@@ -588,7 +589,7 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (passing != null) {
-      passing.pause(!channel.isWritable());
+      passing.setPaused(!channel.isWritable());
     }
   }
 
@@ -608,7 +609,7 @@
   }
 
   private boolean setKeepAlive(HttpResponse answer) {
-    boolean keep = keepAlive && !server.closing() && phase != Phase.UPLOAD;
+    boolean keep = keepAlive && !server.keepAliveDisabled() && phase != Phase.UPLOAD;
     answer
         .headers()
         .set(
@@ -642,14 +643,14 @@
   /** Answered in the middle of a long body: what still comes is read and thrown away. */
   private void lingerOver(ChannelFuture written) {
     phase = Phase.LINGER;
-    linger = Linger.UPLOADING;
+    linger = LingeringClose.UPLOADING;
     upload.release();
     lingerAfter(written);
   }
 
   /**
    * The one way in which an answered connection ends: its sending is shut, and what still comes is
-   * read until the client closes too, or as long as {@link Linger} says.
+   * read until the client closes too, or as long as {@link LingeringClose} says.
    */
   private void lingerAfter(ChannelFuture written) {
     written.addListener(
@@ -729,9 +730,9 @@
       uploadEnd = null;
     }
     if (passing != null) {
-      AnswerSource source = passing;
+      StreamedAnswerSource source = passing;
       passing = null;
-      source.clientGone();
+      source.clientDisconnected();
     }
     if (request != null) {
       Ticket live = request;
@@ -788,7 +789,7 @@
     if (phase == Phase.IDLE && atRest()) {
       phase = Phase.LINGER;
       sinceNanos = clock.nowNanos();
-      linger = Linger.AT_REST;
+      linger = LingeringClose.AT_REST;
       server.leaves(this);
       lingerAfter(channel.newSucceededFuture());
     }
--- a/src/main/java/heathswitch/proxy/http1/ClientServer.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 
 /** Listens for clients and keeps their connections within the budget. */
-public final class ClientServer {
+public final class ClientListener {
   private static final int BACKLOG = 4096;
   private static final long TICK_MILLIS = 200;
 
@@ -36,19 +36,19 @@
   private final EventLoop loop;
   private final Clock clock;
   final Budget budget;
-  private final Set<ClientHandler> clients = new LinkedHashSet<>();
+  private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
   /** The client that has been idle longest first. */
-  private final Set<ClientHandler> idle = new LinkedHashSet<>();
+  private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   /** Ended between requests, but not closed by their clients yet. */
-  private final Set<ClientHandler> leaving = new LinkedHashSet<>();
+  private final Set<ClientConnection> leaving = new LinkedHashSet<>();
 
   /** Those that have not asked for anything yet, oldest first. */
-  private final Set<ClientHandler> silent = new LinkedHashSet<>();
+  private final Set<ClientConnection> silent = new LinkedHashSet<>();
 
   private Dispatcher dispatcher;
-  private UpstreamPool pool;
+  private UpstreamConnectionPool pool;
   private Channel listener;
   private boolean draining;
   private boolean closing;
@@ -57,9 +57,9 @@
   private volatile boolean stopped;
 
   /** A header that no client may send, or null. */
-  private String forbidden;
+  private String forbiddenHeader;
 
-  public ClientServer(EventLoop loop, Clock clock, Budget budget) {
+  public ClientListener(EventLoop loop, Clock clock, Budget budget) {
     this.loop = loop;
     this.clock = clock;
     this.budget = budget;
@@ -74,7 +74,7 @@
    *     the connections (SO_REUSEPORT)
    */
   public void start(
-      InetSocketAddress address, boolean shared, Dispatcher dispatcher, UpstreamPool pool)
+      InetSocketAddress address, boolean shared, Dispatcher dispatcher, UpstreamConnectionPool pool)
       throws InterruptedException {
     this.dispatcher = dispatcher;
     this.pool = pool;
@@ -108,21 +108,21 @@
   }
 
   /** A header that no client may send; before the start. */
-  public void forbid(String header) {
-    forbidden = header;
+  public void forbidHeader(String header) {
+    forbiddenHeader = header;
   }
 
-  String forbidden() {
-    return forbidden;
+  String forbiddenHeader() {
+    return forbiddenHeader;
   }
 
-  UpstreamPool pool() {
+  UpstreamConnectionPool pool() {
     return pool;
   }
 
   private void accepted(Channel channel) {
     StrictRequestDecoder decoder = new StrictRequestDecoder();
-    ClientHandler client = new ClientHandler(this, dispatcher, clock, channel, decoder);
+    ClientConnection client = new ClientConnection(this, dispatcher, clock, channel, decoder);
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
     budget.opened();
     clients.add(client);
@@ -141,7 +141,7 @@
     }
   }
 
-  private void closed(ClientHandler client) {
+  private void closed(ClientConnection client) {
     budget.closed();
     clients.remove(client);
     leaving.remove(client);
@@ -155,18 +155,18 @@
     }
   }
 
-  public void becameIdle(ClientHandler client) {
+  public void becameIdle(ClientConnection client) {
     idle.remove(client);
     idle.add(client);
   }
 
   /** Its end has been told to its client; its descriptor may be had at once. */
-  void leaves(ClientHandler client) {
+  void leaves(ClientConnection client) {
     becameBusy(client);
     leaving.add(client);
   }
 
-  public void becameBusy(ClientHandler client) {
+  public void becameBusy(ClientConnection client) {
     if (!idle.remove(client)) {
       silent.remove(client);
     }
@@ -183,9 +183,9 @@
         || (silentFirst ? evict(silent) || evict(idle) : evict(idle) || evict(silent));
   }
 
-  private static boolean evict(Set<ClientHandler> from) {
+  private static boolean evict(Set<ClientConnection> from) {
     while (!from.isEmpty()) {
-      ClientHandler client = from.iterator().next();
+      ClientConnection client = from.iterator().next();
       from.remove(client); // One that proves busy is told of again when it has been answered.
       if (client.evict()) {
         return true;
@@ -194,30 +194,30 @@
     return false;
   }
 
-  public int clients() {
+  public int clientCount() {
     return clients.size();
   }
 
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
   /** Not ready for new clients any more; those that are here are served. */
-  public void drain() {
+  public void startDraining() {
     draining = true;
   }
 
-  public boolean closing() {
+  public boolean keepAliveDisabled() {
     return closing;
   }
 
   /** From now on answers ask for the connection to be closed. */
-  public void stopTaking() {
+  public void disableKeepAlive() {
     closing = true;
   }
 
   /** Takes clients again after a drain. */
-  public void takeAgain() {
+  public void endDraining() {
     draining = false;
     closing = false;
   }
@@ -232,21 +232,21 @@
   }
 
   /** Whether connections may still come. */
-  public boolean listening() {
+  public boolean isListening() {
     return listener != null && listener.isOpen();
   }
 
   /**
    * Closes the connections on which no request is being read or answered. To be called again while
-   * there are {@link #clients}: one that has just come is left for as long as its first request may
+   * there are {@link #clientCount}: one that has just come is left for as long as its first request may
    * take.
    */
   public void closeIdle() {
-    for (ClientHandler client : new ArrayList<>(idle)) {
+    for (ClientConnection client : new ArrayList<>(idle)) {
       client.closeIdle();
     }
     long now = clock.nowNanos();
-    for (ClientHandler client : new ArrayList<>(silent)) {
+    for (ClientConnection client : new ArrayList<>(silent)) {
       if (client.silentNanos(now) > FIRST_REQUEST_NANOS) {
         client.closeIdle();
       }
@@ -256,8 +256,8 @@
   private void tick() {
     try {
       long now = clock.nowNanos();
-      List<ClientHandler> all = new ArrayList<>(clients);
-      for (ClientHandler client : all) {
+      List<ClientConnection> all = new ArrayList<>(clients);
+      for (ClientConnection client : all) {
         client.tick(now);
       }
       pool.sweep();
--- a/src/main/java/heathswitch/proxy/http1/HeaderRules.java
+++ b/src/main/java/heathswitch/proxy/http1/HeaderRules.java
@@ -54,7 +54,7 @@
    * What is unclear about where a request ends, or null. Only a plain length or plain chunks are
    * read the same way by all; anything else could hide a second request from one of two readers.
    */
-  public static String framingFault(HttpRequest request) {
+  public static String framingError(HttpRequest request) {
     List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (codings.isEmpty()) {
       return null;
@@ -69,7 +69,7 @@
   }
 
   /** Whether a method, with a key or without one, is that of a class's effect. */
-  public static boolean fits(RequestClass type, HttpMethod method, boolean key) {
+  public static boolean methodMatchesClass(RequestClass type, HttpMethod method, boolean key) {
     return switch (type.effect()) {
       case SAFE -> method.equals(HttpMethod.GET);
       case KEYED -> method.equals(HttpMethod.POST) && key;
@@ -78,14 +78,14 @@
   }
 
   /** Whether a text is of visible ASCII characters, and not empty or longer than allowed. */
-  public static boolean isToken(String text, int mostLength) {
+  public static boolean isVisibleAscii(String text, int mostLength) {
     return !text.isEmpty()
         && text.length() <= mostLength
         && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 
   /** Copies what is meant for the other end. */
-  public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
+  public static void copyEndToEndHeaders(HttpHeaders from, HttpHeaders to) {
     for (Map.Entry<String, String> header : from) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
       if (!HOP_BY_HOP.contains(name)
@@ -114,7 +114,7 @@
   }
 
   /** Seconds with three decimals, rounded down. */
-  public static String seconds(long nanos) {
+  public static String formatSeconds(long nanos) {
     long millis = Math.max(0, nanos / 1_000_000);
     long rest = millis % 1000;
     return millis / 1000 + (rest < 10 ? ".00" : rest < 100 ? ".0" : ".") + rest;
--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -16,9 +16,9 @@
 
 /** A request over HTTP/1.1, whole or with a body that still comes. */
 public final class HttpPayload implements Payload {
-  private final UpstreamPool pool;
-  private final AnswerSink sink;
-  private final Upload upload;
+  private final UpstreamConnectionPool pool;
+  private final StreamedAnswerSink sink;
+  private final StreamedRequestBody upload;
   private final HttpMethod method;
   private final String uri;
   private final HttpHeaders headers;
@@ -31,8 +31,8 @@
    * @param headers that go on to an upstream, which the time left and the length are added to
    */
   public HttpPayload(
-      UpstreamPool pool,
-      AnswerSink sink,
+      UpstreamConnectionPool pool,
+      StreamedAnswerSink sink,
       HttpMethod method,
       String uri,
       HttpHeaders headers,
@@ -47,13 +47,13 @@
    * @param upload brings the body where it still comes, and the body is then empty; else null
    */
   HttpPayload(
-      UpstreamPool pool,
-      AnswerSink sink,
+      UpstreamConnectionPool pool,
+      StreamedAnswerSink sink,
       HttpMethod method,
       String uri,
       HttpHeaders headers,
       ByteBuf body,
-      Upload upload) {
+      StreamedRequestBody upload) {
     this.pool = pool;
     this.sink = sink;
     this.upload = upload;
@@ -69,12 +69,12 @@
   }
 
   /** Whoever gets an answer that goes on as it comes. */
-  public AnswerSink sink() {
+  public StreamedAnswerSink sink() {
     return sink;
   }
 
   /** Whether its body has come, so that it can be sent anywhere as it stands. */
-  public boolean whole() {
+  public boolean isBodyComplete() {
     return upload == null;
   }
 
@@ -92,12 +92,12 @@
   }
 
   /** A copy of the body that shares its bytes; whoever gets it releases it. */
-  public ByteBuf shareBody() {
+  public ByteBuf retainedBody() {
     return body.retainedDuplicate();
   }
 
   /** What brings the body where it still comes, or null. */
-  Upload upload() {
+  StreamedRequestBody upload() {
     return upload;
   }
 
@@ -110,7 +110,7 @@
   HttpRequest forwardHead(long leftNanos) {
     HttpHeaders copy = headers.copy();
     long toldNanos = Math.min(leftNanos, upload.callerNanos());
-    copy.set(HeaderRules.DEADLINE, HeaderRules.seconds(toldNanos));
+    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(toldNanos));
     if (upload.length() >= 0) {
       copy.set(HttpHeaderNames.CONTENT_LENGTH, upload.length());
     } else {
@@ -130,7 +130,7 @@
             body.retainedDuplicate(),
             copy,
             EmptyHttpHeaders.INSTANCE);
-    copy.set(HeaderRules.DEADLINE, HeaderRules.seconds(leftNanos));
+    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(leftNanos));
     if (body.isReadable() || !method.equals(HttpMethod.GET)) {
       copy.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
--- a/src/main/java/heathswitch/proxy/http1/PipelinedParts.java
+++ b/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
@@ -10,7 +10,7 @@
  * time; a few parts ahead are kept and served in turn, more are a flood: all of them are dropped,
  * and what follows is counted and thrown away.
  */
-final class PipelinedParts {
+final class PipelineQueue {
   static final int MOST_PARTS = 8;
 
   /** What each part of a flood counts for beside its body. */
--- a/src/main/java/heathswitch/proxy/http1/GatheredBody.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
@@ -9,7 +9,7 @@
  * whole buffer it was read into, and a body of many pieces would be copied together again and
  * again.
  */
-final class GatheredBody {
+final class RequestBodyBuffer {
   private static final int BLOCK_BYTES = 32 << 10;
   private static final int LEAST_BLOCK_BYTES = 64;
   private static final int MOST_BLOCKS = 2048;
@@ -26,7 +26,7 @@
    *
    * @param length that its head states, or -1
    */
-  GatheredBody(ByteBufAllocator allocator, long length) {
+  RequestBodyBuffer(ByteBufAllocator allocator, long length) {
     this.allocator = allocator;
     this.length = length;
     this.blocks = allocator.compositeBuffer(MOST_BLOCKS);
--- a/src/main/java/heathswitch/proxy/http1/RequestHead.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestHead.java
@@ -21,7 +21,7 @@
    * @param forbidden a header that no client may send, or null
    */
   static RequestHead read(HttpRequest head, Dispatcher dispatcher, String forbidden) {
-    String framing = HeaderRules.framingFault(head);
+    String framing = HeaderRules.framingError(head);
     if (framing != null) {
       return faulty(framing);
     }
@@ -29,7 +29,7 @@
       return faulty(forbidden + " is not for clients");
     }
     List<String> ids = head.headers().getAll(HeaderRules.REQUEST_ID);
-    if (ids.size() != 1 || !HeaderRules.isToken(ids.get(0), MOST_ID_LENGTH)) {
+    if (ids.size() != 1 || !HeaderRules.isVisibleAscii(ids.get(0), MOST_ID_LENGTH)) {
       return faulty("one readable " + HeaderRules.REQUEST_ID + " expected");
     }
     if (dispatcher.isOpen(ids.get(0))) {
@@ -46,7 +46,7 @@
       return faulty("malformed " + HeaderRules.DEADLINE);
     }
     boolean key = head.headers().contains(HeaderRules.IDEMPOTENCY_KEY);
-    if (!HeaderRules.fits(type, head.method(), key)) {
+    if (!HeaderRules.methodMatchesClass(type, head.method(), key)) {
       return faulty("method or key does not fit class " + type.name());
     }
     // No client waits longer than its class allows, and nothing is held for it any longer.
--- a/src/main/java/heathswitch/proxy/http1/AnswerSink.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedAnswerSink.java
@@ -7,19 +7,19 @@
  * Whoever gets an answer that is too long or too slow to be gathered, piece by piece: first its
  * head, then pieces with a flush after those that came together, then its end or that it broke off.
  */
-public interface AnswerSink {
+public interface StreamedAnswerSink {
   /** The head; the source hears from now on when it is to pause. */
-  void pass(HttpResponse from, AnswerSource source);
+  void answerStarted(HttpResponse from, StreamedAnswerSource source);
 
   /** A piece of it, which it takes over. */
-  void passPiece(ByteBuf piece);
+  void answerData(ByteBuf piece);
 
   /** Nothing more has come for now. */
-  void passFlush();
+  void answerFlush();
 
   /** All of it has come. */
-  void passEnd();
+  void answerEnd();
 
   /** The rest will not come, and whoever waits for it must be able to tell. */
-  void passBroken();
+  void answerAborted();
 }
--- a/src/main/java/heathswitch/proxy/http1/AnswerSource.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedAnswerSource.java
@@ -1,10 +1,10 @@
 package heathswitch.proxy.http1;
 
 /** What brings an answer that goes on as it comes. */
-public interface AnswerSource {
+public interface StreamedAnswerSource {
   /** Whoever gets it takes no more for now, or takes more again. */
-  void pause(boolean pause);
+  void setPaused(boolean pause);
 
   /** Whoever gets it has gone; nobody wants the rest. */
-  void clientGone();
+  void clientDisconnected();
 }
--- a/src/main/java/heathswitch/proxy/http1/Upload.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
@@ -11,8 +11,8 @@
  * client is read only as fast as the upstream takes it; what is held is what one read of the client
  * brings, at most.
  */
-final class Upload {
-  private final ClientHandler client;
+final class StreamedRequestBody {
+  private final ClientConnection client;
   private final Budget budget;
   private final long length;
   private final long callerNanos;
@@ -33,8 +33,8 @@
    * @param length of the whole body, or -1 where its client did not say
    * @param callerNanos how long the client waits once all of it has come
    */
-  Upload(
-      ClientHandler client,
+  StreamedRequestBody(
+      ClientConnection client,
       Budget budget,
       long length,
       long callerNanos,
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -34,7 +34,7 @@
  * written, and only an answer that is whole is ever passed on as one.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
-    implements Attempt.Carrier, AnswerSource {
+    implements Attempt.Carrier, StreamedAnswerSource {
   /**
    * A longer answer is spoilt, or broken off where it does not say how long it is. Upstreams send
    * up to 32 MB.
@@ -91,7 +91,7 @@
   }
 
   final Upstream upstream;
-  private final UpstreamPool pool;
+  private final UpstreamConnectionPool pool;
   private final Clock clock;
   final StrictResponseDecoder decoder = new StrictResponseDecoder();
   private Channel channel;
@@ -114,10 +114,10 @@
   private int readsAtStall;
   private long begunNanos;
   private long passed;
-  private AnswerSink client;
+  private StreamedAnswerSink client;
   private boolean paused;
 
-  public UpstreamConnection(UpstreamPool pool, Clock clock, Upstream upstream) {
+  public UpstreamConnection(UpstreamConnectionPool pool, Clock clock, Upstream upstream) {
     this.pool = pool;
     this.clock = clock;
     this.upstream = upstream;
@@ -193,7 +193,7 @@
       return;
     }
     long left = now.deadlineNanos() - clock.nowNanos();
-    Upload upload = payload.upload();
+    StreamedRequestBody upload = payload.upload();
     if (upload == null) {
       writtenWith(channel.writeAndFlush(payload.forward(left)), now);
     } else {
@@ -250,7 +250,7 @@
   // ---- an answer that goes on as it comes ----
 
   @Override
-  public void pause(boolean pause) {
+  public void setPaused(boolean pause) {
     if (phase == Phase.PASS && paused != pause) {
       paused = pause;
       channel.config().setAutoRead(!pause);
@@ -258,7 +258,7 @@
   }
 
   @Override
-  public void clientGone() {
+  public void clientDisconnected() {
     if (phase == Phase.PASS || phase == Phase.PASSED) {
       client = null;
       close();
@@ -278,9 +278,9 @@
     phase = Phase.PASS;
     passed = gathered.readableBytes();
     client = payload.sink();
-    client.pass(head, this);
+    client.answerStarted(head, this);
     if (gathered.isReadable()) {
-      client.passPiece(gathered);
+      client.answerData(gathered);
     } else {
       gathered.release();
     }
@@ -298,7 +298,7 @@
       return;
     }
     if (content.content().isReadable()) {
-      client.passPiece(compact(content.content()));
+      client.answerData(compact(content.content()));
     }
     if (last) {
       phase = Phase.PASSED;
@@ -488,13 +488,13 @@
       watchForStall();
     }
     if (phase == Phase.PASS) {
-      client.passFlush();
+      client.answerFlush();
     } else if (phase == Phase.PASSED) {
       checkLeftovers();
-      AnswerSink to = client;
+      StreamedAnswerSink to = client;
       client = null;
       settle();
-      to.passEnd();
+      to.answerEnd();
       return;
     }
     if (phase == Phase.COMPLETE) {
@@ -539,7 +539,7 @@
         && gathered.isReadable()
         && clock.nowNanos() - begunNanos >= HELD_BACK_MILLIS * 1_000_000L) {
       if (startPassing()) {
-        client.passFlush();
+        client.answerFlush();
       }
     } else {
       watchForStall();
@@ -637,9 +637,9 @@
       payload.upload().detach(this);
     }
     if (client != null) {
-      AnswerSink cut = client;
+      StreamedAnswerSink cut = client;
       client = null;
-      cut.passBroken();
+      cut.answerAborted();
     }
     pool.forget(this);
     if (gathered != null) {
--- a/src/main/java/heathswitch/proxy/http1/UpstreamPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -25,7 +25,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Connections to upstreams: opens them, keeps idle ones for a while, and closes them in time. */
-public final class UpstreamPool implements Transport {
+public final class UpstreamConnectionPool implements Transport {
   /**
    * Part of the stated idle time for which a connection is kept. An upstream counts from its own
    * last byte and may close earlier; a request that crosses the closing ends as a reset, and an
@@ -73,7 +73,7 @@
   /** Newest last: the newest is the least likely to be closed by the other side. */
   private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleOf = new HashMap<>();
 
-  public UpstreamPool(
+  public UpstreamConnectionPool(
       EventLoop loop,
       Clock clock,
       Budget budget,
@@ -276,7 +276,7 @@
     return true;
   }
 
-  public int idleConnections() {
+  public int idleConnectionCount() {
     return idle.size();
   }
 }
--- a/src/main/java/heathswitch/proxy/http2/ServedLink.java
+++ b/src/main/java/heathswitch/proxy/http2/InboundConnection.java
@@ -10,49 +10,49 @@
  * A connection that others began, with their calls on it: left in good order, and rid of calls
  * whose other side has stopped. Both bounds are needed, as its PINGs may go on all the while.
  */
-public abstract class ServedLink extends Link {
+public abstract class InboundConnection extends MultiplexedConnection {
   /** A call of the other side. */
-  public interface Call extends Handler {
+  public interface Call extends StreamHandler {
     /** Whether it is the other side's turn, and has been since then. */
-    boolean stuckSince(long nanos);
+    boolean stalledSince(long nanos);
 
     /** Gives the call up; its stream ends with it. */
-    void cut();
+    void abort();
   }
 
   private int calls;
   private boolean leaving;
   private boolean left;
 
-  protected ServedLink(
+  protected InboundConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
     super(decoder, encoder, settings);
   }
 
   /** Whoever takes a call that begins. */
-  protected abstract Call begun(int id);
+  protected abstract Call createCall(int id);
 
   @Override
-  protected final Handler opened(int id) {
+  protected final StreamHandler onStreamOpened(int id) {
     calls++;
-    return begun(id);
+    return createCall(id);
   }
 
   /** To be called once for each call, when its stream is gone. */
-  public void callDone() {
+  public void callClosed() {
     calls--;
     closeIfIdle();
   }
 
-  protected final int calls() {
+  protected final int openCalls() {
     return calls;
   }
 
   /** No new calls; those that are on end by themselves. */
-  public final void leave() {
+  public final void closeGracefully() {
     if (!leaving) {
       leaving = true;
-      goAwayInOrder(
+      sendGracefulGoAway(
           () -> {
             left = true;
             closeIfIdle();
@@ -67,14 +67,14 @@
   }
 
   /** Cuts the calls that are stuck since before then. */
-  protected final void cutStuck(long before) {
+  protected final void abortStalledCalls(long before) {
     List<Call> stuck = new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
-    forEachHandler(
+    forEachStreamHandler(
         handler -> {
-          if (handler instanceof Call call && call.stuckSince(before)) {
+          if (handler instanceof Call call && call.stalledSince(before)) {
             stuck.add(call);
           }
         });
-    stuck.forEach(Call::cut);
+    stuck.forEach(Call::abort);
   }
 }
--- a/src/main/java/heathswitch/proxy/http2/Link.java
+++ b/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
@@ -36,9 +36,9 @@
  * holds back its sender and nobody else: the connection's own window refills by itself, and what
  * all streams hold together is for the protocol above to bound.
  */
-public abstract class Link extends Http2ConnectionHandler {
+public abstract class MultiplexedConnection extends Http2ConnectionHandler {
   /** What the other side may send ahead on a stream. */
-  public static final int WINDOW = 256 << 10;
+  public static final int STREAM_WINDOW_BYTES = 256 << 10;
 
   /** Between the two steps of a GOAWAY: calls that cross the first are still taken. */
   private static final long GOAWAY_MILLIS = 550;
@@ -55,7 +55,7 @@
   private static final int RESET_SECONDS = 10;
 
   /** What a stream is for. All calls come on the loop. */
-  public interface Handler {
+  public interface StreamHandler {
     void onHeaders(Http2Headers headers, boolean last);
 
     /**
@@ -74,15 +74,16 @@
   }
 
   /** Makes a connection's handler from the codec's two halves. */
-  public interface Maker<T extends Link> {
-    T of(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
+  public interface Factory<T extends MultiplexedConnection> {
+    T create(
+        Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
   }
 
   private final Http2Connection.PropertyKey key;
   private ChannelHandlerContext ctx;
   private boolean flushing;
 
-  protected Link(
+  protected MultiplexedConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
     super(decoder, encoder, settings);
     key = connection().newKey();
@@ -92,7 +93,7 @@
             new Http2ConnectionAdapter() {
               @Override
               public void onStreamClosed(Http2Stream stream) {
-                Handler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(key);
                 if (handler != null) {
                   handler.onClosed(stream);
                 }
@@ -108,14 +109,16 @@
    * @param changing names of headers that are another in every message: indexed, they would push
    *     all else out of the table. Compared by identity.
    */
-  public static <T extends Link> T build(
+  public static <T extends MultiplexedConnection> T build(
       boolean server,
       int mostStreams,
       int mostHeaders,
       Set<? extends CharSequence> changing,
-      Maker<T> maker) {
+      Factory<T> maker) {
     Http2Settings settings =
-        Http2Settings.defaultSettings().initialWindowSize(WINDOW).maxHeaderListSize(mostHeaders);
+        Http2Settings.defaultSettings()
+            .initialWindowSize(STREAM_WINDOW_BYTES)
+            .maxHeaderListSize(mostHeaders);
     if (server) {
       settings.maxConcurrentStreams(mostStreams);
     } else {
@@ -124,15 +127,15 @@
     return new Builder<>(server, settings, changing, maker).build();
   }
 
-  private static final class Builder<T extends Link>
+  private static final class Builder<T extends MultiplexedConnection>
       extends AbstractHttp2ConnectionHandlerBuilder<T, Builder<T>> {
-    private final Maker<T> maker;
+    private final Factory<T> maker;
 
     Builder(
         boolean server,
         Http2Settings settings,
         Set<? extends CharSequence> changing,
-        Maker<T> maker) {
+        Factory<T> maker) {
       this.maker = maker;
       Http2Connection connection = new DefaultHttp2Connection(server);
       connection
@@ -174,7 +177,7 @@
     @Override
     protected T build(
         Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
-      return maker.of(decoder, encoder, settings);
+      return maker.create(decoder, encoder, settings);
     }
   }
 
@@ -189,13 +192,13 @@
   }
 
   /** Whether another stream may be opened from this side. */
-  public final boolean mayOpen() {
+  public final boolean canOpenStream() {
     return connection().local().canOpenStream() && !connection().goAwayReceived();
   }
 
   /** Opens a stream with its headers; its id, or -1 where none could be had and nothing is sent. */
-  public final int open(Handler handler, Http2Headers headers, boolean last) {
-    int id = mayOpen() ? connection().local().incrementAndGetNextStreamId() : -1;
+  public final int openStream(StreamHandler handler, Http2Headers headers, boolean last) {
+    int id = canOpenStream() ? connection().local().incrementAndGetNextStreamId() : -1;
     if (id <= 0) {
       return -1;
     }
@@ -209,13 +212,13 @@
     return id;
   }
 
-  public final ChannelFuture headers(int id, Http2Headers headers, boolean last) {
+  public final ChannelFuture writeHeaders(int id, Http2Headers headers, boolean last) {
     flushSoon();
     return encoder().writeHeaders(ctx, id, headers, 0, last, ctx.newPromise());
   }
 
   /** Takes over the data; done when it has been written to the socket. */
-  public final ChannelFuture data(int id, ByteBuf data, boolean last) {
+  public final ChannelFuture writeData(int id, ByteBuf data, boolean last) {
     flushSoon();
     return encoder().writeData(ctx, id, data, 0, last, ctx.newPromise());
   }
@@ -227,13 +230,13 @@
     }
   }
 
-  public final void ping(long content) {
+  public final void writePing(long content) {
     flushSoon();
     encoder().writePing(ctx, false, content, ctx.newPromise());
   }
 
   /** Bytes of a stream's window have been used up. */
-  public final void consume(int id, int bytes) {
+  public final void returnWindow(int id, int bytes) {
     Http2Stream stream = connection().stream(id);
     if (stream == null || bytes == 0) {
       return;
@@ -265,7 +268,7 @@
   }
 
   /** Says that no stream after this one is taken; done when it is written. */
-  public final ChannelFuture goAway(int lastId, Http2Error error) {
+  public final ChannelFuture sendGoAway(int lastId, Http2Error error) {
     ChannelFuture writing =
         goAway(ctx, lastId, error.code(), Unpooled.EMPTY_BUFFER, ctx.newPromise());
     ctx.flush();
@@ -278,13 +281,13 @@
    *
    * @param left called after the second step, unless the connection is closed by then
    */
-  public final void goAwayInOrder(Runnable left) {
-    goAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
+  public final void sendGracefulGoAway(Runnable left) {
+    sendGoAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
     ctx.executor()
         .schedule(
             () -> {
               if (ctx.channel().isActive()) {
-                goAway(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR);
+                sendGoAway(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR);
                 left.run();
               }
             },
@@ -292,12 +295,12 @@
             MILLISECONDS);
   }
 
-  public final void forEachHandler(Consumer<Handler> each) {
+  public final void forEachStreamHandler(Consumer<StreamHandler> each) {
     try {
       connection()
           .forEachActiveStream(
               stream -> {
-                Handler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(key);
                 if (handler != null) {
                   each.accept(handler);
                 }
@@ -329,15 +332,15 @@
   }
 
   /** The first headers of a stream that the other side opens; null turns the frame down. */
-  protected Handler opened(int id) {
+  protected StreamHandler onStreamOpened(int id) {
     return null;
   }
 
   /** Any frame has come but the answer to a PING. */
-  protected void heard() {}
+  protected void onFrameRead() {}
 
   /** Headers or data have come. */
-  protected void spoke() {}
+  protected void onHeadersOrDataRead() {}
 
   protected void onSettings(Http2Settings settings) {}
 
@@ -367,12 +370,12 @@
     @Override
     public void onHeadersRead(
         ChannelHandlerContext context, int id, Http2Headers headers, int padding, boolean last) {
-      heard();
-      spoke();
+      onFrameRead();
+      onHeadersOrDataRead();
       Http2Stream stream = connection().stream(id);
-      Handler handler = stream.getProperty(key);
+      StreamHandler handler = stream.getProperty(key);
       if (handler == null) {
-        handler = opened(id);
+        handler = onStreamOpened(id);
         stream.setProperty(key, handler);
       }
       if (handler != null) {
@@ -383,16 +386,16 @@
     @Override
     public int onDataRead(
         ChannelHandlerContext context, int id, ByteBuf data, int padding, boolean last) {
-      heard();
-      spoke();
-      Handler handler = connection().stream(id).getProperty(key);
+      onFrameRead();
+      onHeadersOrDataRead();
+      StreamHandler handler = connection().stream(id).getProperty(key);
       return padding + (handler == null ? data.readableBytes() : handler.onData(data, last));
     }
 
     @Override
     public void onRstStreamRead(ChannelHandlerContext context, int id, long code) {
-      heard();
-      Handler handler = connection().stream(id).getProperty(key);
+      onFrameRead();
+      StreamHandler handler = connection().stream(id).getProperty(key);
       if (handler != null) {
         handler.onReset(code);
       }
@@ -400,13 +403,13 @@
 
     @Override
     public void onSettingsRead(ChannelHandlerContext context, Http2Settings settings) {
-      heard();
+      onFrameRead();
       onSettings(settings);
     }
 
     @Override
     public void onPingRead(ChannelHandlerContext context, long data) {
-      heard();
+      onFrameRead();
       onPing(false, data);
     }
 
@@ -417,12 +420,12 @@
 
     @Override
     public void onWindowUpdateRead(ChannelHandlerContext context, int id, int increment) {
-      heard();
+      onFrameRead();
     }
 
     @Override
     public void onGoAwayRead(ChannelHandlerContext context, int lastId, long code, ByteBuf debug) {
-      heard();
+      onFrameRead();
       onGoAway();
     }
   }
--- a/src/main/java/heathswitch/proxy/node/Emptying.java
+++ b/src/main/java/heathswitch/proxy/node/Emptying.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.http1.ClientListener;
 import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -26,11 +26,11 @@
   private static final long AGAIN_MILLIS = 50;
 
   private final EventLoop loop;
-  private final ClientServer server;
+  private final ClientListener server;
   private boolean emptying;
   private Future<?> next;
 
-  Emptying(EventLoop loop, ClientServer server) {
+  Emptying(EventLoop loop, ClientListener server) {
     this.loop = loop;
     this.server = server;
   }
@@ -44,14 +44,14 @@
   public void begin() {
     if (!emptying) {
       emptying = true;
-      Log.info("emptying", "begun with " + server.clients() + " connections");
-      server.drain();
+      Log.info("emptying", "begun with " + server.clientCount() + " connections");
+      server.startDraining();
       next = loop.schedule(this::closing, CLOSING_MILLIS, MILLISECONDS);
     }
   }
 
   private void closing() {
-    server.stopTaking();
+    server.disableKeepAlive();
     next = loop.schedule(this::closeIdle, CLOSE_IDLE_MILLIS - CLOSING_MILLIS, MILLISECONDS);
   }
 
@@ -66,7 +66,7 @@
     if (emptying) {
       emptying = false;
       next.cancel(false);
-      server.takeAgain();
+      server.endDraining();
       Log.info("emptying", "ended");
     }
   }
--- a/src/main/java/heathswitch/proxy/node/Front.java
+++ b/src/main/java/heathswitch/proxy/node/Front.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.node;
 
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.UpstreamPool;
+import heathswitch.proxy.http1.UpstreamConnectionPool;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
 import io.netty.channel.EventLoop;
@@ -20,7 +20,7 @@
       Clock clock,
       Budget budget,
       Dispatcher dispatcher,
-      UpstreamPool pool,
+      UpstreamConnectionPool pool,
       BooleanSupplier evict) {}
 
   /** Makes a front for a node that is being put together. */
--- a/src/main/java/heathswitch/proxy/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -4,8 +4,8 @@
 
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.ClientServer;
-import heathswitch.proxy.http1.UpstreamPool;
+import heathswitch.proxy.http1.ClientListener;
+import heathswitch.proxy.http1.UpstreamConnectionPool;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
@@ -25,8 +25,8 @@
   private final Clock clock = new Clock();
   private final NodeSettings settings;
   private final Budget budget;
-  private final ClientServer server;
-  private final UpstreamPool pool;
+  private final ClientListener server;
+  private final UpstreamConnectionPool pool;
   private final Dispatcher dispatcher;
   private final MemberSource members;
   private final Shutdown shutdown;
@@ -38,8 +38,10 @@
   public Node(NodeSettings settings, MemberSource.Factory source, long watchNanos) {
     this.settings = settings;
     budget = new Budget(settings.sockets(), Budget.BODY_BYTES);
-    server = new ClientServer(loop, clock, budget);
-    pool = new UpstreamPool(loop, clock, budget, settings.settings().limits(), server::evictIdle);
+    server = new ClientListener(loop, clock, budget);
+    pool =
+        new UpstreamConnectionPool(
+            loop, clock, budget, settings.settings().limits(), server::evictIdle);
     dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
     dispatcher.add(pool);
     members = source.on(loop);
@@ -57,7 +59,7 @@
 
   /** A header that no client over HTTP/1.1 may send; before the start. */
   public void forbid(String header) {
-    server.forbid(header);
+    server.forbidHeader(header);
   }
 
   private boolean evict() {
@@ -133,9 +135,9 @@
             + "; live "
             + dispatcher.live()
             + ", clients "
-            + server.clients()
+            + server.clientCount()
             + ", idle upstream connections "
-            + pool.idleConnections()
+            + pool.idleConnectionCount()
             + ", connections "
             + budget.connections()
             + ", loop late by up to "
--- a/src/main/java/heathswitch/proxy/node/Shutdown.java
+++ b/src/main/java/heathswitch/proxy/node/Shutdown.java
@@ -5,7 +5,7 @@
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.http1.ClientListener;
 import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import java.util.List;
@@ -44,7 +44,7 @@
   private static final long ANSWER_MILLIS = 1100;
 
   private final EventLoop loop;
-  private final ClientServer server;
+  private final ClientListener server;
   private final Dispatcher dispatcher;
   private final MemberSource members;
   private final List<Front> fronts;
@@ -64,7 +64,7 @@
   public Shutdown(
       EventLoop loop,
       Settings settings,
-      ClientServer server,
+      ClientListener server,
       Dispatcher dispatcher,
       MemberSource members,
       List<Front> fronts) {
@@ -148,7 +148,7 @@
           if (leave) {
             leave();
           } else {
-            server.drain();
+            server.startDraining();
             fronts.forEach(Front::drain);
             loop.schedule(this::stopListening, LISTEN_MILLIS, MILLISECONDS);
           }
@@ -165,7 +165,7 @@
   private void leave() {
     Log.info("shutdown", "another process has followed");
     stopListening();
-    server.stopTaking();
+    server.disableKeepAlive();
   }
 
   private void stopListening() {
@@ -174,14 +174,14 @@
   }
 
   private void stopTaking() {
-    server.stopTaking();
+    server.disableKeepAlive();
     waitForClients();
   }
 
   /** Whether there are clients still, or may come. */
   private boolean owed() {
-    return server.listening()
-        || server.clients() > 0
+    return server.isListening()
+        || server.clientCount() > 0
         || fronts.stream().anyMatch(front -> front.listening() || front.clients() > 0);
   }
 
--- a/src/main/java/heathswitch/proxy/operations/Console.java
+++ b/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
@@ -36,9 +36,9 @@
  * shares the balancer's loop. Connections on which no call is finished are bounded in number and in
  * time, so that those who connect and say nothing keep nobody else from being heard.
  */
-final class Console {
+final class ConsoleServer {
   /** The operators' calls; each answers once, on the loop. */
-  interface Calls {
+  interface Commands {
     /** Whether the balancer takes clients. */
     boolean ready();
 
@@ -58,11 +58,11 @@
 
   private final EventLoop loop;
   private final Budget budget;
-  private final Calls calls;
+  private final Commands calls;
   private final Set<Channel> open = new LinkedHashSet<>();
   private Channel listener;
 
-  Console(EventLoop loop, Budget budget, Calls calls) {
+  ConsoleServer(EventLoop loop, Budget budget, Commands calls) {
     this.loop = loop;
     this.budget = budget;
     this.calls = calls;
--- a/src/main/java/heathswitch/proxy/operations/Standings.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /** Lays the marks of operators over the lists of discovery. On the loop alone. */
-final class Standings implements Dispatcher.Overlay {
+final class MarkOverlay implements Dispatcher.Overlay {
   private final Rotation rotation = new Rotation();
 
   /** Unix time that goes on evenly when the machine's clock is set. */
@@ -22,7 +22,7 @@
   /** As discovery listed them last; as long as its list. */
   private final Map<String, Member> listed = new HashMap<>();
 
-  Standings(LongSupplier clockMillis) {
+  MarkOverlay(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
   }
 
--- a/src/main/java/heathswitch/proxy/operations/Marks.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkStore.java
@@ -20,14 +20,14 @@
  * The marks of operators, a file for each, in a folder that all processes of one balancer share.
  * Without a folder they are kept in memory alone. Used by one thread, never the loop's.
  */
-final class Marks {
+final class MarkStore {
   private static final int MOST_FILE_BYTES = 1024;
 
   private final Path folder;
   private Map<String, Mark> marks = new HashMap<>();
 
   /** Uses the folder, which is made if it is not there; null for none. */
-  Marks(Path folder) {
+  MarkStore(Path folder) {
     this.folder = folder;
   }
 
--- a/src/main/java/heathswitch/proxy/operations/Operations.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -20,7 +20,7 @@
  * in order, and the loop takes what that thread has seen: a mark is in force only when every
  * process of the balancer will know of it, and a yes is said after that.
  */
-public final class Operations implements Console.Calls {
+public final class OperationsService implements ConsoleServer.Commands {
   /** How soon one process of an upgrade hears what the other was told. */
   static final long POLL_MILLIS = 200;
 
@@ -28,10 +28,10 @@
   private static final int MOST_WAITING = 64;
 
   private final Node node;
-  private final Generation generation;
-  private final Standings standings;
-  private final Marks marks;
-  private final Console console;
+  private final ProcessGeneration generation;
+  private final MarkOverlay standings;
+  private final MarkStore marks;
+  private final ConsoleServer console;
   private final ScheduledThreadPoolExecutor files;
   private volatile boolean serving;
   private volatile int holds = Budget.RESERVED_DESCRIPTORS;
@@ -41,11 +41,11 @@
    *
    * @param folder shared by all processes of this balancer and by nobody else; null for none
    */
-  public Operations(Node node, Path folder) {
+  public OperationsService(Node node, Path folder) {
     this.node = node;
-    generation = new Generation(folder == null ? null : folder.resolve("processes"));
-    marks = new Marks(folder == null ? null : folder.resolve("marks"));
-    console = new Console(node.loop(), node.budget(), this);
+    generation = new ProcessGeneration(folder == null ? null : folder.resolve("processes"));
+    marks = new MarkStore(folder == null ? null : folder.resolve("marks"));
+    console = new ConsoleServer(node.loop(), node.budget(), this);
     files =
         new ScheduledThreadPoolExecutor(
             1,
@@ -54,14 +54,14 @@
               thread.setDaemon(true);
               return thread;
             });
-    standings = new Standings(node::nowMillis);
+    standings = new MarkOverlay(node::nowMillis);
     node.dispatcher().overlay(standings);
     node.shutdown().followed(generation::followed);
     standings.update(marks.read(node.nowMillis()), node.dispatcher());
   }
 
   /** Whether another process serves this balancer when this one starts. */
-  public boolean follows() {
+  public boolean hasPredecessor() {
     return generation.follows();
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** Clients can connect: from now on the console says so, and a later process can tell. */
-  public void serving() {
+  public void announceServing() {
     generation.serving(Budget.RESERVED_DESCRIPTORS);
     node.loop().execute(() -> serving = true);
   }
--- a/src/main/java/heathswitch/proxy/operations/Generation.java
+++ b/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
@@ -15,7 +15,7 @@
  * The number of this process among those that have served this balancer, one after the other, since
  * its folder was last empty. Without a folder there is none before and none after.
  */
-public final class Generation {
+public final class ProcessGeneration {
   private static final String PREFIX = "process-";
 
   /** One that has said nothing for so long has ended. */
@@ -31,7 +31,7 @@
   private final Map<Integer, Sign> signs = new HashMap<>();
 
   /** Follows on whatever the folder shows; null for no folder. */
-  public Generation(Path folder) {
+  public ProcessGeneration(Path folder) {
     this.folder = folder;
     this.number = highest() + 1;
   }
--- a/src/main/java/heathswitch/proxy/platform/PlatformNode.java
+++ b/src/main/java/heathswitch/proxy/platform/PlatformNode.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.platform;
 
 import heathswitch.proxy.node.Node;
-import heathswitch.proxy.operations.Operations;
+import heathswitch.proxy.operations.OperationsService;
 import java.nio.file.Path;
 import java.util.Map;
 
@@ -15,7 +15,7 @@
   private final NodeConfig config;
   private final Node node;
   private final Reload reload;
-  private final Operations operations;
+  private final OperationsService operations;
   private DiscoveryClient discovery;
 
   public PlatformNode(NodeConfig config, Map<String, String> environment) {
@@ -30,7 +30,7 @@
             },
             WATCH_NANOS);
     reload = new Reload(node, config, environment, discovery);
-    operations = config.console() == null ? null : new Operations(node, folder(environment));
+    operations = config.console() == null ? null : new OperationsService(node, folder(environment));
   }
 
   /** Shared by the processes of one balancer, and empty when the first of them starts. */
@@ -45,12 +45,12 @@
       node.start();
       return;
     }
-    if (operations.follows()) {
+    if (operations.hasPredecessor()) {
       discovery.askAtOnce();
     }
     operations.start(config.console());
     node.start();
-    operations.serving();
+    operations.announceServing();
   }
 
   public Node node() {
@@ -62,7 +62,7 @@
   }
 
   /** What operators can do with it, or null where it has no second address. */
-  public Operations operations() {
+  public OperationsService operations() {
     return operations;
   }
 
--- a/src/test/java/heathswitch/proxy/gateway/PeerTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/PeerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.proxy.http2.Link;
+import heathswitch.proxy.http2.MultiplexedConnection;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -45,13 +45,13 @@
     sites.close();
   }
 
-  private static final class Raw extends Link {
+  private static final class Raw extends MultiplexedConnection {
     Raw(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
       super(decoder, encoder, settings);
     }
   }
 
-  private static final class Call implements Link.Handler {
+  private static final class Call implements MultiplexedConnection.StreamHandler {
     final CompletableFuture<Http2Headers> answer = new CompletableFuture<>();
     final CompletableFuture<Long> reset = new CompletableFuture<>();
 
@@ -94,7 +94,7 @@
   }
 
   private static Raw connect(SitesFixture sites) throws Exception {
-    Raw raw = Link.build(false, 0, 16384, Set.of(), Raw::new);
+    Raw raw = MultiplexedConnection.build(false, 0, 16384, Set.of(), Raw::new);
     new Bootstrap()
         .group(sites.group)
         .channel(NioSocketChannel.class)
@@ -112,9 +112,9 @@
         .executor()
         .execute(
             () -> {
-              int id = raw.open(call, headers, body == null);
+              int id = raw.openStream(call, headers, body == null);
               if (body != null) {
-                raw.data(id, Unpooled.wrappedBuffer(body), false);
+                raw.writeData(id, Unpooled.wrappedBuffer(body), false);
               }
             });
     return call;
--- a/src/test/java/heathswitch/proxy/http1/PipelinedPartsTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What is kept behind a request is bounded, and every buffer is released. */
-class PipelinedPartsTest {
-  private final PipelinedParts parts = new PipelinedParts();
+class PipelineQueueTest {
+  private final PipelineQueue parts = new PipelineQueue();
   private final List<HttpContent> added = new ArrayList<>();
 
   private void add(int bytes) {
@@ -25,7 +25,7 @@
 
   @Test
   void aFewAreServedInTurn() {
-    for (int i = 0; i < PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i < PipelineQueue.MOST_PARTS; i++) {
       add(10);
     }
     assertFalse(parts.isFlood());
@@ -39,7 +39,7 @@
 
   @Test
   void oneTooManyDropsAll() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MOST_PARTS; i++) {
       add(10);
     }
     assertTrue(parts.isFlood());
@@ -49,7 +49,7 @@
 
   @Test
   void whatFollowsIsReleasedAndCounted() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MOST_PARTS; i++) {
       add(10);
     }
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/heathswitch/proxy/operations/MarksTest.java
+++ b/src/test/java/heathswitch/proxy/operations/MarkStoreTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A mark whose file cannot be read for a moment stands as before. */
-class MarksTest {
+class MarkStoreTest {
   private static final long NOW = 1_000_000;
 
   @TempDir Path folder;
@@ -31,7 +31,7 @@
 
   @Test
   void anUpstreamThatIsOutStaysOutWhileItsMarkCannotBeRead() throws IOException {
-    Marks marks = new Marks(folder);
+    MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
     Mark before = marks.read(NOW).get("s/1");
     makeUnreadable();
@@ -41,15 +41,15 @@
   /** By the name of the file alone an upstream that has a mark is taken for out. */
   @Test
   void aProcessThatHasNeverReadAMarkTakesItsUpstreamForOut() throws IOException {
-    new Marks(folder).suspend("s/1", NOW);
+    new MarkStore(folder).suspend("s/1", NOW);
     makeUnreadable();
-    Map<String, Mark> seen = new Marks(folder).read(NOW + 1000);
+    Map<String, Mark> seen = new MarkStore(folder).read(NOW + 1000);
     assertTrue(seen.get("s/1").out());
   }
 
   @Test
   void aMarkThatWasTakenAwayIsGone() throws IOException {
-    Marks marks = new Marks(folder);
+    MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
       for (Path file : files) {
--- a/src/test/java/heathswitch/proxy/operations/GenerationTest.java
+++ b/src/test/java/heathswitch/proxy/operations/ProcessGenerationTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Processes of one balancer know of one another by the folder that they share. */
-class GenerationTest {
+class ProcessGenerationTest {
   @TempDir Path folder;
 
   @Test
   void eachKnowsOfTheOneBeforeAndAfter() {
-    Generation first = new Generation(folder.resolve("p"));
+    ProcessGeneration first = new ProcessGeneration(folder.resolve("p"));
     assertFalse(first.follows());
     first.serving(60);
     assertFalse(first.followed());
-    Generation second = new Generation(folder.resolve("p"));
+    ProcessGeneration second = new ProcessGeneration(folder.resolve("p"));
     assertTrue(second.follows());
     assertFalse(first.followed(), "it does not serve yet");
     second.serving(50);
@@ -35,24 +35,24 @@
    */
   @Test
   void descriptorsOfOthersCountWhileTheyLive() throws Exception {
-    Generation first = new Generation(folder);
+    ProcessGeneration first = new ProcessGeneration(folder);
     first.serving(60);
-    Generation second = new Generation(folder);
+    ProcessGeneration second = new ProcessGeneration(folder);
     second.serving(50);
     Files.writeString(folder.resolve("process-x"), "none");
     Files.writeString(folder.resolve("process-9"), "");
     assertEquals(60, second.heldElsewhere(0));
     assertEquals(50, first.heldElsewhere(0));
-    assertEquals(60, second.heldElsewhere(Generation.SILENT_NANOS - 1));
-    assertEquals(0, second.heldElsewhere(Generation.SILENT_NANOS));
+    assertEquals(60, second.heldElsewhere(ProcessGeneration.SILENT_NANOS - 1));
+    assertEquals(0, second.heldElsewhere(ProcessGeneration.SILENT_NANOS));
   }
 
   /** A file that is being written, or cannot be read, says nothing new. */
   @Test
   void whatAnotherHoldsStandsWhileItsFileCannotBeRead() throws Exception {
-    Generation first = new Generation(folder);
+    ProcessGeneration first = new ProcessGeneration(folder);
     first.serving(60);
-    Generation second = new Generation(folder);
+    ProcessGeneration second = new ProcessGeneration(folder);
     assertEquals(60, second.heldElsewhere(0));
     Path file = folder.resolve("process-1");
     Files.writeString(file, "");
@@ -60,29 +60,29 @@
     Files.delete(file);
     Files.createDirectory(file);
     assertEquals(60, second.heldElsewhere(2));
-    assertEquals(0, second.heldElsewhere(2 + Generation.SILENT_NANOS));
+    assertEquals(0, second.heldElsewhere(2 + ProcessGeneration.SILENT_NANOS));
   }
 
   /** The machine's clock is set by an hour, forward or back, while both live; then one ends. */
   @ParameterizedTest
   @ValueSource(longs = {-3600, 3600})
   void aClockThatIsSetChangesNothing(long seconds) throws Exception {
-    Generation first = new Generation(folder);
+    ProcessGeneration first = new ProcessGeneration(folder);
     first.serving(60);
-    Generation second = new Generation(folder);
+    ProcessGeneration second = new ProcessGeneration(folder);
     assertEquals(60, second.heldElsewhere(0));
     Path file = folder.resolve("process-1");
     long written = Files.getLastModifiedTime(file).toMillis();
-    long now = Generation.SILENT_NANOS - 1;
+    long now = ProcessGeneration.SILENT_NANOS - 1;
     Files.setLastModifiedTime(file, FileTime.fromMillis(written + seconds * 1000));
     assertEquals(60, second.heldElsewhere(now), "it has written by the clock that was set");
-    assertEquals(60, second.heldElsewhere(now + Generation.SILENT_NANOS - 1));
-    assertEquals(0, second.heldElsewhere(now + Generation.SILENT_NANOS), "it has ended");
+    assertEquals(60, second.heldElsewhere(now + ProcessGeneration.SILENT_NANOS - 1));
+    assertEquals(0, second.heldElsewhere(now + ProcessGeneration.SILENT_NANOS), "it has ended");
   }
 
   @Test
   void withoutAFolderThereIsNobodyElse() {
-    Generation alone = new Generation(null);
+    ProcessGeneration alone = new ProcessGeneration(null);
     alone.serving(60);
     assertFalse(alone.follows());
     assertFalse(alone.followed());
--- a/src/test/java/heathswitch/proxy/platform/ClosingTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ClosingTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.http1.ClientListener;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.runtime.Clock;
 import java.net.ConnectException;
@@ -137,7 +137,7 @@
     try (Peer upstream = Peer.serving("ok");
         Fixture fixture = new Fixture().upstream(upstream).build()) {
       Node node = fixture.node();
-      ClientServer server = new ClientServer(node.loop(), new Clock(), node.budget());
+      ClientListener server = new ClientListener(node.loop(), new Clock(), node.budget());
       FutureTask<Void> start =
           new FutureTask<>(
               () -> {
