--- a/src/main/java/heathswitch/proxy/Main.java
+++ b/src/main/java/heathswitch/proxy/Main.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy;
 
 import heathswitch.proxy.cli.Commands;
+import heathswitch.proxy.platform.CdsTrainingRun;
 import heathswitch.proxy.platform.NodeConfig;
 import heathswitch.proxy.platform.PlatformNode;
-import heathswitch.proxy.platform.Rehearsal;
 import heathswitch.proxy.runtime.Log;
 import java.util.Map;
 
@@ -36,7 +36,7 @@
   private static int rehearse() {
     Log.setUp();
     try {
-      Rehearsal.play();
+      CdsTrainingRun.run();
       return 0;
     } catch (Exception e) {
       Log.error("rehearsal", "failed", e);
@@ -48,8 +48,8 @@
     Log.setUp();
     NodeConfig config;
     try {
-      config = NodeConfig.loadAtStart(environment);
-    } catch (NodeConfig.Invalid e) {
+      config = NodeConfig.loadAtStartup(environment);
+    } catch (NodeConfig.InvalidConfigException e) {
       System.err.println(e.getMessage());
       return 1;
     }
--- a/src/main/java/heathswitch/proxy/platform/Rehearsal.java
+++ b/src/main/java/heathswitch/proxy/platform/CdsTrainingRun.java
@@ -22,7 +22,7 @@
  * and a start under load is time in which a whole tier has one balancer fewer. An archive that does
  * not fit the JVM or the jar is left out by the JVM, and the start takes as long as without.
  */
-public final class Rehearsal {
+public final class CdsTrainingRun {
   private static final String CONFIG =
       """
       {"name":"rehearsal","listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":"127.0.0.1:%1$d","seed":"1",
@@ -42,10 +42,10 @@
 
   private static final int WAIT_MILLIS = 20_000;
 
-  private Rehearsal() {}
+  private CdsTrainingRun() {}
 
   /** Fails if any of the exchanges does. */
-  public static void play() throws Exception {
+  public static void run() throws Exception {
     CountDownLatch watched = new CountDownLatch(1);
     HttpServer peer =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -59,7 +59,8 @@
         });
     peer.createContext("/api", exchange -> answer(exchange, "ok"));
     peer.start();
-    NodeConfig config = NodeConfig.of(JSON.std.mapFrom(CONFIG.formatted(port, member)), Map.of());
+    NodeConfig config =
+        NodeConfig.parse(JSON.std.mapFrom(CONFIG.formatted(port, member)), Map.of());
     PlatformNode balancer = new PlatformNode(config, Map.of());
     Node node = balancer.node();
     try {
--- a/src/main/java/heathswitch/proxy/platform/Reload.java
+++ b/src/main/java/heathswitch/proxy/platform/ConfigReload.java
@@ -12,14 +12,14 @@
  * this the JVM takes the signal for one to end on. A file whose text is no configuration changes
  * nothing, since a balancer that runs on its old settings is better than none.
  */
-public final class Reload {
+public final class ConfigReload {
   private final Node node;
   private final NodeConfig started;
   private final Map<String, String> environment;
   private final DiscoveryClient discovery;
   private final SignalledRead file = new SignalledRead(this::read);
 
-  Reload(
+  ConfigReload(
       Node node, NodeConfig started, Map<String, String> environment, DiscoveryClient discovery) {
     this.node = node;
     this.started = started;
@@ -47,10 +47,10 @@
       }
       node.loop().execute(() -> take(signal, config));
       return true;
-    } catch (NodeConfig.Unreadable e) {
+    } catch (NodeConfig.UnreadableConfigException e) {
       Log.warn("reload", "signal " + signal + ": " + e.getMessage() + "; it is read again");
       return false;
-    } catch (NodeConfig.Invalid | RuntimeException e) {
+    } catch (NodeConfig.InvalidConfigException | RuntimeException e) {
       Log.warn("reload", "signal " + signal + ": configuration left as it was: " + e.getMessage());
       return true;
     }
--- a/src/main/java/heathswitch/proxy/platform/ListCall.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryCall.java
@@ -36,30 +36,30 @@
  * One call to discovery on a connection of its own, a watch or the whole list once: its framing,
  * its silence and its end.
  */
-final class ListCall extends ChannelInboundHandlerAdapter {
+final class DiscoveryCall extends ChannelInboundHandlerAdapter {
   /** Whom a call tells what becomes of it, on the loop. */
   interface Listener {
     /** When a call is given up, as the settings have it now. */
-    ListClock clock();
+    DiscoveryTimeouts clock();
 
     /** The revision of the list that is known. */
     long revision();
 
     /** The call has brought its first whole line. */
-    void spoke(ListCall call);
+    void spoke(DiscoveryCall call);
 
     /** The list, or what has changed of it. */
-    void news(ListCall call, DiscoveryList list);
+    void news(DiscoveryCall call, DiscoveryList list);
 
     /** Nothing has changed since the line before. */
-    void confirmed(ListCall call);
+    void confirmed(DiscoveryCall call);
 
     /**
      * The call has ended and will tell nothing more.
      *
      * @param how what its end shows of discovery
      */
-    void ended(ListCall call, String why, ListForm how);
+    void ended(DiscoveryCall call, String why, ListForm how);
   }
 
   private static final int MOST_LINE_BYTES = 4 << 20;
@@ -75,10 +75,10 @@
 
   private final InetSocketAddress to;
   private final EventLoop loop;
-  private final CallLog log;
-  private final CallLog.Entry entry;
+  private final DiscoveryCallLog log;
+  private final DiscoveryCallLog.Entry entry;
   private final Listener listener;
-  private final ListFramer framer = new ListFramer(MOST_LINE_BYTES);
+  private final JsonFramer framer = new JsonFramer(MOST_LINE_BYTES);
   private Channel channel;
   private Future<?> silence;
   private boolean connected;
@@ -89,13 +89,13 @@
   /** The newest revision that this call has brought: an older one may not undo what it told. */
   private long spokenRevision;
 
-  private ListCall(
+  private DiscoveryCall(
       String uri,
       boolean stream,
       InetSocketAddress to,
       String cause,
       EventLoop loop,
-      CallLog log,
+      DiscoveryCallLog log,
       Listener listener) {
     this.uri = uri;
     this.stream = stream;
@@ -112,21 +112,22 @@
    *
    * @param cause why it is made, for the log
    */
-  static ListCall watch(
-      InetSocketAddress to, String cause, EventLoop loop, CallLog log, Listener listener) {
+  static DiscoveryCall watch(
+      InetSocketAddress to, String cause, EventLoop loop, DiscoveryCallLog log, Listener listener) {
     String index = listener.revision() >= 0 ? "&index=" + listener.revision() : "";
-    return new ListCall("/discovery/hosts?stream=1" + index, true, to, cause, loop, log, listener);
+    return new DiscoveryCall(
+        "/discovery/hosts?stream=1" + index, true, to, cause, loop, log, listener);
   }
 
   /** The whole list, once. */
-  static ListCall fetch(
-      InetSocketAddress to, String cause, EventLoop loop, CallLog log, Listener listener) {
-    return new ListCall("/discovery/hosts", false, to, cause, loop, log, listener);
+  static DiscoveryCall fetch(
+      InetSocketAddress to, String cause, EventLoop loop, DiscoveryCallLog log, Listener listener) {
+    return new DiscoveryCall("/discovery/hosts", false, to, cause, loop, log, listener);
   }
 
   /** Connects and asks. */
   void open(Bootstrap bootstrap) {
-    ListCall call = this;
+    DiscoveryCall call = this;
     ChannelFuture connecting =
         bootstrap
             .clone()
--- a/src/main/java/heathswitch/proxy/platform/CallLog.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryCallLog.java
@@ -8,7 +8,7 @@
  * was out and how old the list is by then. Calls that fail in a row are counted, and the count is
  * written when one is answered, as the limit on lines would swallow most of them. On the loop.
  */
-final class CallLog {
+final class DiscoveryCallLog {
   private static final String KIND = "discovery call";
   private static final long NANOS_A_MILLI = 1_000_000;
 
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -21,7 +21,7 @@
  * Asks discovery for the list and for its changes, when the module wants it. Where lists are pushed
  * nobody asks, so the watch is kept up here.
  */
-final class DiscoveryClient implements MemberSource, Dispatcher.Discovery, ListCall.Listener {
+final class DiscoveryClient implements MemberSource, Dispatcher.Discovery, DiscoveryCall.Listener {
   /** A process that follows another is to serve within 6 s; most of them are kept in hand. */
   private static final long FIRST_NEWS_MILLIS = 2500;
 
@@ -29,7 +29,7 @@
 
   private final EventLoop loop;
   private InetSocketAddress address;
-  private ListClock clock;
+  private DiscoveryTimeouts clock;
   private final boolean keepWatch;
   private final Map<String, Object> known;
   private final Bootstrap bootstrap;
@@ -37,19 +37,19 @@
   private long revision = -1;
 
   /** The watch that has spoken; it is heard until a newer one has. */
-  private ListCall watch;
+  private DiscoveryCall watch;
 
   /** The call for a watch that has not spoken yet: one at a time. */
-  private ListCall pending;
+  private DiscoveryCall pending;
 
-  private ListCall fetch;
+  private DiscoveryCall fetch;
   private boolean stopped;
 
   /** Opened with the first news, for a process that follows another. */
   private final CountDownLatch firstNews = new CountDownLatch(1);
 
   private boolean atOnce;
-  private final CallLog calls = new CallLog();
+  private final DiscoveryCallLog calls = new DiscoveryCallLog();
 
   /**
    * Asks at an address.
@@ -58,7 +58,10 @@
    * @param known the list as this balancer last had it, in discovery's form
    */
   public DiscoveryClient(
-      EventLoop loop, InetSocketAddress address, ListClock clock, Map<String, Object> known) {
+      EventLoop loop,
+      InetSocketAddress address,
+      DiscoveryTimeouts clock,
+      Map<String, Object> known) {
     this.loop = loop;
     this.address = address;
     this.clock = clock;
@@ -101,7 +104,7 @@
       Log.warn("known list", "left out: " + e.getMessage());
     }
     dispatcher.start(this, entries);
-    dispatcher.limitListAge(MILLISECONDS.toNanos(ListClock.TOLD_MILLIS));
+    dispatcher.limitListAge(MILLISECONDS.toNanos(DiscoveryTimeouts.TOLD_MILLIS));
     if (keepWatch || atOnce) {
       watch(true);
     }
@@ -122,7 +125,7 @@
 
   /** Other settings; whether lists are pushed or asked for stays as it was at the start. */
   void reload(Settings settings) {
-    clock = new ListClock(clock.pushed(), ListClock.of(settings).graceMillis());
+    clock = new DiscoveryTimeouts(clock.pushed(), DiscoveryTimeouts.of(settings).graceMillis());
   }
 
   /**
@@ -147,7 +150,7 @@
   }
 
   @Override
-  public ListClock clock() {
+  public DiscoveryTimeouts clock() {
     return clock;
   }
 
@@ -157,7 +160,7 @@
   }
 
   @Override
-  public void spoke(ListCall call) {
+  public void spoke(DiscoveryCall call) {
     if (call == pending) {
       pending = null;
       close(watch, "a newer one has spoken");
@@ -183,25 +186,25 @@
       return;
     }
     String cause = keepWatch ? "kept up" : "asked";
-    pending = ListCall.watch(address, cause, loop, calls, this);
+    pending = DiscoveryCall.watch(address, cause, loop, calls, this);
     pending.open(bootstrap);
   }
 
   @Override
   public void fetch() {
     close(fetch, "another call is made");
-    fetch = ListCall.fetch(address, "asked", loop, calls, this);
+    fetch = DiscoveryCall.fetch(address, "asked", loop, calls, this);
     fetch.open(bootstrap);
   }
 
-  private static void close(ListCall call, String why) {
+  private static void close(DiscoveryCall call, String why) {
     if (call != null) {
       call.giveUp(why);
     }
   }
 
   @Override
-  public void ended(ListCall call, String why, ListForm how) {
+  public void ended(DiscoveryCall call, String why, ListForm how) {
     if (stopped || (call != watch && call != pending && call != fetch)) {
       return;
     }
@@ -236,7 +239,7 @@
   }
 
   @Override
-  public void news(ListCall call, DiscoveryList list) {
+  public void news(DiscoveryCall call, DiscoveryList list) {
     if (call == fetch) {
       fetch = null;
     }
@@ -249,7 +252,7 @@
   }
 
   /** Changes that an address tells which is no longer asked answer no call. */
-  private ListForm form(ListCall call, DiscoveryList list) {
+  private ListForm form(DiscoveryCall call, DiscoveryList list) {
     if (list.whole()) {
       return ListForm.WHOLE;
     }
@@ -258,7 +261,7 @@
 
   /** What an address that is no longer asked says does not confirm the list. */
   @Override
-  public void confirmed(ListCall call) {
+  public void confirmed(DiscoveryCall call) {
     if (call.uses(address)) {
       dispatcher.onListConfirmed();
     }
--- a/src/main/java/heathswitch/proxy/platform/ListClock.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryTimeouts.java
@@ -12,7 +12,7 @@
  *     balancers ask one service, which works through calls in turn
  * @param graceMillis for which an upstream may still be sent to after it was told to drain
  */
-record ListClock(boolean pushed, long graceMillis) {
+record DiscoveryTimeouts(boolean pushed, long graceMillis) {
   static final long TOLD_MILLIS = 6000;
 
   /** An empty line comes at least so often while nothing changes. */
@@ -33,9 +33,9 @@
 
   private static final long NANOS_A_MILLI = 1_000_000;
 
-  static ListClock of(Settings settings) {
+  static DiscoveryTimeouts of(Settings settings) {
     long grace = settings.obligations().stopSendingWithinNanos() / NANOS_A_MILLI;
-    return new ListClock(!settings.mustAsk(), grace);
+    return new DiscoveryTimeouts(!settings.mustAsk(), grace);
   }
 
   /** From one whole line of a watch to the next. */
--- a/src/main/java/heathswitch/proxy/platform/ListFramer.java
+++ b/src/main/java/heathswitch/proxy/platform/JsonFramer.java
@@ -8,14 +8,14 @@
  * Finds where one list ends and the next begins in what a watch brings: lists are JSON objects,
  * each closed by the end of a line, and may be indented over several lines.
  */
-final class ListFramer {
+final class JsonFramer {
   private final int mostBytes;
   private final ByteArrayOutputStream text = new ByteArrayOutputStream();
   private int depth;
   private boolean inString;
   private boolean escaped;
 
-  ListFramer(int mostBytes) {
+  JsonFramer(int mostBytes) {
     this.mostBytes = mostBytes;
   }
 
--- a/src/main/java/heathswitch/proxy/platform/NodeConfig.java
+++ b/src/main/java/heathswitch/proxy/platform/NodeConfig.java
@@ -39,19 +39,19 @@
   private static final long START_WAIT_NANOS = 50_000_000L;
 
   /** A configuration that cannot be used; the message names the field. */
-  public static class Invalid extends Exception {
+  public static class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String message) {
+    InvalidConfigException(String message) {
       super(message);
     }
   }
 
   /** A file that could not be read, which may go better in a moment. */
-  public static final class Unreadable extends Invalid {
+  public static final class UnreadableConfigException extends InvalidConfigException {
     private static final long serialVersionUID = 1L;
 
-    Unreadable(String message) {
+    UnreadableConfigException(String message) {
       super(message);
     }
   }
@@ -71,11 +71,12 @@
    * Reads the file for a process that starts: one that is there and cannot be read for a moment is
    * read again for a while, as there is nothing to go on with without it.
    */
-  public static NodeConfig loadAtStart(Map<String, String> environment) throws Invalid {
+  public static NodeConfig loadAtStartup(Map<String, String> environment)
+      throws InvalidConfigException {
     for (int i = 1; ; i++) {
       try {
         return load(environment);
-      } catch (Unreadable e) {
+      } catch (UnreadableConfigException e) {
         if (i == MOST_START_TRIES || Files.notExists(Path.of(environment.get("EDGE_CONFIG")))) {
           throw e;
         }
@@ -86,43 +87,43 @@
   }
 
   /** Reads the file that {@code EDGE_CONFIG} names. */
-  public static NodeConfig load(Map<String, String> environment) throws Invalid {
+  public static NodeConfig load(Map<String, String> environment) throws InvalidConfigException {
     String path = environment.get("EDGE_CONFIG");
     if (path == null || path.isEmpty()) {
-      throw new Invalid("EDGE_CONFIG is not set");
+      throw new InvalidConfigException("EDGE_CONFIG is not set");
     }
     String text;
     try {
       text = Files.readString(Path.of(path));
     } catch (CharacterCodingException | RuntimeException e) {
-      throw new Invalid("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
+      throw new InvalidConfigException("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
     } catch (IOException e) {
-      throw new Unreadable("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
+      throw new UnreadableConfigException("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
     }
     Map<String, Object> json;
     try {
       json = JSON.std.mapFrom(text);
     } catch (IOException | RuntimeException e) {
-      throw new Invalid("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
+      throw new InvalidConfigException("EDGE_CONFIG: cannot read " + path + ": " + firstLine(e));
     }
-    return of(json, environment);
+    return parse(json, environment);
   }
 
   /** Reads what {@link #load} found in the file; the environment may name the second address. */
-  public static NodeConfig of(Map<String, Object> json, Map<String, String> environment)
-      throws Invalid {
+  public static NodeConfig parse(Map<String, Object> json, Map<String, String> environment)
+      throws InvalidConfigException {
     if (json == null) {
-      throw new Invalid("EDGE_CONFIG: an object expected");
+      throw new InvalidConfigException("EDGE_CONFIG: an object expected");
     }
     Object name = json.get("name");
     if (!(name instanceof String) || ((String) name).isEmpty()) {
-      throw new Invalid("name: text expected");
+      throw new InvalidConfigException("name: text expected");
     }
     Settings settings;
     try {
       settings = SettingsReader.read(map(json, "settings"));
     } catch (RuntimeException e) {
-      throw new Invalid("settings: " + firstLine(e));
+      throw new InvalidConfigException("settings: " + firstLine(e));
     }
     Object known = json.get("known");
     return new NodeConfig(
@@ -137,27 +138,29 @@
   }
 
   /** That of the environment is of this very process, should the two differ. */
-  private static InetSocketAddress console(Map<String, Object> json, String named) throws Invalid {
+  private static InetSocketAddress console(Map<String, Object> json, String named)
+      throws InvalidConfigException {
     if (named != null && !named.isEmpty()) {
       InetSocketAddress address = Addresses.parse(named);
       if (address == null) {
-        throw new Invalid("EDGE_CONSOLE: ADDRESS:PORT expected, not " + named);
+        throw new InvalidConfigException("EDGE_CONSOLE: ADDRESS:PORT expected, not " + named);
       }
       return address;
     }
     return json.get("console") == null ? null : address(json, "console");
   }
 
-  private static InetSocketAddress address(Map<String, Object> json, String field) throws Invalid {
+  private static InetSocketAddress address(Map<String, Object> json, String field)
+      throws InvalidConfigException {
     InetSocketAddress address =
         json.get(field) instanceof String text ? Addresses.parse(text) : null;
     if (address == null) {
-      throw new Invalid(field + ": ADDRESS:PORT expected, not " + json.get(field));
+      throw new InvalidConfigException(field + ": ADDRESS:PORT expected, not " + json.get(field));
     }
     return address;
   }
 
-  private static long seed(Object seed) throws Invalid {
+  private static long seed(Object seed) throws InvalidConfigException {
     if (seed instanceof Number number) {
       return number.longValue();
     }
@@ -165,27 +168,28 @@
       try {
         return Long.parseUnsignedLong(text, 16);
       } catch (NumberFormatException e) {
-        throw new Invalid("seed: 16 hexadecimal digits expected, not " + text);
+        throw new InvalidConfigException("seed: 16 hexadecimal digits expected, not " + text);
       }
     }
-    throw new Invalid("seed: missing");
+    throw new InvalidConfigException("seed: missing");
   }
 
-  private static int sockets(Object limits) throws Invalid {
+  private static int sockets(Object limits) throws InvalidConfigException {
     Object sockets = limits instanceof Map<?, ?> map ? map.get("sockets") : null;
     if (!(sockets instanceof Number number) || number.longValue() < LEAST_SOCKETS) {
-      throw new Invalid(
+      throw new InvalidConfigException(
           "limits.sockets: a number of at least " + LEAST_SOCKETS + " expected, not " + sockets);
     }
     return (int) Math.min(Integer.MAX_VALUE, number.longValue());
   }
 
   @SuppressWarnings("unchecked")
-  private static Map<String, Object> map(Map<String, Object> json, String field) throws Invalid {
+  private static Map<String, Object> map(Map<String, Object> json, String field)
+      throws InvalidConfigException {
     if (json.get(field) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new Invalid(field + ": an object expected");
+    throw new InvalidConfigException(field + ": an object expected");
   }
 
   private static String firstLine(Exception e) {
--- a/src/main/java/heathswitch/proxy/platform/PlatformNode.java
+++ b/src/main/java/heathswitch/proxy/platform/PlatformNode.java
@@ -14,7 +14,7 @@
 
   private final NodeConfig config;
   private final Node node;
-  private final Reload reload;
+  private final ConfigReload reload;
   private final Operations operations;
   private DiscoveryClient discovery;
 
@@ -24,12 +24,12 @@
         new Node(
             config.node(),
             loop -> {
-              ListClock clock = ListClock.of(config.settings());
+              DiscoveryTimeouts clock = DiscoveryTimeouts.of(config.settings());
               discovery = new DiscoveryClient(loop, config.discovery(), clock, config.known());
               return discovery;
             },
             WATCH_NANOS);
-    reload = new Reload(node, config, environment, discovery);
+    reload = new ConfigReload(node, config, environment, discovery);
     operations = config.console() == null ? null : new Operations(node, folder(environment));
   }
 
@@ -57,7 +57,7 @@
     return node;
   }
 
-  public Reload reload() {
+  public ConfigReload reload() {
     return reload;
   }
 
--- a/src/test/java/heathswitch/proxy/platform/Fixture.java
+++ b/src/test/java/heathswitch/proxy/platform/BalancerFixture.java
@@ -12,7 +12,7 @@
 import testing.Await;
 
 /** A node in this process, on a free port, with upstreams that it knows from the start. */
-final class Fixture implements AutoCloseable {
+final class BalancerFixture implements AutoCloseable {
   static final long MS = 1_000_000L;
 
   private final Map<String, Object> limits = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
   private PlatformNode balancer;
   private Node node;
 
-  Fixture() {
+  BalancerFixture() {
     classes("view", "read_like", "keyed", "idempotency_key", "publish", "non_idempotent");
     limits.put("most_tries", 4);
     limits.put("may_duplicate", true);
@@ -68,87 +68,87 @@
         + "\",\"size\":1.0,\"up_since_ms\":0}";
   }
 
-  Fixture upstream(Peer... peers) {
-    for (Peer peer : peers) {
+  BalancerFixture upstream(StubServer... peers) {
+    for (StubServer peer : peers) {
       address(peer.address());
     }
     return this;
   }
 
-  Fixture address(String address) {
+  BalancerFixture address(String address) {
     members.add(member("s-" + members.size(), address, "in_service", 0));
     return this;
   }
 
-  Fixture mustAskWithin(long millis) {
+  BalancerFixture mustAskWithin(long millis) {
     mustAskNanos = millis * MS;
     return this;
   }
 
-  Fixture grace(long millis) {
+  BalancerFixture grace(long millis) {
     graceNanos = millis * MS;
     return this;
   }
 
-  Fixture limit(String name, Object value) {
+  BalancerFixture limit(String name, Object value) {
     limits.put(name, value);
     return this;
   }
 
-  Fixture sockets(long count) {
+  BalancerFixture sockets(long count) {
     sockets = count;
     return this;
   }
 
   /** The deadline of every class. */
-  Fixture longest(long millis) {
+  BalancerFixture longest(long millis) {
     longestNanos = millis * MS;
     return this;
   }
 
   /** Behind another tier: what has no room waits for a while. */
-  Fixture tier(int number) {
+  BalancerFixture tier(int number) {
     tier = number;
     return this;
   }
 
-  Fixture asking(Peer peer) {
+  BalancerFixture asking(StubServer peer) {
     discovery = peer.address();
     ask = true;
     return this;
   }
 
-  Fixture pushed(Peer peer) {
+  BalancerFixture pushed(StubServer peer) {
     return pushedAt(peer.address());
   }
 
-  Fixture pushedAt(String address) {
+  BalancerFixture pushedAt(String address) {
     discovery = address;
     return this;
   }
 
   /** With a second address, and a folder that it shares with the other processes of a balancer. */
-  Fixture console(Path folder) {
+  BalancerFixture console(Path folder) {
     console = true;
     environment = Map.of("TMPDIR", folder.toString());
     return this;
   }
 
   /** Where another one listens already. */
-  Fixture beside(Fixture other) {
+  BalancerFixture beside(BalancerFixture other) {
     listen = "127.0.0.1:" + other.address().getPort();
     return this;
   }
 
   /** Writes the configuration to the file from which a reload reads it again. */
-  Fixture file(Path path) throws Exception {
+  BalancerFixture file(Path path) throws Exception {
     Files.writeString(path, JSON.std.asString(config()));
     environment = Map.of("EDGE_CONFIG", path.toString());
     return this;
   }
 
   /** Classes of these names and effects in place of the usual three. */
-  Fixture classes(String... namesAndEffects) {
+  BalancerFixture classes(String... namesAndEffects) {
     classes.clear();
     for (int i = 0; i < namesAndEffects.length; i += 2) {
       classes.put(namesAndEffects[i], namesAndEffects[i + 1]);
@@ -208,15 +208,15 @@
     return config;
   }
 
-  Fixture start() throws Exception {
+  BalancerFixture start() throws Exception {
     build();
     balancer.start();
     return this;
   }
 
   /** Puts the balancer together and leaves it unstarted. */
-  Fixture build() throws Exception {
-    NodeConfig config = NodeConfig.of(config(), environment);
+  BalancerFixture build() throws Exception {
+    NodeConfig config = NodeConfig.parse(config(), environment);
     balancer = new PlatformNode(config, environment);
     node = balancer.node();
     return this;
@@ -226,7 +226,7 @@
     return balancer;
   }
 
-  Reload reload() {
+  ConfigReload reload() {
     return balancer.reload();
   }
 
@@ -239,8 +239,8 @@
   }
 
   /** Stops the loop until what is returned is closed: what comes meanwhile comes in one turn. */
-  LoopGate holdLoop() throws InterruptedException {
-    return new LoopGate(node.loop());
+  EventLoopBlocker holdLoop() throws InterruptedException {
+    return new EventLoopBlocker(node.loop());
   }
 
   /** Returns once so many requests wait for their answer. */
@@ -267,7 +267,7 @@
 
   /** One call to the second address: the status. */
   int call(String method, String path) throws Exception {
-    try (Client client = new Client(balancer.operations().address())) {
+    try (TestClient client = new TestClient(balancer.operations().address())) {
       return client.call(method + " " + path + " HTTP/1.1\r\nHost: console\r\n\r\n").status();
     }
   }
@@ -276,8 +276,8 @@
     return balancer.operations().address();
   }
 
-  Client client() throws Exception {
-    return new Client(node.address());
+  TestClient client() throws Exception {
+    return new TestClient(node.address());
   }
 
   @Override
--- a/src/test/java/heathswitch/proxy/platform/RehearsalTest.java
+++ b/src/test/java/heathswitch/proxy/platform/CdsTrainingRunTest.java
@@ -7,9 +7,9 @@
 
 /** A rehearsal that fails would fail the build, with no word of which exchange it was. */
 @Timeout(60)
-class RehearsalTest {
+class CdsTrainingRunTest {
   @Test
   void playsItsExchangesToTheEnd() {
-    assertDoesNotThrow(Rehearsal::play);
+    assertDoesNotThrow(CdsTrainingRun::run);
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/ClientGoneTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ClientDisconnectTest.java
@@ -19,7 +19,7 @@
  * another client: what an upstream has got by then is all that it will get.
  */
 @Timeout(60)
-class ClientGoneTest {
+class ClientDisconnectTest {
   private static final int FLOOD = 300;
   private static final int UPLOAD_BYTES = 3 << 20;
 
@@ -27,30 +27,32 @@
   private static final int WINDOW = 32;
 
   /** The next request that the upstream gets is that of a client which came later. */
-  private static void assertNothingBefore(Fixture fixture, Peer upstream) throws Exception {
-    try (Client later = fixture.client()) {
-      later.send(Client.get("/later", "").replace("r1", "later"));
+  private static void assertNothingBefore(BalancerFixture fixture, StubServer upstream)
+      throws Exception {
+    try (TestClient later = fixture.client()) {
+      later.send(TestClient.get("/later", "").replace("r1", "later"));
       assertEquals("GET /later HTTP/1.1", upstream.request().start());
     }
   }
 
-  private final HeldCalls held = new HeldCalls();
+  private final PendingCalls held = new PendingCalls();
 
   /** So many calls that are out at once, each from a client of its own. */
-  private List<Client> callsOut(Fixture fixture, Peer upstream, int count) throws Exception {
-    List<Client> clients = new ArrayList<>();
+  private List<TestClient> callsOut(BalancerFixture fixture, StubServer upstream, int count)
+      throws Exception {
+    List<TestClient> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Client client = fixture.client();
+      TestClient client = fixture.client();
       clients.add(client);
-      client.send(Client.get("/warm", "").replace("r1", "warm" + i));
+      client.send(TestClient.get("/warm", "").replace("r1", "warm" + i));
       upstream.request();
     }
     return clients;
   }
 
   /** So that a retry needs no new connection, which would give the close time to be seen. */
-  private void keepTwoConnections(Fixture fixture, Peer upstream) throws Exception {
-    for (Client warm : callsOut(fixture, upstream, 2)) {
+  private void keepTwoConnections(BalancerFixture fixture, StubServer upstream) throws Exception {
+    for (TestClient warm : callsOut(fixture, upstream, 2)) {
       held.next().answer(200, "", "ok");
       warm.read();
       warm.close();
@@ -59,14 +61,14 @@
 
   @Test
   void aRetryIsNotSent() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
       keepTwoConnections(fixture, upstream);
-      client.send(Client.get("/api/x", ""));
+      client.send(TestClient.get("/api/x", ""));
       upstream.request();
-      Peer.Connection attempt = held.next();
-      try (LoopGate gate = fixture.holdLoop()) {
+      StubServer.Connection attempt = held.next();
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
         attempt.answer(500, "", "an error"); // The loop finds this first,
         client.close(); // and only then that there is nobody to try again for.
       }
@@ -76,19 +78,19 @@
 
   @Test
   void aRequestThatWaitsForRoomIsNotSent() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().tier(1).upstream(upstream).start();
-        Client client = fixture.client()) {
-      List<Client> full = callsOut(fixture, upstream, WINDOW);
-      client.send(Client.get("/api/x", ""));
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().tier(1).upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      List<TestClient> full = callsOut(fixture, upstream, WINDOW);
+      client.send(TestClient.get("/api/x", ""));
       fixture.awaitLive(WINDOW + 1);
-      Peer.Connection room = held.next();
-      try (LoopGate gate = fixture.holdLoop()) {
+      StubServer.Connection room = held.next();
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
         room.answer(200, "", "ok");
         client.close();
       }
       assertNothingBefore(fixture, upstream);
-      for (Client each : full) {
+      for (TestClient each : full) {
         each.close();
       }
     }
@@ -96,15 +98,15 @@
 
   @Test
   void aRetryBehindAFloodIsNotSent() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
       keepTwoConnections(fixture, upstream);
-      client.send(Client.get("/api/x", ""));
+      client.send(TestClient.get("/api/x", ""));
       upstream.request();
       StringBuilder flood = new StringBuilder();
       for (int i = 0; i < FLOOD; i++) {
-        flood.append(Client.get("/api/x", "").replace("r1", "flood" + i));
+        flood.append(TestClient.get("/api/x", "").replace("r1", "flood" + i));
       }
       client.send(flood.toString());
       client.close();
@@ -118,17 +120,17 @@
   void aLongBodyWhoseClientLeftIsNotEnded() throws Exception {
     CountDownLatch left = new CountDownLatch(1);
     BlockingQueue<Integer> got = new LinkedBlockingQueue<>();
-    Peer.Script takesItLate =
+    StubServer.Script takesItLate =
         connection -> {
-          Http.Message head = Http.readHead(connection.in());
+          RawHttp.Message head = RawHttp.readHead(connection.in());
           assertNotNull(head);
           left.await();
           got.add(connection.in().readNBytes(UPLOAD_BYTES).length);
         };
-    try (Peer upstream = new Peer(takesItLate);
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.post("publish", "", "x".repeat(UPLOAD_BYTES)));
+    try (StubServer upstream = new StubServer(takesItLate);
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.post("publish", "", "x".repeat(UPLOAD_BYTES)));
       client.close();
       left.countDown();
       Integer bytes = got.poll(30, TimeUnit.SECONDS);
@@ -140,10 +142,11 @@
   /** What has begun is called off at once, and leaves nothing behind. */
   @Test
   void whatIsOutIsCalledOff() throws Exception {
-    try (Peer upstream = Peer.replying((connection, request) -> connection.in().read());
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.post("publish", "", "x"));
+    try (StubServer upstream =
+            StubServer.replying((connection, request) -> connection.in().read());
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.post("publish", "", "x"));
       upstream.request();
       client.close();
       assertNotNull(upstream.ended.poll(30, TimeUnit.SECONDS), "its connection is closed");
--- a/src/test/java/heathswitch/proxy/platform/ReloadTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryReloadTest.java
@@ -17,74 +17,76 @@
 
 /** SIGHUP moves the balancer to another discovery, and a file that is no good changes nothing. */
 @Timeout(60)
-class ReloadTest {
+class DiscoveryReloadTest {
   @TempDir Path folder;
 
-  private static Peer discovery(BlockingQueue<Peer.Connection> watches) throws Exception {
-    return Peer.replying(
+  private static StubServer discovery(BlockingQueue<StubServer.Connection> watches)
+      throws Exception {
+    return StubServer.replying(
         (connection, request) -> {
           connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           watches.add(connection);
         });
   }
 
-  private static void line(Peer.Connection watch, String text) throws Exception {
+  private static void line(StubServer.Connection watch, String text) throws Exception {
     watch.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
   }
 
-  private static String text(Client client) {
+  private static String text(TestClient client) {
     try {
-      return client.call(Client.get("/api/x", "")).text();
+      return client.call(TestClient.get("/api/x", "")).text();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private static String json(Peer third) {
-    return Fixture.json("s-3", third.address(), "in_service");
+  private static String json(StubServer third) {
+    return BalancerFixture.json("s-3", third.address(), "in_service");
   }
 
   @Test
   void listensToTheNewDiscoveryAndThenLeavesTheOld() throws Exception {
-    BlockingQueue<Peer.Connection> oldWatches = new LinkedBlockingQueue<>();
-    BlockingQueue<Peer.Connection> newWatches = new LinkedBlockingQueue<>();
+    BlockingQueue<StubServer.Connection> oldWatches = new LinkedBlockingQueue<>();
+    BlockingQueue<StubServer.Connection> newWatches = new LinkedBlockingQueue<>();
     Path file = folder.resolve("config.json");
-    try (Peer before = discovery(oldWatches);
-        Peer after = discovery(newWatches);
-        Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Peer third = Peer.serving("third");
-        Fixture fixture = new Fixture().upstream(first).pushed(before).file(file).start();
-        Client client = fixture.client()) {
-      Peer.Connection old = oldWatches.poll(30, TimeUnit.SECONDS);
+    try (StubServer before = discovery(oldWatches);
+        StubServer after = discovery(newWatches);
+        StubServer first = StubServer.serving("first");
+        StubServer second = StubServer.serving("second");
+        StubServer third = StubServer.serving("third");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(first).pushed(before).file(file).start();
+        TestClient client = fixture.client()) {
+      StubServer.Connection old = oldWatches.poll(30, TimeUnit.SECONDS);
       line(old, "");
       Files.writeString(file, "{ no configuration");
       fixture.reload().reload();
-      assertEquals("first", client.call(Client.get("/api/x", "")).text());
+      assertEquals("first", client.call(TestClient.get("/api/x", "")).text());
 
       fixture.pushed(after).file(file);
       fixture.reload().reload();
-      Peer.Connection watch = newWatches.poll(30, TimeUnit.SECONDS);
+      StubServer.Connection watch = newWatches.poll(30, TimeUnit.SECONDS);
       assertEquals("GET /discovery/hosts?stream=1 HTTP/1.1", after.request().start());
-      String member = Fixture.json("s-9", second.address(), "in_service");
+      String member = BalancerFixture.json("s-9", second.address(), "in_service");
       line(watch, ""); // Asked for the whole list, it has told nothing yet.
       line(old, "{\"revision\":1000,\"complete\":false,\"members\":[" + json(third) + "]}");
       Await.until("the old watch is heard", () -> "third".equals(text(client)));
       line(watch, "{\"revision\":1,\"complete\":true,\"members\":[" + member + "]}");
       assertTrue(before.ended.poll(30, TimeUnit.SECONDS) != null, "the old watch ends");
-      assertEquals("second", client.call(Client.get("/api/x", "")).text());
+      assertEquals("second", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   /** The watch at the address to which it comes back has been silent: it has confirmed nothing. */
   @Test
   void aMoveAwayAndBackConfirmsNothing() throws Exception {
-    BlockingQueue<Peer.Connection> watches = new LinkedBlockingQueue<>();
+    BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
     Path file = folder.resolve("config.json");
-    try (Peer discovery = discovery(watches);
-        Peer server = Peer.serving("served");
-        Fixture fixture =
-            new Fixture()
+    try (StubServer discovery = discovery(watches);
+        StubServer server = StubServer.serving("served");
+        BalancerFixture fixture =
+            new BalancerFixture()
                 .upstream(server)
                 .asking(discovery)
                 .mustAskWithin(10_000)
@@ -98,8 +100,8 @@
       fixture.reload().reload();
       // Past 4 s and the grace after the move, and before 6 s and the grace after the way back.
       Thread.sleep(6200);
-      try (Client client = fixture.client()) {
-        assertEquals(503, client.call(Client.get("/api/x", "")).status());
+      try (TestClient client = fixture.client()) {
+        assertEquals(503, client.call(TestClient.get("/api/x", "")).status());
       }
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
@@ -25,24 +25,24 @@
 
   private static final int BEATS = 8;
 
-  private final BlockingQueue<Peer.Connection> watches = new LinkedBlockingQueue<>();
+  private final BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
 
-  private Peer discovery() throws Exception {
-    return Peer.replying((connection, request) -> watches.add(connection));
+  private StubServer discovery() throws Exception {
+    return StubServer.replying((connection, request) -> watches.add(connection));
   }
 
-  private Peer.Connection nextWatch() throws Exception {
-    Peer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
+  private StubServer.Connection nextWatch() throws Exception {
+    StubServer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
     assertNotNull(watch, "no watch was opened");
     return watch;
   }
 
-  private Peer.Connection open(Peer.Connection watch) throws Exception {
+  private StubServer.Connection open(StubServer.Connection watch) throws Exception {
     watch.send(CHUNKED);
     return watch;
   }
 
-  private static void chunk(Peer.Connection watch, String text) throws Exception {
+  private static void chunk(StubServer.Connection watch, String text) throws Exception {
     watch.send(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
@@ -56,22 +56,22 @@
         + "]}\n";
   }
 
-  private static String ready(Peer upstream, String id) {
-    return Fixture.json(id, upstream.address(), "in_service");
+  private static String ready(StubServer upstream, String id) {
+    return BalancerFixture.json(id, upstream.address(), "in_service");
   }
 
-  private static void assertServedBy(Fixture fixture, String name) throws Exception {
-    try (Client client = fixture.client()) {
-      assertEquals(name, client.call(Client.get("/api/x", "")).text());
+  private static void assertServedBy(BalancerFixture fixture, String name) throws Exception {
+    try (TestClient client = fixture.client()) {
+      assertEquals(name, client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void oneThatNeverSpeaksIsReplaced(boolean pushed) throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = fixture(discovery, pushed).start()) {
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.serving("found");
+        BalancerFixture fixture = fixture(discovery, pushed).start()) {
       open(nextWatch());
       chunk(open(nextWatch()), list(50, true, ready(upstream, "s-9")));
       awaitServed(fixture);
@@ -82,10 +82,10 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void oneThatFallsSilentAfterAWhileIsReplacedInTime(boolean pushed) throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = fixture(discovery, pushed).start()) {
-      Peer.Connection silent = open(nextWatch());
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.serving("found");
+        BalancerFixture fixture = fixture(discovery, pushed).start()) {
+      StubServer.Connection silent = open(nextWatch());
       chunk(silent, list(50, true));
       for (int i = 0; i < BEATS; i++) {
         Thread.sleep(BEAT_MILLIS);
@@ -96,20 +96,22 @@
       chunk(open(nextWatch()), list(51, true, ready(upstream, "s-9")));
       awaitServed(fixture);
       long tookMillis = (System.nanoTime() - since) / 1_000_000;
-      assertTrue(tookMillis < ListClock.TOLD_MILLIS, "told after " + tookMillis + " ms");
+      assertTrue(tookMillis < DiscoveryTimeouts.TOLD_MILLIS, "told after " + tookMillis + " ms");
     }
   }
 
-  private static Fixture fixture(Peer discovery, boolean pushed) {
-    return pushed ? new Fixture().pushed(discovery) : new Fixture().asking(discovery);
+  private static BalancerFixture fixture(StubServer discovery, boolean pushed) {
+    return pushed
+        ? new BalancerFixture().pushed(discovery)
+        : new BalancerFixture().asking(discovery);
   }
 
-  private static void awaitServed(Fixture fixture) throws Exception {
+  private static void awaitServed(BalancerFixture fixture) throws Exception {
     testing.Await.until(
         "served by the upstream of the list",
         () -> {
-          try (Client client = fixture.client()) {
-            return client.call(Client.get("/api/x", "")).status() == 200;
+          try (TestClient client = fixture.client()) {
+            return client.call(TestClient.get("/api/x", "")).status() == 200;
           } catch (Exception e) {
             throw new AssertionError(e);
           }
@@ -119,9 +121,9 @@
   /** Its bytes keep the connection alive, and tell nothing. */
   @Test
   void oneThatBringsNothingButHalfALineIsReplaced() throws Exception {
-    try (Peer discovery = discovery();
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection dripping = open(nextWatch());
+    try (StubServer discovery = discovery();
+        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
+      StubServer.Connection dripping = open(nextWatch());
       chunk(dripping, "\n");
       Thread drip =
           new Thread(
@@ -144,10 +146,10 @@
 
   @Test
   void aListMayComeIndentedAndByteByByte() throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.serving("found");
+        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
+      StubServer.Connection watch = open(nextWatch());
       String indented =
           list(50, true, ready(upstream, "s-9")).replace(",", ",\n  ").replace("{", "{\n ");
       for (char c : indented.toCharArray()) {
@@ -160,13 +162,13 @@
   /** An old answer may not undo what a newer one has told. */
   @Test
   void anOlderListAfterANewerOneIsLeftOut() throws Exception {
-    try (Peer discovery = discovery();
-        Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
+    try (StubServer discovery = discovery();
+        StubServer first = StubServer.serving("first");
+        StubServer second = StubServer.serving("second");
+        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
+      StubServer.Connection watch = open(nextWatch());
       chunk(watch, list(50, true, ready(first, "s-1"), ready(second, "s-2")));
-      chunk(watch, list(52, false, Fixture.json("s-1", first.address(), "terminating")));
+      chunk(watch, list(52, false, BalancerFixture.json("s-1", first.address(), "terminating")));
       chunk(watch, list(51, false, ready(first, "s-1")));
       chunk(watch, list(53, false)); // When this has been taken, the others have.
       awaitServed(fixture);
@@ -178,16 +180,16 @@
 
   @Test
   void whatAWholeListLeavesOutIsGoneThoughItStillAnswers() throws Exception {
-    try (Peer discovery = discovery();
-        Peer left = Peer.serving("left out");
-        Peer listed = Peer.serving("listed");
-        Fixture fixture = new Fixture().upstream(left).pushed(discovery).start()) {
+    try (StubServer discovery = discovery();
+        StubServer left = StubServer.serving("left out");
+        StubServer listed = StubServer.serving("listed");
+        BalancerFixture fixture = new BalancerFixture().upstream(left).pushed(discovery).start()) {
       assertServedBy(fixture, "left out");
-      Peer.Connection watch = open(nextWatch());
-      try (LoopGate gate = fixture.holdLoop();
-          Client client = fixture.client()) {
+      StubServer.Connection watch = open(nextWatch());
+      try (EventLoopBlocker gate = fixture.holdLoop();
+          TestClient client = fixture.client()) {
         chunk(watch, list(50, true, ready(listed, "s-9"))); // Told first, in the same turn
-        client.send(Client.get("/api/x", "")); // as the choice is made.
+        client.send(TestClient.get("/api/x", "")); // as the choice is made.
         gate.close();
         assertEquals("listed", client.read().text());
       }
@@ -196,10 +198,10 @@
 
   @Test
   void oneThatIsResetJustAfterAWholeListLeavesTheListInForce() throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.serving("found");
+        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
+      StubServer.Connection watch = open(nextWatch());
       chunk(watch, list(50, true, ready(upstream, "s-9")));
       awaitServed(fixture);
       watch.reset();
@@ -213,10 +215,10 @@
   /** In order, in the middle of a line: what had begun is not told. */
   @Test
   void oneThatEndsInsideALineIsReplacedAndTellsNothing() throws Exception {
-    try (Peer discovery = discovery();
-        Peer kept = Peer.serving("kept");
-        Fixture fixture = new Fixture().upstream(kept).pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
+    try (StubServer discovery = discovery();
+        StubServer kept = StubServer.serving("kept");
+        BalancerFixture fixture = new BalancerFixture().upstream(kept).pushed(discovery).start()) {
+      StubServer.Connection watch = open(nextWatch());
       chunk(watch, "\n");
       String line = list(50, true);
       chunk(watch, line.substring(0, line.length() - 2));
@@ -232,10 +234,11 @@
   void theClockLeavesTimeForTheNextCall(long grace) {
     long slowestCall = 3000;
     long latestRetry = 750; // Of the module, after a first failure.
-    ListClock asked = new ListClock(false, grace);
-    ListClock pushed = new ListClock(true, grace);
-    assertTrue(asked.lineMillis() > ListClock.HEARTBEAT_MILLIS);
-    assertTrue(asked.lineMillis() + latestRetry + slowestCall < ListClock.TOLD_MILLIS + grace);
+    DiscoveryTimeouts asked = new DiscoveryTimeouts(false, grace);
+    DiscoveryTimeouts pushed = new DiscoveryTimeouts(true, grace);
+    assertTrue(asked.lineMillis() > DiscoveryTimeouts.HEARTBEAT_MILLIS);
+    assertTrue(
+        asked.lineMillis() + latestRetry + slowestCall < DiscoveryTimeouts.TOLD_MILLIS + grace);
     assertTrue(asked.firstLineMillis() > slowestCall);
     assertTrue(pushed.firstLineMillis() + pushed.againMillis() < grace);
   }
--- a/src/test/java/heathswitch/proxy/platform/LoopGate.java
+++ b/src/test/java/heathswitch/proxy/platform/EventLoopBlocker.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.CountDownLatch;
 
 /** Holds an event loop still, so that a test decides what it finds when it goes on. */
-final class LoopGate implements AutoCloseable {
+final class EventLoopBlocker implements AutoCloseable {
   private final CountDownLatch open = new CountDownLatch(1);
 
-  LoopGate(EventLoop loop) throws InterruptedException {
+  EventLoopBlocker(EventLoop loop) throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
     loop.execute(
         () -> {
--- a/src/test/java/heathswitch/proxy/platform/ShutdownTest.java
+++ b/src/test/java/heathswitch/proxy/platform/GracefulShutdownTest.java
@@ -14,7 +14,7 @@
 
 /** A drain goes on serving for a while, and owes nothing when it ends. */
 @Timeout(60)
-class ShutdownTest {
+class GracefulShutdownTest {
   private static final int MOST_ATTEMPTS = 5;
   private static final long BETWEEN_MILLIS = 10;
 
@@ -23,15 +23,15 @@
 
   @Test
   void servesOpenConnectionsAndThenClosesThem() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      assertEquals(200, client.call(Client.get("/api/x", "")).status());
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
       CountDownLatch drained = fixture.node().shutdown().drain();
-      while (client.call(Client.get("/up", "")).status() != 503) {
+      while (client.call(TestClient.get("/up", "")).status() != 503) {
         Thread.onSpinWait(); // The drain begins on the loop, a moment later.
       }
-      Http.Message answer = client.call(Client.get("/api/x", ""));
+      RawHttp.Message answer = client.call(TestClient.get("/api/x", ""));
       assertEquals(200, answer.status());
       assertEquals("keep-alive", answer.headers().get("connection"));
       assertNull(client.read());
@@ -42,10 +42,10 @@
   @Test
   void failsWhatCannotBeAnsweredBeforeTheKill() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    try (Peer peer = Peer.replying((connection, request) -> never.await());
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      client.send(Client.post("publish", "X-Deadline: 19\r\n", "x"));
+    try (StubServer peer = StubServer.replying((connection, request) -> never.await());
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.post("publish", "X-Deadline: 19\r\n", "x"));
       peer.request();
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertEquals(502, client.read().status());
@@ -56,18 +56,18 @@
   /** SIGKILL comes the sooner, the shorter the deadlines: what is taken late would be lost. */
   @Test
   void endsTheSoonerTheShorterTheDeadlinesAre() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture slow = new Fixture().upstream(peer).start();
-        Fixture quick = new Fixture().upstream(peer).longest(300).start();
-        Client patient = slow.client();
-        Client brief = quick.client()) {
-      assertEquals(200, patient.call(Client.get("/api/x", "")).status());
-      assertEquals(200, brief.call(Client.get("/api/x", "")).status());
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture slow = new BalancerFixture().upstream(peer).start();
+        BalancerFixture quick = new BalancerFixture().upstream(peer).longest(300).start();
+        TestClient patient = slow.client();
+        TestClient brief = quick.client()) {
+      assertEquals(200, patient.call(TestClient.get("/api/x", "")).status());
+      assertEquals(200, brief.call(TestClient.get("/api/x", "")).status());
       CountDownLatch later = slow.node().shutdown().drain();
       CountDownLatch sooner = quick.node().shutdown().drain();
       assertTrue(sooner.await(30, TimeUnit.SECONDS));
       assertTrue(later.getCount() > 0, "begun first, and yet it takes longer");
-      assertEquals(200, patient.call(Client.get("/api/x", "")).status());
+      assertEquals(200, patient.call(TestClient.get("/api/x", "")).status());
       assertTrue(later.await(30, TimeUnit.SECONDS));
     }
   }
@@ -80,11 +80,11 @@
   @Test
   void aClientThatConnectsAtTheEndOfTheListeningIsAnswered() throws Exception {
     for (int attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
-      try (Peer peer = Peer.serving("ok");
-          Fixture fixture = new Fixture().upstream(peer).longest(300).start()) {
+      try (StubServer peer = StubServer.serving("ok");
+          BalancerFixture fixture = new BalancerFixture().upstream(peer).longest(300).start()) {
         CountDownLatch drained = fixture.node().shutdown().drain();
         try (LastClient last = LastClient.of(fixture)) {
-          Http.Message answer = last.client.call(Client.get("/api/late", ""));
+          RawHttp.Message answer = last.client.call(TestClient.get("/api/late", ""));
           if (last.ageMillis() > PROMPT_MILLIS) {
             continue; // This machine was held up, and the balancer need not have waited.
           }
@@ -100,8 +100,8 @@
   /** One that asks for nothing does not hold up the end until the kill. */
   @Test
   void aClientThatConnectsAndIsSilentDoesNotHoldUpTheEnd() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start()) {
       CountDownLatch drained = fixture.node().shutdown().drain();
       try (LastClient last = LastClient.of(fixture)) {
         assertNull(last.client.read());
@@ -111,8 +111,8 @@
   }
 
   /** The last of many clients that connect one after another until the balancer refuses them. */
-  private record LastClient(Client client, long connectedNanos) implements AutoCloseable {
-    static LastClient of(Fixture fixture) throws Exception {
+  private record LastClient(TestClient client, long connectedNanos) implements AutoCloseable {
+    static LastClient of(BalancerFixture fixture) throws Exception {
       LastClient last = null;
       while (true) {
         try {
--- a/src/test/java/heathswitch/proxy/platform/LongMessagesTest.java
+++ b/src/test/java/heathswitch/proxy/platform/LargeMessageTest.java
@@ -18,7 +18,7 @@
 
 /** Messages that are longer than is held, from peers and clients that take their time. */
 @Timeout(60)
-class LongMessagesTest {
+class LargeMessageTest {
   private static final int LONG = 3 << 20;
 
   /** How an answer says where it ends. */
@@ -36,7 +36,7 @@
           };
     }
 
-    void piece(Peer.Connection to, byte[] bytes, int from, int until) throws IOException {
+    void piece(StubServer.Connection to, byte[] bytes, int from, int until) throws IOException {
       if (this == CHUNKS) {
         to.send(Integer.toHexString(until - from) + "\r\n");
       }
@@ -44,7 +44,7 @@
       to.send(this == CHUNKS ? "\r\n" : "");
     }
 
-    void end(Peer.Connection to) throws IOException {
+    void end(StubServer.Connection to) throws IOException {
       to.send(this == CHUNKS ? "0\r\n\r\n" : "");
       if (this == CLOSE) {
         to.socket().close();
@@ -58,8 +58,9 @@
     return bytes;
   }
 
-  private static Peer answering(Framing framing, byte[] body, Pieces pieces) throws IOException {
-    return Peer.replying(
+  private static StubServer answering(Framing framing, byte[] body, Pieces pieces)
+      throws IOException {
+    return StubServer.replying(
         (connection, request) -> {
           connection.send(framing.head(body.length));
           framing.piece(connection, body, pieces.first(connection), body.length);
@@ -69,7 +70,7 @@
 
   /** Sends the first of an answer; how many bytes that were. */
   private interface Pieces {
-    int first(Peer.Connection connection) throws Exception;
+    int first(StubServer.Connection connection) throws Exception;
   }
 
   /** The first of it is with the client before the upstream has sent the last. */
@@ -78,7 +79,7 @@
   void aLongAnswerGoesOnAsItComes(Framing framing) throws Exception {
     byte[] body = body(LONG);
     CountDownLatch begun = new CountDownLatch(1);
-    try (Peer peer =
+    try (StubServer peer =
             answering(
                 framing,
                 body,
@@ -87,14 +88,14 @@
                   begun.await();
                   return 200_000;
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Http.Message head = Http.readHead(client.in);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      RawHttp.Message head = RawHttp.readHead(client.in);
       assertEquals(200, head.status());
       begun.countDown();
-      assertArrayEquals(body, Http.body(client.in, head));
-      assertEquals(200, client.call(Client.get("/up", "")).status());
+      assertArrayEquals(body, RawHttp.body(client.in, head));
+      assertEquals(200, client.call(TestClient.get("/up", "")).status());
     }
   }
 
@@ -104,7 +105,7 @@
   void aSlowAnswerGoesOnToo(Framing framing) throws Exception {
     byte[] body = body(40);
     CountDownLatch begun = new CountDownLatch(1);
-    try (Peer peer =
+    try (StubServer peer =
             answering(
                 framing,
                 body,
@@ -117,43 +118,43 @@
                   begun.await();
                   return sent;
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Http.Message head = Http.readHead(client.in);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      RawHttp.Message head = RawHttp.readHead(client.in);
       assertEquals(200, head.status());
       begun.countDown();
-      assertArrayEquals(body, Http.body(client.in, head));
+      assertArrayEquals(body, RawHttp.body(client.in, head));
     }
   }
 
   @Test
   void aShortAnswerThatEndsWithItsConnectionIsServed() throws Exception {
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   connection.send("HTTP/1.0 200 OK\r\n\r\nwhole");
                   connection.socket().close();
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      assertEquals("whole", client.call(Client.get("/api/x", "")).text());
-      assertEquals("whole", client.call(Client.get("/api/x", "")).text());
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
+      assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   /** Cut off, it must not pass for whole. */
   @Test
   void anAnswerWithoutLengthThatIsResetIsNoAnswer() throws Exception {
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   connection.send("HTTP/1.1 200 OK\r\n\r\nhal");
                   connection.reset();
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      assertEquals(502, client.call(Client.post("publish", "", "x")).status());
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      assertEquals(502, client.call(TestClient.post("publish", "", "x")).status());
     }
   }
 
@@ -161,17 +162,17 @@
   @EnumSource(Framing.class)
   void aLongAnswerThatBreaksOffIsSeenToBeCut(Framing framing) throws Exception {
     byte[] body = body(LONG);
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   connection.send(framing.head(body.length));
                   framing.piece(connection, body, 0, 200_000);
                   connection.reset();
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      assertThrows(IOException.class, () -> Http.body(client.in, Http.readHead(client.in)));
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      assertThrows(IOException.class, () -> RawHttp.body(client.in, RawHttp.readHead(client.in)));
       assertEquals(1, peer.requests.size(), "begun, it is not tried again");
     }
   }
@@ -180,17 +181,17 @@
   @Test
   void anOldClientGetsALongAnswerToTheEndOfItsConnection() throws Exception {
     byte[] body = body(LONG);
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   connection.send(Framing.CHUNKS.head(0));
                   Framing.CHUNKS.piece(connection, body, 0, body.length);
                   Framing.CHUNKS.end(connection);
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", "").replace("HTTP/1.1", "HTTP/1.0"));
-      Http.Message head = Http.readHead(client.in);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", "").replace("HTTP/1.1", "HTTP/1.0"));
+      RawHttp.Message head = RawHttp.readHead(client.in);
       assertFalse(head.headers().containsKey("transfer-encoding"));
       assertArrayEquals(body, client.in.readAllBytes());
     }
@@ -201,8 +202,8 @@
   void aClientThatDoesNotReadHoldsUpItsUpstream() throws Exception {
     byte[] body = body(40 << 20);
     AtomicLong sent = new AtomicLong();
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   connection.socket().setSendBufferSize(64 << 10);
                   connection.send(Framing.LENGTH.head(body.length));
@@ -211,10 +212,10 @@
                     sent.addAndGet(65536);
                   }
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = new Client(fixture.address(), 64 << 10)) {
-      client.send(Client.get("/api/x", ""));
-      Http.Message head = Http.readHead(client.in);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = new TestClient(fixture.address(), 64 << 10)) {
+      client.send(TestClient.get("/api/x", ""));
+      RawHttp.Message head = RawHttp.readHead(client.in);
       long before = -1;
       while (sent.get() != before) { // Until nothing goes on any more.
         before = sent.get();
@@ -222,26 +223,26 @@
       }
       assertTrue(
           before < body.length / 2, before + " bytes were taken for a client that reads none");
-      assertArrayEquals(body, Http.body(client.in, head));
+      assertArrayEquals(body, RawHttp.body(client.in, head));
     }
   }
 
   @Test
   void aClientThatGoesEndsTheAnswerOfItsUpstream() throws Exception {
     byte[] body = body(1 << 20);
-    try (Peer peer =
-            new Peer(
+    try (StubServer peer =
+            new StubServer(
                 connection -> {
-                  Http.read(connection.in());
+                  RawHttp.read(connection.in());
                   connection.send(Framing.CHUNKS.head(0));
                   while (true) {
                     Framing.CHUNKS.piece(connection, body, 0, body.length);
                   }
                 });
-        Fixture fixture = new Fixture().upstream(peer).start()) {
-      try (Client client = fixture.client()) {
-        client.send(Client.get("/api/x", ""));
-        Http.readHead(client.in);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start()) {
+      try (TestClient client = fixture.client()) {
+        client.send(TestClient.get("/api/x", ""));
+        RawHttp.readHead(client.in);
       }
       assertEquals(0, peer.ended.take());
     }
@@ -250,7 +251,8 @@
   // ---- requests ----
 
   private static String postHead(String framing) {
-    return Client.post("publish", "X-Deadline: 9\r\n", "").replace("Content-Length: 0", framing);
+    return TestClient.post("publish", "X-Deadline: 9\r\n", "")
+        .replace("Content-Length: 0", framing);
   }
 
   /** The upstream has the first of it before the client has sent the last. */
@@ -263,18 +265,19 @@
     CountDownLatch seen = new CountDownLatch(1);
     byte[][] got = new byte[1][];
     double[] told = new double[1];
-    try (Peer peer =
-            new Peer(
+    try (StubServer peer =
+            new StubServer(
                 connection -> {
-                  Http.Message head = Http.readHead(connection.in());
+                  RawHttp.Message head = RawHttp.readHead(connection.in());
                   told[0] = Double.parseDouble(head.headers().get("x-deadline"));
                   seen.countDown();
-                  got[0] = Http.body(connection.in(), head);
+                  got[0] = RawHttp.body(connection.in(), head);
                   connection.answer(200, "", "done");
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      Peer.Connection out = new Peer.Connection(0, client.socket, client.in, client.out);
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      StubServer.Connection out =
+          new StubServer.Connection(0, client.socket, client.in, client.out);
       client.send(
           postHead(
               framing == Framing.LENGTH
@@ -288,7 +291,7 @@
       assertEquals("done", client.read().text());
       assertArrayEquals(body, got[0]);
       assertTrue(told[0] <= 9, "told more than its client waits: " + told[0]);
-      assertEquals(200, client.call(Client.get("/up", "")).status());
+      assertEquals(200, client.call(TestClient.get("/up", "")).status());
     }
   }
 
@@ -296,15 +299,15 @@
   @Test
   void aLongBodyWhoseUpstreamBreaksIsRefused() throws Exception {
     byte[] body = body(LONG);
-    try (Peer peer =
-            new Peer(
+    try (StubServer peer =
+            new StubServer(
                 connection -> {
-                  Http.readHead(connection.in());
+                  RawHttp.readHead(connection.in());
                   connection.in().readNBytes(1 << 20);
                   connection.reset();
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       client.send(postHead("Content-Length: " + body.length));
       client.out.write(body, 0, body.length - 1);
       client.out.flush();
@@ -318,14 +321,14 @@
   void aLongBodyWhoseUpstreamTakesNothingIsRefused() throws Exception {
     byte[] body = body(30 << 20);
     CountDownLatch end = new CountDownLatch(1);
-    try (Peer peer =
-            new Peer(
+    try (StubServer peer =
+            new StubServer(
                 connection -> {
-                  Http.readHead(connection.in());
+                  RawHttp.readHead(connection.in());
                   end.await();
                 });
-        Fixture fixture = new Fixture().upstream(peer).longest(600_000).start();
-        Client client = fixture.client()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).longest(600_000).start();
+        TestClient client = fixture.client()) {
       client.send(
           postHead("Content-Length: " + body.length).replace("Deadline: 9", "Deadline: 600"));
       Thread sender =
@@ -347,9 +350,9 @@
   @Test
   void aBodyThatTakesLongerThanTheDeadlineIsInTime() throws Exception {
     byte[] body = body(1 << 18);
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       client.send(
           postHead("Content-Length: " + body.length).replace("X-Deadline: 9", "X-Deadline: 2"));
       for (int i = 0; i < body.length; i += 1 << 14) {
@@ -363,10 +366,10 @@
 
   @Test
   void aBodyThatStopsShortIsNotWaitedFor() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client shortOne = fixture.client();
-        Client longOne = fixture.client()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient shortOne = fixture.client();
+        TestClient longOne = fixture.client()) {
       shortOne.send(postHead("Content-Length: 9") + "half");
       longOne.send(postHead("Content-Length: " + LONG));
       longOne.out.write(body(1 << 20));
--- a/src/test/java/heathswitch/proxy/platform/ClosingTest.java
+++ b/src/test/java/heathswitch/proxy/platform/LifecycleRaceTest.java
@@ -22,7 +22,7 @@
 
 /** What crosses a close, a drain or a reload: each test forces the order in which things come. */
 @Timeout(60)
-class ClosingTest {
+class LifecycleRaceTest {
   private static final int ANSWER_BYTES = 12_000;
   private static final int SMALL_WINDOW = 2048;
 
@@ -31,19 +31,19 @@
 
   @TempDir Path folder;
 
-  private final HeldCalls held = new HeldCalls();
+  private final PendingCalls held = new PendingCalls();
 
   /** A close over unread bytes would be a reset, and cut off what the client has not read yet. */
   @Test
   void anAnswerArrivesWholeThoughBytesWaitBehindItsRequest() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = new Client(fixture.address(), SMALL_WINDOW)) {
-      client.send(Client.get("/api/x", "Connection: close\r\n"));
-      Peer.Connection call = held.next();
-      try (LoopGate gate = fixture.holdLoop()) {
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = new TestClient(fixture.address(), SMALL_WINDOW)) {
+      client.send(TestClient.get("/api/x", "Connection: close\r\n"));
+      StubServer.Connection call = held.next();
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
         call.answer(200, "", "x".repeat(ANSWER_BYTES));
-        client.send(Client.get("/api/y", "").replace("r1", "r2"));
+        client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
       }
       // Nothing is read before the balancer has let go of it: only the one to the upstream is left.
       Await.until("the connection is closed", () -> fixture.connections() <= 1);
@@ -55,14 +55,14 @@
   /** It crosses the close, so its client sends it once more on another connection. */
   @Test
   void aRequestThatComesAfterTheCloseIsNeverSentOn() throws Exception {
-    try (Peer upstream = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(upstream).longest(300).start();
-        Client client = fixture.client()) {
-      assertEquals(200, client.call(Client.get("/api/x", "")).status());
+    try (StubServer upstream = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(300).start();
+        TestClient client = fixture.client()) {
+      assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
       upstream.request();
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertNull(client.read(), "the resting connection is ended");
-      client.send(Client.get("/api/y", "").replace("r1", "r2"));
+      client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
       assertNull(client.read(), "without a reset");
       assertTrue(drained.await(30, TimeUnit.SECONDS));
       assertTrue(upstream.requests.isEmpty(), "nothing was sent on");
@@ -72,14 +72,14 @@
   /** The end of the taking and the request wait for the same turn, and the end comes first. */
   @Test
   void bytesThatCameBeforeTheCloseAreARequestLikeAnyOther() throws Exception {
-    try (Peer upstream = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(upstream).longest(1500).start();
-        Client client = fixture.client()) {
-      assertEquals(200, client.call(Client.get("/api/x", "")).status());
+    try (StubServer upstream = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(1500).start();
+        TestClient client = fixture.client()) {
+      assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
       CountDownLatch drained = fixture.node().shutdown().drain();
       long begunNanos = System.nanoTime();
-      try (LoopGate gate = fixture.holdLoop()) {
-        client.send(Client.get("/api/y", "").replace("r1", "r2"));
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
+        client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
         Await.until(
             "the end of the taking is due",
             () -> System.nanoTime() - begunNanos > TAKING_ENDS_NANOS);
@@ -91,10 +91,10 @@
 
   @Test
   void aBodyThatComesWholeWhenNothingCanBeAnsweredAnyMoreIsRefusedAtOnce() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      String request = Client.post("publish", "", "body");
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      String request = TestClient.post("publish", "", "body");
       client.send(request.substring(0, request.length() - 2));
       fixture.node().loop().submit(() -> fixture.node().dispatcher().failAll()).sync();
       client.send(request.substring(request.length() - 2));
@@ -106,11 +106,11 @@
 
   @Test
   void aRetryThatIsDueDuringTheDrainIsMade() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Peer.Connection first = held.next();
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      StubServer.Connection first = held.next();
       CountDownLatch drained = fixture.node().shutdown().drain();
       first.answer(500, "", "an error");
       held.next().answer(200, "", "second");
@@ -122,8 +122,8 @@
   /** SIGTERM may come while the process still starts: nobody is taken, and it ends. */
   @Test
   void aDrainBeforeTheStartTakesNobody() throws Exception {
-    try (Peer upstream = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(upstream).longest(300).build()) {
+    try (StubServer upstream = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(300).build()) {
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertTrue(drained.await(30, TimeUnit.SECONDS));
       fixture.balancer().start();
@@ -134,8 +134,8 @@
   /** The drain comes between the look whether it has begun and the bound address. */
   @Test
   void aDrainWhileTheAddressIsBoundTakesNobody() throws Exception {
-    try (Peer upstream = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(upstream).build()) {
+    try (StubServer upstream = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).build()) {
       Node node = fixture.node();
       ClientServer server = new ClientServer(node.loop(), new Clock(), node.budget());
       FutureTask<Void> start =
@@ -145,7 +145,7 @@
                 return null;
               });
       Thread starting = new Thread(start);
-      try (LoopGate gate = new LoopGate(node.loop())) {
+      try (EventLoopBlocker gate = new EventLoopBlocker(node.loop())) {
         starting.start();
         Await.until("it binds", () -> starting.getState() == Thread.State.WAITING);
         node.loop().execute(server::stopListening);
@@ -157,7 +157,7 @@
   }
 
   private static boolean refuses(InetSocketAddress address) {
-    try (Client client = new Client(address)) {
+    try (TestClient client = new TestClient(address)) {
       return false;
     } catch (ConnectException e) {
       return true;
@@ -168,11 +168,11 @@
 
   @Test
   void aSecondSignalChangesNothing() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Peer.Connection call = held.next();
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      StubServer.Connection call = held.next();
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertEquals(drained, fixture.node().shutdown().drain());
       call.answer(200, "", "ok");
@@ -184,12 +184,12 @@
   @Test
   void aReloadJustBeforeOrAfterTheSignalLosesNothing() throws Exception {
     Path file = folder.resolve("config.json");
-    try (Peer upstream = held.upstream();
-        Peer discovery = Peer.replying((connection, request) -> {});
-        Fixture fixture = new Fixture().upstream(upstream).file(file).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Peer.Connection call = held.next();
+    try (StubServer upstream = held.upstream();
+        StubServer discovery = StubServer.replying((connection, request) -> {});
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).file(file).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      StubServer.Connection call = held.next();
       fixture.pushed(discovery).file(file);
       fixture.reload().reload();
       CountDownLatch drained = fixture.node().shutdown().drain();
@@ -204,24 +204,24 @@
   /** The second copy comes when the next request is already out on the same connection. */
   @Test
   void aSecondAnswerThatComesLateIsNotTheNextOne() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client first = fixture.client();
-        Client second = fixture.client()) {
-      first.send(Client.get("/api/x", ""));
-      Peer.Connection spoilt = held.next();
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient first = fixture.client();
+        TestClient second = fixture.client()) {
+      first.send(TestClient.get("/api/x", ""));
+      StubServer.Connection spoilt = held.next();
       spoilt.answer(200, "", "one");
       spoilt.answer(200, "", "one"); // From here on such answers are to be expected.
       assertEquals("one", first.read().text());
 
-      first.send(Client.get("/api/x", "").replace("r1", "r2"));
-      Peer.Connection late = held.next();
-      try (LoopGate gate = fixture.holdLoop()) {
+      first.send(TestClient.get("/api/x", "").replace("r1", "r2"));
+      StubServer.Connection late = held.next();
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
         late.answer(200, "", "two");
-        second.send(Client.get("/api/x", "").replace("r1", "r3"));
+        second.send(TestClient.get("/api/x", "").replace("r1", "r3"));
       }
       assertEquals("two", first.read().text());
-      Peer.Connection next = held.next();
+      StubServer.Connection next = held.next();
       late.answer(200, "", "two");
       next.answer(200, "", "three");
       assertEquals("three", second.read().text());
--- a/src/test/java/heathswitch/proxy/platform/SpoiltAnswerTest.java
+++ b/src/test/java/heathswitch/proxy/platform/MalformedResponseTest.java
@@ -10,7 +10,7 @@
 
 /** Only the answer that was made for a request is served, and a spoilt one does not hold it up. */
 @Timeout(60)
-class SpoiltAnswerTest {
+class MalformedResponseTest {
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -25,10 +25,11 @@
         "\u0001\u0002noise"
       })
   void fails(String answer) throws Exception {
-    try (Peer peer = Peer.replying((connection, request) -> connection.send(answer));
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      assertEquals(502, client.call(Client.post("publish", "X-Deadline: 19\r\n", "x")).status());
+    try (StubServer peer = StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
+      assertEquals(
+          502, client.call(TestClient.post("publish", "X-Deadline: 19\r\n", "x")).status());
       assertEquals(1, peer.requests.size(), "it may have run and must not run again");
     }
   }
@@ -36,7 +37,7 @@
   @Test
   void isTriedAgainElsewhereWhereThatIsAllowed() throws Exception {
     int[] asked = new int[1];
-    Peer.Reply reply =
+    StubServer.Reply reply =
         (connection, request) -> {
           boolean first;
           synchronized (asked) {
@@ -48,19 +49,19 @@
             connection.answer(200, "", "whole");
           }
         };
-    try (Peer one = Peer.replying(reply);
-        Peer other = Peer.replying(reply);
-        Fixture fixture = new Fixture().upstream(one, other).start();
-        Client client = fixture.client()) {
-      assertEquals("whole", client.call(Client.get("/api/x", "")).text());
+    try (StubServer one = StubServer.replying(reply);
+        StubServer other = StubServer.replying(reply);
+        BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
+        TestClient client = fixture.client()) {
+      assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "noise", "\n"})
   void moreThanBelongsToAnAnswerIsNotTheNextOne(String more) throws Exception {
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   String id = request.headers().get("x-request-id");
                   connection.send(
@@ -71,11 +72,11 @@
                           + id
                           + more);
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         String id = "id" + i;
-        String request = Client.get("/api/x", "").replace("r1", id);
+        String request = TestClient.get("/api/x", "").replace("r1", id);
         assertEquals(id, client.call(request).text());
       }
     }
@@ -83,12 +84,12 @@
 
   @Test
   void aRequestThatTheUpstreamCallsBadIsNotSentToTheNext() throws Exception {
-    Peer.Reply reply = (connection, request) -> connection.answer(400, "", "");
-    try (Peer one = Peer.replying(reply);
-        Peer other = Peer.replying(reply);
-        Fixture fixture = new Fixture().upstream(one, other).start();
-        Client client = fixture.client()) {
-      Http.Message answer = client.call(Client.get("/api/x", ""));
+    StubServer.Reply reply = (connection, request) -> connection.answer(400, "", "");
+    try (StubServer one = StubServer.replying(reply);
+        StubServer other = StubServer.replying(reply);
+        BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
+        TestClient client = fixture.client()) {
+      RawHttp.Message answer = client.call(TestClient.get("/api/x", ""));
       assertNotEquals(200, answer.status());
       assertEquals(1, one.requests.size() + other.requests.size());
     }
@@ -103,13 +104,13 @@
             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n"
             : "Content-Length: " + body.length() + "\r\n\r\n";
     String answer = "HTTP/1.1 200 OK\r\n" + head + body + (chunked ? "\r\n0\r\n\r\n" : "");
-    try (Peer peer = Peer.replying((connection, request) -> connection.send(answer));
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+    try (StubServer peer = StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       // More than memory holds, if any were kept, and enough for second copies to go out beside
       // some.
       for (int i = 0; i < 400; i++) {
-        assertEquals(body, client.call(Client.get("/api/x", "")).text());
+        assertEquals(body, client.call(TestClient.get("/api/x", "")).text());
       }
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/BadClientTest.java
+++ b/src/test/java/heathswitch/proxy/platform/MisbehavingClientTest.java
@@ -15,7 +15,7 @@
 
 /** What is no sound request gets an error or a close, and no upstream hears of it. */
 @Timeout(60)
-class BadClientTest {
+class MisbehavingClientTest {
   private static final String HEAD =
       "POST /api/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: b1\r\nX-Class: publish\r\n";
 
@@ -34,9 +34,9 @@
         "Content-Length: 100\r\n\r\nhalf a body, and then nothing"
       })
   void isTurnedAway(String rest) throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       int status = client.call(HEAD + rest).status();
       assertTrue(status >= 400 && status < 500, "status " + status);
       assertEquals(0, peer.requests.size());
@@ -46,10 +46,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /api/x HT", "GET /api/x HTTP/1.1\r\nX-Pad: a\r\n"})
   void isNotWaitedForLong(String start) throws Exception {
-    try (Fixture fixture = new Fixture().start();
-        Client client = fixture.client()) {
+    try (BalancerFixture fixture = new BalancerFixture().start();
+        TestClient client = fixture.client()) {
       client.send(start);
-      Http.Message answer = client.read();
+      RawHttp.Message answer = client.read();
       if (start.isEmpty()) {
         assertNull(answer);
       } else {
@@ -61,18 +61,18 @@
   @Test
   void mayNotTakeTheIdOfAnOpenRequest() throws Exception {
     CountDownLatch answer = new CountDownLatch(1);
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> {
                   answer.await();
                   connection.answer(200, "", "mine");
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client owner = fixture.client();
-        Client other = fixture.client()) {
-      owner.send(Client.get("/api/x", "X-Deadline: 19\r\n"));
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient owner = fixture.client();
+        TestClient other = fixture.client()) {
+      owner.send(TestClient.get("/api/x", "X-Deadline: 19\r\n"));
       peer.request();
-      assertEquals(400, other.call(Client.get("/api/x", "")).status());
+      assertEquals(400, other.call(TestClient.get("/api/x", "")).status());
       answer.countDown();
       assertEquals("mine", owner.read().text());
       assertEquals(0, peer.requests.size());
@@ -81,17 +81,17 @@
 
   @Test
   void floodsAreNotPassedOn() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       StringBuilder flood = new StringBuilder();
       for (int i = 0; i < 400; i++) {
-        flood.append(Client.get("/api/x", ""));
+        flood.append(TestClient.get("/api/x", ""));
       }
       client.send(flood.toString());
       int answers = 0;
       try {
-        for (Http.Message next = client.read(); next != null; next = client.read()) {
+        for (RawHttp.Message next = client.read(); next != null; next = client.read()) {
           answers++;
         }
       } catch (IOException e) {
@@ -103,21 +103,22 @@
 
   @Test
   void silentOnesDoNotKeepOthersOut() throws Exception {
-    List<Client> silent = new ArrayList<>();
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().sockets(96).upstream(peer).start()) {
-      Client regular = fixture.client();
-      assertEquals(200, regular.call(Client.get("/api/x", "")).status());
+    List<TestClient> silent = new ArrayList<>();
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().sockets(96).upstream(peer).start()) {
+      TestClient regular = fixture.client();
+      assertEquals(200, regular.call(TestClient.get("/api/x", "")).status());
       for (int i = 0; i < 200; i++) {
         silent.add(fixture.client());
       }
-      try (Client late = fixture.client()) {
-        assertEquals(200, late.call(Client.get("/api/x", "")).status());
+      try (TestClient late = fixture.client()) {
+        assertEquals(200, late.call(TestClient.get("/api/x", "")).status());
       }
-      assertEquals(200, regular.call(Client.get("/api/x", "")).status(), "its connection is kept");
+      assertEquals(
+          200, regular.call(TestClient.get("/api/x", "")).status(), "its connection is kept");
       regular.close();
     } finally {
-      for (Client client : silent) {
+      for (TestClient client : silent) {
         client.close();
       }
     }
@@ -126,13 +127,13 @@
   @Test
   void aLongBodyIsNoFault() throws Exception {
     String body = "0123456789abcdef".repeat(20_000);
-    try (Peer peer =
-            Peer.replying(
+    try (StubServer peer =
+            StubServer.replying(
                 (connection, request) -> connection.answer(200, "", "" + request.body().length));
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        TestClient client = fixture.client()) {
       for (int i = 0; i < 40; i++) { // More than the budget holds, if any of it were kept.
-        assertEquals("" + body.length(), client.call(Client.post("publish", "", body)).text());
+        assertEquals("" + body.length(), client.call(TestClient.post("publish", "", body)).text());
       }
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/OperationsTest.java
+++ b/src/test/java/heathswitch/proxy/platform/OperationsTest.java
@@ -22,24 +22,24 @@
   @TempDir Path folder;
 
   /** Who answers so many calls, one after the other. */
-  private static List<String> answers(Fixture fixture, int calls) throws Exception {
+  private static List<String> answers(BalancerFixture fixture, int calls) throws Exception {
     List<String> answers = new ArrayList<>();
-    try (Client client = fixture.client()) {
+    try (TestClient client = fixture.client()) {
       for (int i = 0; i < calls; i++) {
-        answers.add(client.call(Client.get("/api/x", "")).text());
+        answers.add(client.call(TestClient.get("/api/x", "")).text());
       }
     }
     return answers;
   }
 
   /** Calls until an upstream answers; the test's own limit ends a wait in vain. */
-  private static void awaitAnswer(Fixture fixture, String from) throws Exception {
+  private static void awaitAnswer(BalancerFixture fixture, String from) throws Exception {
     while (!answers(fixture, 4).contains(from)) {
       Thread.onSpinWait();
     }
   }
 
-  private static void awaitSilence(Fixture fixture, String from) throws Exception {
+  private static void awaitSilence(BalancerFixture fixture, String from) throws Exception {
     while (answers(fixture, 8).contains(from)) {
       Thread.onSpinWait();
     }
@@ -47,9 +47,10 @@
 
   @Test
   void anUpstreamIsOutUntilItIsPutBack() throws Exception {
-    try (Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Fixture fixture = new Fixture().upstream(first, second).console(folder).start()) {
+    try (StubServer first = StubServer.serving("first");
+        StubServer second = StubServer.serving("second");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(first, second).console(folder).start()) {
       awaitAnswer(fixture, "first");
       assertEquals(200, fixture.call("PUT", OUT));
       assertEquals(200, fixture.call("PUT", OUT));
@@ -61,8 +62,8 @@
 
   @Test
   void whatIsUnknownOrMalformedIsOwedANo() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).console(folder).start()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).console(folder).start()) {
       assertEquals(404, fixture.call("PUT", "/v1/upstreams/s-9/suspend"));
       assertEquals(404, fixture.call("PUT", "/v1/upstreams/s-9/resume"));
       assertEquals(404, fixture.call("PUT", "/v1/upstreams/suspend"));
@@ -78,9 +79,10 @@
   /** Taken out before discovery names it as started anew, it is not met as a warm one. */
   @Test
   void itComesBackCold() throws Exception {
-    try (Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Fixture fixture = new Fixture().upstream(first, second).console(folder).start()) {
+    try (StubServer first = StubServer.serving("first");
+        StubServer second = StubServer.serving("second");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(first, second).console(folder).start()) {
       awaitAnswer(fixture, "first");
       assertEquals(200, fixture.call("PUT", OUT));
       assertEquals(200, fixture.call("PUT", BACK));
@@ -91,11 +93,11 @@
 
   @Test
   void callersWhoSayNothingKeepNobodyOut() throws Exception {
-    List<Client> silent = new ArrayList<>();
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).console(folder).start()) {
+    List<TestClient> silent = new ArrayList<>();
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).console(folder).start()) {
       for (int i = 0; i < 60; i++) {
-        Client client = new Client(fixture.console());
+        TestClient client = new TestClient(fixture.console());
         client.send(i % 2 == 0 ? "" : "GET /v1/readyz HT");
         silent.add(client);
       }
@@ -103,7 +105,7 @@
       assertEquals(200, fixture.call("PUT", OUT));
       assertNull(silent.get(0).read(), "the oldest went");
     } finally {
-      for (Client client : silent) {
+      for (TestClient client : silent) {
         client.close();
       }
     }
@@ -111,29 +113,29 @@
 
   @Test
   void anEmptiedBalancerLetsGoOfItsClientsAndTakesThemAgain() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture fixture = new Fixture().upstream(peer).console(folder).start();
-        Client busy = fixture.client();
-        Client idle = fixture.client()) {
-      assertEquals(200, busy.call(Client.get("/api/x", "")).status());
-      assertEquals(200, idle.call(Client.get("/api/x", "")).status());
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(peer).console(folder).start();
+        TestClient busy = fixture.client();
+        TestClient idle = fixture.client()) {
+      assertEquals(200, busy.call(TestClient.get("/api/x", "")).status());
+      assertEquals(200, idle.call(TestClient.get("/api/x", "")).status());
       assertEquals(200, fixture.call("PUT", "/v1/balancer/drain"));
       assertEquals(503, fixture.call("GET", "/v1/readyz"));
-      try (Client front = fixture.client()) {
-        assertEquals(503, front.call(Client.get("/up", "")).status());
+      try (TestClient front = fixture.client()) {
+        assertEquals(503, front.call(TestClient.get("/up", "")).status());
       }
-      Http.Message last = busy.call(Client.get("/api/x", ""));
+      RawHttp.Message last = busy.call(TestClient.get("/api/x", ""));
       while (!"close".equals(last.headers().get("connection"))) {
         assertEquals(200, last.status());
-        last = busy.call(Client.get("/api/x", ""));
+        last = busy.call(TestClient.get("/api/x", ""));
       }
       assertEquals(200, last.status());
       assertNull(busy.read());
       assertNull(idle.read());
       assertEquals(200, fixture.call("PUT", "/v1/balancer/activate"));
-      try (Client front = fixture.client()) {
-        assertEquals(200, front.call(Client.get("/up", "")).status());
-        Http.Message answer = front.call(Client.get("/api/x", ""));
+      try (TestClient front = fixture.client()) {
+        assertEquals(200, front.call(TestClient.get("/up", "")).status());
+        RawHttp.Message answer = front.call(TestClient.get("/api/x", ""));
         assertEquals("keep-alive", answer.headers().get("connection"));
       }
     }
@@ -142,12 +144,14 @@
   /** What one process was told the other keeps, before and after it takes over. */
   @Test
   void marksOutliveTheProcessAndReachBoth() throws Exception {
-    try (Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Fixture old = new Fixture().upstream(first, second).console(folder).start()) {
+    try (StubServer first = StubServer.serving("first");
+        StubServer second = StubServer.serving("second");
+        BalancerFixture old =
+            new BalancerFixture().upstream(first, second).console(folder).start()) {
       assertEquals(200, old.call("PUT", OUT));
       // Listens elsewhere, so that each call is known to reach the one or the other.
-      try (Fixture next = new Fixture().upstream(first, second).console(folder).start()) {
+      try (BalancerFixture next =
+          new BalancerFixture().upstream(first, second).console(folder).start()) {
         assertEquals(List.of("second"), answers(next, 40).stream().distinct().toList());
         assertEquals(200, next.call("PUT", "/v1/upstreams/s-1/suspend"));
         assertEquals(200, next.call("PUT", BACK));
@@ -159,21 +163,22 @@
 
   @Test
   void aProcessThatWasFollowedLeavesTheClientsToTheOther() throws Exception {
-    try (Peer peer = Peer.serving("ok");
-        Fixture old = new Fixture().upstream(peer).console(folder).start();
-        Client client = old.client()) {
-      assertEquals(200, client.call(Client.get("/api/x", "")).status());
-      try (Fixture next = new Fixture().upstream(peer).console(folder).beside(old).start()) {
+    try (StubServer peer = StubServer.serving("ok");
+        BalancerFixture old = new BalancerFixture().upstream(peer).console(folder).start();
+        TestClient client = old.client()) {
+      assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
+      try (BalancerFixture next =
+          new BalancerFixture().upstream(peer).console(folder).beside(old).start()) {
         assertEquals(200, next.call("GET", "/v1/readyz"));
         CountDownLatch drained = old.node().shutdown().drain();
-        Http.Message last = client.call(Client.get("/api/x", ""));
+        RawHttp.Message last = client.call(TestClient.get("/api/x", ""));
         while (!"close".equals(last.headers().get("connection"))) {
-          last = client.call(Client.get("/api/x", ""));
+          last = client.call(TestClient.get("/api/x", ""));
         }
         assertEquals(200, last.status());
         for (int i = 0; i < 40; i++) {
-          try (Client newcomer = next.client()) {
-            assertEquals(200, newcomer.call(Client.get("/up", "")).status());
+          try (TestClient newcomer = next.client()) {
+            assertEquals(200, newcomer.call(TestClient.get("/up", "")).status());
           }
         }
         assertEquals(503, old.call("GET", "/v1/readyz"));
@@ -185,20 +190,21 @@
   /** The list that it is given may be older than what the process before was told. */
   @Test
   void aProcessThatFollowsAsksDiscoveryBeforeItServes() throws Exception {
-    try (Peer listed = Peer.serving("listed");
-        Peer known = Peer.serving("known");
-        Peer discovery =
-            Peer.replying(
+    try (StubServer listed = StubServer.serving("listed");
+        StubServer known = StubServer.serving("known");
+        StubServer discovery =
+            StubServer.replying(
                 (connection, request) -> {
                   String line =
                       "{\"revision\":50,\"complete\":true,\"members\":["
-                          + Fixture.json("s-7", listed.address(), "in_service")
+                          + BalancerFixture.json("s-7", listed.address(), "in_service")
                           + "]}\n";
                   connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                   connection.send(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 });
-        Fixture old = new Fixture().upstream(known).console(folder).start();
-        Fixture next = new Fixture().upstream(known).asking(discovery).console(folder)) {
+        BalancerFixture old = new BalancerFixture().upstream(known).console(folder).start();
+        BalancerFixture next =
+            new BalancerFixture().upstream(known).asking(discovery).console(folder)) {
       next.start();
       assertEquals(List.of("listed"), answers(next, 8).stream().distinct().toList());
       assertEquals(200, old.call("GET", "/v1/readyz"));
--- a/src/test/java/heathswitch/proxy/platform/HeldCalls.java
+++ b/src/test/java/heathswitch/proxy/platform/PendingCalls.java
@@ -7,22 +7,22 @@
 import java.util.concurrent.TimeUnit;
 
 /** Calls that have reached an upstream and whose answers a test gives when it wants to. */
-final class HeldCalls {
-  private final BlockingQueue<Peer.Connection> calls = new LinkedBlockingQueue<>();
+final class PendingCalls {
+  private final BlockingQueue<StubServer.Connection> calls = new LinkedBlockingQueue<>();
 
   /** An upstream that reads each request and leaves its answer to the test. */
-  Peer upstream() throws Exception {
-    return Peer.replying((connection, request) -> calls.add(connection));
+  StubServer upstream() throws Exception {
+    return StubServer.replying((connection, request) -> calls.add(connection));
   }
 
   /** A call has come on a connection. */
-  void add(Peer.Connection connection) {
+  void add(StubServer.Connection connection) {
     calls.add(connection);
   }
 
   /** The next call, which may still be on its way. */
-  Peer.Connection next() throws InterruptedException {
-    Peer.Connection connection = calls.poll(30, TimeUnit.SECONDS);
+  StubServer.Connection next() throws InterruptedException {
+    StubServer.Connection connection = calls.poll(30, TimeUnit.SECONDS);
     assertNotNull(connection, "the call does not reach the upstream");
     return connection;
   }
--- a/src/test/java/heathswitch/proxy/platform/Http.java
+++ b/src/test/java/heathswitch/proxy/platform/RawHttp.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** Just enough of HTTP to play the other side of a socket byte by byte. */
-final class Http {
+final class RawHttp {
   /** A message as it came: its first line, its headers with lower-case names, its body. */
   record Message(String start, Map<String, String> headers, byte[] body) {
     int status() {
@@ -21,7 +21,7 @@
     }
   }
 
-  private Http() {}
+  private RawHttp() {}
 
   static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/heathswitch/proxy/platform/ReloadSettingsTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ReloadSettingsTest.java
@@ -24,22 +24,22 @@
 
   @TempDir Path folder;
 
-  private final HeldCalls held = new HeldCalls();
-  private final List<Client> clients = new ArrayList<>();
+  private final PendingCalls held = new PendingCalls();
+  private final List<TestClient> clients = new ArrayList<>();
   private Path file;
-  private Peer upstream;
-  private Fixture fixture;
+  private StubServer upstream;
+  private BalancerFixture fixture;
 
   @BeforeEach
   void put() throws Exception {
     file = folder.resolve("config.json");
     upstream = held.upstream();
-    fixture = new Fixture().upstream(upstream);
+    fixture = new BalancerFixture().upstream(upstream);
   }
 
   @AfterEach
   void stop() throws Exception {
-    for (Client client : clients) {
+    for (TestClient client : clients) {
       client.close();
     }
     fixture.close();
@@ -50,8 +50,8 @@
     fixture.file(file).start();
   }
 
-  private Client client() throws Exception {
-    Client client = fixture.client();
+  private TestClient client() throws Exception {
+    TestClient client = fixture.client();
     clients.add(client);
     return client;
   }
@@ -64,19 +64,19 @@
   }
 
   private static String get(String type, String id) {
-    return Client.get("/api/x", "").replace("r1", id).replace("view", type);
+    return TestClient.get("/api/x", "").replace("r1", id).replace("view", type);
   }
 
   private static String post(String type, String id) {
-    return Client.post(type, "", "x").replace("r1", id);
+    return TestClient.post(type, "", "x").replace("r1", id);
   }
 
   @Test
   void anAttemptThatIsOutIsRepeatedAsItCouldBeWhenItWasTaken() throws Exception {
     start();
-    Client before = client();
+    TestClient before = client();
     before.send(get("view", "r1"));
-    Peer.Connection attempt = held.next();
+    StubServer.Connection attempt = held.next();
     reload();
     attempt.reset();
     held.next().answer(200, "", "second");
@@ -86,13 +86,13 @@
   @Test
   void whatMustNotRunTwiceStaysSoThoughItsClassMayNow() throws Exception {
     start();
-    Client before = client();
+    TestClient before = client();
     before.send(post("publish", "r1"));
-    Peer.Connection attempt = held.next();
+    StubServer.Connection attempt = held.next();
     reload();
     attempt.reset();
     assertEquals(502, before.read().status(), "failed: it may have run");
-    Client after = client();
+    TestClient after = client();
     after.send(get("publish", "r2"));
     held.next().reset();
     held.next().answer(200, "", "second");
@@ -103,10 +103,10 @@
   @Test
   void oneBetweenTwoAttemptsGoesOnAsItBegan() throws Exception {
     start();
-    Client before = client();
+    TestClient before = client();
     before.send(get("view", "r1"));
-    Peer.Connection attempt = held.next();
-    try (LoopGate gate = fixture.holdLoop()) {
+    StubServer.Connection attempt = held.next();
+    try (EventLoopBlocker gate = fixture.holdLoop()) {
       attempt.reset(); // The end of the first attempt and the reload come in one turn.
       fixture.classes("view", "non_idempotent", "publish", "read_like").file(file);
       fixture.reload().reload();
@@ -119,12 +119,12 @@
   void oneThatWaitsIsSentAndRepeatedAsItWasTaken() throws Exception {
     fixture.tier(1);
     start();
-    List<Peer.Connection> full = new ArrayList<>();
+    List<StubServer.Connection> full = new ArrayList<>();
     for (int i = 0; i < WINDOW; i++) {
       client().send(get("view", "full" + i));
       full.add(held.next());
     }
-    Client waits = client();
+    TestClient waits = client();
     waits.send(get("view", "r1"));
     fixture.awaitLive(WINDOW + 1);
     reload();
@@ -137,11 +137,11 @@
   @Test
   void aRequestThatWasHalfReadIsTakenWhollyUnderTheNewSettings() throws Exception {
     start();
-    Client half = client();
+    TestClient half = client();
     String request = post("publish", "r1");
     half.send(request.substring(0, request.length() - 1));
-    Client probe = client(); // Its answer shows that the loop has read what came before.
-    assertEquals(200, probe.call(Client.get("/up", "")).status());
+    TestClient probe = client(); // Its answer shows that the loop has read what came before.
+    assertEquals(200, probe.call(TestClient.get("/up", "")).status());
     reload();
     half.send(request.substring(request.length() - 1));
     assertEquals(400, half.read().status(), "its method is not that of its class any more");
@@ -153,7 +153,7 @@
     start();
     reload();
     assertEquals(400, client().call(get("view", "r1")).status());
-    Client after = client();
+    TestClient after = client();
     after.send(post("view", "r2"));
     held.next().reset();
     assertEquals(502, after.read().status(), "failed: it may have run");
@@ -174,7 +174,7 @@
       Files.writeString(file, broken);
       fixture.reload().reload();
       fixture.node().loop().submit(() -> {}).sync();
-      Client client = client();
+      TestClient client = client();
       client.send(get("view", "r1"));
       held.next().answer(200, "", "ok");
       assertEquals("ok", client.read().text());
--- a/src/test/java/heathswitch/proxy/platform/SitesTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SiteSettingsTest.java
@@ -30,7 +30,7 @@
  * The deployments of our own: what they say of classes, limits, rules and tenants is put into the
  * platform's words and read by the program's own reader, which must find it again.
  */
-class SitesTest {
+class SiteSettingsTest {
   private static final Path SITES =
       Path.of(System.getProperty("heathswitch.root", "."), "deploy", "sites");
 
--- a/src/test/java/heathswitch/proxy/platform/CrowdTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SocketExhaustionTest.java
@@ -17,7 +17,7 @@
 
 /** Idle clients fill the descriptors while discovery is down; it serves again by itself. */
 @Timeout(60)
-class CrowdTest {
+class SocketExhaustionTest {
   private static final int SOCKETS = 100;
   private static final int CROWD = 300;
 
@@ -27,7 +27,7 @@
     }
   }
 
-  private static Socket idle(Fixture fixture) throws Exception {
+  private static Socket idle(BalancerFixture fixture) throws Exception {
     Socket socket = new Socket();
     socket.connect(fixture.address(), 30_000);
     return socket;
@@ -36,30 +36,31 @@
   @Test
   void discoveryAndUpstreamsStillGetTheirs() throws Exception {
     int port = freePort();
-    BlockingQueue<Peer.Connection> watches = new LinkedBlockingQueue<>();
+    BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
     List<Socket> crowd = new ArrayList<>();
-    try (Peer upstream = Peer.serving("found");
-        Fixture fixture = new Fixture().sockets(SOCKETS).pushedAt("127.0.0.1:" + port).start()) {
+    try (StubServer upstream = StubServer.serving("found");
+        BalancerFixture fixture =
+            new BalancerFixture().sockets(SOCKETS).pushedAt("127.0.0.1:" + port).start()) {
       for (int i = 0; i < CROWD; i++) {
         crowd.add(idle(fixture));
       }
-      try (Peer discovery =
-          new Peer(
+      try (StubServer discovery =
+          new StubServer(
               port,
               connection -> {
-                Http.readHead(connection.in());
+                RawHttp.readHead(connection.in());
                 connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(connection);
                 connection.in().read();
               })) {
-        Peer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
+        StubServer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
         assertNotNull(watch, "discovery is not asked again");
-        String member = Fixture.json("s-9", upstream.address(), "in_service");
+        String member = BalancerFixture.json("s-9", upstream.address(), "in_service");
         String line = "{\"revision\":50,\"complete\":true,\"members\":[" + member + "]}\n";
         watch.send(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
         Await.until("the list is known", () -> fixture.knows("s-9"));
-        try (Client client = fixture.client()) {
-          assertEquals("found", client.call(Client.get("/api/x", "")).text());
+        try (TestClient client = fixture.client()) {
+          assertEquals("found", client.call(TestClient.get("/api/x", "")).text());
         }
       }
     } finally {
@@ -72,8 +73,9 @@
   /** They leave nothing behind: not a descriptor is counted that is not held. */
   @Test
   void nothingIsLeftOfThem() throws Exception {
-    try (Peer upstream = Peer.serving("ok");
-        Fixture fixture = new Fixture().sockets(SOCKETS).upstream(upstream).start()) {
+    try (StubServer upstream = StubServer.serving("ok");
+        BalancerFixture fixture =
+            new BalancerFixture().sockets(SOCKETS).upstream(upstream).start()) {
       for (int round = 0; round < 3; round++) {
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < CROWD; i++) {
@@ -83,8 +85,8 @@
           each.close();
         }
       }
-      try (Client client = fixture.client()) {
-        assertEquals("ok", client.call(Client.get("/api/x", "")).text());
+      try (TestClient client = fixture.client()) {
+        assertEquals("ok", client.call(TestClient.get("/api/x", "")).text());
       }
       // One is kept to the upstream.
       Await.until("no connection is left", () -> fixture.connections() <= 1);
--- a/src/test/java/heathswitch/proxy/platform/Peer.java
+++ b/src/test/java/heathswitch/proxy/platform/StubServer.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** A scripted server on a loopback port: an upstream, or discovery. */
-final class Peer implements AutoCloseable {
+final class StubServer implements AutoCloseable {
   /** One connection, as the script sees it. */
   record Connection(int number, Socket socket, InputStream in, OutputStream out) {
     void send(String text) throws IOException {
-      out.write(Http.bytes(text));
+      out.write(RawHttp.bytes(text));
       out.flush();
     }
 
@@ -47,20 +47,20 @@
   }
 
   interface Reply {
-    void to(Connection connection, Http.Message request) throws Exception;
+    void to(Connection connection, RawHttp.Message request) throws Exception;
   }
 
   private final ServerSocket listener;
   private final Script script;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  final BlockingQueue<Http.Message> requests = new LinkedBlockingQueue<>();
+  final BlockingQueue<RawHttp.Message> requests = new LinkedBlockingQueue<>();
   final BlockingQueue<Integer> ended = new LinkedBlockingQueue<>();
 
-  Peer(Script script) throws IOException {
+  StubServer(Script script) throws IOException {
     this(0, script);
   }
 
-  Peer(int port, Script script) throws IOException {
+  StubServer(int port, Script script) throws IOException {
     this.script = script;
     listener = new ServerSocket(port, 500, InetAddress.getByName("127.0.0.1"));
     Thread thread = new Thread(this::accept);
@@ -69,13 +69,13 @@
   }
 
   /** Replies to each request on each connection in turn. */
-  static Peer replying(Reply reply) throws IOException {
-    Peer[] self = new Peer[1];
-    Peer peer =
-        new Peer(
+  static StubServer replying(Reply reply) throws IOException {
+    StubServer[] self = new StubServer[1];
+    StubServer peer =
+        new StubServer(
             connection -> {
               while (true) {
-                Http.Message request = Http.read(connection.in());
+                RawHttp.Message request = RawHttp.read(connection.in());
                 if (request == null) {
                   return;
                 }
@@ -91,7 +91,7 @@
     return peer;
   }
 
-  static Peer serving(String body) throws IOException {
+  static StubServer serving(String body) throws IOException {
     return replying((connection, request) -> connection.answer(200, "", body));
   }
 
@@ -133,8 +133,8 @@
     return sockets.size();
   }
 
-  Http.Message request() throws InterruptedException {
-    Http.Message request = requests.poll(30, TimeUnit.SECONDS);
+  RawHttp.Message request() throws InterruptedException {
+    RawHttp.Message request = requests.poll(30, TimeUnit.SECONDS);
     if (request == null) {
       throw new AssertionError("no request came");
     }
--- a/src/test/java/heathswitch/proxy/platform/Client.java
+++ b/src/test/java/heathswitch/proxy/platform/TestClient.java
@@ -8,16 +8,16 @@
 import java.net.Socket;
 
 /** One client connection, written and read byte by byte. */
-final class Client implements AutoCloseable {
+final class TestClient implements AutoCloseable {
   final Socket socket = new Socket();
   final InputStream in;
   final OutputStream out;
 
-  Client(InetSocketAddress address) throws IOException {
+  TestClient(InetSocketAddress address) throws IOException {
     this(address, 0);
   }
 
-  Client(InetSocketAddress address, int receiveBuffer) throws IOException {
+  TestClient(InetSocketAddress address, int receiveBuffer) throws IOException {
     if (receiveBuffer > 0) {
       socket.setReceiveBufferSize(receiveBuffer);
     }
@@ -47,15 +47,15 @@
   }
 
   void send(String text) throws IOException {
-    out.write(Http.bytes(text));
+    out.write(RawHttp.bytes(text));
     out.flush();
   }
 
-  Http.Message read() throws IOException {
-    return Http.read(in);
+  RawHttp.Message read() throws IOException {
+    return RawHttp.read(in);
   }
 
-  Http.Message call(String text) throws IOException {
+  RawHttp.Message call(String text) throws IOException {
     send(text);
     return read();
   }
--- a/src/test/java/heathswitch/proxy/platform/UpstreamCrossingTest.java
+++ b/src/test/java/heathswitch/proxy/platform/UpstreamConnectionRaceTest.java
@@ -21,43 +21,43 @@
  * A connection to an upstream that ends, or brings something, in the moment in which it is used.
  */
 @Timeout(60)
-class UpstreamCrossingTest {
+class UpstreamConnectionRaceTest {
   /** What the upstream does on an idle connection. */
   enum Ending {
     CLOSED {
       @Override
-      void on(Peer.Connection connection) throws Exception {
+      void on(StubServer.Connection connection) throws Exception {
         connection.socket().close();
       }
     },
     RESET {
       @Override
-      void on(Peer.Connection connection) throws Exception {
+      void on(StubServer.Connection connection) throws Exception {
         connection.reset();
       }
     },
     UNASKED_BYTES {
       @Override
-      void on(Peer.Connection connection) throws Exception {
+      void on(StubServer.Connection connection) throws Exception {
         connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged");
       }
     },
     HALF_A_LINE {
       @Override
-      void on(Peer.Connection connection) throws Exception {
+      void on(StubServer.Connection connection) throws Exception {
         connection.send("HTTP/1.");
       }
     };
 
-    abstract void on(Peer.Connection connection) throws Exception;
+    abstract void on(StubServer.Connection connection) throws Exception;
   }
 
-  private final HeldCalls held = new HeldCalls();
+  private final PendingCalls held = new PendingCalls();
   private final CountDownLatch over = new CountDownLatch(1);
 
   /** Takes one request and reads no more: a thread inside a read would put off the close. */
-  private void takeOne(Peer.Connection connection) throws Exception {
-    Http.read(connection.in());
+  private void takeOne(StubServer.Connection connection) throws Exception {
+    RawHttp.read(connection.in());
     held.add(connection);
     over.await();
   }
@@ -71,19 +71,19 @@
   @ParameterizedTest
   @EnumSource(Ending.class)
   void anIdleConnectionThatEndsAsItIsTakenGetsNoRequest(Ending ending) throws Exception {
-    try (Peer upstream = new Peer(this::takeOne);
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.get("/api/x", ""));
-      Peer.Connection idle = held.next();
+    try (StubServer upstream = new StubServer(this::takeOne);
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.get("/api/x", ""));
+      StubServer.Connection idle = held.next();
       idle.answer(200, "", "first");
       assertEquals("first", client.read().text());
-      try (LoopGate gate = fixture.holdLoop()) {
+      try (EventLoopBlocker gate = fixture.holdLoop()) {
         client.send(
-            Client.post("publish", "", "x").replace("r1", "r2")); // The loop finds this first.
+            TestClient.post("publish", "", "x").replace("r1", "r2")); // The loop finds this first.
         ending.on(idle);
       }
-      Peer.Connection other = held.next();
+      StubServer.Connection other = held.next();
       assertTrue(other.number() != idle.number(), "on a connection of its own");
       other.answer(200, "", "second");
       assertEquals("second", client.read().text());
@@ -93,10 +93,10 @@
   /** It may have run, whatever came of it. */
   @Test
   void aResetAfterTheLastByteOfAnUnsafeRequestIsAFailure() throws Exception {
-    try (Peer upstream = held.upstream();
-        Fixture fixture = new Fixture().upstream(upstream).start();
-        Client client = fixture.client()) {
-      client.send(Client.post("publish", "", "x"));
+    try (StubServer upstream = held.upstream();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      client.send(TestClient.post("publish", "", "x"));
       held.next().reset();
       assertEquals(502, client.read().status());
       assertTrue(held.isEmpty(), "and it is not sent again");
@@ -117,22 +117,22 @@
         socket.connect(address, 30_000);
         full.add(socket);
       }
-      try (Fixture fixture =
-              new Fixture()
-                  .limit("dial_timeout_ns", 100 * Fixture.MS)
+      try (BalancerFixture fixture =
+              new BalancerFixture()
+                  .limit("dial_timeout_ns", 100 * BalancerFixture.MS)
                   .limit("most_tries", 1)
                   .address("127.0.0.1:" + address.getPort())
                   .start();
-          Client first = fixture.client();
-          Client second = fixture.client()) {
-        assertEquals(503, first.call(Client.post("publish", "", "x")).status(), "it never ran");
+          TestClient first = fixture.client();
+          TestClient second = fixture.client()) {
+        assertEquals(503, first.call(TestClient.post("publish", "", "x")).status(), "it never ran");
         for (int i = 0; i < full.size(); i++) {
           upstream.accept().close();
         }
         try (Socket late = upstream.accept()) {
           Await.until("it is kept", () -> fixture.connections() == 3);
-          second.send(Client.post("publish", "", "x").replace("r1", "r2"));
-          assertEquals("r2", Http.read(late.getInputStream()).headers().get("x-request-id"));
+          second.send(TestClient.post("publish", "", "x").replace("r1", "r2"));
+          assertEquals("r2", RawHttp.read(late.getInputStream()).headers().get("x-request-id"));
         }
       }
     } finally {
@@ -153,19 +153,20 @@
         socket.connect(address, 30_000);
         full.add(socket);
       }
-      try (Fixture fixture = new Fixture().address("127.0.0.1:" + address.getPort()).start();
-          Client client = fixture.client()) {
-        client.send(Client.post("publish", "", "x"));
+      try (BalancerFixture fixture =
+              new BalancerFixture().address("127.0.0.1:" + address.getPort()).start();
+          TestClient client = fixture.client()) {
+        client.send(TestClient.post("publish", "", "x"));
         fixture.awaitLive(1);
         client.close();
         fixture.awaitLive(0);
         for (int i = 0; i < full.size(); i++) {
           upstream.accept().close();
         }
-        try (Client later = fixture.client()) {
-          later.send(Client.get("/later", ""));
+        try (TestClient later = fixture.client()) {
+          later.send(TestClient.get("/later", ""));
           try (Socket next = upstream.accept()) {
-            assertEquals("GET /later HTTP/1.1", Http.read(next.getInputStream()).start());
+            assertEquals("GET /later HTTP/1.1", RawHttp.read(next.getInputStream()).start());
           }
         }
       }
--- a/src/test/java/heathswitch/proxy/platform/ReleaseTest.java
+++ b/src/test/java/heathswitch/proxy/platform/UpstreamRolloutTest.java
@@ -11,33 +11,33 @@
 
 /** While upstreams are released, the few that serve take what the whole fleet did. */
 @Timeout(60)
-class ReleaseTest {
+class UpstreamRolloutTest {
   private static final int FLIGHT = 20;
 
-  private final HeldCalls held = new HeldCalls();
-  private final List<Client> clients = new ArrayList<>();
-  private Peer peer;
-  private Fixture fixture;
+  private final PendingCalls held = new PendingCalls();
+  private final List<TestClient> clients = new ArrayList<>();
+  private StubServer peer;
+  private BalancerFixture fixture;
 
   @BeforeEach
   void start() throws Exception {
     peer = held.upstream();
-    fixture = new Fixture().upstream(peer).start();
+    fixture = new BalancerFixture().upstream(peer).start();
   }
 
   @AfterEach
   void stop() throws Exception {
-    for (Client client : clients) {
+    for (TestClient client : clients) {
       client.close();
     }
     fixture.close();
     peer.close();
   }
 
-  private Client send() throws Exception {
-    Client client = fixture.client();
+  private TestClient send() throws Exception {
+    TestClient client = fixture.client();
     clients.add(client);
-    client.send(Client.get("/api/x", "").replace("r1", "r" + clients.size()));
+    client.send(TestClient.get("/api/x", "").replace("r1", "r" + clients.size()));
     return client;
   }
 
@@ -49,19 +49,19 @@
     for (int i = 0; i < FLIGHT; i++) {
       held.next().answer(200, "", "ok");
     }
-    for (Client client : clients) {
+    for (TestClient client : clients) {
       assertEquals(200, client.read().status());
     }
   }
 
   @Test
   void anUpstreamThatTurnedACallAwayIsUsedAgainBeforeItsFlightIsHome() throws Exception {
-    List<Peer.Connection> flight = new ArrayList<>();
+    List<StubServer.Connection> flight = new ArrayList<>();
     for (int i = 0; i < FLIGHT; i++) {
       send();
       flight.add(held.next());
     }
-    Client refused = send();
+    TestClient refused = send();
     held.next().answer(503, "X-Not-Run: 1\r\n", "full");
     assertEquals(503, refused.read().status());
 
@@ -70,7 +70,7 @@
       flight.get(i).answer(200, "", "ok");
       assertEquals(200, clients.get(i).read().status());
     }
-    Client later = send();
+    TestClient later = send();
     held.next().answer(200, "", "ok");
     assertEquals(200, later.read().status());
   }
