--- a/src/main/java/heathswitch/policy/maintenance/CapacityFloor.java
+++ b/src/main/java/heathswitch/policy/maintenance/CapacityFloor.java
@@ -1,14 +1,14 @@
 package heathswitch.policy.maintenance;
 
 /**
- * Capacity that must stay in service while machines are out.
+ * The share of capacity that must stay in service while machines are out.
  *
- * @param kind of the servers that it speaks of, or {@code *} for all
- * @param zone likewise
- * @param minShare part of the listed weight, from 0 to 1
+ * @param kind kind of the servers that the floor applies to, or {@code *} for all
+ * @param zone zone of these servers, or {@code *} for all
+ * @param minShare share of the listed weight, from 0 to 1
  */
 public record CapacityFloor(String kind, String zone, double minShare) {
-  /** Whether it speaks of servers of that kind in that zone. */
+  /** Whether the floor applies to the servers of a group. */
   public boolean covers(ServerGroup group) {
     return !group.kind().equals(Machine.BALANCER)
         && (kind.equals("*") || kind.equals(group.kind()))
--- a/src/main/java/heathswitch/policy/maintenance/CapacityReport.java
+++ b/src/main/java/heathswitch/policy/maintenance/CapacityReport.java
@@ -6,16 +6,16 @@
 /**
  * What one instance sees of the servers.
  *
- * @param index of the last entry of the log that it had taken when it looked
- * @param groups the capacity of each kind in each zone
- * @param warm machines on their way back that it sees in full service
+ * @param index index of the last log entry that the instance had applied when it made the report
+ * @param groups the capacity of each group of servers
+ * @param warm returning machines that the instance sees in full service
  */
 public record CapacityReport(long index, Map<ServerGroup, Capacity> groups, Set<String> warm) {
   /**
-   * Weights of a group.
+   * The weights of a group of servers.
    *
-   * @param listed of all servers on the list, those that are out among them
-   * @param available of those that no order holds, as much as each can do now
+   * @param listed sum over all listed servers, including those that are out
+   * @param available sum over the servers that no order holds, each by what it can serve now
    */
   public record Capacity(double listed, double available) {}
 
--- a/src/main/java/heathswitch/policy/maintenance/CommandCodec.java
+++ b/src/main/java/heathswitch/policy/maintenance/CommandCodec.java
@@ -10,26 +10,27 @@
 import java.util.TreeSet;
 
 /**
- * Entries as trees of maps, lists, texts and numbers, which whoever keeps them writes as it likes.
- * A field that is not known is passed over, so that a later release may add one; a kind that is not
- * known is an error, as an instance that passed an entry over would compute another state.
+ * Converts commands, and the parts of a snapshot, to trees of maps, lists, strings and numbers and
+ * back; the caller chooses how a tree is serialized. Unknown fields are ignored so that a later
+ * release may add one. An unknown kind of command is an error, because an instance that skipped an
+ * entry would compute a different state.
  */
 public final class CommandCodec {
   private CommandCodec() {}
 
-  /** The tree of a command. */
+  /** Encodes a command. */
   public static Map<String, Object> encode(Command command) {
     Map<String, Object> tree = new LinkedHashMap<>();
     if (command instanceof Command.Join join) {
       tree.put("kind", "join");
       tree.put("instance", join.instance());
       tree.put("incarnation", join.incarnation());
-      tree.put("before", join.before());
+      tree.put("before", join.previousIncarnation());
       tree.put("idle", join.idle());
-      tree.put("stops", join.stops());
+      tree.put("stops", join.stopsWhenCutOff());
       tree.put("rules", encode(join.rules()));
-      tree.put("knows", join.release().latestFormat());
-      tree.put("peers", join.release().peers());
+      tree.put("knows", join.formats().latestFormat());
+      tree.put("peers", join.formats().peers());
     } else if (command instanceof Command.Renew renew) {
       tree.put("kind", "renew");
       tree.put("instance", renew.instance());
@@ -72,9 +73,9 @@
   }
 
   /**
-   * The command of a tree.
+   * Decodes a command.
    *
-   * @throws IllegalArgumentException for a kind that is not known, or a field that is missing
+   * @throws IllegalArgumentException if the kind is unknown or a field is missing
    */
   public static Command decodeCommand(Map<?, ?> tree) {
     String kind = requireString(tree, "kind");
@@ -112,19 +113,19 @@
               tree.containsKey("machine") ? requireString(tree, "machine") : null);
       case "extend" -> new Command.Extend(requireLong(tree, "order"), requireLong(tree, "millis"));
       case "cancel" -> new Command.Cancel(requireLong(tree, "order"));
-      default -> throw new IllegalArgumentException("an entry of the kind " + kind);
+      default -> throw new IllegalArgumentException("unknown kind of log entry: " + kind);
     };
   }
 
   static Map<String, Object> encode(Command.Ask ask) {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("key", ask.key());
-    tree.put("who", ask.who());
-    tree.put("why", ask.why());
+    tree.put("who", ask.requester());
+    tree.put("why", ask.reason());
     tree.put("urgent", ask.urgent());
     tree.put("at_once", ask.atOnce());
-    tree.put("for_ms", ask.forMillis());
-    tree.put("after", ask.after());
+    tree.put("for_ms", ask.durationMillis());
+    tree.put("after", ask.afterOrder());
     tree.put("not_before_ms", ask.notBeforeMillis());
     tree.put("not_after_ms", ask.notAfterMillis());
     List<Object> machines = new ArrayList<>();
@@ -198,10 +199,10 @@
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("index", report.index());
     List<Object> groups = new ArrayList<>();
-    // Sorted, so that whoever has computed the same writes the same.
-    List<ServerGroup> order = new ArrayList<>(report.groups().keySet());
-    order.sort(Comparator.comparing(ServerGroup::kind).thenComparing(ServerGroup::zone));
-    for (ServerGroup group : order) {
+    // Sorted, so that equal reports are encoded alike.
+    List<ServerGroup> sorted = new ArrayList<>(report.groups().keySet());
+    sorted.sort(Comparator.comparing(ServerGroup::kind).thenComparing(ServerGroup::zone));
+    for (ServerGroup group : sorted) {
       CapacityReport.Capacity capacity = report.groups().get(group);
       groups.add(List.of(group.kind(), group.zone(), capacity.listed(), capacity.available()));
     }
@@ -231,9 +232,9 @@
     return ((Number) require(tree, key, Number.class)).longValue();
   }
 
-  /** A field that an earlier release does not write. */
-  static long longOrDefault(Map<?, ?> tree, String key, long otherwise) {
-    return tree.containsKey(key) ? requireLong(tree, key) : otherwise;
+  /** Reads a field that an earlier release does not write. */
+  static long longOrDefault(Map<?, ?> tree, String key, long fallback) {
+    return tree.containsKey(key) ? requireLong(tree, key) : fallback;
   }
 
   static boolean requireBoolean(Map<?, ?> tree, String key) {
@@ -249,17 +250,18 @@
   }
 
   static List<String> requireStrings(Map<?, ?> tree, String key) {
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (Object each : requireList(tree, key)) {
-      texts.add((String) each);
+      strings.add((String) each);
     }
-    return texts;
+    return strings;
   }
 
   private static Object require(Map<?, ?> tree, String key, Class<?> type) {
     Object value = tree.get(key);
     if (!type.isInstance(value)) {
-      throw new IllegalArgumentException("an entry with " + key + " = " + value);
+      throw new IllegalArgumentException(
+          "log entry or snapshot with unexpected " + key + " = " + value);
     }
     return value;
   }
--- a/src/main/java/heathswitch/policy/maintenance/CommandResult.java
+++ b/src/main/java/heathswitch/policy/maintenance/CommandResult.java
@@ -1,17 +1,19 @@
 package heathswitch.policy.maintenance;
 
 /**
- * What became of a command.
+ * The result of applying a command.
  *
- * @param value that it made or spoke of, or 0; of a join that came too late the incarnation
- * @param message why not, or what else a person should know; may be empty
+ * @param ok whether the command was accepted
+ * @param value the order that the command created or referred to, or 0; for a renewal the log index
+ *     of its entry; for a superseded join the incarnation that has joined instead
+ * @param message why the command was rejected, or what else an operator should know; may be empty
  */
 public record CommandResult(boolean ok, long value, String message) {
-  static CommandResult ok(long order) {
-    return new CommandResult(true, order, "");
+  static CommandResult accepted(long value) {
+    return new CommandResult(true, value, "");
   }
 
-  static CommandResult no(String message) {
+  static CommandResult rejected(String message) {
     return new CommandResult(false, 0, message);
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/FormatSupport.java
+++ b/src/main/java/heathswitch/policy/maintenance/FormatSupport.java
@@ -1,21 +1,22 @@
 package heathswitch.policy.maintenance;
 
 /**
- * What an instance's program can take, and whom its configuration names.
+ * Which format versions of log entries an instance's program supports. A format version stands for
+ * the encoding of entries and for what the state machine computes from them.
  *
- * @param latestFormat the latest form of entries and of what follows from them
- * @param peers instances that its configuration names; 0 where that is not said
+ * @param latestFormat the latest version that the program can read
+ * @param peers number of instances that its configuration names; 0 if not stated
  */
 public record FormatSupport(int latestFormat, int peers) {
-  /** The first form. */
+  /** The first version. */
   public static final int FIRST = 1;
 
-  /** Machines that are out are wanted back while capacity is under its floor. */
+  /** Adds that machines that are out are wanted back while capacity is below its floor. */
   public static final int WANTED_BACK = 2;
 
-  /** The latest form that this program knows. */
+  /** The latest version that this program can read. */
   public static final int LATEST = WANTED_BACK;
 
-  /** What a program of the first form says of itself: nothing. */
+  /** What holds for a program of the first version, which states neither of the two values. */
   public static final FormatSupport UNSTATED = new FormatSupport(FIRST, 0);
 }
--- a/src/main/java/heathswitch/policy/maintenance/InstanceSession.java
+++ b/src/main/java/heathswitch/policy/maintenance/InstanceSession.java
@@ -8,347 +8,368 @@
 import java.util.Set;
 
 /**
- * One instance's part in what is settled: it joins, renews its lease, says which machines it has
- * let go of, and knows whether it may send. It is stepped again and again and told what became of
- * what it said; anything may be lost, late or told twice. Times are nanoseconds of a monotonic
- * clock of its own.
+ * One instance's session with the replicated state: it joins, renews its lease, reports which
+ * machines it sends nothing to any more, and decides whether the instance may send. The caller
+ * invokes {@link #step} periodically and passes back the result of each command; a command or its
+ * result may be lost, late or delivered twice. Times are nanoseconds of a monotonic clock of the
+ * instance.
  */
 public final class InstanceSession {
-  /** What the participant can see where it is. */
+  /** The instance's own view of the replicated state and of its traffic. */
   public interface LocalView {
-    /** The latest process of this instance by what has been taken here, 0 for none. */
+    /** The latest incarnation of this instance in the state applied here, 0 for none. */
     long latestIncarnation();
 
-    /** Whether the entry with which such a process joined has been taken here. */
+    /** Whether the entry with which an incarnation joined has been applied here. */
     boolean hasJoined(long incarnation);
 
-    /** The last entry that has been taken here. */
+    /** Index of the last log entry applied here. */
     long appliedIndex();
 
     /**
-     * What is in service, with all laid over the lists that has been taken here; null for no list.
+     * The capacity that this instance sees, with all that has been applied here taken into account;
+     * null if there is no server list yet.
      */
     CapacityReport capacityReport();
 
     /** Whether nothing is in flight to any server. */
     boolean idle();
 
-    /** Machines that are being emptied, get nothing new from here and have nothing in flight. */
+    /** Machines being emptied that get nothing new from here and have nothing in flight. */
     List<MaintenanceState.AwayMachine> drainedMachines();
 
     /** The lease by the rules in force. */
     long leaseMillis();
 
-    /** Whether an order has this balancer itself leave, or stay away. */
+    /** Whether an order requires this balancer itself to leave or to stay away. */
     boolean mustLeave();
 
-    /** Whether its clients have gone, and none can come. */
+    /** Whether all clients of this balancer have gone and no new ones can come. */
     boolean clientsGone();
 
     /**
-     * Whether this instance leads and a machine has waited long enough for one that is not heard:
-     * what only an entry lets go of.
+     * Whether this instance leads and a machine being emptied need not wait any longer for an
+     * instance whose lease has expired. The machine goes out only with the next log entry.
      */
     boolean expiryDue();
 
-    /** Whether its log has stopped until its next start, so that it hears of no order any more. */
+    /** Whether this instance's log has stopped until its next start, so that it sees no grants. */
     boolean logStopped();
 
-    /** A number that nobody has drawn before, above 0. */
+    /** An incarnation above 0 that has not been used before. */
     long newIncarnation();
   }
 
   private static final long MILLI = 1_000_000L;
 
-  /** An answer that is not there by then is not waited for any more. */
-  static final long PATIENCE_NANOS = 3000 * MILLI;
+  /** How long to wait for the result of a command. */
+  static final long RESULT_TIMEOUT_NANOS = 3000 * MILLI;
 
-  static final long AGAIN_NANOS = 100 * MILLI;
+  static final long RETRY_NANOS = 100 * MILLI;
 
   /**
-   * A machine must have had nothing in flight for so long before that is said: of an attempt that
-   * was called off the last bytes may still be on their way.
+   * For how long a machine must have had nothing in flight before that is reported; the last bytes
+   * of a cancelled attempt may still be on their way.
    */
   static final long QUIET_NANOS = 20 * MILLI;
 
-  /** Renewals in one lease, so that three may be lost; and how far apart they are at most. */
+  /** Renewals in one lease, so that three may be lost. */
   static final long RENEWALS = 4;
 
-  private static final long MOST_BETWEEN_MILLIS = 1000;
+  /** Upper limit of the interval between renewals. */
+  private static final long MAX_RENEWAL_INTERVAL_MILLIS = 1000;
 
   private enum State {
-    /** It is not among the instances. */
+    /** Not joined. */
     OUTSIDE,
-    /** It has asked to be. */
+    /** The join has been submitted. */
     JOINING,
-    /** It is, and has not yet taken all that was settled before. */
-    TAKING,
-    INSIDE,
-    /** It has left, as an order has it; it stays away until it is let back. */
+    /** The join was accepted, but the local log has not applied it yet. */
+    CATCHING_UP,
+    /** Joined, with all entries before the join applied. */
+    JOINED,
+    /** Left as an order requires; stays away until the order is done. */
     LEFT
   }
 
   private final String name;
-  private final boolean stops;
-  private final long stoppingNanos;
+  private final boolean stopsWhenCutOff;
+  private final long stopMarginNanos;
   private final MaintenanceRules rules;
-  private final FormatSupport release;
+  private final FormatSupport formats;
 
   private State state = State.OUTSIDE;
-  private boolean everInside;
+  private boolean everJoined;
   private long incarnation;
-  private long before;
+  private long previousIncarnation;
   private long nextNanos = Long.MIN_VALUE;
   private long sentNanos;
   private long leaseUntilNanos;
   private boolean renewing;
   private boolean leaving;
-  private long leftNanos;
+  private long leaveSentNanos;
 
-  /** Since it has said so it sends nothing until it has joined anew. */
-  private boolean saidLeave;
+  /** Whether a leave has been submitted; the instance sends nothing until it has joined again. */
+  private boolean leaveSent;
 
   private Command lastRenewal;
 
   /**
-   * The entry of a renewal that was taken by the others and not here yet, or 0. One whose own log
-   * stands still hears of no grant: it renews no further, so that others count it as cut off.
+   * Index of the entry of a renewal that was accepted but has not been applied here, or 0. An
+   * instance whose own log makes no progress sees no grants, so it does not renew again and the
+   * others count it as cut off.
    */
-  private long awaited;
+  private long awaitedIndex;
 
-  /** Since when a machine has been empty, and what has been said to be. */
-  private final Map<MaintenanceState.AwayMachine, Long> emptySince = new HashMap<>();
+  /** Since when each machine has had nothing in flight. */
+  private final Map<MaintenanceState.AwayMachine, Long> drainedSince = new HashMap<>();
 
-  private final Set<MaintenanceState.AwayMachine> told = new HashSet<>();
+  /** The machines for which a {@link Command.Free} has been submitted. */
+  private final Set<MaintenanceState.AwayMachine> freed = new HashSet<>();
 
   /**
-   * One that is outside.
+   * Creates a session that has not joined.
    *
-   * @param stops whether it stops by itself when it cannot renew its lease
-   * @param stoppingMillis before the end of its lease it takes no more clients
+   * @param stopsWhenCutOff whether the instance stops sending when it cannot renew its lease
+   * @param stopMarginMillis how long before the end of its lease it accepts no more clients
    * @param rules as its configuration states them
-   * @param release what this program can take
+   * @param formats what this program can read
    */
   public InstanceSession(
       String name,
-      boolean stops,
-      long stoppingMillis,
+      boolean stopsWhenCutOff,
+      long stopMarginMillis,
       MaintenanceRules rules,
-      FormatSupport release) {
+      FormatSupport formats) {
     this.name = name;
-    this.stops = stops;
-    this.stoppingNanos = stoppingMillis * MILLI;
+    this.stopsWhenCutOff = stopsWhenCutOff;
+    this.stopMarginNanos = stopMarginMillis * MILLI;
     this.rules = rules;
-    this.release = release;
+    this.formats = formats;
   }
 
   /** Whether the first byte of an attempt may be written at this moment. */
   public boolean maySend(long nowNanos) {
-    if (saidLeave) {
-      return false; // Whether that was taken or not: nobody need wait for it any more.
+    if (leaveSent) {
+      return false; // Whether or not the leave was applied, nobody needs to wait for this instance.
     }
-    return stops ? state == State.INSIDE && leaseUntilNanos - nowNanos > 0 : everInside;
+    return stopsWhenCutOff ? state == State.JOINED && leaseUntilNanos - nowNanos > 0 : everJoined;
   }
 
-  /** Whether new clients may come: what they ask for can be answered within the lease. */
+  /** Whether new clients are accepted: their requests can be answered within the lease. */
   public boolean acceptsClients(long nowNanos) {
-    return maySend(nowNanos) && !leaving && (!stops || leaseUntilNanos - nowNanos > stoppingNanos);
+    return maySend(nowNanos)
+        && !leaving
+        && (!stopsWhenCutOff || leaseUntilNanos - nowNanos > stopMarginNanos);
   }
 
-  /** What is left of the lease, or -1 where there is none to end. */
+  /** What is left of the lease, or -1 for an instance that sends without one. */
   public long leaseLeftNanos(long nowNanos) {
-    return !stops ? -1 : state == State.INSIDE ? Math.max(0, leaseUntilNanos - nowNanos) : 0;
+    return !stopsWhenCutOff
+        ? -1
+        : state == State.JOINED ? Math.max(0, leaseUntilNanos - nowNanos) : 0;
   }
 
   public boolean joined() {
-    return state == State.INSIDE;
+    return state == State.JOINED;
   }
 
   public long incarnation() {
     return incarnation;
   }
 
-  /** What is to be said now; to be called every few milliseconds. */
-  public List<Command> step(long nowNanos, LocalView here) {
-    List<Command> say = new ArrayList<>();
+  /** Returns the commands to submit now; to be called every few milliseconds. */
+  public List<Command> step(long nowNanos, LocalView local) {
+    List<Command> commands = new ArrayList<>();
     switch (state) {
-      case OUTSIDE -> join(nowNanos, here, say);
+      case OUTSIDE -> join(nowNanos, local, commands);
       case JOINING -> {
-        if (nowNanos - sentNanos > PATIENCE_NANOS) {
-          outside(nowNanos);
+        if (nowNanos - sentNanos > RESULT_TIMEOUT_NANOS) {
+          reset(nowNanos);
         }
       }
-      case TAKING -> {
-        if (here.hasJoined(incarnation)) {
-          state = State.INSIDE;
-          everInside = true;
-          leaseUntilNanos = sentNanos + here.leaseMillis() * MILLI;
+      case CATCHING_UP -> {
+        if (local.hasJoined(incarnation)) {
+          state = State.JOINED;
+          everJoined = true;
+          leaseUntilNanos = sentNanos + local.leaseMillis() * MILLI;
           renewing = false;
-          saidLeave = false;
+          leaveSent = false;
           nextNanos = nowNanos;
-          told.clear();
-        } else if (nowNanos - sentNanos > PATIENCE_NANOS) {
-          outside(nowNanos);
+          freed.clear();
+        } else if (nowNanos - sentNanos > RESULT_TIMEOUT_NANOS) {
+          reset(nowNanos);
         }
       }
-      case INSIDE -> {
-        renew(nowNanos, here, say);
-        free(nowNanos, here, say);
-        leave(nowNanos, here, say);
+      case JOINED -> {
+        renew(nowNanos, local, commands);
+        free(nowNanos, local, commands);
+        leave(nowNanos, local, commands);
       }
       case LEFT -> {
-        if (!here.mustLeave()) {
-          outside(nowNanos);
+        if (!local.mustLeave()) {
+          reset(nowNanos);
         }
       }
     }
-    return say;
+    return commands;
   }
 
-  private void outside(long nowNanos) {
+  /** Ends the session; the next join follows after {@link #RETRY_NANOS}. */
+  private void reset(long nowNanos) {
     state = State.OUTSIDE;
     leaving = false;
-    nextNanos = nowNanos + AGAIN_NANOS;
+    nextNanos = nowNanos + RETRY_NANOS;
     lastRenewal = null;
-    awaited = 0;
+    awaitedIndex = 0;
   }
 
-  private void join(long nowNanos, LocalView here, List<Command> say) {
+  private void join(long nowNanos, LocalView local, List<Command> commands) {
     if (nextNanos != Long.MIN_VALUE && nowNanos - nextNanos < 0) {
       return;
     }
-    // One that stops sends nothing until it is inside again; what it sent must have ended.
-    boolean idle = !everInside || stops && here.idle();
-    if (stops && !idle) {
+    // An instance that stops when cut off sends nothing until it has joined again, and whatever it
+    // sent before must have ended.
+    boolean idle = !everJoined || stopsWhenCutOff && local.idle();
+    if (stopsWhenCutOff && !idle) {
       return;
     }
-    incarnation = here.newIncarnation();
-    before = before == 0 ? here.latestIncarnation() : before;
+    incarnation = local.newIncarnation();
+    previousIncarnation =
+        previousIncarnation == 0 ? local.latestIncarnation() : previousIncarnation;
     sentNanos = nowNanos;
     state = State.JOINING;
-    say.add(new Command.Join(name, incarnation, before, idle, stops, rules, release));
+    commands.add(
+        new Command.Join(
+            name, incarnation, previousIncarnation, idle, stopsWhenCutOff, rules, formats));
   }
 
-  private void renew(long nowNanos, LocalView here, List<Command> say) {
-    if (awaited > 0 && here.appliedIndex() >= awaited) {
-      awaited = 0;
-      renewed(here);
+  private void renew(long nowNanos, LocalView local, List<Command> commands) {
+    if (awaitedIndex > 0 && local.appliedIndex() >= awaitedIndex) {
+      awaitedIndex = 0;
+      renewed(local);
     }
-    if (renewing && awaited == 0 && nowNanos - sentNanos > PATIENCE_NANOS) {
+    if (renewing && awaitedIndex == 0 && nowNanos - sentNanos > RESULT_TIMEOUT_NANOS) {
       renewing = false;
     }
-    // What others need not wait for any more is let go of now, not when the next one is to renew.
-    boolean early = nowNanos - sentNanos >= AGAIN_NANOS && here.expiryDue();
-    // Who hears of no grant must not have the others wait for longer than it does already.
-    if (!renewing && (early || nowNanos - nextNanos >= 0) && !here.logStopped()) {
+    // Renews early where an entry is due, so that machines do not wait for the next renewal.
+    boolean early = nowNanos - sentNanos >= RETRY_NANOS && local.expiryDue();
+    // An instance that sees no grants must not make the others wait longer than they already do.
+    if (!renewing && (early || nowNanos - nextNanos >= 0) && !local.logStopped()) {
       renewing = true;
       sentNanos = nowNanos;
-      lastRenewal = new Command.Renew(name, incarnation, here.capacityReport());
-      say.add(lastRenewal);
+      lastRenewal = new Command.Renew(name, incarnation, local.capacityReport());
+      commands.add(lastRenewal);
     }
   }
 
-  private void leave(long nowNanos, LocalView here, List<Command> say) {
-    boolean before = leaving;
-    leaving = here.mustLeave();
-    if (saidLeave && !leaving) {
-      outside(nowNanos); // Let back; what it said may still be on its way, so it joins anew.
+  private void leave(long nowNanos, LocalView local, List<Command> commands) {
+    boolean wasLeaving = leaving;
+    leaving = local.mustLeave();
+    if (leaveSent && !leaving) {
+      reset(nowNanos); // The order is done, but the leave may still be on its way: joins again.
       return;
     }
-    if (leaving && !before) {
-      leftNanos = nowNanos - PATIENCE_NANOS;
+    if (leaving && !wasLeaving) {
+      leaveSentNanos = nowNanos - RESULT_TIMEOUT_NANOS;
     }
-    if (leaving && here.clientsGone() && here.idle() && nowNanos - leftNanos >= PATIENCE_NANOS) {
-      leftNanos = nowNanos;
-      saidLeave = true;
-      say.add(new Command.Leave(name, incarnation));
+    if (leaving
+        && local.clientsGone()
+        && local.idle()
+        && nowNanos - leaveSentNanos >= RESULT_TIMEOUT_NANOS) {
+      leaveSentNanos = nowNanos;
+      leaveSent = true;
+      commands.add(new Command.Leave(name, incarnation));
     }
   }
 
-  private void free(long nowNanos, LocalView here, List<Command> say) {
-    List<MaintenanceState.AwayMachine> empty = here.drainedMachines();
-    emptySince.keySet().retainAll(empty);
-    told.retainAll(empty);
-    for (MaintenanceState.AwayMachine each : empty) {
-      long since = emptySince.computeIfAbsent(each, any -> nowNanos);
-      if (nowNanos - since >= QUIET_NANOS && told.add(each)) {
-        say.add(new Command.Free(name, incarnation, each.order(), each.machine()));
+  private void free(long nowNanos, LocalView local, List<Command> commands) {
+    List<MaintenanceState.AwayMachine> drained = local.drainedMachines();
+    drainedSince.keySet().retainAll(drained);
+    freed.retainAll(drained);
+    for (MaintenanceState.AwayMachine each : drained) {
+      long since = drainedSince.computeIfAbsent(each, any -> nowNanos);
+      if (nowNanos - since >= QUIET_NANOS && freed.add(each)) {
+        commands.add(new Command.Free(name, incarnation, each.order(), each.machine()));
       }
     }
   }
 
   /**
-   * What became of something that was said.
+   * Handles the result of a command.
    *
-   * @param reply null where that is not known: it may have been taken or not
+   * @param result null if it is unknown: the command may have been applied or not
    */
-  public void onResult(Command command, CommandResult reply, long nowNanos, LocalView here) {
+  public void onResult(Command command, CommandResult result, long nowNanos, LocalView local) {
     if (command instanceof Command.Join join) {
       if (state == State.JOINING && join.incarnation() == incarnation) {
-        joinAnswered(reply, nowNanos);
+        onJoinResult(result, nowNanos);
       }
     } else if (command instanceof Command.Renew renew) {
-      if (state == State.INSIDE && renew == lastRenewal) {
-        lastRenewal = null; // Told a second time it says nothing of the next one's time.
-        renewAnswered(reply, nowNanos, here);
+      if (state == State.JOINED && renew == lastRenewal) {
+        lastRenewal = null; // A second result of this one must not count for the next renewal.
+        onRenewResult(result, nowNanos, local);
       }
     } else if (command instanceof Command.Leave leave) {
-      if (state == State.INSIDE
+      if (state == State.JOINED
           && leave.incarnation() == incarnation
-          && reply != null
-          && reply.ok()) {
+          && result != null
+          && result.ok()) {
         state = State.LEFT;
         leaving = false;
       }
     } else if (command instanceof Command.Free free
-        && state == State.INSIDE
+        && state == State.JOINED
         && free.incarnation() == incarnation
-        && (reply == null || !reply.ok())) {
-      told.removeIf(each -> each.order() == free.order() && each.machine().equals(free.machine()));
+        && (result == null || !result.ok())) {
+      freed.removeIf(each -> each.order() == free.order() && each.machine().equals(free.machine()));
     }
   }
 
-  private void joinAnswered(CommandResult reply, long nowNanos) {
-    if (reply != null && reply.ok()) {
-      state = State.TAKING;
-      before = 0;
+  private void onJoinResult(CommandResult result, long nowNanos) {
+    if (result != null && result.ok()) {
+      state = State.CATCHING_UP;
+      previousIncarnation = 0;
       return;
     }
-    outside(nowNanos);
-    if (reply != null && reply.message().equals(MaintenanceState.LATE)) {
-      before = reply.value();
+    reset(nowNanos);
+    if (result != null && result.message().equals(MaintenanceState.JOIN_SUPERSEDED)) {
+      previousIncarnation = result.value();
       nextNanos = nowNanos;
     }
   }
 
-  private void renewAnswered(CommandResult reply, long nowNanos, LocalView here) {
-    if (reply == null) {
+  private void onRenewResult(CommandResult result, long nowNanos, LocalView local) {
+    if (result == null) {
       renewing = false;
-      nextNanos = nowNanos + AGAIN_NANOS;
-    } else if (!reply.ok()) {
-      outside(nowNanos); // Fenced.
-    } else if (here.appliedIndex() < reply.value()) {
-      awaited = reply.value();
+      nextNanos = nowNanos + RETRY_NANOS;
+    } else if (!result.ok()) {
+      reset(nowNanos); // Fenced.
+    } else if (local.appliedIndex() < result.value()) {
+      awaitedIndex = result.value();
     } else {
-      renewed(here);
+      renewed(local);
     }
   }
 
-  /** From one renewal to the next. */
+  /** The time between two renewals. */
   public static long renewalIntervalMillis(long leaseMillis) {
-    return Math.min(MOST_BETWEEN_MILLIS, leaseMillis / RENEWALS);
+    return Math.min(MAX_RENEWAL_INTERVAL_MILLIS, leaseMillis / RENEWALS);
   }
 
-  private void renewed(LocalView here) {
+  private void renewed(LocalView local) {
     renewing = false;
-    long lease = here.leaseMillis() * MILLI;
+    long lease = local.leaseMillis() * MILLI;
     long until = sentNanos + lease;
     leaseUntilNanos = until - leaseUntilNanos > 0 ? until : leaseUntilNanos;
-    nextNanos = sentNanos + renewalIntervalMillis(here.leaseMillis()) * MILLI;
+    nextNanos = sentNanos + renewalIntervalMillis(local.leaseMillis()) * MILLI;
   }
 
-  /** Whether the others have taken its last renewal for so long, and its own log has not. */
+  /**
+   * Whether the last renewal was accepted, but the instance's own log has not applied it for longer
+   * than {@link #RESULT_TIMEOUT_NANOS}.
+   */
   public boolean isLogStalled(long nowNanos) {
-    return state == State.INSIDE && awaited > 0 && nowNanos - sentNanos > PATIENCE_NANOS;
+    return state == State.JOINED && awaitedIndex > 0 && nowNanos - sentNanos > RESULT_TIMEOUT_NANOS;
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/InstanceState.java
+++ b/src/main/java/heathswitch/policy/maintenance/InstanceState.java
@@ -1,15 +1,18 @@
 package heathswitch.policy.maintenance;
 
-/** A balancer that takes part. */
+/** What the replicated state holds of one balancer instance. */
 final class InstanceState {
   final String name;
   long incarnation;
-  boolean stops;
+  boolean stopsWhenCutOff;
 
-  /** The latest form that its program knows. */
-  int knows = FormatSupport.FIRST;
+  /** The latest format version that the instance's program can read. */
+  int latestFormat = FormatSupport.FIRST;
 
-  /** Counted as one that sends nothing: it has left, was fenced by a person, or its lease ended. */
+  /**
+   * Whether the instance counts as sending nothing: it has left, an operator has fenced it, or its
+   * lease has expired.
+   */
   boolean fenced;
 
   long renewedMillis;
--- a/src/main/java/heathswitch/policy/maintenance/MaintenanceRules.java
+++ b/src/main/java/heathswitch/policy/maintenance/MaintenanceRules.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What all instances hold to; the highest version wins.
+ * The limits that all instances follow; the highest version that an instance has joined with is in
+ * force.
  *
- * @param leaseMillis after its last renewal an instance may send no longer than this
- * @param marginMillis beyond the lease until others count it as fenced: what clocks may differ in
- *     rate and what an end takes
- * @param maxOut machines held at once
- * @param maxOutInCell machines held at once in one cell
+ * @param leaseMillis for how long after its last renewal an instance may send
+ * @param marginMillis added to the lease before others count the instance as fenced; it covers the
+ *     difference in clock rates and the time that an instance needs to stop sending
+ * @param maxOut maximum number of machines held at once
+ * @param maxOutInCell maximum number of machines held at once in one cell
  */
 public record MaintenanceRules(
     long version,
--- a/src/main/java/heathswitch/policy/maintenance/MaintenanceState.java
+++ b/src/main/java/heathswitch/policy/maintenance/MaintenanceState.java
@@ -13,98 +13,108 @@
 import java.util.TreeMap;
 
 /**
- * Which machines are out, and which go next: the same on every instance that has taken the same
- * entries. Time is what the entries say, a span that never runs faster than any instance's clock.
+ * The replicated state machine of maintenance orders: which machines are out and which go out next.
+ * Instances that have applied the same log entries hold the same state. Its time is that of the
+ * entries, see {@link LogClock}; it never runs faster than the clock of any instance.
  */
 public final class MaintenanceState {
-  /** Orders that have not ended; one more is refused. */
-  public static final int MOST_ORDERS = 1024;
+  /** Maximum number of orders that have not ended; further ones are rejected. */
+  public static final int MAX_ORDERS = 1024;
 
-  /** Machines of all these together. */
-  public static final int MOST_MACHINES = 20_000;
+  /** Maximum number of machines in all orders that have not ended. */
+  public static final int MAX_MACHINES = 20_000;
 
-  /** Ended orders that can still be shown. */
-  static final int MOST_ENDED = 256;
+  /** Number of ended orders that are kept to be shown. */
+  static final int MAX_ENDED = 256;
 
-  public static final int MOST_INSTANCES = 64;
+  /** Maximum number of instances. */
+  public static final int MAX_INSTANCES = 64;
 
-  /** No work takes longer than a year. */
-  private static final long MOST_MILLIS = 366L * 24 * 3600 * 1000;
+  /** Longest duration of maintenance: a year. */
+  private static final long MAX_DURATION_MILLIS = 366L * 24 * 3600 * 1000;
 
-  /** Rounds that an urgent order goes before others; so it is overtaken and overtakes in bounds. */
+  /**
+   * How many rounds an urgent order is moved ahead. Since the number is fixed, urgent orders delay
+   * others, and are delayed by them, only within a bound.
+   */
   static final int URGENT_ROUNDS = 8;
 
-  /** What an instance saw longer ago counts for nothing. */
-  static final long REPORT_MILLIS = 10_000;
+  /** Capacity reports older than this are ignored. */
+  static final long REPORT_TTL_MILLIS = 10_000;
 
-  /** Said to a join that did not know of the latest one; its {@code order} is what it must know. */
-  public static final String LATE = "another process of this instance has joined meanwhile";
+  /**
+   * Message of a join that is rejected because it did not name the latest incarnation; the result's
+   * {@code value} is that incarnation. Instances of other releases compare this text, so it must
+   * not change.
+   */
+  public static final String JOIN_SUPERSEDED =
+      "another process of this instance has joined meanwhile";
 
-  /** One that was heard so long ago counts as there. */
-  private static final long HEARD_MILLIS = 3000;
+  /** An instance that renewed its lease within this time counts as reachable. */
+  private static final long REACHABLE_MILLIS = 3000;
 
-  private static final MaintenanceRules NO_RULES =
+  private static final MaintenanceRules INITIAL_RULES =
       new MaintenanceRules(0, 4000, 1000, 1, 1, List.of());
-  private static final Comparator<Order> TURNS =
-      Comparator.<Order>comparingLong(o -> o.round - (o.ask.urgent() ? URGENT_ROUNDS : 0))
+  private static final Comparator<Order> TURN_ORDER =
+      Comparator.<Order>comparingLong(o -> o.round - (o.request.urgent() ? URGENT_ROUNDS : 0))
           .thenComparingLong(o -> o.id);
 
   private final Map<String, InstanceState> instances = new TreeMap<>();
   private final Map<Long, Order> orders = new TreeMap<>();
   private final Map<Long, Order> ended = new LinkedHashMap<>();
 
-  /** Places that are held or on their way back, by machine. */
-  private final Map<String, Order.Place> away = new TreeMap<>();
+  /** Items that are held or returning, by machine id. */
+  private final Map<String, Order.Item> away = new TreeMap<>();
 
-  private MaintenanceRules rules = NO_RULES;
+  private MaintenanceRules rules = INITIAL_RULES;
   private long nowMillis;
   private long index;
   private long nextOrder = 1;
   private long round = 1;
 
-  /** Grows with every step of a machine. */
+  /** Incremented whenever a machine changes its phase or whether it is wanted back. */
   private long changes;
 
-  /** The form in force: what every instance that there is can take. It never falls. */
-  private int form = FormatSupport.FIRST;
+  /** The format version in force, which every instance can read. It never decreases. */
+  private int formatVersion = FormatSupport.FIRST;
 
-  /** Instances that there are to be, as the last one that joined was told. */
+  /** Number of instances in the fleet, as the last one that joined was configured; 0 if unknown. */
   private int peers;
 
   /**
-   * Takes the next entry of the log.
+   * Applies the next log entry.
    *
-   * @param entry its number
-   * @param stampMillis when whoever led took it, on the log's own clock, or {@link
+   * @param entry index of the entry
+   * @param stampMillis when the leader received the entry, on the log's own clock, or {@link
    *     LogClock#NO_TIME}
    */
   public CommandResult apply(long entry, long stampMillis, Command command) {
     index = entry;
     nowMillis = Math.max(nowMillis, stampMillis);
-    CommandResult reply;
+    CommandResult result;
     if (stampMillis < 0 && (command instanceof Command.Join || command instanceof Command.Renew)) {
-      reply = CommandResult.no("no time that a lease could run from; once more");
+      result = CommandResult.rejected("entry has no time that a lease could start from; try again");
     } else if (command instanceof Command.Join join) {
-      reply = join(join);
+      result = join(join);
     } else if (command instanceof Command.Renew renew) {
-      reply = renew(renew, stampMillis);
+      result = renew(renew, stampMillis);
     } else if (command instanceof Command.Free free) {
-      reply = free(free);
+      result = free(free);
     } else if (command instanceof Command.Leave leave) {
-      reply = leave(leave);
+      result = leave(leave);
     } else if (command instanceof Command.Fence fence) {
-      reply = fence(fence);
+      result = fence(fence);
     } else if (command instanceof Command.Ask ask) {
-      reply = ask(ask);
+      result = ask(ask);
     } else if (command instanceof Command.Done done) {
-      reply = done(done);
+      result = done(done);
     } else if (command instanceof Command.Extend extend) {
-      reply = extend(extend);
+      result = extend(extend);
     } else {
-      reply = cancel((Command.Cancel) command);
+      result = cancel((Command.Cancel) command);
     }
-    settle();
-    return reply;
+    updateAll();
+    return result;
   }
 
   // ---- instances ----
@@ -112,62 +122,67 @@
   private CommandResult join(Command.Join join) {
     InstanceState instance = instances.get(join.instance());
     if (instance == null) {
-      if (instances.size() >= MOST_INSTANCES) {
-        return CommandResult.no("there are " + MOST_INSTANCES + " instances already");
+      if (instances.size() >= MAX_INSTANCES) {
+        return CommandResult.rejected("the maximum of " + MAX_INSTANCES + " instances is reached");
       }
       instance = new InstanceState(join.instance());
       instances.put(join.instance(), instance);
     } else if (instance.incarnation == join.incarnation()) {
-      return CommandResult.ok(0); // The same entry a second time.
-    } else if (instance.incarnation != join.before()) {
-      return new CommandResult(false, instance.incarnation, LATE);
-    }
-    if (join.release().latestFormat() < form) {
-      return CommandResult.no(
-          "entries of form "
-              + form
-              + " are in force, and this release knows none beyond "
-              + join.release().latestFormat()
+      return CommandResult.accepted(0); // The same join a second time.
+    } else if (instance.incarnation != join.previousIncarnation()) {
+      return new CommandResult(false, instance.incarnation, JOIN_SUPERSEDED);
+    }
+    if (join.formats().latestFormat() < formatVersion) {
+      return CommandResult.rejected(
+          "entries of format version "
+              + formatVersion
+              + " are in force and this release reads them only up to version "
+              + join.formats().latestFormat()
               + "; a later release expected");
     }
-    Order.Place own = away.get(Machine.balancer(join.instance()).id());
+    Order.Item own = away.get(Machine.balancer(join.instance()).id());
     if (own != null && own.phase == Phase.OUT) {
-      return CommandResult.no("taken out by order " + own.order.id + " until that is done");
+      return CommandResult.rejected(
+          "taken out by order " + own.order.id + "; can join after that is done");
     }
     instance.incarnation = join.incarnation();
-    instance.stops = join.stops();
+    instance.stopsWhenCutOff = join.stopsWhenCutOff();
     instance.fenced = false;
     instance.renewedMillis = nowMillis;
     instance.report = null;
-    instance.knows = join.release().latestFormat();
-    peers = join.release().peers() > 0 ? join.release().peers() : peers;
-    raise();
-    String said = takeRules(join.rules());
-    for (Order.Place place : away.values()) {
-      if (place.phase == Phase.EMPTYING) {
-        // It sends nothing before it has taken this entry, and all grants before it.
+    instance.latestFormat = join.formats().latestFormat();
+    peers = join.formats().peers() > 0 ? join.formats().peers() : peers;
+    raiseFormatVersion();
+    String message = adoptRules(join.rules());
+    for (Order.Item item : away.values()) {
+      if (item.phase == Phase.EMPTYING) {
+        // It sends nothing before it has applied this entry, and with it all earlier grants.
         if (join.idle()) {
-          place.freed.add(instance.name);
+          item.freedBy.add(instance.name);
         } else {
-          place.freed.remove(instance.name);
+          item.freedBy.remove(instance.name);
         }
       }
     }
-    return new CommandResult(true, 0, said);
+    return new CommandResult(true, 0, message);
   }
 
   /**
-   * A later form is in force as soon as all instances that there are to be know it: from then on no
-   * earlier release can take part.
+   * Puts a later format version in force once all instances of the fleet can read it. From then on
+   * no earlier release can join.
    */
-  private void raise() {
+  private void raiseFormatVersion() {
     if (peers > 0 && instances.size() >= peers) {
-      int all = instances.values().stream().mapToInt(each -> each.knows).min().orElse(form);
-      form = Math.max(form, all);
+      int common =
+          instances.values().stream()
+              .mapToInt(each -> each.latestFormat)
+              .min()
+              .orElse(formatVersion);
+      formatVersion = Math.max(formatVersion, common);
     }
   }
 
-  private String takeRules(MaintenanceRules stated) {
+  private String adoptRules(MaintenanceRules stated) {
     if (stated.version() > rules.version()) {
       rules = stated;
     } else if (stated.version() == rules.version() && !stated.equals(rules)) {
@@ -178,8 +193,8 @@
     return "";
   }
 
-  /** The instance if this process of it may speak, else null. */
-  private InstanceState speaking(String name, long incarnation) {
+  /** The instance if it is not fenced and the incarnation is its current one, else null. */
+  private InstanceState activeInstance(String name, long incarnation) {
     InstanceState instance = instances.get(name);
     return instance == null || instance.fenced || instance.incarnation != incarnation
         ? null
@@ -187,131 +202,139 @@
   }
 
   private CommandResult renew(Command.Renew renew, long stampMillis) {
-    InstanceState instance = speaking(renew.instance(), renew.incarnation());
+    InstanceState instance = activeInstance(renew.instance(), renew.incarnation());
     if (instance == null) {
-      return CommandResult.no("fenced; to join anew");
+      return CommandResult.rejected("fenced; must join again");
     }
-    // The entry's own time, not the latest: the lease runs from before it was sent.
+    // The entry's own time rather than the latest one: the lease starts before the entry was sent.
     instance.renewedMillis = Math.max(instance.renewedMillis, stampMillis);
-    // One that was held up on its way says nothing newer.
-    CapacityReport before = instance.report;
-    if (renew.report() != null && (before == null || renew.report().index() >= before.index())) {
+    // A delayed entry must not replace a newer report.
+    CapacityReport previous = instance.report;
+    if (renew.report() != null
+        && (previous == null || renew.report().index() >= previous.index())) {
       instance.report = renew.report();
       instance.reportedMillis = nowMillis;
     }
-    return CommandResult.ok(index); // So that it knows when it has taken this entry itself.
+    return CommandResult.accepted(index); // The instance waits until its own log has applied this.
   }
 
   private CommandResult free(Command.Free free) {
-    InstanceState instance = speaking(free.instance(), free.incarnation());
+    InstanceState instance = activeInstance(free.instance(), free.incarnation());
     if (instance == null) {
-      return CommandResult.no("fenced; to join anew");
+      return CommandResult.rejected("fenced; must join again");
     }
     Order order = orders.get(free.order());
-    Order.Place place = order == null ? null : order.place(free.machine());
-    if (place != null && place.phase == Phase.EMPTYING) {
-      place.freed.add(instance.name);
+    Order.Item item = order == null ? null : order.item(free.machine());
+    if (item != null && item.phase == Phase.EMPTYING) {
+      item.freedBy.add(instance.name);
     }
-    return CommandResult.ok(free.order());
+    return CommandResult.accepted(free.order());
   }
 
-  /** What it said before and is still on its way counts for nothing: a join least of all. */
-  private void goneForGood(InstanceState instance) {
+  /** Fences an instance so that its delayed commands, a delayed join included, have no effect. */
+  private void fenceIncarnation(InstanceState instance) {
     instance.fenced = true;
     instance.incarnation = -index;
   }
 
   private CommandResult leave(Command.Leave leave) {
-    InstanceState instance = speaking(leave.instance(), leave.incarnation());
+    InstanceState instance = activeInstance(leave.instance(), leave.incarnation());
     if (instance == null) {
-      return CommandResult.no("not there");
+      return CommandResult.rejected("fenced or not joined");
     }
-    goneForGood(instance);
-    return CommandResult.ok(0);
+    fenceIncarnation(instance);
+    return CommandResult.accepted(0);
   }
 
   private CommandResult fence(Command.Fence fence) {
     InstanceState instance = instances.get(fence.instance());
     if (instance == null) {
-      return CommandResult.no("no instance " + fence.instance());
+      return CommandResult.rejected("unknown instance " + fence.instance());
     }
-    goneForGood(instance);
+    fenceIncarnation(instance);
     if (fence.forget()) {
       instances.remove(instance.name);
-      raise();
+      raiseFormatVersion();
     }
-    return CommandResult.ok(0);
+    return CommandResult.accepted(0);
   }
 
   // ---- orders ----
 
   private CommandResult ask(Command.Ask ask) {
     for (Order order : orders.values()) {
-      if (order.ask.key().equals(ask.key())) {
-        return new CommandResult(true, order.id, "asked before");
+      if (order.request.key().equals(ask.key())) {
+        return new CommandResult(true, order.id, "requested before");
       }
     }
-    String refused = refusal(ask);
-    if (refused != null) {
-      return CommandResult.no(refused);
+    String reason = rejectionReason(ask);
+    if (reason != null) {
+      return CommandResult.rejected(reason);
     }
-    long turn = round;
+    long orderRound = round;
     for (Order order : orders.values()) {
-      if (order.ask.who().equals(ask.who())) {
-        turn = Math.max(turn, order.round + 1);
+      if (order.request.requester().equals(ask.requester())) {
+        orderRound = Math.max(orderRound, order.round + 1);
       }
     }
-    Order order = new Order(nextOrder++, ask, nowMillis, turn);
+    Order order = new Order(nextOrder++, ask, nowMillis, orderRound);
     orders.put(order.id, order);
-    return CommandResult.ok(order.id);
+    return CommandResult.accepted(order.id);
   }
 
-  /** Why it can never be granted, or null. */
-  private String refusal(Command.Ask ask) {
+  /** Why a request is rejected, such as that it could never be granted; null if it is accepted. */
+  private String rejectionReason(Command.Ask ask) {
     int machines = ask.machines().size();
     if (machines == 0) {
-      return "names no machine";
+      return "the request names no machine";
     }
-    if (ask.atOnce() < 1 || ask.forMillis() < 1 || ask.forMillis() > MOST_MILLIS) {
-      return "at least one machine at once is expected, for a year at most";
+    if (ask.atOnce() < 1
+        || ask.durationMillis() < 1
+        || ask.durationMillis() > MAX_DURATION_MILLIS) {
+      return "at least one machine at once and a duration of up to a year expected";
     }
     if (ask.notBeforeMillis() < 0 || ask.notAfterMillis() < 0) {
-      return "spans from now are expected, none of them negative";
+      return "not-before and not-after are times from now and must not be negative";
     }
-    if (orders.size() >= MOST_ORDERS) {
-      return "there are " + MOST_ORDERS + " orders already";
+    if (orders.size() >= MAX_ORDERS) {
+      return "the maximum of " + MAX_ORDERS + " open orders is reached";
     }
-    long all = machines;
+    long total = machines;
     for (Order order : orders.values()) {
-      all += order.places().size();
+      total += order.items().size();
     }
-    if (all > MOST_MACHINES) {
-      return "more than " + MOST_MACHINES + " machines in all orders";
+    if (total > MAX_MACHINES) {
+      return "more than " + MAX_MACHINES + " machines in all orders together";
     }
-    if (ask.after() != 0 && !orders.containsKey(ask.after()) && !ended.containsKey(ask.after())) {
-      return "comes after order " + ask.after() + ", which there is not";
+    if (ask.afterOrder() != 0
+        && !orders.containsKey(ask.afterOrder())
+        && !ended.containsKey(ask.afterOrder())) {
+      return "is to come after order " + ask.afterOrder() + ", which does not exist";
     }
     if (rules.maxOut() < 1 || rules.maxOutInCell() < 1) {
-      return "no machine may be out by the rules of version " + rules.version();
+      return "the rules of version " + rules.version() + " allow no machine to be out";
     }
-    Set<ServerGroup> looked = new HashSet<>();
+    Set<ServerGroup> checkedGroups = new HashSet<>();
     Set<String> ids = new HashSet<>();
     for (Machine machine : ask.machines()) {
       if (!ids.add(machine.id())) {
-        return "names " + machine.id() + " twice";
+        return "the request names " + machine.id() + " twice";
       }
       if ((machine.instance() == null) != (ask.machines().get(0).instance() == null)) {
-        return "names servers and balancers; an order of its own for each expected";
+        return "the request names servers and balancers; separate orders expected";
       }
       if (machine.instance() != null && !instances.containsKey(machine.instance())) {
-        return "names " + machine.instance() + ", which is no instance";
+        return "the request names the unknown instance " + machine.instance();
       }
       for (CapacityFloor floor : rules.floors()) {
-        // Groups of like servers are judged once; a heavier one waits, if need be for good.
-        if (floor.covers(machine.group()) && looked.add(machine.group())) {
-          double listed = listed(floor);
+        // Only the first machine of a group is checked; a heavier one may have to wait forever.
+        if (floor.covers(machine.group()) && checkedGroups.add(machine.group())) {
+          double listed = listedCapacity(floor);
           if (listed > 0 && listed - machine.weight() < floor.minShare() * listed) {
-            return machine.id() + " can never go: " + floor + " allows no machine of its weight";
+            return machine.id()
+                + " can never go out: "
+                + floor
+                + " allows no machine of its weight";
           }
         }
       }
@@ -322,94 +345,98 @@
   private CommandResult done(Command.Done done) {
     Order order = orders.get(done.order());
     if (order == null) {
-      return CommandResult.no("no order " + done.order());
-    }
-    int back = 0;
-    for (Order.Place place : order.places()) {
-      if (place.phase == Phase.OUT
-          && (done.machine() == null || place.machine.id().equals(done.machine()))) {
-        move(place, Phase.RETURNING);
-        back++;
+      return CommandResult.rejected("no order " + done.order());
+    }
+    int returning = 0;
+    for (Order.Item item : order.items()) {
+      if (item.phase == Phase.OUT
+          && (done.machine() == null || item.machine.id().equals(done.machine()))) {
+        move(item, Phase.RETURNING);
+        returning++;
       }
     }
-    return back > 0
-        ? CommandResult.ok(order.id)
-        : CommandResult.no("nothing of order " + order.id + " is out");
+    return returning > 0
+        ? CommandResult.accepted(order.id)
+        : CommandResult.rejected("no machine of order " + order.id + " is out");
   }
 
   private CommandResult extend(Command.Extend extend) {
     Order order = orders.get(extend.order());
-    if (order == null || extend.millis() < 1 || extend.millis() > MOST_MILLIS) {
-      return CommandResult.no("no order " + extend.order() + " that could be extended so");
+    if (order == null || extend.millis() < 1 || extend.millis() > MAX_DURATION_MILLIS) {
+      return CommandResult.rejected(
+          "order " + extend.order() + " does not exist or cannot be extended by that time");
     }
-    for (Order.Place place : order.places()) {
-      if (place.phase == Phase.OUT) {
-        place.dueMillis = Math.max(place.dueMillis, nowMillis) + extend.millis();
+    for (Order.Item item : order.items()) {
+      if (item.phase == Phase.OUT) {
+        item.dueMillis = Math.max(item.dueMillis, nowMillis) + extend.millis();
       }
     }
-    return CommandResult.ok(order.id);
+    return CommandResult.accepted(order.id);
   }
 
   private CommandResult cancel(Command.Cancel cancel) {
     Order order = orders.get(cancel.order());
     if (order == null) {
-      return CommandResult.no("no order " + cancel.order());
+      return CommandResult.rejected("no order " + cancel.order());
     }
     boolean out = false;
-    for (Order.Place place : order.places()) {
-      if (place.phase == Phase.WAITING || place.phase == Phase.EMPTYING) {
-        move(place, Phase.ABANDONED);
+    for (Order.Item item : order.items()) {
+      if (item.phase == Phase.WAITING || item.phase == Phase.EMPTYING) {
+        move(item, Phase.ABANDONED);
       }
-      out |= place.phase == Phase.OUT;
+      out |= item.phase == Phase.OUT;
     }
-    // Somebody may have a hand in what is out: that comes back by "done" alone.
-    return new CommandResult(true, order.id, out ? "machines are out; done puts them back" : "");
+    // Maintenance may be going on at machines that are out; only "done" puts them back.
+    return new CommandResult(
+        true, order.id, out ? "some machines are out; only done puts them back" : "");
   }
 
-  private void move(Order.Place place, Phase to) {
-    place.order.move(place, to, index, nowMillis);
+  private void move(Order.Item item, Phase to) {
+    item.order.move(item, to, index, nowMillis);
     changes++;
     if (to.ended()) {
-      away.remove(place.machine.id(), place); // Not that of another order that has the machine.
+      away.remove(
+          item.machine.id(), item); // Keeps the entry of another order that has the machine.
     } else {
-      away.put(place.machine.id(), place);
+      away.put(item.machine.id(), item);
     }
   }
 
-  // ---- what follows from an entry ----
+  // ---- consequences of an entry ----
 
-  private void settle() {
+  /** Updates everything that follows from the time and from the command just applied. */
+  private void updateAll() {
     for (InstanceState instance : instances.values()) {
-      instance.fenced |= nowMillis >= endMillis(instance);
-    }
-    for (Order.Place place : List.copyOf(away.values())) {
-      if (place.phase == Phase.EMPTYING && waitsFor(place).isEmpty()) {
-        move(place, Phase.OUT);
-        place.dueMillis = nowMillis + place.order.ask.forMillis();
-      } else if (place.phase == Phase.RETURNING && warm(place)) {
-        move(place, Phase.DONE);
+      instance.fenced |= nowMillis >= fenceMillis(instance);
+    }
+    for (Order.Item item : List.copyOf(away.values())) {
+      if (item.phase == Phase.EMPTYING && blockingInstances(item).isEmpty()) {
+        move(item, Phase.OUT);
+        item.dueMillis = nowMillis + item.order.request.durationMillis();
+      } else if (item.phase == Phase.RETURNING && isWarm(item)) {
+        move(item, Phase.DONE);
       }
     }
     for (Order order : orders.values()) {
       if (order.waiting() > 0
-          && order.ask.notAfterMillis() > 0
-          && nowMillis - order.askedMillis > order.ask.notAfterMillis()) {
-        for (Order.Place place : order.places()) {
-          if (place.phase == Phase.WAITING) {
-            move(place, Phase.ABANDONED);
+          && order.request.notAfterMillis() > 0
+          && nowMillis - order.askedMillis > order.request.notAfterMillis()) {
+        for (Order.Item item : order.items()) {
+          if (item.phase == Phase.WAITING) {
+            move(item, Phase.ABANDONED);
           }
         }
       }
     }
     grant();
-    if (form >= FormatSupport.WANTED_BACK) {
-      wantBack();
+    if (formatVersion >= FormatSupport.WANTED_BACK) {
+      updateWantedBack();
     }
     for (Order order : List.copyOf(orders.values())) {
-      if (order.over()) {
+      if (order.hasEnded()) {
         orders.remove(order.id);
         ended.put(order.id, order);
-        if (ended.size() > MOST_ENDED) {
+        if (ended.size() > MAX_ENDED) {
           ended.remove(ended.keySet().iterator().next());
         }
       }
@@ -417,67 +444,67 @@
   }
 
   /**
-   * Where capacity is under its floor, the machines of that floor that are out are wanted back. It
-   * is said and nothing else: only those who work on a machine know when it can be put back.
+   * Marks machines that are out as wanted back while capacity is below a floor that covers them.
+   * The mark only informs: only those who work on a machine know when it can be put back.
    */
-  private void wantBack() {
-    Map<CapacityFloor, Boolean> under = new HashMap<>();
-    for (Order.Place place : away.values()) {
+  private void updateWantedBack() {
+    Map<CapacityFloor, Boolean> below = new HashMap<>();
+    for (Order.Item item : away.values()) {
       boolean wanted =
-          place.phase == Phase.OUT
+          item.phase == Phase.OUT
               && rules.floors().stream()
                   .anyMatch(
                       floor ->
-                          floor.covers(place.machine.group())
-                              && under.computeIfAbsent(floor, each -> shortOf(each) != null));
-      if (wanted != place.wantedMillis > 0) {
-        place.wantedMillis = wanted ? Math.max(1, nowMillis) : 0;
+                          floor.covers(item.machine.group())
+                              && below.computeIfAbsent(floor, each -> shortfall(each) != null));
+      if (wanted != item.wantedBackMillis > 0) {
+        item.wantedBackMillis = wanted ? Math.max(1, nowMillis) : 0;
         changes++;
       }
     }
   }
 
-  /** What is in service where that is less than the floor, else null; null where nobody says. */
-  private Worth shortOf(CapacityFloor floor) {
-    Worth worth = worth(floor);
-    return worth != null && worth.weight() < floor.minShare() * listed(floor) ? worth : null;
+  /** The capacity in service if it is below a floor, else null; null also without any report. */
+  private SeenCapacity shortfall(CapacityFloor floor) {
+    SeenCapacity seen = availableCapacity(floor);
+    return seen != null && seen.weight() < floor.minShare() * listedCapacity(floor) ? seen : null;
   }
 
-  /** When an instance counts as stopped if it is not heard again; never for one that goes on. */
-  private long endMillis(InstanceState instance) {
-    return instance.stops
+  /** When an instance is fenced unless it renews its lease; never if it goes on when cut off. */
+  private long fenceMillis(InstanceState instance) {
+    return instance.stopsWhenCutOff
         ? instance.renewedMillis + rules.leaseMillis() + rules.marginMillis()
         : Long.MAX_VALUE;
   }
 
   /**
-   * The time of the log's clock at which a machine that is being emptied need not wait any more for
-   * an instance that is not heard; {@link Long#MAX_VALUE} where none waits so. It is the next entry
-   * that lets it go, so somebody has to say something then.
+   * The time on the log's clock at which a machine being emptied need not wait any longer for an
+   * instance whose lease is not renewed; {@link Long#MAX_VALUE} if none waits for one. The machine
+   * goes out with the next log entry, so an instance has to submit one then.
    */
   public long nextExpiryMillis() {
-    long due = Long.MAX_VALUE;
-    for (Order.Place place : away.values()) {
-      if (place.phase == Phase.EMPTYING) {
-        for (String name : waitsFor(place)) {
-          due = Math.min(due, endMillis(instances.get(name)));
+    long earliest = Long.MAX_VALUE;
+    for (Order.Item item : away.values()) {
+      if (item.phase == Phase.EMPTYING) {
+        for (String name : blockingInstances(item)) {
+          earliest = Math.min(earliest, fenceMillis(instances.get(name)));
         }
       }
     }
-    return due;
+    return earliest;
   }
 
   /** The instances that may still send to a machine that is being emptied. */
-  private List<String> waitsFor(Order.Place place) {
+  private List<String> blockingInstances(Order.Item item) {
     List<String> names = new ArrayList<>();
-    String balancer = place.machine.instance();
+    String balancer = item.machine.instance();
     for (InstanceState instance : instances.values()) {
-      // A balancer that is taken out says itself that it is: it leaves.
+      // A balancer that is taken out reports that itself by leaving.
       if (balancer != null) {
         if (!instance.fenced && instance.name.equals(balancer)) {
           names.add(balancer);
         }
-      } else if (!instance.fenced && !place.freed.contains(instance.name)) {
+      } else if (!instance.fenced && !item.freedBy.contains(instance.name)) {
         names.add(instance.name);
       }
     }
@@ -485,19 +512,21 @@
   }
 
   /**
-   * InstanceStatus in full service by all who have looked since it came back, and by one at least.
+   * Whether a returning machine is back in full service: all fresh reports, and at least one, were
+   * made after its return and call it warm. For a balancer, whether it has reported since.
    */
-  private boolean warm(Order.Place place) {
-    String balancer = place.machine.instance();
+  private boolean isWarm(Order.Item item) {
+    String balancer = item.machine.instance();
     if (balancer != null) {
-      InstanceState back = instances.get(balancer);
-      return back == null || fresh(back) && back.report.index() >= place.index;
+      InstanceState returning = instances.get(balancer);
+      return returning == null
+          || hasFreshReport(returning) && returning.report.index() >= item.phaseIndex;
     }
     boolean seen = false;
     for (InstanceState instance : instances.values()) {
-      if (fresh(instance)) {
-        if (instance.report.index() < place.index
-            || !instance.report.warm().contains(place.machine.id())) {
+      if (hasFreshReport(instance)) {
+        if (instance.report.index() < item.phaseIndex
+            || !instance.report.warm().contains(item.machine.id())) {
           return false;
         }
         seen = true;
@@ -507,58 +536,59 @@
   }
 
   /**
-   * Grants what may go, in the order of turns. Whoever has to wait for capacity keeps it for
-   * itself: nobody behind takes what it waits for, so that it gets it in the end.
+   * Grants machines in the order of turns. A machine that has to wait for capacity reserves it: no
+   * order further back is granted any of it, so that the waiting machine is not starved.
    */
   private void grant() {
-    List<Order> turns = new ArrayList<>();
+    List<Order> queue = new ArrayList<>();
     for (Order order : orders.values()) {
       if (order.waiting() > 0) {
-        turns.add(order);
+        queue.add(order);
       }
     }
-    turns.sort(TURNS);
-    Set<Object> kept = new HashSet<>();
-    boolean noMore = false;
-    for (Order order : turns) {
-      for (Order.Place place : order.places()) {
-        if (place.phase != Phase.WAITING) {
+    queue.sort(TURN_ORDER);
+    Set<Object> reserved = new HashSet<>();
+    boolean outLimitReached = false;
+    for (Order order : queue) {
+      for (Order.Item item : order.items()) {
+        if (item.phase != Phase.WAITING) {
           continue;
         }
-        if (ownObstacle(order) != null) {
+        if (orderObstacle(order) != null) {
           break;
         }
-        if (kept(place.machine, kept) || noMore && place.machine.instance() == null) {
+        if (isReserved(item.machine, reserved)
+            || outLimitReached && item.machine.instance() == null) {
           continue;
         }
-        if (away.containsKey(place.machine.id())) {
-          continue; // With another order, or not yet warm again.
+        if (away.containsKey(item.machine.id())) {
+          continue; // Held by another order, or not warm yet.
         }
-        Obstacle obstacle = obstacle(place.machine);
+        Obstacle obstacle = obstacle(item.machine);
         if (obstacle == null) {
-          move(place, Phase.EMPTYING);
+          move(item, Phase.EMPTYING);
           round = Math.max(round, order.round);
         } else {
-          kept.add(obstacle.keeps());
-          if (obstacle.keeps() == this) {
-            noMore = true;
+          reserved.add(obstacle.reserves());
+          if (obstacle.reserves() == this) {
+            outLimitReached = true;
           }
         }
       }
     }
   }
 
-  private static boolean kept(Machine machine, Set<Object> kept) {
-    if (kept.isEmpty()) {
+  private static boolean isReserved(Machine machine, Set<Object> reserved) {
+    if (reserved.isEmpty()) {
       return false;
     }
     if (machine.instance() != null) {
-      return kept.contains(machine.group());
+      return reserved.contains(machine.group());
     }
-    if (kept.contains(machine.cell())) {
+    if (reserved.contains(machine.cell())) {
       return true;
     }
-    for (Object each : kept) {
+    for (Object each : reserved) {
       if (each instanceof CapacityFloor floor && floor.covers(machine.group())) {
         return true;
       }
@@ -566,77 +596,93 @@
     return false;
   }
 
-  /** Why no machine of an order may go, for reasons of its own. */
-  private String ownObstacle(Order order) {
-    if (order.held() >= order.ask.atOnce()) {
-      return "has " + order.held() + " machines out, " + order.ask.atOnce() + " at once at most";
+  /** Why no further machine of an order may go out by its own limits; null if one may. */
+  private String orderObstacle(Order order) {
+    if (order.held() >= order.request.atOnce()) {
+      return "has "
+          + order.held()
+          + " machines out, "
+          + order.request.atOnce()
+          + " at once at most";
     }
-    if (nowMillis - order.askedMillis < order.ask.notBeforeMillis()) {
+    if (nowMillis - order.askedMillis < order.request.notBeforeMillis()) {
       return "not before "
-          + (order.ask.notBeforeMillis() - nowMillis + order.askedMillis)
+          + (order.request.notBeforeMillis() - nowMillis + order.askedMillis)
           + " ms from now";
     }
-    Order before = orders.get(order.ask.after());
-    return before != null && !before.doneWith() ? "comes after order " + before.id : null;
+    Order previous = orders.get(order.request.afterOrder());
+    return previous != null && !previous.maintenanceEnded()
+        ? "comes after order " + previous.id
+        : null;
   }
 
-  /** Why a machine may not go now, and what is to be kept for it. */
-  private record Obstacle(String reason, Object keeps) {}
+  /**
+   * Why a machine may not go out now, and what is reserved for it.
+   *
+   * @param reserves the cell, floor or group in which no order further back is granted a machine;
+   *     the state object itself stands for all servers
+   */
+  private record Obstacle(String reason, Object reserves) {}
 
   /**
-   * A balancer goes only while all others are there and have heard of whatever is settled: one less
-   * of so many that vote leaves a majority, and clients have somewhere to go.
+   * A balancer goes out only while all others are reachable and up to date with the log, and one at
+   * a time: then one voter less leaves a majority, and clients have other balancers to go to.
    */
   private Obstacle balancerObstacle(Machine machine) {
-    for (Order.Place place : away.values()) {
-      if (place.machine.instance() != null) {
-        return new Obstacle(place.machine.instance() + " is away", machine.group());
+    for (Order.Item item : away.values()) {
+      if (item.machine.instance() != null) {
+        return new Obstacle(item.machine.instance() + " is out or returning", machine.group());
       }
     }
     for (InstanceState instance : instances.values()) {
-      if (!heard(instance) && !instance.name.equals(machine.instance())) {
-        return new Obstacle(instance.name + " is not there", machine.group());
+      if (!reachable(instance) && !instance.name.equals(machine.instance())) {
+        return new Obstacle(instance.name + " is not reachable", machine.group());
       }
     }
     return null;
   }
 
-  /** It renews only what its own log has taken, so it has the log up to about now. */
-  private boolean heard(InstanceState instance) {
+  /** An instance renews its lease only while its own log is applied, so it is nearly up to date. */
+  private boolean reachable(InstanceState instance) {
     return instance != null
         && !instance.fenced
-        && nowMillis - instance.renewedMillis <= HEARD_MILLIS;
+        && nowMillis - instance.renewedMillis <= REACHABLE_MILLIS;
   }
 
   /**
-   * Why those that vote can't be changed now, or an empty text. One without the log, or that does
-   * not run, settles nothing: an entry needs more than half of all that vote.
+   * Why the set of voters cannot be changed now; empty if it can. An entry needs more than half of
+   * all voters, and an instance that does not run or lacks the log cannot acknowledge any.
    *
-   * @param voters those that would vote then
-   * @param joins the one of them that does not vote yet, or null where one leaves
-   * @param sinceMillis on the log's clock; whoever joins must have been heard after it
+   * @param voters the voters after the change
+   * @param joins the new voter among them, or null if a voter is removed
+   * @param sinceMillis on the log's clock; the new voter must have renewed its lease after it
    */
   public String voteObstacle(Collection<String> voters, String joins, long sinceMillis) {
     InstanceState instance = joins == null ? null : instances.get(joins);
-    if (joins != null && (!heard(instance) || instance.renewedMillis <= sinceMillis)) {
-      return joins + " is not there with the log yet";
+    if (joins != null && (!reachable(instance) || instance.renewedMillis <= sinceMillis)) {
+      return joins + " is not reachable with an up-to-date log yet";
     }
-    List<String> there = voters.stream().filter(each -> heard(instances.get(each))).toList();
-    return there.size() * 2 > voters.size()
+    List<String> present = voters.stream().filter(each -> reachable(instances.get(each))).toList();
+    return present.size() * 2 > voters.size()
         ? ""
-        : "of " + String.join(", ", voters) + " only " + there.size() + " would be there to vote";
+        : "only "
+            + present.size()
+            + " of the voters "
+            + String.join(", ", voters)
+            + " would be reachable";
   }
 
+  /** Why a machine may not go out now by the rules; null if it may. */
   private Obstacle obstacle(Machine machine) {
     if (machine.instance() != null) {
       return balancerObstacle(machine);
     }
     int out = 0;
     int outInCell = 0;
-    for (Order.Place place : away.values()) {
-      if (place.phase.held() && place.machine.instance() == null) {
+    for (Order.Item item : away.values()) {
+      if (item.phase.held() && item.machine.instance() == null) {
         out++;
-        outInCell += place.machine.cell() == machine.cell() ? 1 : 0;
+        outInCell += item.machine.cell() == machine.cell() ? 1 : 0;
       }
     }
     if (out >= rules.maxOut()) {
@@ -654,11 +700,13 @@
     }
     for (CapacityFloor floor : rules.floors()) {
       if (floor.covers(machine.group())) {
-        Worth worth = worth(floor);
-        double least = floor.minShare() * listed(floor);
-        if (worth == null || worth.weight() - machine.weight() < least) {
+        SeenCapacity seen = availableCapacity(floor);
+        double least = floor.minShare() * listedCapacity(floor);
+        if (seen == null || seen.weight() - machine.weight() < least) {
           return new Obstacle(
-              worth == null ? "no balancer says what is in service" : seen(floor, worth, least),
+              seen == null
+                  ? "no balancer has reported what is in service"
+                  : describe(floor, seen, least),
               floor);
         }
       }
@@ -666,17 +714,18 @@
     return null;
   }
 
-  private boolean fresh(InstanceState instance) {
+  /** Whether the instance is not fenced and has reported within {@link #REPORT_TTL_MILLIS}. */
+  private boolean hasFreshReport(InstanceState instance) {
     return !instance.fenced
         && instance.report != null
-        && nowMillis - instance.reportedMillis <= REPORT_MILLIS;
+        && nowMillis - instance.reportedMillis <= REPORT_TTL_MILLIS;
   }
 
-  /** The weight that the most generous list names. */
-  private double listed(CapacityFloor floor) {
+  /** The listed weight under a floor, by the instance that lists most. */
+  private double listedCapacity(CapacityFloor floor) {
     double most = 0;
     for (InstanceState instance : instances.values()) {
-      if (fresh(instance)) {
+      if (hasFreshReport(instance)) {
         double sum = 0;
         for (Map.Entry<ServerGroup, CapacityReport.Capacity> group :
             instance.report.groups().entrySet()) {
@@ -688,46 +737,47 @@
     return most;
   }
 
-  /** What is in service, and who says so. */
-  private record Worth(double weight, String seenBy) {}
+  /** The weight in service, and the instance that sees it. */
+  private record SeenCapacity(double weight, String seenBy) {}
 
   /**
-   * What is in service by whoever sees least; null where nobody says. What was granted after
-   * somebody looked is taken off what was seen.
+   * The capacity in service under a floor, by the instance that sees least; null without any fresh
+   * report. Machines that were granted after a report are subtracted from it.
    */
-  private Worth worth(CapacityFloor floor) {
-    Worth least = null;
+  private SeenCapacity availableCapacity(CapacityFloor floor) {
+    SeenCapacity least = null;
     for (InstanceState instance : instances.values()) {
-      if (fresh(instance)) {
+      if (hasFreshReport(instance)) {
         double sum = 0;
         for (Map.Entry<ServerGroup, CapacityReport.Capacity> group :
             instance.report.groups().entrySet()) {
           sum += floor.covers(group.getKey()) ? group.getValue().available() : 0;
         }
-        for (Order.Place place : away.values()) {
-          boolean unseen = place.phase.held() && place.grantedAfter(instance.report.index());
-          sum -= unseen && floor.covers(place.machine.group()) ? place.machine.weight() : 0;
+        for (Order.Item item : away.values()) {
+          boolean unseen = item.phase.held() && item.grantedAfter(instance.report.index());
+          sum -= unseen && floor.covers(item.machine.group()) ? item.machine.weight() : 0;
         }
         if (least == null || sum < least.weight()) {
-          least = new Worth(sum, instance.name);
+          least = new SeenCapacity(sum, instance.name);
         }
       }
     }
     return least;
   }
 
-  // ---- what is asked of it ----
+  // ---- queries ----
 
-  /** Grows with every step of a machine. */
+  /** Incremented whenever a machine changes its phase or whether it is wanted back. */
   public long changeCount() {
     return changes;
   }
 
-  /** The last entry that was taken. */
+  /** Index of the last applied entry. */
   public long appliedIndex() {
     return index;
   }
 
+  /** The latest time of an applied entry, on the log's clock. */
   public long nowMillis() {
     return nowMillis;
   }
@@ -736,52 +786,59 @@
     return rules;
   }
 
-  /** The latest form of entries that all instances can take; it never falls. */
+  /** The format version in force, which all instances can read; it never decreases. */
   public int formatVersion() {
-    return form;
+    return formatVersion;
   }
 
   /**
-   * Where the machines stand that are held or on their way back.
+   * A machine that is held by an order or returning.
    *
-   * @param wanted whether it is out and wanted back, as capacity is under its floor
+   * @param phaseIndex index of the log entry that moved the machine to its phase
+   * @param wantedBack whether the machine is out and wanted back because capacity is below its
+   *     floor
    */
   public record AwayMachine(
-      long order, String machine, String address, Phase phase, long index, boolean wanted) {}
+      long order,
+      String machine,
+      String address,
+      Phase phase,
+      long phaseIndex,
+      boolean wantedBack) {}
 
   public List<AwayMachine> awayMachines() {
     List<AwayMachine> list = new ArrayList<>(away.size());
-    for (Order.Place place : away.values()) {
+    for (Order.Item item : away.values()) {
       list.add(
           new AwayMachine(
-              place.order.id,
-              place.machine.id(),
-              place.machine.address(),
-              place.phase,
-              place.index,
-              place.wantedMillis > 0));
+              item.order.id,
+              item.machine.id(),
+              item.machine.address(),
+              item.phase,
+              item.phaseIndex,
+              item.wantedBackMillis > 0));
     }
     return list;
   }
 
-  /** Whether this process of an instance has joined and was not fenced since. */
+  /** Whether an incarnation of an instance has joined and has not been fenced since. */
   public boolean hasJoined(String instance, long incarnation) {
-    return speaking(instance, incarnation) != null;
+    return activeInstance(instance, incarnation) != null;
   }
 
-  /** The latest process of an instance, 0 for none. */
+  /** The latest incarnation of an instance, 0 for none. */
   public long incarnation(String instance) {
     InstanceState known = instances.get(instance);
     return known == null ? 0 : known.incarnation;
   }
 
-  /** Whether an order has an instance leave, or stay away: its process sends nothing meanwhile. */
+  /** Whether an order requires an instance to leave or to stay away; it sends nothing meanwhile. */
   public boolean mustLeave(String instance) {
-    Order.Place place = away.get(Machine.balancer(instance).id());
-    return place != null && place.phase.held();
+    Order.Item item = away.get(Machine.balancer(instance).id());
+    return item != null && item.phase.held();
   }
 
-  /** The orders that can be shown, the latest last. */
+  /** The ids of all orders that can be shown, the latest last. */
   public List<Long> orderIds() {
     List<Long> ids = new ArrayList<>(ended.keySet());
     ids.addAll(orders.keySet());
@@ -793,114 +850,117 @@
     return order == null ? ended.get(id) : order;
   }
 
-  /** How many machines of an order stand where; null where there is no such order. */
+  /** The number of machines of an order by phase; null if there is no such order. */
   public Map<Phase, Integer> phaseCounts(long id) {
     Order order = find(id);
     if (order == null) {
       return null;
     }
     Map<Phase, Integer> phases = new TreeMap<>();
-    for (Order.Place place : order.places()) {
-      phases.merge(place.phase, 1, Integer::sum);
+    for (Order.Item item : order.items()) {
+      phases.merge(item.phase, 1, Integer::sum);
     }
     return phases;
   }
 
-  /** How many machines of an order are wanted back. */
+  /** The number of machines of an order that are wanted back. */
   public int wantedBackCount(long id) {
     Order order = find(id);
     int wanted = 0;
-    for (Order.Place place : order == null ? List.<Order.Place>of() : order.places()) {
-      wanted += place.wantedMillis > 0 ? 1 : 0;
+    for (Order.Item item : order == null ? List.<Order.Item>of() : order.items()) {
+      wanted += item.wantedBackMillis > 0 ? 1 : 0;
     }
     return wanted;
   }
 
-  /** What is wanted, or null. */
+  /** The request of an order, or null if there is no such order. */
   public Command.Ask request(long id) {
     Order order = find(id);
-    return order == null ? null : order.ask;
+    return order == null ? null : order.request;
   }
 
-  /** One machine of an order as it is shown. */
+  /** One machine of an order, as it is shown to operators. */
   public record MachineStatus(
       String machine,
       Phase phase,
       long sinceMillis,
       boolean overdue,
-      boolean wanted,
+      boolean wantedBack,
       String waitsFor) {}
 
-  /** So many machines of an order at most, those first that wait or are away. */
-  public List<MachineStatus> machineStatuses(long id, int most) {
+  /** Up to {@code limit} machines of an order, those that have not ended first. */
+  public List<MachineStatus> machineStatuses(long id, int limit) {
     List<MachineStatus> list = new ArrayList<>();
     Order order = find(id);
-    Collection<Order.Place> places = order == null ? List.of() : order.places();
+    Collection<Order.Item> items = order == null ? List.of() : order.items();
     for (int pass = 0; pass < 2; pass++) {
-      for (Order.Place place : places) {
-        if (list.size() < most && place.phase.ended() == (pass == 1)) {
+      for (Order.Item item : items) {
+        if (list.size() < limit && item.phase.ended() == (pass == 1)) {
           list.add(
               new MachineStatus(
-                  place.machine.id(),
-                  place.phase,
-                  nowMillis - (place.index == 0 ? order.askedMillis : place.sinceMillis),
-                  place.overdue(nowMillis),
-                  place.wantedMillis > 0,
-                  why(place)));
+                  item.machine.id(),
+                  item.phase,
+                  nowMillis - (item.phaseIndex == 0 ? order.askedMillis : item.sinceMillis),
+                  item.overdue(nowMillis),
+                  item.wantedBackMillis > 0,
+                  waitReason(item)));
         }
       }
     }
     return list;
   }
 
-  /** Why a machine is not further on; empty where nothing holds it up. */
-  private String why(Order.Place place) {
-    switch (place.phase) {
+  /** Why a machine is still in its phase; empty if it waits for nothing. */
+  private String waitReason(Order.Item item) {
+    switch (item.phase) {
       case EMPTYING -> {
-        return "calls in flight, or news, of " + heard(waitsFor(place));
+        return "calls in flight or no report from " + describeLastHeard(blockingInstances(item));
       }
       case RETURNING -> {
         return "not yet warm for every balancer";
       }
       case WAITING -> {
-        String own = ownObstacle(place.order);
-        Order.Place other = away.get(place.machine.id());
-        if (own != null || other != null) {
-          return own != null ? own : "away with order " + other.order.id;
+        String orderObstacle = orderObstacle(item.order);
+        Order.Item other = away.get(item.machine.id());
+        if (orderObstacle != null || other != null) {
+          return orderObstacle != null
+              ? orderObstacle
+              : "out or returning with order " + other.order.id;
         }
-        Obstacle obstacle = obstacle(place.machine);
-        return obstacle == null ? "an earlier turn" : obstacle.reason();
+        Obstacle obstacle = obstacle(item.machine);
+        return obstacle == null ? "orders ahead in the queue" : obstacle.reason();
       }
       default -> {
-        String wanted = place.wantedMillis > 0 ? wantedBack(place.machine) : "";
-        return place.overdue(nowMillis)
-            ? "overdue: done, extend, or see to it" + (wanted.isEmpty() ? "" : "; " + wanted)
-            : wanted;
+        String wantedBack = item.wantedBackMillis > 0 ? wantedBackReason(item.machine) : "";
+        return item.overdue(nowMillis)
+            ? "overdue: end it with done, extend it, or look into it"
+                + (wantedBack.isEmpty() ? "" : "; " + wantedBack)
+            : wantedBack;
       }
     }
   }
 
-  private String wantedBack(Machine machine) {
+  private String wantedBackReason(Machine machine) {
     for (CapacityFloor floor : rules.floors()) {
-      Worth worth = floor.covers(machine.group()) ? shortOf(floor) : null;
-      if (worth != null) {
-        return "wanted back: " + seen(floor, worth, floor.minShare() * listed(floor));
+      SeenCapacity seen = floor.covers(machine.group()) ? shortfall(floor) : null;
+      if (seen != null) {
+        return "wanted back: " + describe(floor, seen, floor.minShare() * listedCapacity(floor));
       }
     }
     return "wanted back";
   }
 
-  private static String seen(CapacityFloor floor, Worth worth, double least) {
+  private static String describe(CapacityFloor floor, SeenCapacity seen, double least) {
     return String.format(
         Locale.ROOT,
         "%s: %s sees %.2f in service, %.2f must be left",
         floor,
-        worth.seenBy(),
-        worth.weight(),
+        seen.seenBy(),
+        seen.weight(),
         least);
   }
 
-  private String heard(List<String> names) {
+  private String describeLastHeard(List<String> names) {
     List<String> words = new ArrayList<>();
     for (String name : names) {
       long ago = nowMillis - instances.get(name).renewedMillis;
@@ -909,30 +969,38 @@
     return String.join(", ", words);
   }
 
-  /** An instance as it is shown. */
+  /** An instance, as it is shown to operators. */
   public record InstanceStatus(
-      String name, boolean stops, boolean fenced, long heardMillisAgo, int latestFormat) {}
+      String name,
+      boolean stopsWhenCutOff,
+      boolean fenced,
+      long heardMillisAgo,
+      int latestFormat) {}
 
   public List<InstanceStatus> instanceStatuses() {
     List<InstanceStatus> list = new ArrayList<>();
     for (InstanceState each : instances.values()) {
       list.add(
           new InstanceStatus(
-              each.name, each.stops, each.fenced, nowMillis - each.renewedMillis, each.knows));
+              each.name,
+              each.stopsWhenCutOff,
+              each.fenced,
+              nowMillis - each.renewedMillis,
+              each.latestFormat));
     }
     return list;
   }
 
-  // ---- kept and taken up again ----
+  // ---- snapshots ----
 
-  /** All of it as a tree, see {@link CommandCodec}. */
+  /** The whole state as a tree, see {@link CommandCodec}. */
   public Map<String, Object> toSnapshot() {
     Map<String, Object> tree = new LinkedHashMap<>();
     tree.put("index", index);
     tree.put("now_ms", nowMillis);
     tree.put("next_order", nextOrder);
     tree.put("round", round);
-    tree.put("form", form);
+    tree.put("form", formatVersion);
     tree.put("peers", peers);
     tree.put("rules", CommandCodec.encode(rules));
     List<Object> rows = new ArrayList<>();
@@ -940,8 +1008,8 @@
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("name", each.name);
       row.put("incarnation", each.incarnation);
-      row.put("stops", each.stops);
-      row.put("knows", each.knows);
+      row.put("stops", each.stopsWhenCutOff);
+      row.put("knows", each.latestFormat);
       row.put("fenced", each.fenced);
       row.put("renewed_ms", each.renewedMillis);
       row.put("reported_ms", each.reportedMillis);
@@ -951,53 +1019,53 @@
       rows.add(row);
     }
     tree.put("instances", rows);
-    tree.put("orders", save(orders.values()));
-    tree.put("ended", save(ended.values()));
+    tree.put("orders", encodeOrders(orders.values()));
+    tree.put("ended", encodeOrders(ended.values()));
     return tree;
   }
 
-  private static List<Object> save(Collection<Order> orders) {
+  private static List<Object> encodeOrders(Collection<Order> orders) {
     List<Object> rows = new ArrayList<>();
     for (Order order : orders) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("id", order.id);
       row.put("asked_ms", order.askedMillis);
       row.put("round", order.round);
-      row.put("ask", CommandCodec.encode(order.ask));
-      List<Object> places = new ArrayList<>();
-      for (Order.Place place : order.places()) {
-        places.add(
+      row.put("ask", CommandCodec.encode(order.request));
+      List<Object> items = new ArrayList<>();
+      for (Order.Item item : order.items()) {
+        items.add(
             List.of(
-                place.phase.name(),
-                place.index,
-                place.sinceMillis,
-                place.grantedIndex,
-                place.dueMillis,
-                new ArrayList<>(place.freed),
-                place.wantedMillis));
+                item.phase.name(),
+                item.phaseIndex,
+                item.sinceMillis,
+                item.grantedIndex,
+                item.dueMillis,
+                new ArrayList<>(item.freedBy),
+                item.wantedBackMillis));
       }
-      row.put("places", places);
+      row.put("places", items);
       rows.add(row);
     }
     return rows;
   }
 
-  /** What was saved. */
+  /** Restores the state of a snapshot. */
   public static MaintenanceState fromSnapshot(Map<?, ?> tree) {
-    MaintenanceState settled = new MaintenanceState();
-    settled.index = CommandCodec.requireLong(tree, "index");
-    settled.nowMillis = CommandCodec.requireLong(tree, "now_ms");
-    settled.nextOrder = CommandCodec.requireLong(tree, "next_order");
-    settled.round = CommandCodec.requireLong(tree, "round");
-    settled.form = (int) CommandCodec.longOrDefault(tree, "form", FormatSupport.FIRST);
-    settled.peers = (int) CommandCodec.longOrDefault(tree, "peers", 0);
-    settled.rules = CommandCodec.decodeRules(CommandCodec.requireMap(tree, "rules"));
+    MaintenanceState state = new MaintenanceState();
+    state.index = CommandCodec.requireLong(tree, "index");
+    state.nowMillis = CommandCodec.requireLong(tree, "now_ms");
+    state.nextOrder = CommandCodec.requireLong(tree, "next_order");
+    state.round = CommandCodec.requireLong(tree, "round");
+    state.formatVersion = (int) CommandCodec.longOrDefault(tree, "form", FormatSupport.FIRST);
+    state.peers = (int) CommandCodec.longOrDefault(tree, "peers", 0);
+    state.rules = CommandCodec.decodeRules(CommandCodec.requireMap(tree, "rules"));
     for (Object each : CommandCodec.requireList(tree, "instances")) {
       Map<?, ?> row = (Map<?, ?>) each;
       InstanceState instance = new InstanceState(CommandCodec.requireString(row, "name"));
       instance.incarnation = CommandCodec.requireLong(row, "incarnation");
-      instance.stops = CommandCodec.requireBoolean(row, "stops");
-      instance.knows = (int) CommandCodec.longOrDefault(row, "knows", FormatSupport.FIRST);
+      instance.stopsWhenCutOff = CommandCodec.requireBoolean(row, "stops");
+      instance.latestFormat = (int) CommandCodec.longOrDefault(row, "knows", FormatSupport.FIRST);
       instance.fenced = CommandCodec.requireBoolean(row, "fenced");
       instance.renewedMillis = CommandCodec.requireLong(row, "renewed_ms");
       instance.reportedMillis = CommandCodec.requireLong(row, "reported_ms");
@@ -1005,14 +1073,14 @@
           row.containsKey("report")
               ? CommandCodec.decodeReport(CommandCodec.requireMap(row, "report"))
               : null;
-      settled.instances.put(instance.name, instance);
+      state.instances.put(instance.name, instance);
     }
-    settled.load(CommandCodec.requireList(tree, "orders"), settled.orders);
-    settled.load(CommandCodec.requireList(tree, "ended"), settled.ended);
-    return settled;
+    state.decodeOrders(CommandCodec.requireList(tree, "orders"), state.orders);
+    state.decodeOrders(CommandCodec.requireList(tree, "ended"), state.ended);
+    return state;
   }
 
-  private void load(List<?> rows, Map<Long, Order> into) {
+  private void decodeOrders(List<?> rows, Map<Long, Order> target) {
     for (Object each : rows) {
       Map<?, ?> row = (Map<?, ?>) each;
       Order order =
@@ -1021,27 +1089,27 @@
               CommandCodec.decodeAsk(CommandCodec.requireMap(row, "ask")),
               CommandCodec.requireLong(row, "asked_ms"),
               CommandCodec.requireLong(row, "round"));
-      int at = 0;
-      List<?> places = CommandCodec.requireList(row, "places");
-      for (Order.Place place : order.places()) {
-        List<?> fields = (List<?>) places.get(at++);
+      int next = 0;
+      List<?> items = CommandCodec.requireList(row, "places");
+      for (Order.Item item : order.items()) {
+        List<?> fields = (List<?>) items.get(next++);
         order.move(
-            place,
+            item,
             Phase.valueOf((String) fields.get(0)),
             ((Number) fields.get(1)).longValue(),
             ((Number) fields.get(2)).longValue());
-        place.grantedIndex = ((Number) fields.get(3)).longValue();
-        place.dueMillis = ((Number) fields.get(4)).longValue();
+        item.grantedIndex = ((Number) fields.get(3)).longValue();
+        item.dueMillis = ((Number) fields.get(4)).longValue();
         for (Object name : (List<?>) fields.get(5)) {
-          place.freed.add((String) name);
+          item.freedBy.add((String) name);
         }
-        place.wantedMillis = fields.size() > 6 ? ((Number) fields.get(6)).longValue() : 0;
-        if (place.phase != Phase.WAITING && !place.phase.ended()) {
-          away.put(place.machine.id(), place);
+        item.wantedBackMillis = fields.size() > 6 ? ((Number) fields.get(6)).longValue() : 0;
+        if (item.phase != Phase.WAITING && !item.phase.ended()) {
+          away.put(item.machine.id(), item);
           changes++;
         }
       }
-      into.put(order.id, order);
+      target.put(order.id, order);
     }
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Order.java
+++ b/src/main/java/heathswitch/policy/maintenance/Order.java
@@ -6,38 +6,43 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One request for machines, and where each of them stands. */
+/** A request for machines and the phase of each of them. */
 final class Order {
   /** One machine of an order. */
-  static final class Place {
+  static final class Item {
     final Order order;
     final Machine machine;
     Phase phase = Phase.WAITING;
     long sinceMillis;
 
-    /** The entry with which it came into its phase. */
-    long index;
+    /** Index of the log entry that moved the machine to its phase. */
+    long phaseIndex;
 
-    /** The entry that granted it. */
+    /** Index of the log entry that granted the machine. */
     long grantedIndex;
 
-    /** When its work should have ended. */
+    /** When its maintenance should have ended. */
     long dueMillis;
 
-    /** Since when it is wanted back, as capacity is under its floor; 0 where it is not. */
-    long wantedMillis;
+    /**
+     * Since when the machine is wanted back because capacity is below its floor; 0 if it is not.
+     */
+    long wantedBackMillis;
 
-    /** The instances that have let go of it. */
-    final Set<String> freed = new TreeSet<>();
+    /** The instances that send nothing to the machine any more. */
+    final Set<String> freedBy = new TreeSet<>();
 
-    Place(Order order, Machine machine) {
+    Item(Order order, Machine machine) {
       this.order = order;
       this.machine = machine;
     }
 
-    /** Whether whoever had taken only the entries up to that one saw it in service. */
-    boolean grantedAfter(long seen) {
-      return grantedIndex > seen;
+    /**
+     * Whether the grant came after a log index, so that an instance that has applied the log only
+     * up to there still sees the machine in service.
+     */
+    boolean grantedAfter(long index) {
+      return grantedIndex > index;
     }
 
     boolean overdue(long nowMillis) {
@@ -46,34 +51,34 @@
   }
 
   final long id;
-  final Command.Ask ask;
+  final Command.Ask request;
   final long askedMillis;
 
-  /** Its turn: each of those who ask has one order in a round. */
+  /** Round of the fair queue; each requester has one order in a round. */
   final long round;
 
-  private final Map<String, Place> places = new LinkedHashMap<>();
+  private final Map<String, Item> items = new LinkedHashMap<>();
   private int waiting;
   private int held;
   private int ended;
 
-  Order(long id, Command.Ask ask, long askedMillis, long round) {
+  Order(long id, Command.Ask request, long askedMillis, long round) {
     this.id = id;
-    this.ask = ask;
+    this.request = request;
     this.askedMillis = askedMillis;
     this.round = round;
-    for (Machine machine : ask.machines()) {
-      places.put(machine.id(), new Place(this, machine));
+    for (Machine machine : request.machines()) {
+      items.put(machine.id(), new Item(this, machine));
     }
-    waiting = places.size();
+    waiting = items.size();
   }
 
-  Collection<Place> places() {
-    return places.values();
+  Collection<Item> items() {
+    return items.values();
   }
 
-  Place place(String machine) {
-    return places.get(machine);
+  Item item(String machine) {
+    return items.get(machine);
   }
 
   int waiting() {
@@ -84,25 +89,26 @@
     return held;
   }
 
-  boolean over() {
-    return ended == places.size();
+  /** Whether all machines have reached a final phase. */
+  boolean hasEnded() {
+    return ended == items.size();
   }
 
-  /** Whether nobody works on its machines any more and none will go. */
-  boolean doneWith() {
+  /** Whether the order holds no machine and none waits; machines may still be returning. */
+  boolean maintenanceEnded() {
     return waiting == 0 && held == 0;
   }
 
-  void move(Place place, Phase to, long index, long nowMillis) {
-    waiting -= place.phase == Phase.WAITING ? 1 : 0;
-    held -= place.phase.held() ? 1 : 0;
+  void move(Item item, Phase to, long index, long nowMillis) {
+    waiting -= item.phase == Phase.WAITING ? 1 : 0;
+    held -= item.phase.held() ? 1 : 0;
     if (to == Phase.EMPTYING) {
-      place.grantedIndex = index;
+      item.grantedIndex = index;
     }
-    place.phase = to;
-    place.index = index;
-    place.sinceMillis = nowMillis;
-    place.wantedMillis = 0;
+    item.phase = to;
+    item.phaseIndex = index;
+    item.sinceMillis = nowMillis;
+    item.wantedBackMillis = 0;
     waiting += to == Phase.WAITING ? 1 : 0;
     held += to.held() ? 1 : 0;
     ended += to.ended() ? 1 : 0;
--- a/src/main/java/heathswitch/policy/maintenance/Phase.java
+++ b/src/main/java/heathswitch/policy/maintenance/Phase.java
@@ -1,21 +1,21 @@
 package heathswitch.policy.maintenance;
 
-/** Where one machine of an order stands. */
+/** The phase of one machine of an order. */
 public enum Phase {
   /** Not yet granted. */
   WAITING,
-  /** Granted: nothing new goes there, what is in flight ends. */
+  /** Granted; balancers send it no new attempts and wait for those in flight to end. */
   EMPTYING,
-  /** Every balancer has let go of it: a person may work on it. */
+  /** No balancer has anything in flight there; maintenance may begin. */
   OUT,
   /** Back in service, cold. */
   RETURNING,
-  /** As warm as before for every balancer. */
+  /** Every balancer sees the machine in full service again. */
   DONE,
-  /** Never went out: called off, or its time was over. */
+  /** Never went out: the order was cancelled, or its time limit for grants has passed. */
   ABANDONED;
 
-  /** Whether balancers must send it nothing. */
+  /** Whether the order holds the machine, so that balancers must not send it anything new. */
   public boolean held() {
     return this == EMPTYING || this == OUT;
   }
--- a/src/main/java/heathswitch/policy/maintenance/ServerGroup.java
+++ b/src/main/java/heathswitch/policy/maintenance/ServerGroup.java
@@ -1,4 +1,4 @@
 package heathswitch.policy.maintenance;
 
-/** The servers of one kind in one zone, whose capacity is counted together. */
+/** All servers of one kind in one zone; their capacity is added up. */
 public record ServerGroup(String kind, String zone) {}
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfig.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfig.java
@@ -16,56 +16,61 @@
  * The table {@code [work]} of the configuration.
  *
  * @param instance this balancer's name among the instances
- * @param listen where the others reach it
- * @param folder for the log; of this instance alone
- * @param stops whether it stops by itself when it cannot renew its lease
- * @param stoppingMillis before the end of the lease it takes no more clients
- * @param warmMillis from a machine's start until it can do all, and {@code coldShare} at its start
+ * @param listen the address at which the other instances reach it
+ * @param folder of the log; used by this instance alone
+ * @param stopsWhenCutOff whether the instance stops sending when it cannot renew its lease
+ * @param stopMarginMillis how long before the end of the lease it accepts no more clients
+ * @param warmUpMillis time from the start of a server until it has its full capacity
+ * @param coldShare share of its capacity that a server has at its start
  */
 public record MaintenanceConfig(
     String instance,
     InetSocketAddress listen,
     Path folder,
-    boolean stops,
-    long stoppingMillis,
+    boolean stopsWhenCutOff,
+    long stopMarginMillis,
     List<Peer> peers,
     MaintenanceRules rules,
-    long warmMillis,
+    long warmUpMillis,
     double coldShare) {
 
-  private static final String OPEN =
-      "what instances say to each other is neither signed nor hidden";
+  private static final String NOT_PROTECTED =
+      "messages between instances are neither authenticated nor encrypted";
 
-  /** What an instance does that cannot renew its lease. */
+  /** What an instance does when it cannot renew its lease; the values of {@code when_cut_off}. */
   private enum CutOff {
     SERVE,
     STOP
   }
 
-  /** Reads and checks the table; null where there is none, and the subsystem is off. */
-  public static MaintenanceConfig read(Document document, long warmMillis, double coldShare) {
+  /**
+   * Reads and checks the table; null if there is none, in which case maintenance orders are off.
+   */
+  public static MaintenanceConfig read(Document document, long warmUpMillis, double coldShare) {
     Section table = document.root().table("work");
     if (table == null) {
       return null;
     }
     String instance = table.text("instance", null);
-    boolean apart = table.flag("private_network", false);
+    boolean privateNetwork = table.flag("private_network", false);
     InetSocketAddress listen = table.address("listen", true);
-    table.nearby("listen", listen, apart, OPEN);
+    table.nearby("listen", listen, privateNetwork, NOT_PROTECTED);
     String folder = table.text("folder", null);
     CutOff cutOff = table.choice("when_cut_off", CutOff.SERVE, CutOff.class);
     MaintenanceRules rules = rules(table);
-    long stopping = table.millis("stopping", "1s", "10ms", "10min");
-    if (cutOff == CutOff.STOP && stopping * 2 > rules.leaseMillis()) {
-      table.fault("stopping", "is over half of the lease; a shorter time, or a longer lease");
+    long stopMargin = table.millis("stopping", "1s", "10ms", "10min");
+    if (cutOff == CutOff.STOP && stopMargin * 2 > rules.leaseMillis()) {
+      table.fault(
+          "stopping", "is more than half of the lease; a shorter time or a longer lease expected");
     }
-    List<Peer> peers = peers(table, apart);
+    List<Peer> peers = peers(table, privateNetwork);
     long voters = peers.stream().filter(Peer::votes).count();
     if (voters != 3 && voters != 5 && !peers.isEmpty()) {
-      table.fault("instance", voters + " of [[work.peer]] vote; 3 or 5 expected");
+      table.fault("instance", voters + " of [[work.peer]] are voters; 3 or 5 expected");
     }
     if (instance != null && peers.stream().noneMatch(peer -> instance.equals(peer.name()))) {
-      table.fault("instance", "\"" + instance + "\" is none of [[work.peer]]; one expected");
+      table.fault(
+          "instance", "\"" + instance + "\" is not among [[work.peer]]; the name of one expected");
     }
     table.end();
     return instance == null || listen == null || folder == null
@@ -75,28 +80,28 @@
             listen,
             document.resolve(folder),
             cutOff == CutOff.STOP,
-            stopping,
+            stopMargin,
             peers,
             rules,
-            warmMillis,
+            warmUpMillis,
             coldShare);
   }
 
-  private static List<Peer> peers(Section table, boolean apart) {
+  private static List<Peer> peers(Section table, boolean privateNetwork) {
     List<Peer> peers = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
     for (Section section : table.tables("peer")) {
       String name = section.text("name", null);
       InetSocketAddress address = section.address("address", true);
-      section.nearby("address", address, apart, OPEN);
+      section.nearby("address", address, privateNetwork, NOT_PROTECTED);
       if (name != null && !name.matches("[A-Za-z0-9_.-]{1,64}")) {
         section.fault("name", "is \"" + name + "\"; 1 to 64 of A-Z a-z 0-9 . _ - expected");
       } else if (name != null && !names.add(name)) {
-        section.fault("name", "\"" + name + "\" stands twice; another name expected");
+        section.fault("name", "\"" + name + "\" is used twice; another name expected");
       }
       if (address != null && !addresses.add(address)) {
-        section.fault("address", "stands twice; another address expected");
+        section.fault("address", "is used twice; another address expected");
       }
       boolean votes = section.flag("votes", false);
       section.end();
@@ -105,7 +110,8 @@
       }
     }
     if (peers.isEmpty()) {
-      table.fault("peer", "missing; [[work.peer]] for each balancer, this one too, expected");
+      table.fault(
+          "peer", "missing; a [[work.peer]] for each balancer, including this one, expected");
     }
     return List.copyOf(peers);
   }
@@ -114,32 +120,32 @@
     long version = 1;
     long lease = 4000;
     long margin = 1000;
-    int mostOut = 1;
-    int mostInCell = 1;
+    int maxOut = 1;
+    int maxOutInCell = 1;
     Section section = table.table("rules");
     if (section != null) {
       version = section.whole("version", 1L, 1, Long.MAX_VALUE);
       lease = section.millis("lease", "4s", "500ms", "1h");
       margin = section.millis("margin", "1s", "200ms", "10min");
-      mostOut = (int) section.whole("most_out", 1L, 0, 10_000);
-      mostInCell = (int) section.whole("most_out_in_cell", 1L, 0, 10_000);
+      maxOut = (int) section.whole("most_out", 1L, 0, 10_000);
+      maxOutInCell = (int) section.whole("most_out_in_cell", 1L, 0, 10_000);
       section.end();
     }
     List<CapacityFloor> floors = new ArrayList<>();
-    Set<String> stated = new HashSet<>();
+    Set<String> seen = new HashSet<>();
     for (Section floor : table.tables("floor")) {
       String kind = floor.text("kind", "*");
       String zone = floor.text("zone", "*");
-      double least = floor.number("least", null, 0.0, 1.0);
-      if (!stated.add(kind + '|' + zone)) {
-        floor.fault("kind", "has a floor for this kind and zone already; one expected");
+      double minShare = floor.number("least", null, 0.0, 1.0);
+      if (!seen.add(kind + '|' + zone)) {
+        floor.fault("kind", "has another floor for the same kind and zone; one expected");
       }
-      if (least >= 1.0) {
-        floor.fault("least", "is 1, so that no machine could ever go; less expected");
+      if (minShare >= 1.0) {
+        floor.fault("least", "is 1, so that no machine could ever go out; less expected");
       }
       floor.end();
-      floors.add(new CapacityFloor(kind, zone, least));
+      floors.add(new CapacityFloor(kind, zone, minShare));
     }
-    return new MaintenanceRules(version, lease, margin, mostOut, mostInCell, floors);
+    return new MaintenanceRules(version, lease, margin, maxOut, maxOutInCell, floors);
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfigCheck.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfigCheck.java
@@ -9,65 +9,67 @@
 import java.util.Locale;
 
 /**
- * Holds a table against what it meets: floors against a list of servers, whose orders would wait
- * for good, and a lease against the time until somebody else leads.
+ * Checks the maintenance configuration for orders that would wait forever, by the floors and a
+ * server list, and for a lease that is shorter than the election of a new leader takes.
  */
 public final class MaintenanceConfigCheck {
   private MaintenanceConfigCheck() {}
 
-  /** Until another one leads after whoever led has died, at worst. */
+  /** Worst-case time until another instance leads after a leader has died. */
   private static final long TAKEOVER_MILLIS = 2000;
 
   /**
-   * What was found, in lines for people.
+   * Findings, one line each, for operators.
    *
-   * @param faults floors that can't be meant so
-   * @param notes servers that are too heavy for one, a short lease; somebody may want that
+   * @param faults floors that cannot be intended
+   * @param notes settings that may be intended: servers too heavy for a floor, or a short lease
    */
   public record Found(List<String> faults, List<String> notes) {}
 
   /**
-   * Says of each floor which servers could never go, and whether the lease is short.
+   * Reports for each floor which servers could never go out, and whether the lease is short.
    *
-   * @param listed all servers of the list, those that are out of service among them
+   * @param listed all servers of the list, including those that are out of service
    */
-  public static Found check(MaintenanceConfig table, List<ListedServer> listed) {
+  public static Found check(MaintenanceConfig config, List<ListedServer> listed) {
     List<String> faults = new ArrayList<>();
     List<String> notes = new ArrayList<>();
-    for (CapacityFloor floor : table.rules().floors()) {
-      double all = 0;
+    for (CapacityFloor floor : config.rules().floors()) {
+      double total = 0;
       double heaviest = 0;
       double lightest = Double.MAX_VALUE;
-      String heavy = "";
+      String heaviestId = "";
       for (ListedServer each : listed) {
         if (floor.covers(new ServerGroup(each.kind(), each.zone()))) {
-          all += each.weight();
+          total += each.weight();
           lightest = Math.min(lightest, each.weight());
           if (each.weight() > heaviest) {
             heaviest = each.weight();
-            heavy = each.id();
+            heaviestId = each.id();
           }
         }
       }
-      double spare = all - floor.minShare() * all;
-      String left = String.format(Locale.ROOT, "%.2f of %.2f can be spared", spare, all);
-      if (all == 0) {
+      double spare = total - floor.minShare() * total;
+      String left = String.format(Locale.ROOT, "%.2f of %.2f can be spared", spare, total);
+      if (total == 0) {
         faults.add(
-            "work." + floor + ": no server of the list; a kind and zone of the list expected");
+            "work."
+                + floor
+                + ": no server of the list is covered; a listed kind and zone expected");
       } else if (lightest > spare) {
-        faults.add("work." + floor + ": " + left + ", so none of its servers could ever go");
+        faults.add("work." + floor + ": " + left + ", so none of its servers could ever go out");
       } else if (heaviest > spare) {
-        notes.add("work." + floor + ": " + left + ", so " + heavy + " could never go");
+        notes.add("work." + floor + ": " + left + ", so " + heaviestId + " could never go out");
       }
     }
-    long lease = table.rules().leaseMillis();
-    long left = lease - InstanceSession.renewalIntervalMillis(lease) - table.stoppingMillis();
-    if (table.stops() && left < TAKEOVER_MILLIS) {
+    long lease = config.rules().leaseMillis();
+    long left = lease - InstanceSession.renewalIntervalMillis(lease) - config.stopMarginMillis();
+    if (config.stopsWhenCutOff() && left < TAKEOVER_MILLIS) {
       notes.add(
           String.format(
               Locale.ROOT,
-              "work.rules.lease: %d ms, of which %d ms are left at times before clients are sent away;"
-                  + " another one leads after up to %d ms, so that instances that are well would stop",
+              "work.rules.lease: %d ms, of which as little as %d ms is left before clients are sent"
+                  + " away; a new leader can take up to %d ms, so healthy instances would stop",
               lease,
               left,
               TAKEOVER_MILLIS));
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
@@ -20,97 +20,103 @@
 import java.util.Set;
 
 /**
- * Lays what is settled over the lists of servers: what is held gets nothing new, what comes back is
- * cold. On the loop alone.
+ * Applies maintenance orders to the server list: machines that an order holds are draining, and
+ * machines that return start cold. Used on the event loop only.
  */
 final class MaintenanceOverlay implements Dispatcher.Overlay {
-  /** As the files list them; as long as their lists. */
+  /** The listed servers without the overlay, by id. */
   private final Map<String, Member> listed = new LinkedHashMap<>();
 
-  /** Machines that orders have a hand on, by id. */
+  /** Servers that are held by an order or returning, by id. */
   private Map<String, MaintenanceState.AwayMachine> away = Map.of();
 
-  /** Addresses of those that are held: another id there is the same machine. */
+  /**
+   * Id of each held machine by address; a server listed there under another id is the same machine.
+   */
   private final Map<String, String> heldAt = new HashMap<>();
 
-  /** When listed machines came back, milliseconds of the node's own clock. */
-  private final Map<String, Long> back = new HashMap<>();
+  /** When listed machines came back, in milliseconds of the node's own clock, by id. */
+  private final Map<String, Long> returnedMillis = new HashMap<>();
 
-  /** Those that rested when last looked at. */
-  private Set<String> rested = new HashSet<>();
+  /** Servers that were resting after failures when the last report was made. */
+  private Set<String> restingAtLastReport = new HashSet<>();
 
   @Override
   public List<Member> over(ListForm form, List<Member> entries) {
     if (form.whole()) {
       listed.clear();
     }
-    List<Member> laidOver = new ArrayList<>(entries.size());
+    List<Member> result = new ArrayList<>(entries.size());
     for (Member entry : entries) {
       if (entry.health() == Health.GONE) {
         listed.remove(entry.id());
-        back.remove(entry.id());
+        returnedMillis.remove(entry.id());
       } else {
         listed.put(entry.id(), entry);
       }
-      laidOver.add(standing(entry));
+      result.add(overlaid(entry));
     }
-    back.keySet().retainAll(listed.keySet());
-    return laidOver;
+    returnedMillis.keySet().retainAll(listed.keySet());
+    return result;
   }
 
+  /** The address as ADDRESS:PORT, empty for none. */
   static String text(InetSocketAddress address) {
     return address == null ? "" : address.getAddress().getHostAddress() + ':' + address.getPort();
   }
 
-  /** Where a machine is reached; the one address that stands for it. */
-  private static String place(Member entry) {
+  /** The address that identifies a machine. */
+  private static String addressKey(Member entry) {
     return text(entry.address() == null ? entry.grpcAddress() : entry.address());
   }
 
-  private Member standing(Member entry) {
+  /** A listed server as the dispatcher is to see it. */
+  private Member overlaid(Member entry) {
     if (entry.health() == Health.GONE) {
       return entry;
     }
     MaintenanceState.AwayMachine held = away.get(entry.id());
-    if (held != null && held.phase().held() || heldAt.containsKey(place(entry))) {
+    if (held != null && held.phase().held() || heldAt.containsKey(addressKey(entry))) {
       return entry.with(Health.DRAINING, entry.startedMillis());
     }
-    long since = back.getOrDefault(entry.id(), 0L);
+    long since = returnedMillis.getOrDefault(entry.id(), 0L);
     return entry.with(entry.health(), Math.max(since, entry.startedMillis()));
   }
 
   /**
-   * Takes what is settled now and tells the dispatcher of whatever that changes.
+   * Takes over the machines that are away now and tells the dispatcher which servers that changes.
    *
-   * @param nowMillis by the node's own clock, which goes on when the machine's is set
+   * @param nowMillis by the node's own clock, which setting the machine's clock does not affect
    */
-  void update(List<MaintenanceState.AwayMachine> now, Dispatcher dispatcher, long nowMillis) {
-    Map<String, MaintenanceState.AwayMachine> before = away;
+  void update(List<MaintenanceState.AwayMachine> machines, Dispatcher dispatcher, long nowMillis) {
+    Map<String, MaintenanceState.AwayMachine> previous = away;
     Set<String> addresses = new HashSet<>(heldAt.keySet());
     away = new HashMap<>();
     heldAt.clear();
-    for (MaintenanceState.AwayMachine each : now) {
+    for (MaintenanceState.AwayMachine each : machines) {
       if (Machine.instance(each.machine()) != null) {
-        continue; // A balancer is on no list.
+        continue; // Balancers are not on the server list.
       }
       away.put(each.machine(), each);
       if (each.phase().held()) {
         heldAt.put(each.address(), each.machine());
-        back.remove(each.machine());
+        returnedMillis.remove(each.machine());
       }
     }
     addresses.addAll(heldAt.keySet());
     List<Member> changed = new ArrayList<>();
     for (Member entry : listed.values()) {
-      MaintenanceState.AwayMachine then = before.get(entry.id());
-      MaintenanceState.AwayMachine here = away.get(entry.id());
-      boolean wasHeld = then != null && then.phase().held();
-      if (here != null && here.phase() == Phase.RETURNING && !back.containsKey(entry.id())) {
-        back.put(entry.id(), nowMillis);
-        changed.add(standing(entry));
-      } else if (wasHeld != (here != null && here.phase().held())
-          || addresses.contains(place(entry))) {
-        changed.add(standing(entry));
+      MaintenanceState.AwayMachine before = previous.get(entry.id());
+      MaintenanceState.AwayMachine current = away.get(entry.id());
+      boolean wasHeld = before != null && before.phase().held();
+      if (current != null
+          && current.phase() == Phase.RETURNING
+          && !returnedMillis.containsKey(entry.id())) {
+        returnedMillis.put(entry.id(), nowMillis);
+        changed.add(overlaid(entry));
+      } else if (wasHeld != (current != null && current.phase().held())
+          || addresses.contains(addressKey(entry))) {
+        changed.add(overlaid(entry));
       }
     }
     if (!changed.isEmpty()) {
@@ -118,31 +124,32 @@
     }
   }
 
-  /** The machines that are being emptied and have nothing of this balancer's in flight. */
-  List<MaintenanceState.AwayMachine> free(Dispatcher dispatcher) {
-    List<MaintenanceState.AwayMachine> free = new ArrayList<>();
+  /** The machines being emptied at which this balancer has nothing in flight. */
+  List<MaintenanceState.AwayMachine> drained(Dispatcher dispatcher) {
+    List<MaintenanceState.AwayMachine> drained = new ArrayList<>();
     for (MaintenanceState.AwayMachine each : away.values()) {
       if (each.phase() == Phase.EMPTYING
-          && dispatcher.inFlight(upstream -> is(upstream, each)) == 0) {
-        free.add(each);
+          && dispatcher.inFlight(upstream -> matches(upstream, each)) == 0) {
+        drained.add(each);
       }
     }
-    return free;
+    return drained;
   }
 
-  private static boolean is(Upstream upstream, MaintenanceState.AwayMachine machine) {
+  private static boolean matches(Upstream upstream, MaintenanceState.AwayMachine machine) {
     return upstream.name.equals(machine.machine())
         || text(upstream.address).equals(machine.address())
         || text(upstream.grpcAddress).equals(machine.address());
   }
 
   /**
-   * What is in service as this balancer sees it.
+   * Reports the capacity that this balancer sees.
    *
-   * @param upTo the entry of the log up to which all has been laid over the lists
+   * @param appliedIndex index of the last log entry that {@link #update} has taken over
    * @param nowMillis by the node's own clock
    */
-  CapacityReport report(long upTo, Dispatcher dispatcher, MaintenanceConfig table, long nowMillis) {
+  CapacityReport report(
+      long appliedIndex, Dispatcher dispatcher, MaintenanceConfig config, long nowMillis) {
     Map<String, int[]> loads = dispatcher.loads(Integer.MAX_VALUE);
     Map<ServerGroup, double[]> groups = new HashMap<>();
     Set<String> resting = new HashSet<>();
@@ -150,55 +157,57 @@
       ServerGroup group = new ServerGroup(entry.kind(), entry.zone());
       double[] sums = groups.computeIfAbsent(group, any -> new double[2]);
       sums[0] += entry.weight();
-      Member now = standing(entry);
+      Member current = overlaid(entry);
       int[] load = loads.get(entry.id());
       if (load != null && load[2] > 0) {
         resting.add(entry.id());
       }
-      // One rest may be a false alarm, and is over in half a second; two looks in a row are not.
-      // One that is dead stays ill between its rests, until it answers.
-      boolean ill = resting.contains(entry.id()) && rested.contains(entry.id());
-      if (now.health() == Health.READY && !ill) {
-        sums[1] += entry.weight() * warmth(now, table, nowMillis);
+      // A single rest may be a false alarm and ends within half a second, so a server counts as
+      // failing only if it rests in two successive reports. A dead server stays failing between its
+      // rests, until it answers.
+      boolean failing = resting.contains(entry.id()) && restingAtLastReport.contains(entry.id());
+      if (current.health() == Health.READY && !failing) {
+        sums[1] += entry.weight() * warmth(current, config, nowMillis);
       }
     }
-    rested = resting;
+    restingAtLastReport = resting;
     Set<String> warm = new HashSet<>();
     for (MaintenanceState.AwayMachine each : away.values()) {
       Member entry = listed.get(each.machine());
       if (each.phase() == Phase.RETURNING
           && (entry == null
               || entry.health() == Health.READY
-                  && !rested.contains(entry.id())
-                  && warmth(standing(entry), table, nowMillis) >= 1)) {
+                  && !restingAtLastReport.contains(entry.id())
+                  && warmth(overlaid(entry), config, nowMillis) >= 1)) {
         warm.add(each.machine());
       }
     }
     Map<ServerGroup, CapacityReport.Capacity> capacities = new HashMap<>();
     groups.forEach(
         (group, sums) -> capacities.put(group, new CapacityReport.Capacity(sums[0], sums[1])));
-    return new CapacityReport(upTo, capacities, warm);
+    return new CapacityReport(appliedIndex, capacities, warm);
   }
 
-  private static double warmth(Member entry, MaintenanceConfig table, long nowMillis) {
-    if (entry.startedMillis() <= 0 || table.warmMillis() <= 0) {
+  /** The share of its capacity that a server has reached since its start. */
+  private static double warmth(Member entry, MaintenanceConfig config, long nowMillis) {
+    if (entry.startedMillis() <= 0 || config.warmUpMillis() <= 0) {
       return 1;
     }
-    double age = (double) (nowMillis - entry.startedMillis()) / table.warmMillis();
-    return table.coldShare() + (1 - table.coldShare()) * Math.max(0, Math.min(1, age));
+    double age = (double) (nowMillis - entry.startedMillis()) / config.warmUpMillis();
+    return config.coldShare() + (1 - config.coldShare()) * Math.max(0, Math.min(1, age));
   }
 
-  /** The servers that a choice names; each word of it may be left empty. */
+  /** The servers with the given ids, and those that match all non-empty ones of the criteria. */
   List<Machine> choose(Set<String> ids, String kind, String zone, String cell) {
     List<Machine> chosen = new ArrayList<>();
     for (Member entry : listed.values()) {
-      boolean named = ids.contains(entry.id());
-      boolean fits =
+      boolean chosenById = ids.contains(entry.id());
+      boolean matches =
           !(kind.isEmpty() && zone.isEmpty() && cell.isEmpty())
               && (kind.isEmpty() || kind.equals(entry.kind()))
               && (zone.isEmpty() || zone.equals(entry.zone()))
               && (cell.isEmpty() || cell.equals(Long.toString(entry.cell())));
-      if (named || fits) {
+      if (chosenById || matches) {
         chosen.add(
             new Machine(
                 entry.id(),
@@ -206,13 +215,13 @@
                 entry.zone(),
                 entry.cell(),
                 entry.weight(),
-                place(entry)));
+                addressKey(entry)));
       }
     }
     return chosen;
   }
 
-  boolean listsNothing() {
+  boolean isListEmpty() {
     return listed.isEmpty();
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenancePages.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenancePages.java
@@ -20,25 +20,25 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The pages of work orders on the admin listener. */
+/** The admin pages that show maintenance orders and accept requests from operators. */
 final class MaintenancePages {
-  /** Machines of one order that are shown. */
-  private static final int MOST_SHOWN = 200;
+  /** Maximum number of machines of one order that are shown. */
+  private static final int MAX_SHOWN = 200;
 
-  private final MaintenanceService orders;
-  private final MaintenanceConfig table;
-  private final MaintenanceReplica ledger;
-  private final Executor thread;
+  private final MaintenanceService service;
+  private final MaintenanceConfig config;
+  private final MaintenanceReplica replica;
+  private final Executor queries;
 
   MaintenancePages(
-      MaintenanceService orders,
-      MaintenanceConfig table,
-      MaintenanceReplica ledger,
-      Executor thread) {
-    this.orders = orders;
-    this.table = table;
-    this.ledger = ledger;
-    this.thread = thread;
+      MaintenanceService service,
+      MaintenanceConfig config,
+      MaintenanceReplica replica,
+      Executor queries) {
+    this.service = service;
+    this.config = config;
+    this.replica = replica;
+    this.queries = queries;
   }
 
   void add(AdminServer admin) {
@@ -46,47 +46,48 @@
     admin.post("work", this::change);
   }
 
-  /** What a question makes of the ledger, off the loop. */
+  /** Answers a query from the replicated state, off the event loop. */
   private void read(String rest, Consumer<AdminServer.Reply> reply) {
-    Function<MaintenanceState, Map<String, Object>> question;
+    Function<MaintenanceState, Map<String, Object>> query;
     if (rest.isEmpty()) {
-      long lease = orders.leaseLeftMillis();
-      String trouble = orders.trouble();
-      question = settled -> overview(settled, lease, trouble);
+      long lease = service.leaseLeftMillis();
+      String trouble = service.trouble();
+      query = state -> overview(state, lease, trouble);
     } else if (rest.equals("settled")) {
-      question = MaintenanceState::toSnapshot;
+      query = MaintenanceState::toSnapshot;
     } else if (rest.matches("\\d{1,18}")) {
-      question = settled -> order(settled, Long.parseLong(rest));
+      query = state -> order(state, Long.parseLong(rest));
     } else {
       reply.accept(AdminServer.Reply.error(404, "work, work/ORDER or work/settled expected"));
       return;
     }
     try {
-      thread.execute(
+      queries.execute(
           () -> {
-            Map<String, Object> page = ledger.ask(question);
+            Map<String, Object> page = replica.query(query);
             reply.accept(
                 page == null
                     ? AdminServer.Reply.error(404, "no order " + rest)
                     : AdminServer.Reply.ok(page));
           });
     } catch (RejectedExecutionException e) {
-      reply.accept(AdminServer.Reply.error(503, "ending"));
+      reply.accept(AdminServer.Reply.error(503, "shutting down"));
     }
   }
 
-  private Map<String, Object> overview(MaintenanceState settled, long leaseMillis, String trouble) {
+  /** The page {@code work}. */
+  private Map<String, Object> overview(MaintenanceState state, long leaseMillis, String trouble) {
     Map<String, Object> page = new LinkedHashMap<>();
-    page.put("instance", table.instance());
-    page.put("leader", orders.leader());
-    page.put("voters", orders.voters());
-    page.put("entry", settled.appliedIndex());
-    page.put("log_ms", settled.nowMillis());
-    page.put("form", settled.formatVersion());
-    page.put("when_cut_off", table.stops() ? "stop" : "serve");
+    page.put("instance", config.instance());
+    page.put("leader", service.leader());
+    page.put("voters", service.voters());
+    page.put("entry", state.appliedIndex());
+    page.put("log_ms", state.nowMillis());
+    page.put("form", state.formatVersion());
+    page.put("when_cut_off", config.stopsWhenCutOff() ? "stop" : "serve");
     page.put("lease_left_ms", leaseMillis);
     page.put("trouble", trouble);
-    MaintenanceRules rules = settled.rules();
+    MaintenanceRules rules = state.rules();
     Map<String, Object> inForce = new LinkedHashMap<>();
     inForce.put("version", rules.version());
     inForce.put("lease_ms", rules.leaseMillis());
@@ -95,10 +96,10 @@
     inForce.put("floors", rules.floors().stream().map(Object::toString).toList());
     page.put("rules", inForce);
     List<Object> instances = new ArrayList<>();
-    for (MaintenanceState.InstanceStatus each : settled.instanceStatuses()) {
+    for (MaintenanceState.InstanceStatus each : state.instanceStatuses()) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("name", each.name());
-      row.put("when_cut_off", each.stops() ? "stop" : "serve");
+      row.put("when_cut_off", each.stopsWhenCutOff() ? "stop" : "serve");
       row.put("fenced", each.fenced());
       row.put("knows_form", each.latestFormat());
       row.put("heard_ms_ago", each.heardMillisAgo());
@@ -106,47 +107,49 @@
     }
     page.put("instances", instances);
     List<Object> rows = new ArrayList<>();
-    for (long id : settled.orderIds()) {
-      rows.add(brief(settled, id));
+    for (long id : state.orderIds()) {
+      rows.add(summary(state, id));
     }
     page.put("orders", rows);
     return page;
   }
 
-  private static Map<String, Object> brief(MaintenanceState settled, long id) {
-    Command.Ask ask = settled.request(id);
+  /** What both pages show of an order. */
+  private static Map<String, Object> summary(MaintenanceState state, long id) {
+    Command.Ask ask = state.request(id);
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("order", id);
-    row.put("who", ask.who());
-    row.put("why", ask.why());
+    row.put("who", ask.requester());
+    row.put("why", ask.reason());
     row.put("machines", ask.machines().size());
     row.put("at_once", ask.atOnce());
     Map<String, Object> phases = new LinkedHashMap<>();
-    for (Map.Entry<Phase, Integer> each : settled.phaseCounts(id).entrySet()) {
+    for (Map.Entry<Phase, Integer> each : state.phaseCounts(id).entrySet()) {
       phases.put(each.getKey().name().toLowerCase(Locale.ROOT), each.getValue());
     }
     row.put("phases", phases);
-    row.put("wanted_back", settled.wantedBackCount(id));
+    row.put("wanted_back", state.wantedBackCount(id));
     return row;
   }
 
-  private static Map<String, Object> order(MaintenanceState settled, long id) {
-    Command.Ask ask = settled.request(id);
+  /** The page {@code work/ORDER}, or null if there is no such order. */
+  private static Map<String, Object> order(MaintenanceState state, long id) {
+    Command.Ask ask = state.request(id);
     if (ask == null) {
       return null;
     }
-    Map<String, Object> page = brief(settled, id);
+    Map<String, Object> page = summary(state, id);
     page.put("urgent", ask.urgent());
-    page.put("for_ms", ask.forMillis());
-    page.put("after", ask.after());
+    page.put("for_ms", ask.durationMillis());
+    page.put("after", ask.afterOrder());
     List<Object> rows = new ArrayList<>();
-    for (MaintenanceState.MachineStatus each : settled.machineStatuses(id, MOST_SHOWN)) {
+    for (MaintenanceState.MachineStatus each : state.machineStatuses(id, MAX_SHOWN)) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("machine", each.machine());
       row.put("phase", each.phase().name().toLowerCase(Locale.ROOT));
       row.put("since_ms", each.sinceMillis());
       row.put("overdue", each.overdue());
-      row.put("wanted_back", each.wanted());
+      row.put("wanted_back", each.wantedBack());
       row.put("waits_for", each.waitsFor());
       rows.add(row);
     }
@@ -154,26 +157,29 @@
     return page;
   }
 
-  // ---- what changes something ----
+  // ---- changes ----
 
   private void change(String rest, Consumer<AdminServer.Reply> reply) {
     QueryStringDecoder call = new QueryStringDecoder(rest);
-    String[] words = call.path().split("/");
+    String[] segments = call.path().split("/");
     try {
-      switch (words[0]) {
+      switch (segments[0]) {
         case "ask" -> ask(call.parameters(), reply);
         case "done" ->
             send(
-                new Command.Done(Long.parseLong(words[1]), words.length > 2 ? words[2] : null),
+                new Command.Done(
+                    Long.parseLong(segments[1]), segments.length > 2 ? segments[2] : null),
                 reply);
         case "extend" ->
-            send(new Command.Extend(Long.parseLong(words[1]), Long.parseLong(words[2])), reply);
-        case "cancel" -> send(new Command.Cancel(Long.parseLong(words[1])), reply);
-        case "vote" -> vote(words[1], true, reply);
-        case "unvote" -> vote(words[1], false, reply);
-        case "fence" -> send(new Command.Fence(words[1], false), reply);
-        case "forget" -> send(new Command.Fence(words[1], true), reply);
-        default -> throw new IllegalArgumentException(words[0]);
+            send(
+                new Command.Extend(Long.parseLong(segments[1]), Long.parseLong(segments[2])),
+                reply);
+        case "cancel" -> send(new Command.Cancel(Long.parseLong(segments[1])), reply);
+        case "vote" -> setVoter(segments[1], true, reply);
+        case "unvote" -> setVoter(segments[1], false, reply);
+        case "fence" -> send(new Command.Fence(segments[1], false), reply);
+        case "forget" -> send(new Command.Fence(segments[1], true), reply);
+        default -> throw new IllegalArgumentException(segments[0]);
       }
     } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
       reply.accept(
@@ -185,26 +191,28 @@
     }
   }
 
-  private void ask(Map<String, List<String>> words, Consumer<AdminServer.Reply> reply) {
-    Set<String> ids = new HashSet<>(words.getOrDefault("machine", List.of()));
-    String kind = word(words, "kind", "");
-    String zone = word(words, "zone", "");
-    String cell = word(words, "cell", "");
-    String key = word(words, "key", null);
-    String who = word(words, "who", null);
-    String why = word(words, "why", "");
-    boolean urgent = Boolean.parseBoolean(word(words, "urgent", "false"));
-    int atOnce = Integer.parseInt(word(words, "at_once", "1"));
-    long forMillis = Long.parseLong(word(words, "for_ms", null));
-    long after = Long.parseLong(word(words, "after", "0"));
-    long notBefore = Long.parseLong(word(words, "not_before_ms", "0"));
-    long notAfter = Long.parseLong(word(words, "not_after_ms", "0"));
-    if (!orders.begun()) {
-      reply.accept(AdminServer.Reply.error(503, "this balancer has not joined; ask another"));
+  private void ask(Map<String, List<String>> parameters, Consumer<AdminServer.Reply> reply) {
+    Set<String> ids = new HashSet<>(parameters.getOrDefault("machine", List.of()));
+    String kind = parameter(parameters, "kind", "");
+    String zone = parameter(parameters, "zone", "");
+    String cell = parameter(parameters, "cell", "");
+    String key = parameter(parameters, "key", null);
+    String requester = parameter(parameters, "who", null);
+    String reason = parameter(parameters, "why", "");
+    boolean urgent = Boolean.parseBoolean(parameter(parameters, "urgent", "false"));
+    int atOnce = Integer.parseInt(parameter(parameters, "at_once", "1"));
+    long durationMillis = Long.parseLong(parameter(parameters, "for_ms", null));
+    long afterOrder = Long.parseLong(parameter(parameters, "after", "0"));
+    long notBefore = Long.parseLong(parameter(parameters, "not_before_ms", "0"));
+    long notAfter = Long.parseLong(parameter(parameters, "not_after_ms", "0"));
+    if (!service.hasEverJoined()) {
+      reply.accept(
+          AdminServer.Reply.error(
+              503, "this balancer has not joined yet; send the request to another"));
       return;
     }
-    List<Machine> machines = new ArrayList<>(orders.choose(ids, kind, zone, cell));
-    for (String balancer : words.getOrDefault("balancer", List.of())) {
+    List<Machine> machines = new ArrayList<>(service.choose(ids, kind, zone, cell));
+    for (String balancer : parameters.getOrDefault("balancer", List.of())) {
       machines.add(Machine.balancer(balancer));
     }
     Set<String> found = new HashSet<>();
@@ -217,13 +225,22 @@
     }
     send(
         new Command.Ask(
-            key, who, why, urgent, atOnce, forMillis, after, notBefore, notAfter, machines),
+            key,
+            requester,
+            reason,
+            urgent,
+            atOnce,
+            durationMillis,
+            afterOrder,
+            notBefore,
+            notAfter,
+            machines),
         reply);
   }
 
-  private void vote(String peer, boolean votes, Consumer<AdminServer.Reply> reply) {
-    orders
-        .vote(peer, votes)
+  private void setVoter(String peer, boolean votes, Consumer<AdminServer.Reply> reply) {
+    service
+        .setVoter(peer, votes)
         .whenComplete(
             (voters, failure) ->
                 reply.accept(
@@ -232,31 +249,35 @@
                         : AdminServer.Reply.ok(Map.of("voters", voters))));
   }
 
-  private static String word(Map<String, List<String>> words, String key, String otherwise) {
-    List<String> values = words.get(key);
-    if (values == null && otherwise == null) {
+  /** The first value of a parameter, or {@code fallback}; without one the parameter is required. */
+  private static String parameter(
+      Map<String, List<String>> parameters, String key, String fallback) {
+    List<String> values = parameters.get(key);
+    if (values == null && fallback == null) {
       throw new IllegalArgumentException(key + " is missing");
     }
-    return values == null ? otherwise : values.get(0);
+    return values == null ? fallback : values.get(0);
   }
 
-  /** Tells what became of it when all instances will know. */
+  /** Submits a command and replies with its result once it is part of the log. */
   private void send(Command command, Consumer<AdminServer.Reply> reply) {
-    orders
-        .submitAndKnow(command)
+    service
+        .submitAndApply(command)
         .whenComplete(
-            (CommandResult said, Throwable failure) -> {
-              if (said == null) {
+            (CommandResult result, Throwable failure) -> {
+              if (result == null) {
                 reply.accept(
                     AdminServer.Reply.error(
-                        503, "not known to be taken, ask again: " + failure.getMessage()));
-              } else if (said.ok()) {
+                        503,
+                        "the command may not have been applied, try again: "
+                            + failure.getMessage()));
+              } else if (result.ok()) {
                 Map<String, Object> body = new LinkedHashMap<>();
-                body.put("order", said.value());
-                body.put("message", said.message());
+                body.put("order", result.value());
+                body.put("message", result.message());
                 reply.accept(AdminServer.Reply.ok(body));
               } else {
-                reply.accept(AdminServer.Reply.error(409, said.message()));
+                reply.accept(AdminServer.Reply.error(409, result.message()));
               }
             });
   }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceReplica.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceReplica.java
@@ -19,73 +19,76 @@
 import java.util.function.Function;
 
 /**
- * What is settled, as this instance has taken it from the log; for any thread. An entry takes as
- * long as it takes: the event loop reads {@link #known}, which waits for nothing.
+ * This instance's copy of the replicated {@link MaintenanceState}; thread-safe. Applying an entry
+ * may take long, so the event loop reads {@link #view}, which never blocks.
  */
 final class MaintenanceReplica implements Replica {
   /**
-   * What the event loop needs of it, as of one entry.
+   * What the event loop needs of the state, as of one entry.
    *
-   * @param index of that entry
-   * @param away every machine that an order has a hand on
-   * @param incarnation the latest process of this instance, 0 for none
-   * @param speaks whether that process has joined and was not fenced since
-   * @param leaves whether an order has this instance leave, or stay away
-   * @param form of entries in force
-   * @param nowMillis the log's time as of that entry, and {@code takenNanos} when it was taken here
-   * @param dueMillis see {@link MaintenanceState#dueMillis}
+   * @param index index of that entry
+   * @param away all machines that are held by an order or returning
+   * @param incarnation the latest incarnation of this instance, 0 for none
+   * @param joined whether that incarnation has joined and has not been fenced since
+   * @param mustLeave whether an order requires this instance to leave or to stay away
+   * @param formatVersion the format version of entries that is in force
+   * @param nowMillis the log's time as of that entry
+   * @param appliedNanos when the entry was applied here, on the monotonic clock
+   * @param expiryMillis see {@link MaintenanceState#nextExpiryMillis}
    */
-  record Known(
+  record View(
       long index,
       List<MaintenanceState.AwayMachine> away,
       long incarnation,
-      boolean speaks,
-      boolean leaves,
+      boolean joined,
+      boolean mustLeave,
       long leaseMillis,
-      int form,
+      int formatVersion,
       long nowMillis,
-      long takenNanos,
-      long dueMillis) {
-    /** Whether by its clock that time has come at whoever leads. */
-    boolean due(long nowNanos) {
-      return nowMillis + (nowNanos - takenNanos) / 1_000_000 >= dueMillis;
+      long appliedNanos,
+      long expiryMillis) {
+    /** Whether a leader's log clock has reached {@code expiryMillis}. */
+    boolean expiryDue(long nowNanos) {
+      return nowMillis + (nowNanos - appliedNanos) / 1_000_000 >= expiryMillis;
     }
   }
 
-  private record Waiting(long index, CompletableFuture<Void> taken) {}
+  /** A future that completes once the entry of an index has been applied. */
+  private record Waiter(long index, CompletableFuture<Void> applied) {}
 
   private final String instance;
-  private final int knows;
-  private final Runnable news;
-  private final PriorityQueue<Waiting> waiting =
-      new PriorityQueue<>(Comparator.comparingLong(Waiting::index));
-  private MaintenanceState settled = new MaintenanceState();
-  private long toldChanges = -1;
-  private volatile Known known;
+  private final int latestFormat;
+  private final Runnable onChange;
+  private final PriorityQueue<Waiter> waiters =
+      new PriorityQueue<>(Comparator.comparingLong(Waiter::index));
+  private MaintenanceState state = new MaintenanceState();
+  private long publishedChanges = -1;
+  private volatile View view;
 
   /**
-   * An empty one.
+   * Creates an empty state.
    *
-   * @param knows the latest form of entries that this program takes. One that meets a later one
-   *     stops rather than guess.
-   * @param news told, on the log's thread, whenever what is {@link #known} of machines that orders
-   *     have a hand on has changed; must return at once
+   * @param latestFormat the latest format version that this program can read; on an entry of a
+   *     later one the replica fails rather than guess
+   * @param onChange called on the log's thread when the machines in {@link #view} have changed;
+   *     must not block
    */
-  MaintenanceReplica(String instance, int knows, Runnable news) {
+  MaintenanceReplica(String instance, int latestFormat, Runnable onChange) {
     this.instance = instance;
-    this.knows = knows;
-    this.news = news;
+    this.latestFormat = latestFormat;
+    this.onChange = onChange;
     publish(List.of());
   }
 
-  byte[] bytes(Command command) {
+  /** Serializes a command as a log entry in the format version in force. */
+  byte[] encode(Command command) {
     Map<String, Object> tree = new LinkedHashMap<>();
-    tree.put("format", known.form());
+    tree.put("format", view.formatVersion());
     tree.putAll(CommandCodec.encode(command));
-    return json(tree);
+    return toJson(tree);
   }
 
-  private static byte[] json(Object tree) {
+  private static byte[] toJson(Object tree) {
     try {
       return JSON.std.asBytes(tree);
     } catch (IOException e) {
@@ -93,7 +96,7 @@
     }
   }
 
-  private static Map<String, Object> tree(byte[] json) {
+  private static Map<String, Object> parseJson(byte[] json) {
     try {
       return JSON.std.mapFrom(json);
     } catch (IOException e) {
@@ -101,12 +104,18 @@
     }
   }
 
-  /** What became of an entry, and its number in the log; 0 where an earlier release said it. */
-  record Taken(CommandResult reply, long index) {}
+  /**
+   * The result of an applied command.
+   *
+   * @param index index of its log entry; 0 if the result comes from an earlier release, which does
+   *     not state it
+   */
+  record Applied(CommandResult result, long index) {}
 
-  static Taken reply(byte[] json) {
-    Map<String, Object> tree = tree(json);
-    return new Taken(
+  /** Parses what {@link #take} has returned, maybe on another instance. */
+  static Applied decodeResult(byte[] json) {
+    Map<String, Object> tree = parseJson(json);
+    return new Applied(
         new CommandResult(
             (Boolean) tree.get("ok"),
             ((Number) tree.get("order")).longValue(),
@@ -116,95 +125,100 @@
 
   @Override
   public byte[] take(long index, long stampMillis, byte[] entry) {
-    Map<String, Object> tree = tree(entry);
+    Map<String, Object> tree = parseJson(entry);
     if (!(tree.get("format") instanceof Number format)
         || format.intValue() < FormatSupport.FIRST
-        || format.intValue() > knows) {
+        || format.intValue() > latestFormat) {
       throw new IllegalArgumentException(
-          "entry " + index + " is of the form " + tree.get("format") + ", beyond " + knows);
+          "entry "
+              + index
+              + " has format version "
+              + tree.get("format")
+              + ", beyond "
+              + latestFormat);
     }
     Command command = CommandCodec.decodeCommand(tree);
-    CommandResult reply;
+    CommandResult result;
     synchronized (this) {
-      reply = settled.apply(index, stampMillis, command);
-      tell();
+      result = state.apply(index, stampMillis, command);
+      publishChanges();
     }
     Map<String, Object> answer = new LinkedHashMap<>();
-    answer.put("ok", reply.ok());
-    answer.put("order", reply.value());
-    answer.put("message", reply.message());
+    answer.put("ok", result.ok());
+    answer.put("order", result.value());
+    answer.put("message", result.message());
     answer.put("index", index);
-    return json(answer);
+    return toJson(answer);
   }
 
-  private void tell() {
-    if (settled.changeCount() != toldChanges) {
-      toldChanges = settled.changeCount();
-      publish(settled.awayMachines());
-      news.run();
+  private void publishChanges() {
+    if (state.changeCount() != publishedChanges) {
+      publishedChanges = state.changeCount();
+      publish(state.awayMachines());
+      onChange.run();
     } else {
-      publish(known.away());
+      publish(view.away());
     }
-    while (!waiting.isEmpty() && waiting.peek().index() <= settled.appliedIndex()) {
-      waiting.poll().taken().complete(null);
+    while (!waiters.isEmpty() && waiters.peek().index() <= state.appliedIndex()) {
+      waiters.poll().applied().complete(null);
     }
   }
 
   private void publish(List<MaintenanceState.AwayMachine> away) {
-    long incarnation = settled.incarnation(instance);
-    known =
-        new Known(
-            settled.appliedIndex(),
+    long incarnation = state.incarnation(instance);
+    view =
+        new View(
+            state.appliedIndex(),
             away,
             incarnation,
-            settled.hasJoined(instance, incarnation),
-            settled.mustLeave(instance),
-            settled.rules().leaseMillis(),
-            settled.formatVersion(),
-            settled.nowMillis(),
+            state.hasJoined(instance, incarnation),
+            state.mustLeave(instance),
+            state.rules().leaseMillis(),
+            state.formatVersion(),
+            state.nowMillis(),
             System.nanoTime(),
-            settled.nextExpiryMillis());
+            state.nextExpiryMillis());
   }
 
-  /** What the event loop needs, as of the latest entry. */
-  Known known() {
-    return known;
+  /** The state as of the latest applied entry. */
+  View view() {
+    return view;
   }
 
   /**
-   * Completes when an entry has been taken here; from then on what is asked here knows of it. As
-   * many may wait as entries may be submitted.
+   * Completes when an entry has been applied here, so that later queries see its effect. The number
+   * of waiters is bounded by that of submitted entries.
    */
-  synchronized CompletableFuture<Void> taken(long index) {
-    CompletableFuture<Void> taken = new CompletableFuture<>();
-    if (index <= settled.appliedIndex()) {
-      taken.complete(null);
+  synchronized CompletableFuture<Void> whenApplied(long index) {
+    CompletableFuture<Void> applied = new CompletableFuture<>();
+    if (index <= state.appliedIndex()) {
+      applied.complete(null);
     } else {
-      waiting.removeIf(each -> each.taken().isDone()); // Those that nobody waits for any more.
-      waiting.add(new Waiting(index, taken));
+      waiters.removeIf(each -> each.applied().isDone()); // Their callers have timed out.
+      waiters.add(new Waiter(index, applied));
     }
-    return taken;
+    return applied;
   }
 
   @Override
   public synchronized byte[] save() {
-    return json(settled.toSnapshot());
+    return toJson(state.toSnapshot());
   }
 
   @Override
   public synchronized void load(byte[] saved) {
-    settled = MaintenanceState.fromSnapshot(tree(saved));
-    toldChanges = -1;
-    tell();
+    state = MaintenanceState.fromSnapshot(parseJson(saved));
+    publishedChanges = -1;
+    publishChanges();
   }
 
-  /** Asks what is settled now. */
-  synchronized <T> T ask(Function<MaintenanceState, T> question) {
-    return question.apply(settled);
+  /** Evaluates a query on the current state. */
+  synchronized <T> T query(Function<MaintenanceState, T> query) {
+    return query.apply(state);
   }
 
-  /** A digest of all that is settled: the same on instances that have taken the same entries. */
-  synchronized String picture() {
-    return new String(json(settled.toSnapshot()), StandardCharsets.UTF_8);
+  /** The whole state as text; the same on instances that have applied the same entries. */
+  synchronized String toText() {
+    return new String(toJson(state.toSnapshot()), StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
@@ -27,12 +27,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * This balancer among those that settle which machine goes out when: carries out what its {@link
- * InstanceSession} says, lays what is settled over the lists, and keeps the first byte of every
- * attempt within the lease.
+ * Takes part in the maintenance orders of the fleet: submits the commands of its {@link
+ * InstanceSession} to the log, applies the orders to the server list, and lets the first byte of an
+ * attempt be written only within the lease.
  */
 public final class MaintenanceService implements AutoCloseable, InstanceSession.LocalView {
-  /** A log that cannot be opened; the message says why. */
+  /** The log cannot be opened; the message says why. */
   public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -41,301 +41,316 @@
     }
   }
 
-  /** How soon an instance sees that its last call to a machine has ended. */
+  /** Interval of steps, and so the delay until the end of the last call to a machine is noticed. */
   private static final long STEP_MILLIS = 5;
 
-  /** Connections that wait for nothing are closed 1.5 s after the begin, and whenever they come. */
-  private static final long EMPTY_MILLIS = 2000;
+  /**
+   * How long the drain takes to send clients away: it closes idle connections 1.5 s after its begin
+   * and, from then on, any that become idle or are opened.
+   */
+  private static final long DRAIN_MILLIS = 2000;
+
+  /** Interval between attempts to transfer leadership. */
+  private static final long TRANSFER_INTERVAL_MILLIS = 2000;
 
-  private static final long HAND_ON_MILLIS = 2000;
-  private static final long TELL_MILLIS = 2000;
-  private static final long LOOK_MILLIS = 100;
-  private static final long LEAVE_MILLIS = 1500;
+  /** Interval at which a warning is repeated while its cause lasts. */
+  private static final long LOG_INTERVAL_MILLIS = 2000;
 
-  /** An answer waits so long at most until what it tells of is known here, too. */
-  private static final long KNOWN_MILLIS = 1000;
+  private static final long WATCH_INTERVAL_MILLIS = 100;
+  private static final long LEAVE_TIMEOUT_MILLIS = 1500;
+
+  /** How long a reply to an operator waits until the entry has been applied here, too. */
+  private static final long APPLIED_TIMEOUT_MILLIS = 1000;
 
   /**
-   * The latest form of entries that this program takes; less where somebody tries beforehand how an
-   * earlier release fares among later ones.
+   * The latest format version that this program reads. A system property lowers it to test how an
+   * earlier release behaves among later ones.
    */
-  private static final int KNOWS =
+  private static final int LATEST_FORMAT =
       Math.min(
           FormatSupport.LATEST, Integer.getInteger("heathswitch.work.knows", FormatSupport.LATEST));
 
-  /** Questions of operators that may wait; one more is told so. */
-  private static final int MOST_QUESTIONS = 64;
+  /** Maximum number of queued queries from operators; further ones are rejected. */
+  private static final int MAX_QUERIES = 64;
 
   private final Node node;
-  private final MaintenanceConfig table;
-  private final MaintenanceReplica ledger;
+  private final MaintenanceConfig config;
+  private final MaintenanceReplica replica;
   private final Agreement agreement;
-  private final InstanceSession participant;
-  private final MaintenanceOverlay holdings = new MaintenanceOverlay();
-  private final OrderProgressLogger steps = new OrderProgressLogger();
+  private final InstanceSession session;
+  private final MaintenanceOverlay overlay = new MaintenanceOverlay();
+  private final OrderProgressLogger progress = new OrderProgressLogger();
   private final SecureRandom random = new SecureRandom();
-  private final ThreadPoolExecutor thread;
+  private final ThreadPoolExecutor queries;
 
-  /** Whether what was owed at the end of the lease has been given up, and clients sent away. */
-  private boolean cut;
+  /** Whether the lease has ended and the requests in progress have failed. */
+  private boolean leaseEnded;
 
-  private boolean emptied;
+  /** Whether clients are being sent away. */
+  private boolean draining;
 
-  /** Since when its clients have been sent away, and when leadership was handed on last. */
-  private long emptiedNanos;
+  /** Since when clients are being sent away, and when a transfer of leadership was last tried. */
+  private long drainingNanos;
 
-  private long handedNanos;
+  private long transferNanos;
 
-  private long lookedNanos = System.nanoTime();
+  private long watchedNanos = System.nanoTime();
 
-  /** When it was said last that this instance's log stands still. */
-  private long stillToldNanos;
+  /** When it was last logged that this instance's log is stalled. */
+  private long stallLoggedNanos;
 
-  /** Whether it has been inside. */
-  private boolean begun;
+  /** Whether this instance has joined at least once. */
+  private boolean everJoined;
 
-  /** Lays itself over the node's lists; before its start. */
-  public MaintenanceService(Node node, MaintenanceConfig table) throws StartException {
+  /** Installs the overlay and the gate in the node, which must not have been started. */
+  public MaintenanceService(Node node, MaintenanceConfig config) throws StartException {
     this.node = node;
-    this.table = table;
-    String lost = VoterFolder.startObstacle(table);
-    if (lost != null) {
-      throw new StartException(lost);
+    this.config = config;
+    String obstacle = VoterFolder.startObstacle(config);
+    if (obstacle != null) {
+      throw new StartException(obstacle);
     }
-    ledger = new MaintenanceReplica(table.instance(), KNOWS, this::news);
-    participant =
+    replica = new MaintenanceReplica(config.instance(), LATEST_FORMAT, this::onChange);
+    session =
         new InstanceSession(
-            table.instance(),
-            table.stops(),
-            table.stoppingMillis(),
-            table.rules(),
-            new FormatSupport(KNOWS, table.peers().size()));
+            config.instance(),
+            config.stopsWhenCutOff(),
+            config.stopMarginMillis(),
+            config.rules(),
+            new FormatSupport(LATEST_FORMAT, config.peers().size()));
     try {
       agreement =
-          new Agreement(table.instance(), table.listen(), table.peers(), table.folder(), ledger);
+          new Agreement(
+              config.instance(), config.listen(), config.peers(), config.folder(), replica);
     } catch (IOException | RuntimeException e) {
       throw new StartException("the log of work orders cannot be opened: " + e);
     }
-    thread =
+    queries =
         new ThreadPoolExecutor(
             1,
             1,
             1,
             SECONDS,
-            new LinkedBlockingQueue<>(MOST_QUESTIONS),
+            new LinkedBlockingQueue<>(MAX_QUERIES),
             task -> {
-              Thread made = new Thread(task, "work");
-              made.setDaemon(true);
-              return made;
+              Thread worker = new Thread(task, "work");
+              worker.setDaemon(true);
+              return worker;
             });
-    node.dispatcher().overlay(holdings);
-    node.dispatcher().gate(() -> participant.maySend(System.nanoTime()));
+    node.dispatcher().overlay(overlay);
+    node.dispatcher().gate(() -> session.maySend(System.nanoTime()));
     node.shutdown().lastly(this::leave);
   }
 
-  /** Returns when this balancer has joined, which takes a majority of those that vote. */
+  /** Blocks until this balancer has joined, which takes a majority of the voters. */
   public void start() throws IOException, InterruptedException {
     agreement.start();
     node.loop().scheduleAtFixedRate(this::step, 0, STEP_MILLIS, MILLISECONDS);
-    long told = System.nanoTime();
-    while (!node.loop().submit(participant::joined).syncUninterruptibly().getNow()) {
-      if (System.nanoTime() - told > MILLISECONDS.toNanos(TELL_MILLIS)) {
-        told = System.nanoTime();
-        Log.warn("work", "not joined yet, so no clients are taken; leader: " + agreement.leader());
+    long loggedNanos = System.nanoTime();
+    while (!node.loop().submit(session::joined).syncUninterruptibly().getNow()) {
+      if (System.nanoTime() - loggedNanos > MILLISECONDS.toNanos(LOG_INTERVAL_MILLIS)) {
+        loggedNanos = System.nanoTime();
+        Log.warn(
+            "work", "not joined yet, so no clients are accepted; leader: " + agreement.leader());
       }
       Thread.sleep(STEP_MILLIS);
     }
-    Log.info("work", table.instance() + " has joined; " + agreement.leader() + " leads");
+    Log.info("work", config.instance() + " has joined; " + agreement.leader() + " leads");
   }
 
   // ---- on the log's thread ----
 
-  private void news() {
+  private void onChange() {
     try {
-      // What is known when its turn comes: an older list must not follow a newer one.
-      node.loop().execute(() -> update(ledger.known().away()));
+      // Reads the view when the task runs, so that an older list never follows a newer one.
+      node.loop().execute(() -> update(replica.view().away()));
     } catch (RejectedExecutionException e) {
-      // The node has ended: it sends nothing any more.
+      // The node has shut down and sends nothing any more.
     }
   }
 
-  // ---- on the loop ----
+  // ---- on the event loop ----
 
   private void update(List<MaintenanceState.AwayMachine> away) {
-    steps.tell(away);
-    holdings.update(away, node.dispatcher(), node.nowMillis());
+    progress.update(away);
+    overlay.update(away, node.dispatcher(), node.nowMillis());
   }
 
   private void step() {
     try {
-      boolean inside = participant.joined();
-      for (Command command : participant.step(System.nanoTime(), this)) {
-        say(command);
+      boolean wasJoined = session.joined();
+      for (Command command : session.step(System.nanoTime(), this)) {
+        submitForSession(command);
       }
-      if (inside != participant.joined()) {
-        begun |= participant.joined();
-        Log.info("work", table.instance() + (inside ? " is outside" : " is inside"));
+      if (wasJoined != session.joined()) {
+        everJoined |= session.joined();
+        Log.info("work", config.instance() + (wasJoined ? " is not joined" : " is joined"));
       }
       watchClients();
-      handOn();
+      transferLeadership();
       watchLog();
     } catch (RuntimeException e) {
-      Log.error("work", "a step failed", e); // Thrown on, it would be the last.
+      Log.error("work", "a step failed", e); // Rethrown, it would cancel the periodic task.
     }
   }
 
-  private void say(Command command) {
+  private void submitForSession(Command command) {
     submit(command)
         .whenComplete(
-            (reply, failure) -> {
+            (result, failure) -> {
               try {
-                node.loop().execute(() -> answered(command, reply, failure));
+                node.loop().execute(() -> onResult(command, result, failure));
               } catch (RejectedExecutionException e) {
-                // The node has ended.
+                // The node has shut down.
               }
             });
   }
 
-  private void answered(Command command, CommandResult reply, Throwable failure) {
-    String what = command.getClass().getSimpleName();
+  private void onResult(Command command, CommandResult result, Throwable failure) {
+    String kind = command.getClass().getSimpleName();
     if (failure != null) {
-      Log.warn("work", what + " is not known to be taken: " + failure.getMessage());
-    } else if (!reply.message().isEmpty()) {
-      Log.warn("work", what + ": " + reply.message());
+      Log.warn("work", kind + " may not have been applied: " + failure.getMessage());
+    } else if (!result.message().isEmpty()) {
+      Log.warn("work", kind + ": " + result.message());
     }
-    boolean inside = participant.joined();
-    participant.onResult(command, reply, System.nanoTime(), this);
-    if (inside && !participant.joined()) {
-      Log.warn("work", table.instance() + " was fenced by the others and joins again");
+    boolean wasJoined = session.joined();
+    session.onResult(command, result, System.nanoTime(), this);
+    if (wasJoined && !session.joined()) {
+      Log.warn("work", config.instance() + " was fenced and joins again");
     }
   }
 
   /**
-   * Takes no more clients before the lease ends, or when an order takes this balancer out; owes
-   * nobody an answer when the lease has ended.
+   * Sends clients away shortly before the lease ends or when an order takes this balancer out, and
+   * fails all requests in progress once the lease has ended.
    */
   private void watchClients() {
-    if (!begun) {
-      return; // Before it is inside for the first time it takes nobody.
+    if (!everJoined) {
+      return; // Clients are not accepted before the first join.
     }
     long now = System.nanoTime();
-    if (participant.acceptsClients(now)) {
-      cut = false;
-      if (emptied) {
-        emptied = false;
+    if (session.acceptsClients(now)) {
+      leaseEnded = false;
+      if (draining) {
+        draining = false;
         node.emptying().end();
       }
       return;
     }
-    if (!emptied) {
+    if (!draining) {
       Log.warn(
           "work",
           mustLeave()
-              ? "taken out: no more clients are taken"
-              : "the lease cannot be renewed: no more clients are taken");
-      emptied = true;
-      emptiedNanos = now;
+              ? "taken out by an order: no more clients are accepted"
+              : "the lease cannot be renewed: no more clients are accepted");
+      draining = true;
+      drainingNanos = now;
       node.emptying().begin();
     }
-    if (!participant.maySend(now) && node.dispatcher().live() > 0) {
-      if (!cut) {
-        cut = true;
+    if (!session.maySend(now) && node.dispatcher().live() > 0) {
+      if (!leaseEnded) {
+        leaseEnded = true;
         Log.warn("work", "the lease has ended: " + node.dispatcher().live() + " requests fail");
       }
       node.dispatcher().failAll();
     }
   }
 
+  /** Checks the log's own health and logs when this instance does not follow it. */
   private void watchLog() {
     long now = System.nanoTime();
-    if (now - lookedNanos > MILLISECONDS.toNanos(LOOK_MILLIS)) {
-      lookedNanos = now;
+    if (now - watchedNanos > MILLISECONDS.toNanos(WATCH_INTERVAL_MILLIS)) {
+      watchedNanos = now;
       agreement.watch(now);
     }
-    if (participant.isLogStalled(now) && now - stillToldNanos > MILLISECONDS.toNanos(TELL_MILLIS)) {
-      stillToldNanos = now;
+    if (session.isLogStalled(now)
+        && now - stallLoggedNanos > MILLISECONDS.toNanos(LOG_INTERVAL_MILLIS)) {
+      stallLoggedNanos = now;
       String reason = trouble();
       Log.warn("log stands still", reason, "reason", reason);
     }
   }
 
-  /** Why this instance does not hear what is settled; empty where it does. On the loop. */
+  /** Why this instance does not follow the log; empty if it does. On the event loop. */
   String trouble() {
     String failed = agreement.trouble();
     return !failed.isEmpty()
         ? failed
-        : participant.isLogStalled(System.nanoTime())
-            ? "others settle more, and this instance has taken nothing since entry "
-                + ledger.known().index()
+        : session.isLogStalled(System.nanoTime())
+            ? "the log advances, but this instance has applied nothing since entry "
+                + replica.view().index()
             : "";
   }
 
-  /** One that leaves does not lead: the others would have to find out. */
-  private void handOn() {
+  /** Transfers leadership before leaving; else the others would first have to notice its end. */
+  private void transferLeadership() {
     long now = System.nanoTime();
-    if (emptied
+    if (draining
         && mustLeave()
-        && now - handedNanos > MILLISECONDS.toNanos(HAND_ON_MILLIS)
-        && agreement.leader().equals(table.instance())) {
-      handedNanos = now;
+        && now - transferNanos > MILLISECONDS.toNanos(TRANSFER_INTERVAL_MILLIS)
+        && agreement.leader().equals(config.instance())) {
+      transferNanos = now;
       agreement
           .handOn()
           .whenComplete(
               (to, failure) ->
                   Log.info(
-                      "work", failure == null ? to + " leads now" : "not handed on: " + failure));
+                      "work",
+                      failure == null
+                          ? to + " leads now"
+                          : "leadership not transferred: " + failure));
     }
   }
 
-  // ---- what the participant sees, on the loop ----
+  // ---- local view of the session, on the event loop ----
 
   @Override
   public boolean mustLeave() {
-    return ledger.known().leaves();
+    return replica.view().mustLeave();
   }
 
-  /** After that time the drain has sent away whoever had nothing to wait for. */
+  /** After {@link #DRAIN_MILLIS} the drain has closed all idle connections. */
   @Override
   public boolean clientsGone() {
-    return emptied
-        && System.nanoTime() - emptiedNanos > MILLISECONDS.toNanos(EMPTY_MILLIS)
+    return draining
+        && System.nanoTime() - drainingNanos > MILLISECONDS.toNanos(DRAIN_MILLIS)
         && node.dispatcher().live() == 0
-        && !agreement.leader().equals(table.instance());
+        && !agreement.leader().equals(config.instance());
   }
 
   @Override
   public long latestIncarnation() {
-    return ledger.known().incarnation();
+    return replica.view().incarnation();
   }
 
   @Override
-  public boolean hasJoined(long as) {
-    MaintenanceReplica.Known known = ledger.known();
-    boolean joined = known.speaks() && known.incarnation() == as;
+  public boolean hasJoined(long incarnation) {
+    MaintenanceReplica.View view = replica.view();
+    boolean joined = view.joined() && view.incarnation() == incarnation;
     if (joined) {
-      current();
+      applyOrders();
     }
     return joined;
   }
 
-  /** Lays all that has been taken over the lists; the entry up to which that is. */
-  private long current() {
-    MaintenanceReplica.Known known = ledger.known();
-    update(known.away());
-    return known.index();
+  /** Applies the latest view to the server list; returns the index of its last log entry. */
+  private long applyOrders() {
+    MaintenanceReplica.View view = replica.view();
+    update(view.away());
+    return view.index();
   }
 
   @Override
   public long appliedIndex() {
-    return ledger.known().index();
+    return replica.view().index();
   }
 
   @Override
   public CapacityReport capacityReport() {
-    long upTo = current();
-    return holdings.listsNothing()
-        ? null // Not read yet: it would say that nothing is in service.
-        : holdings.report(upTo, node.dispatcher(), table, node.nowMillis());
+    long appliedIndex = applyOrders();
+    return overlay.isListEmpty()
+        ? null // The list is not read yet; a report would state that nothing is in service.
+        : overlay.report(appliedIndex, node.dispatcher(), config, node.nowMillis());
   }
 
   @Override
@@ -345,17 +360,18 @@
 
   @Override
   public List<MaintenanceState.AwayMachine> drainedMachines() {
-    return holdings.free(node.dispatcher());
+    return overlay.drained(node.dispatcher());
   }
 
   @Override
   public long leaseMillis() {
-    return ledger.known().leaseMillis();
+    return replica.view().leaseMillis();
   }
 
   @Override
   public boolean expiryDue() {
-    return ledger.known().due(System.nanoTime()) && agreement.leader().equals(table.instance());
+    return replica.view().expiryDue(System.nanoTime())
+        && agreement.leader().equals(config.instance());
   }
 
   @Override
@@ -370,50 +386,60 @@
 
   // ---- for operators ----
 
-  /** Adds the pages of orders to the admin listener. */
+  /** Registers the pages of maintenance orders with the admin listener. */
   public void addPages(AdminServer admin) {
-    new MaintenancePages(this, table, ledger, thread).add(admin);
+    new MaintenancePages(this, config, replica, queries).add(admin);
   }
 
-  /** What the participant says: before whatever people ask for here. */
+  /** Submits a command of the session, ahead of those that operators submit here. */
   private CompletableFuture<CommandResult> submit(Command command) {
     return agreement
-        .submitFirst(() -> ledger.bytes(command))
-        .thenApply(answer -> MaintenanceReplica.reply(answer).reply());
+        .submitFirst(() -> replica.encode(command))
+        .thenApply(answer -> MaintenanceReplica.decodeResult(answer).result());
   }
 
-  /** Answers when this instance knows of it, too: who asks here next is told what came of it. */
-  CompletableFuture<CommandResult> submitAndKnow(Command command) {
+  /**
+   * Completes once the command is applied here, too, so that the next query here sees its effect.
+   */
+  CompletableFuture<CommandResult> submitAndApply(Command command) {
     return agreement
-        .submit(() -> ledger.bytes(command))
-        .thenApply(MaintenanceReplica::reply)
+        .submit(() -> replica.encode(command))
+        .thenApply(MaintenanceReplica::decodeResult)
         .thenCompose(
-            taken ->
-                ledger
-                    .taken(taken.index())
-                    .completeOnTimeout(null, KNOWN_MILLIS, MILLISECONDS)
-                    .thenApply(known -> taken.reply()));
+            applied ->
+                replica
+                    .whenApplied(applied.index())
+                    .completeOnTimeout(null, APPLIED_TIMEOUT_MILLIS, MILLISECONDS)
+                    .thenApply(done -> applied.result()));
   }
 
-  /** Whether it has been inside, so that it knows the lists; on the loop. */
-  boolean begun() {
-    return begun;
+  /**
+   * Whether this instance has joined at least once, so that it has the lists; on the event loop.
+   */
+  boolean hasEverJoined() {
+    return everJoined;
   }
 
-  CompletableFuture<List<String>> vote(String peer, boolean votes) {
-    AtomicLong since = new AtomicLong(-1); // Read where it may wait for the log's thread.
+  /**
+   * Makes a peer a voter or removes it from the voters.
+   *
+   * @return the voters after the change
+   */
+  CompletableFuture<List<String>> setVoter(String peer, boolean votes) {
+    // Set by the first check: reading the state may wait for the log's thread.
+    AtomicLong sinceMillis = new AtomicLong(-1);
     return agreement.vote(
         peer,
         votes,
         (voters, joins) ->
-            ledger.ask(
-                now -> {
-                  since.compareAndSet(-1, now.nowMillis());
-                  return now.voteObstacle(voters, joins, since.get());
+            replica.query(
+                state -> {
+                  sinceMillis.compareAndSet(-1, state.nowMillis());
+                  return state.voteObstacle(voters, joins, sinceMillis.get());
                 }));
   }
 
-  /** Those that vote, as far as this instance knows. */
+  /** The voters, as far as this instance knows. */
   List<String> voters() {
     try {
       return agreement.voters();
@@ -426,24 +452,24 @@
     return agreement.leader();
   }
 
-  /** Milliseconds of its lease that are left, or -1 where it has none to end; on the loop. */
+  /** Milliseconds left of the lease, or -1 if the instance sends without one; on the event loop. */
   long leaseLeftMillis() {
-    long left = participant.leaseLeftNanos(System.nanoTime());
+    long left = session.leaseLeftNanos(System.nanoTime());
     return left < 0 ? -1 : left / 1_000_000;
   }
 
-  /** The servers that a choice names; on the loop, where the lists are. */
+  /** See {@link MaintenanceOverlay#choose}; on the event loop, which owns the server list. */
   List<Machine> choose(Set<String> ids, String kind, String zone, String cell) {
-    return holdings.choose(ids, kind, zone, cell);
+    return overlay.choose(ids, kind, zone, cell);
   }
 
-  /** All requests have been answered and none will come: others need not wait for this one. */
+  /** Leaves at shutdown, after the last request, so that no machine waits for this instance. */
   private void leave() {
     try {
-      submit(new Command.Leave(table.instance(), participant.incarnation()))
-          .get(LEAVE_MILLIS, MILLISECONDS);
+      submit(new Command.Leave(config.instance(), session.incarnation()))
+          .get(LEAVE_TIMEOUT_MILLIS, MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      Log.warn("work", "ended without a word to the others: " + e);
+      Log.warn("work", "ended without leaving: " + e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -451,7 +477,7 @@
 
   @Override
   public void close() {
-    thread.shutdownNow();
+    queries.shutdownNow();
     agreement.close();
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/OrderProgressLogger.java
+++ b/src/main/java/heathswitch/proxy/maintenance/OrderProgressLogger.java
@@ -7,51 +7,51 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Writes to the log what became of each machine of an order, as this instance hears of it. */
+/** Logs the phase changes of each machine of an order, as this instance learns of them. */
 final class OrderProgressLogger {
-  /** As many as are away, which the rules bound. */
-  private Map<String, MaintenanceState.AwayMachine> before = Map.of();
+  /** The machines of the last call by id; bounded, as the rules limit how many are out. */
+  private Map<String, MaintenanceState.AwayMachine> previous = Map.of();
 
-  /** Takes all that orders have a hand on, again and again; on one thread. */
-  void tell(List<MaintenanceState.AwayMachine> now) {
-    Map<String, MaintenanceState.AwayMachine> away = new HashMap<>();
-    for (MaintenanceState.AwayMachine each : now) {
-      away.put(each.machine(), each);
-      MaintenanceState.AwayMachine then = before.get(each.machine());
-      if (then == null || then.order() != each.order() || then.phase() != each.phase()) {
-        line(each, each.phase().name().toLowerCase(Locale.ROOT));
+  /** Logs what has changed since the last call; always called on the same thread. */
+  void update(List<MaintenanceState.AwayMachine> machines) {
+    Map<String, MaintenanceState.AwayMachine> current = new HashMap<>();
+    for (MaintenanceState.AwayMachine each : machines) {
+      current.put(each.machine(), each);
+      MaintenanceState.AwayMachine before = previous.get(each.machine());
+      if (before == null || before.order() != each.order() || before.phase() != each.phase()) {
+        logStep(each, each.phase().name().toLowerCase(Locale.ROOT));
       }
-      boolean wanted = then != null && then.wanted();
-      if (each.wanted() && !wanted) {
+      boolean wasWantedBack = before != null && before.wantedBack();
+      if (each.wantedBack() && !wasWantedBack) {
         Log.warn(
             "work order",
-            each.machine() + " is wanted back: capacity is under its floor",
+            each.machine() + " is wanted back: capacity is below its floor",
             "order",
             Long.toString(each.order()),
             "server",
             each.machine(),
             "reason",
-            "capacity is under its floor");
-      } else if (wanted && !each.wanted()) {
-        line(each, "no longer wanted back");
+            "capacity is below its floor");
+      } else if (wasWantedBack && !each.wantedBack()) {
+        logStep(each, "no longer wanted back");
       }
     }
-    for (MaintenanceState.AwayMachine each : before.values()) {
-      if (!away.containsKey(each.machine())) {
-        line(each, each.phase().held() ? "called off" : "done");
+    for (MaintenanceState.AwayMachine each : previous.values()) {
+      if (!current.containsKey(each.machine())) {
+        logStep(each, each.phase().held() ? "called off" : "done");
       }
     }
-    before = away;
+    previous = current;
   }
 
-  private static void line(MaintenanceState.AwayMachine each, String step) {
+  private static void logStep(MaintenanceState.AwayMachine machine, String step) {
     Log.info(
         "work order",
-        each.machine() + " of order " + each.order() + ": " + step,
+        machine.machine() + " of order " + machine.order() + ": " + step,
         "order",
-        Long.toString(each.order()),
+        Long.toString(machine.order()),
         "server",
-        each.machine(),
+        machine.machine(),
         "step",
         step);
   }
--- a/src/main/java/heathswitch/proxy/maintenance/package-info.java
+++ b/src/main/java/heathswitch/proxy/maintenance/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Machines taken out for work: this balancer's part. {@code heathswitch.policy.maintenance}
- * settles, the log is kept by {@code heathswitch.proxy.consensus}; see {@code docs/design/work.md}.
+ * Maintenance of machines, this balancer's part: the decisions are those of {@code
+ * heathswitch.policy.maintenance}, the log is kept by {@code heathswitch.proxy.consensus}; see
+ * {@code docs/design/work.md}.
  */
 package heathswitch.proxy.maintenance;
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -14,67 +14,66 @@
 
   static final List<Mutant> ALL =
       List.of(
-          new Mutant(SETTLED, "if (!instance.fenced && !place.freed", "if (!place.freed"),
-          new Mutant(SETTLED, "&& waitsFor(place).isEmpty()) {", ") {"),
+          new Mutant(SETTLED, "if (!instance.fenced && !item.freedBy", "if (!item.freedBy"),
+          new Mutant(SETTLED, "&& blockingInstances(item).isEmpty()) {", ") {"),
           new Mutant(
-              SETTLED,
-              "away.remove(place.machine.id(), place);",
-              "away.remove(place.machine.id());"),
+              SETTLED, "away.remove(item.machine.id(), item);", "away.remove(item.machine.id());"),
           new Mutant(
               SETTLED, "rules.leaseMillis() + rules.marginMillis()", "rules.leaseMillis() / 2"),
-          new Mutant(SETTLED, "instance.incarnation != join.before()", "false"),
-          new Mutant(SETTLED, "if (away.containsKey(place.machine.id())) {", "if (false) {"),
+          new Mutant(SETTLED, "instance.incarnation != join.previousIncarnation()", "false"),
+          new Mutant(SETTLED, "if (away.containsKey(item.machine.id())) {", "if (false) {"),
           new Mutant(SETTLED, "if (out >= rules.maxOut()) {", "if (out > rules.maxOut()) {"),
           new Mutant(SETTLED, "if (outInCell >= rules.maxOutInCell()) {", "if (false) {"),
-          new Mutant(
-              SETTLED, "worth.weight() - machine.weight() < least", "worth.weight() < least"),
-          new Mutant(
-              SETTLED, "boolean unseen = place.phase.held() &&", "boolean unseen = false &&"),
+          new Mutant(SETTLED, "seen.weight() - machine.weight() < least", "seen.weight() < least"),
+          new Mutant(SETTLED, "boolean unseen = item.phase.held() &&", "boolean unseen = false &&"),
           new Mutant(SETTLED, "|| instance.incarnation != incarnation", ""),
           new Mutant(SETTLED, "    instance.fenced = false;\n", ""),
           new Mutant(
-              SETTLED, "        place.grantedIndex = ((Number) fields.get(3)).longValue();\n", ""),
-          new Mutant(SETTLED, "          place.freed.add((String) name);\n", ""),
+              SETTLED, "        item.grantedIndex = ((Number) fields.get(3)).longValue();\n", ""),
+          new Mutant(SETTLED, "          item.freedBy.add((String) name);\n", ""),
           new Mutant(ORDER, "    waiting += to == Phase.WAITING ? 1 : 0;\n", ""),
           new Mutant(ORDER, "    held += to.held() ? 1 : 0;\n", ""),
           new Mutant(
-              PARTICIPANT, "state == State.INSIDE && leaseUntilNanos - nowNanos > 0", "everInside"),
+              PARTICIPANT, "state == State.JOINED && leaseUntilNanos - nowNanos > 0", "everJoined"),
           new Mutant(
-              PARTICIPANT, "leaseUntilNanos - nowNanos > 0 : everInside", "true : everInside"),
+              PARTICIPANT, "leaseUntilNanos - nowNanos > 0 : everJoined", "true : everJoined"),
           new Mutant(
               PARTICIPANT,
               "long until = sentNanos + lease;",
               "long until = sentNanos + 2 * lease;"),
-          new Mutant(PARTICIPANT, "if (stops && !idle) {", "if (false) {"),
-          new Mutant(PARTICIPANT, "          told.clear();\n", ""),
+          new Mutant(PARTICIPANT, "if (stopsWhenCutOff && !idle) {", "if (false) {"),
+          new Mutant(PARTICIPANT, "          freed.clear();\n", ""),
           new Mutant(
               PARTICIPANT,
-              "boolean idle = !everInside || stops && here.idle();",
+              "boolean idle = !everJoined || stopsWhenCutOff && local.idle();",
               "boolean idle = true;"),
-          new Mutant(PARTICIPANT, "      outside(nowNanos); // Fenced.\n", ""),
-          new Mutant(PARTICIPANT, "if (here.hasJoined(incarnation)) {", "if (true) {"),
-          new Mutant(PARTICIPANT, "      before = reply.value();\n", ""),
-          new Mutant(PARTICIPANT, "    if (saidLeave) {\n      return false;", "    if (false) {"),
-          new Mutant(PARTICIPANT, "if (saidLeave && !leaving) {", "if (false) {"),
-          new Mutant(SETTLED, "if (place.machine.instance() != null) {", "if (false) {"),
+          new Mutant(PARTICIPANT, "      reset(nowNanos); // Fenced.\n", ""),
+          new Mutant(PARTICIPANT, "if (local.hasJoined(incarnation)) {", "if (true) {"),
+          new Mutant(PARTICIPANT, "      previousIncarnation = result.value();\n", ""),
+          new Mutant(PARTICIPANT, "    if (leaveSent) {\n      return false;", "    if (false) {"),
+          new Mutant(PARTICIPANT, "if (leaveSent && !leaving) {", "if (false) {"),
+          new Mutant(SETTLED, "if (item.machine.instance() != null) {", "if (false) {"),
           new Mutant(SETTLED, "own != null && own.phase == Phase.OUT) {", "false) {"),
           new Mutant(CLOCK, "if (entryTerm != readTerm) {", "if (false) {"),
           new Mutant(
               CLOCK,
-              "      fromMillis = takenMillis;\n",
-              "      fromMillis = takenMillis + 5000;\n"),
-          new Mutant(PARTICIPANT, "if (here.appliedIndex() < reply.value()) {", "if (false) {"),
-          new Mutant(PARTICIPANT, "renewing && awaited == 0 && nowNanos", "renewing && nowNanos"),
+              "      termStartMillis = appliedMillis;\n",
+              "      termStartMillis = appliedMillis + 5000;\n"),
+          new Mutant(PARTICIPANT, "if (local.appliedIndex() < result.value()) {", "if (false) {"),
+          new Mutant(
+              PARTICIPANT, "renewing && awaitedIndex == 0 && nowNanos", "renewing && nowNanos"),
           new Mutant(SETTLED, "peers > 0 && instances.size() >= peers", "peers > 0"),
           new Mutant(
-              SETTLED, "mapToInt(each -> each.knows).min()", "mapToInt(each -> each.knows).max()"),
+              SETTLED,
+              ".mapToInt(each -> each.latestFormat)\n              .min()",
+              ".mapToInt(each -> each.latestFormat)\n              .max()"),
           new Mutant(
               SETTLED,
-              "settled.form = (int) CommandCodec.longOrDefault(tree, \"form\", FormatSupport.FIRST);",
+              "state.formatVersion = (int) CommandCodec.longOrDefault(tree, \"form\", FormatSupport.FIRST);",
               ""),
           new Mutant(
               SETTLED,
-              "place.wantedMillis = fields.size() > 6 ? ((Number) fields.get(6)).longValue() : 0;",
+              "item.wantedBackMillis = fields.size() > 6 ? ((Number) fields.get(6)).longValue() : 0;",
               ""),
           new Mutant(PHASE, "return this == EMPTYING || this == OUT;", "return this == OUT;"));
 
