--- a/src/test/java/heathswitch/policy/maintenance/InstanceSessionTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/InstanceSessionTest.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One instance's lease, by what it is told and when. */
+/** Tests the lease of an instance under late, repeated and missing results. */
 class InstanceSessionTest {
   private static final long MILLI = 1_000_000L;
   private static final MaintenanceRules RULES = new MaintenanceRules(1, 1000, 100, 1, 1, List.of());
 
-  /** What it can see; its own log is as far as the test says. */
-  private static final class Seen implements InstanceSession.LocalView {
-    long index = 5;
-    boolean due;
-    boolean deaf;
+  /** A local view whose applied index and log state are set by the test. */
+  private static final class FakeView implements InstanceSession.LocalView {
+    long appliedIndex = 5;
+    boolean expiryDue;
+    boolean logStopped;
 
     @Override
     public long latestIncarnation() {
@@ -24,13 +24,13 @@
     }
 
     @Override
-    public boolean hasJoined(long as) {
+    public boolean hasJoined(long incarnation) {
       return true;
     }
 
     @Override
     public long appliedIndex() {
-      return index;
+      return appliedIndex;
     }
 
     @Override
@@ -65,12 +65,12 @@
 
     @Override
     public boolean expiryDue() {
-      return due;
+      return expiryDue;
     }
 
     @Override
     public boolean logStopped() {
-      return deaf;
+      return logStopped;
     }
 
     @Override
@@ -79,63 +79,67 @@
     }
   }
 
-  private final Seen here = new Seen();
-  private final InstanceSession one =
+  private final FakeView local = new FakeView();
+  private final InstanceSession session =
       new InstanceSession("a", true, 100, RULES, FormatSupport.UNSTATED);
 
-  private Command inside() {
-    Command join = one.step(0, here).get(0);
-    one.onResult(join, CommandResult.ok(0), 0, here);
-    one.step(0, here);
-    return one.step(0, here).get(0);
+  /** Joins and returns the first renewal. */
+  private Command joinAndRenew() {
+    Command join = session.step(0, local).get(0);
+    session.onResult(join, CommandResult.accepted(0), 0, local);
+    session.step(0, local);
+    return session.step(0, local).get(0);
   }
 
-  /** Told twice of one renewal, the second time that nothing is known: no other may follow yet. */
+  /** A second, unknown result of the same renewal must not trigger another renewal. */
   @Test
-  void aLeaseRunsFromTheRenewalThatWasTaken() {
-    Command renewal = inside();
-    one.onResult(renewal, CommandResult.ok(6), MILLI, here);
-    one.onResult(renewal, null, MILLI, here);
-    assertEquals(List.of(), one.step(700 * MILLI, here), "its own log has not taken that one");
-    here.index = 6;
-    one.step(701 * MILLI, here);
-    assertTrue(one.maySend(999 * MILLI));
-    assertFalse(one.maySend(1000 * MILLI), "said at 0, for 1000 ms");
+  void leaseStartsWhenTheAcceptedRenewalWasSent() {
+    Command renewal = joinAndRenew();
+    session.onResult(renewal, CommandResult.accepted(6), MILLI, local);
+    session.onResult(renewal, null, MILLI, local);
+    assertEquals(
+        List.of(),
+        session.step(700 * MILLI, local),
+        "the local log has not applied the renewal yet");
+    local.appliedIndex = 6;
+    session.step(701 * MILLI, local);
+    assertTrue(session.maySend(999 * MILLI));
+    assertFalse(session.maySend(1000 * MILLI), "renewed at 0 for 1000 ms");
   }
 
-  /** Once in 100 ms at most, however long what is due stays so. */
+  /** At most once in 100 ms, however long the expiry stays due. */
   @Test
-  void whoeverLeadsRenewsEarlyWhereSomethingIsDue() {
-    one.onResult(inside(), CommandResult.ok(5), MILLI, here);
-    assertEquals(List.of(), one.step(120 * MILLI, here), "a quarter of the lease is 250 ms");
-    here.due = true;
-    Command early = one.step(121 * MILLI, here).get(0);
-    one.onResult(early, CommandResult.ok(5), 122 * MILLI, here);
-    assertEquals(List.of(), one.step(220 * MILLI, here));
-    assertEquals(1, one.step(221 * MILLI, here).size());
+  void leaderRenewsEarlyWhenAnExpiryIsDue() {
+    session.onResult(joinAndRenew(), CommandResult.accepted(5), MILLI, local);
+    assertEquals(List.of(), session.step(120 * MILLI, local), "a quarter of the lease is 250 ms");
+    local.expiryDue = true;
+    Command early = session.step(121 * MILLI, local).get(0);
+    session.onResult(early, CommandResult.accepted(5), 122 * MILLI, local);
+    assertEquals(List.of(), session.step(220 * MILLI, local));
+    assertEquals(1, session.step(221 * MILLI, local).size());
   }
 
-  /** It hears of no grant, so each renewal would have the others wait for it once more. */
+  /** The instance sees no grants, so with each renewal the others would wait for it again. */
   @Test
-  void oneWhoseLogHasStoppedRenewsNoMore() {
-    one.onResult(inside(), CommandResult.ok(5), MILLI, here);
-    here.deaf = true;
-    here.due = true;
+  void instanceDoesNotRenewWhenItsLogHasStopped() {
+    session.onResult(joinAndRenew(), CommandResult.accepted(5), MILLI, local);
+    local.logStopped = true;
+    local.expiryDue = true;
     for (long at = 0; at < 4000; at += 5) {
-      assertEquals(List.of(), one.step(at * MILLI, here));
+      assertEquals(List.of(), session.step(at * MILLI, local));
     }
-    assertFalse(one.maySend(1000 * MILLI));
+    assertFalse(session.maySend(1000 * MILLI));
   }
 
-  /** Whatever its own log does not take, the others count it as cut off. */
+  /** Without further renewals the others count the instance as cut off. */
   @Test
-  void oneWhoseLogStandsStillRenewsNoMore() {
-    Command renewal = inside();
-    one.onResult(renewal, CommandResult.ok(6), MILLI, here);
+  void instanceDoesNotRenewWhenItsLogIsStalled() {
+    Command renewal = joinAndRenew();
+    session.onResult(renewal, CommandResult.accepted(6), MILLI, local);
     for (long at = 0; at < 4000; at += 5) {
-      assertEquals(List.of(), one.step(at * MILLI, here));
+      assertEquals(List.of(), session.step(at * MILLI, local));
     }
-    assertFalse(one.maySend(4000 * MILLI));
-    assertTrue(one.isLogStalled(4000 * MILLI));
+    assertFalse(session.maySend(4000 * MILLI));
+    assertTrue(session.isLogStalled(4000 * MILLI));
   }
 }
--- a/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What the log adds up to, entry by entry. */
+/** Tests the replicated state machine of maintenance orders, entry by entry. */
 class MaintenanceStateTest {
-  private static final ServerGroup STORE = new ServerGroup("store", "a");
-  private final MaintenanceState settled = new MaintenanceState();
+  private static final ServerGroup STORE_GROUP = new ServerGroup("store", "a");
+  private final MaintenanceState state = new MaintenanceState();
   private long index;
   private long now;
 
-  private CommandResult say(Command command) {
-    return settled.apply(++index, now, command);
+  private CommandResult apply(Command command) {
+    return state.apply(++index, now, command);
   }
 
   private void join(String instance, boolean stops, int mostOut, double least) {
@@ -26,153 +26,154 @@
         new MaintenanceRules(
             1, 4000, 1000, mostOut, mostOut, List.of(new CapacityFloor("store", "*", least)));
     assertTrue(
-        say(new Command.Join(instance, 1, 0, true, stops, rules, FormatSupport.UNSTATED)).ok());
+        apply(new Command.Join(instance, 1, 0, true, stops, rules, FormatSupport.UNSTATED)).ok());
   }
 
-  private void report(String instance, double listed, double worth, String... warm) {
+  private void report(String instance, double listed, double available, String... warm) {
     CapacityReport report =
         new CapacityReport(
-            index, Map.of(STORE, new CapacityReport.Capacity(listed, worth)), Set.of(warm));
-    assertTrue(say(new Command.Renew(instance, 1, report)).ok());
+            index,
+            Map.of(STORE_GROUP, new CapacityReport.Capacity(listed, available)),
+            Set.of(warm));
+    assertTrue(apply(new Command.Renew(instance, 1, report)).ok());
   }
 
   private static Machine machine(int number) {
     return new Machine("m" + number, "store", "a", number, 1, "at-" + number);
   }
 
-  private static Command.Ask ask(String key, String who, boolean urgent, int... machines) {
+  private static Command.Ask ask(String key, String requester, boolean urgent, int... machines) {
     List<Machine> list = new ArrayList<>();
     for (int each : machines) {
       list.add(machine(each));
     }
-    return new Command.Ask(key, who, "disk", urgent, 1, 60_000, 0, 0, 0, list);
+    return new Command.Ask(key, requester, "disk", urgent, 1, 60_000, 0, 0, 0, list);
   }
 
   private Phase phase(long order) {
-    return settled.phaseCounts(order).keySet().iterator().next();
+    return state.phaseCounts(order).keySet().iterator().next();
   }
 
   @Test
-  void aMachineIsOutWhenEveryInstanceHasLetGoOfIt() {
+  void machineIsOutOnceEveryInstanceHasFreedIt() {
     join("a", false, 1, 0.5);
     join("b", false, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
+    long order = apply(ask("k", "ann", false, 1)).value();
     assertEquals(Phase.EMPTYING, phase(order));
-    say(new Command.Free("a", 1, order, "m1"));
+    apply(new Command.Free("a", 1, order, "m1"));
     assertEquals(Phase.EMPTYING, phase(order));
-    assertTrue(settled.machineStatuses(order, 1).get(0).waitsFor().contains("b (heard"));
-    say(new Command.Free("b", 1, order, "m1"));
+    assertTrue(state.machineStatuses(order, 1).get(0).waitsFor().contains("b (heard"));
+    apply(new Command.Free("b", 1, order, "m1"));
     assertEquals(Phase.OUT, phase(order));
-    say(new Command.Done(order, null));
+    apply(new Command.Done(order, null));
     assertEquals(Phase.RETURNING, phase(order));
     report("a", 4, 3.1);
-    assertEquals(Phase.RETURNING, phase(order), "cold for one that looked");
+    assertEquals(Phase.RETURNING, phase(order), "a report made since does not call it warm");
     report("a", 4, 4, "m1");
     assertEquals(Phase.DONE, phase(order));
   }
 
-  /** The entry that lets go of it has to come then: nobody else may have anything to say. */
+  /** An entry has to be submitted at that time; there may be none otherwise. */
   @Test
-  void itIsDueWhenAMachineNeedWaitNoLongerForOneThatIsNotHeard() {
+  void expiryIsDueWhenTheLeaseOfAnUnreachableInstanceEnds() {
     join("a", true, 1, 0.5);
     join("b", true, 1, 0.5);
     report("a", 4, 4);
-    assertEquals(Long.MAX_VALUE, settled.nextExpiryMillis(), "no machine waits for anybody");
+    assertEquals(Long.MAX_VALUE, state.nextExpiryMillis(), "no machine waits for an instance");
     now = 1000;
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
-    assertEquals(5000, settled.nextExpiryMillis(), "b was heard at 0; lease and margin are 5 s");
-    say(new Command.Free("a", 1, order, "m1"));
+    long order = apply(ask("k", "ann", false, 1)).value();
+    assertEquals(5000, state.nextExpiryMillis(), "b last renewed at 0; lease plus margin are 5 s");
+    apply(new Command.Free("a", 1, order, "m1"));
     now = 4999;
     report("a", 4, 4);
     assertEquals(Phase.EMPTYING, phase(order));
-    now = settled.nextExpiryMillis();
+    now = state.nextExpiryMillis();
     report("a", 4, 4);
     assertEquals(Phase.OUT, phase(order));
-    assertEquals(Long.MAX_VALUE, settled.nextExpiryMillis());
+    assertEquals(Long.MAX_VALUE, state.nextExpiryMillis());
   }
 
-  /**
-   * It has been fenced by a person's mistake and goes on sending: it has to let go as others do.
-   */
+  /** An operator has fenced an instance by mistake, and it goes on sending. */
   @Test
-  void oneThatJoinsAgainWhileItSendsHasToLetGo() {
+  void instanceThatJoinsAgainWhileSendingMustFreeMachinesAgain() {
     join("a", false, 1, 0.5);
     join("b", false, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
-    say(new Command.Free("b", 1, order, "m1"));
-    say(new Command.Fence("b", false));
-    MaintenanceRules rules = settled.rules();
+    long order = apply(ask("k", "ann", false, 1)).value();
+    apply(new Command.Free("b", 1, order, "m1"));
+    apply(new Command.Fence("b", false));
+    MaintenanceRules rules = state.rules();
     assertFalse(
-        say(new Command.Join("b", 3, 1, true, false, rules, FormatSupport.UNSTATED)).ok(),
-        "said before");
-    long known = settled.incarnation("b");
+        apply(new Command.Join("b", 3, 1, true, false, rules, FormatSupport.UNSTATED)).ok(),
+        "sent before the fence");
+    long known = state.incarnation("b");
     assertTrue(
-        say(new Command.Join("b", 2, known, false, false, rules, FormatSupport.UNSTATED)).ok());
-    say(new Command.Free("a", 1, order, "m1"));
+        apply(new Command.Join("b", 2, known, false, false, rules, FormatSupport.UNSTATED)).ok());
+    apply(new Command.Free("a", 1, order, "m1"));
     assertEquals(Phase.EMPTYING, phase(order));
-    say(new Command.Free("b", 2, order, "m1"));
+    apply(new Command.Free("b", 2, order, "m1"));
     assertEquals(Phase.OUT, phase(order));
   }
 
   @Test
-  void oneThatStopsIsFencedWhenItsLeaseAndTheMarginAreOver() {
+  void instanceThatStopsWhenCutOffIsFencedAfterLeaseAndMargin() {
     join("a", true, 1, 0.5);
     join("b", true, 1, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
-    say(new Command.Free("a", 1, order, "m1"));
+    long order = apply(ask("k", "ann", false, 1)).value();
+    apply(new Command.Free("a", 1, order, "m1"));
     now = 4999;
     report("a", 4, 4);
     assertEquals(Phase.EMPTYING, phase(order));
     now = 5000;
     report("a", 4, 4);
     assertEquals(Phase.OUT, phase(order));
-    assertFalse(say(new Command.Renew("b", 1, null)).ok());
+    assertFalse(apply(new Command.Renew("b", 1, null)).ok());
   }
 
-  /** A leader that was cut off has read the clock: no lease may run from that. */
+  /** A leader that was cut off made the clock reading, so no lease may start from it. */
   @Test
-  void anEntryWithoutATimeRenewsNoLease() {
+  void entryWithoutTimeDoesNotRenewLease() {
     join("a", true, 1, 0.5);
-    MaintenanceState.InstanceStatus before = settled.instanceStatuses().get(0);
-    assertFalse(settled.apply(++index, -1, new Command.Renew("a", 1, null)).ok());
-    assertEquals(before, settled.instanceStatuses().get(0));
-    Command join = new Command.Join("b", 1, 0, true, true, settled.rules(), FormatSupport.UNSTATED);
-    assertFalse(settled.apply(++index, -1, join).ok());
+    MaintenanceState.InstanceStatus before = state.instanceStatuses().get(0);
+    assertFalse(state.apply(++index, -1, new Command.Renew("a", 1, null)).ok());
+    assertEquals(before, state.instanceStatuses().get(0));
+    Command join = new Command.Join("b", 1, 0, true, true, state.rules(), FormatSupport.UNSTATED);
+    assertFalse(state.apply(++index, -1, join).ok());
     LogClock clock = new LogClock();
     assertEquals(LogClock.NO_TIME, clock.apply(2, 1, 50));
     assertEquals(0, clock.appliedMillis());
   }
 
   @Test
-  void whatCanNeverBeGrantedIsRefusedAtOnce() {
+  void requestThatCanNeverBeGrantedIsRejected() {
     join("a", false, 1, 0.9);
     report("a", 4, 4);
-    CommandResult reply = say(ask("k", "ann", false, 1));
+    CommandResult reply = apply(ask("k", "ann", false, 1));
     assertFalse(reply.ok());
     assertTrue(reply.message().contains("can never go"), reply.message());
-    assertFalse(say(ask("none", "ann", false)).ok());
-    assertFalse(say(ask("twice", "ann", false, 1, 1)).ok());
+    assertFalse(apply(ask("none", "ann", false)).ok());
+    assertFalse(apply(ask("twice", "ann", false, 1, 1)).ok());
   }
 
-  /** MaintenanceRules of a later version hold from then on; what is out stays out. */
+  /** Rules of a later version apply at once; machines that are out stay out. */
   @Test
-  void floorsThatAreRaisedHoldForWhatWaits() {
+  void raisedFloorAppliesToWaitingMachines() {
     join("a", false, 3, 0.2);
     report("a", 4, 4);
-    long first = say(ask("k", "ann", false, 1)).value();
+    long first = apply(ask("k", "ann", false, 1)).value();
     MaintenanceRules raised =
         new MaintenanceRules(2, 4000, 1000, 3, 3, List.of(new CapacityFloor("store", "*", 0.75)));
-    assertTrue(say(new Command.Join("b", 1, 0, true, false, raised, FormatSupport.UNSTATED)).ok());
-    long second = say(ask("l", "ann", false, 2)).value();
+    assertTrue(
+        apply(new Command.Join("b", 1, 0, true, false, raised, FormatSupport.UNSTATED)).ok());
+    long second = apply(ask("l", "ann", false, 2)).value();
     assertEquals(Phase.EMPTYING, phase(first));
     assertEquals(Phase.WAITING, phase(second));
-    assertTrue(settled.machineStatuses(second, 1).get(0).waitsFor().contains("floor 0.75"));
+    assertTrue(state.machineStatuses(second, 1).get(0).waitsFor().contains("floor 0.75"));
     CommandResult older =
-        say(
+        apply(
             new Command.Join(
                 "c",
                 1,
@@ -182,27 +183,27 @@
                 new MaintenanceRules(1, 1, 1, 1, 1, List.of()),
                 FormatSupport.UNSTATED));
     assertTrue(older.ok() && older.message().contains("version 2"), older.message());
-    assertEquals(raised, settled.rules());
+    assertEquals(raised, state.rules());
   }
 
   @Test
-  void theSameRequestTwiceIsOneOrder() {
+  void repeatedRequestReturnsTheSameOrder() {
     join("a", false, 1, 0.5);
     report("a", 4, 4);
-    long first = say(ask("k", "ann", false, 1)).value();
-    assertEquals(first, say(ask("k", "ann", false, 1)).value());
-    assertEquals(1, settled.orderIds().size());
+    long first = apply(ask("k", "ann", false, 1)).value();
+    assertEquals(first, apply(ask("k", "ann", false, 1)).value());
+    assertEquals(1, state.orderIds().size());
   }
 
-  /** The order in which machines go out, each put back and warm again at once. */
+  /** The sequence in which orders are granted, with each machine put back and warm at once. */
   private List<Long> granted(long... orders) {
     List<Long> granted = new ArrayList<>();
     for (int i = 0; i < 200 && granted.size() < orders.length; i++) {
-      for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
+      for (MaintenanceState.AwayMachine each : state.awayMachines()) {
         if (each.phase() == Phase.EMPTYING) {
           granted.add(each.order());
-          say(new Command.Free("a", 1, each.order(), each.machine()));
-          say(new Command.Done(each.order(), null));
+          apply(new Command.Free("a", 1, each.order(), each.machine()));
+          apply(new Command.Done(each.order(), null));
           report("a", 12, 12, each.machine());
         }
       }
@@ -210,47 +211,47 @@
     return granted;
   }
 
-  /** Somebody with many requests has one turn in a round, like everybody else. */
+  /** A requester with many orders has one turn in a round, like any other. */
   @Test
-  void manyRequestsDoNotCrowdOutOne() {
+  void requesterWithManyOrdersDoesNotStarveOthers() {
     join("a", false, 1, 0.5);
     report("a", 12, 12);
     long[] many = new long[6];
     for (int i = 0; i < 6; i++) {
-      many[i] = say(ask("k" + i, "ann", false, i)).value();
+      many[i] = apply(ask("k" + i, "ann", false, i)).value();
     }
-    long one = say(ask("one", "bo", false, 7)).value();
+    long one = apply(ask("one", "bo", false, 7)).value();
     List<Long> granted = granted(many[0], many[1], many[2], many[3], many[4], many[5], one);
     assertEquals(7, granted.size());
-    assertTrue(granted.indexOf(one) <= 1, "went as " + granted.indexOf(one));
+    assertTrue(granted.indexOf(one) <= 1, "granted at position " + granted.indexOf(one));
   }
 
-  /** Urgent ones go first, and after so many rounds of them the others have their turn. */
+  /** Urgent orders go first, but after a limited number of rounds the others have their turn. */
   @Test
-  void urgentOnesGoFirstWithinABound() {
+  void urgentOrdersGoFirstWithinABound() {
     join("a", false, 1, 0.5);
     report("a", 12, 12);
-    say(ask("first", "zoe", false, 0));
-    long plain = say(ask("plain", "bo", false, 1)).value();
+    apply(ask("first", "zoe", false, 0));
+    long plain = apply(ask("plain", "bo", false, 1)).value();
     long[] all = new long[14];
     for (int i = 0; i < 14; i++) {
-      all[i] = say(ask("u" + i, "ann", true, 2 + i % 9)).value();
+      all[i] = apply(ask("u" + i, "ann", true, 2 + i % 9)).value();
     }
     List<Long> granted = granted(new long[16]);
     assertEquals(16, granted.size());
-    assertTrue(granted.indexOf(plain) > 4, "went as " + granted.indexOf(plain));
-    assertTrue(granted.indexOf(plain) < 13, "went as " + granted.indexOf(plain));
+    assertTrue(granted.indexOf(plain) > 4, "granted at position " + granted.indexOf(plain));
+    assertTrue(granted.indexOf(plain) < 13, "granted at position " + granted.indexOf(plain));
   }
 
-  /** What a large one waits for is not given to small ones that came later. */
+  /** Capacity that a heavy machine waits for is not given to light ones behind it. */
   @Test
-  void nobodyTakesWhatAnEarlierOneWaitsFor() {
+  void laterOrdersDoNotTakeCapacityThatAnEarlierOneWaitsFor() {
     join("a", false, 3, 0.5);
     report("a", 12, 7);
     Machine heavy = new Machine("heavy", "store", "a", 99, 4, "at-heavy");
     long large =
-        say(new Command.Ask("l", "ann", "", false, 1, 60_000, 0, 0, 0, List.of(heavy))).value();
-    long small = say(ask("s", "bo", false, 1)).value();
+        apply(new Command.Ask("l", "ann", "", false, 1, 60_000, 0, 0, 0, List.of(heavy))).value();
+    long small = apply(ask("s", "bo", false, 1)).value();
     assertEquals(Phase.WAITING, phase(large));
     assertEquals(Phase.WAITING, phase(small));
     report("a", 12, 12);
@@ -258,98 +259,102 @@
     assertEquals(Phase.EMPTYING, phase(small));
   }
 
+  /** One order of ten thousand machines and a thousand orders. */
   @Test
-  void tenThousandMachinesInOneOrderAndAThousandOrders() {
+  void entriesAreAppliedQuicklyWithManyOrdersAndMachines() {
     join("a", false, 2, 0.5);
     report("a", 30_000, 30_000);
     int[] machines = new int[10_000];
     for (int i = 0; i < machines.length; i++) {
       machines[i] = i;
     }
-    assertTrue(say(ask("large", "ann", false, machines)).ok());
+    assertTrue(apply(ask("large", "ann", false, machines)).ok());
     long began = System.nanoTime();
     for (int i = 0; i < 1000; i++) {
-      assertTrue(say(ask("k" + i, "p" + i % 7, i % 9 == 0, 10_000 + i)).ok(), "order " + i);
+      assertTrue(apply(ask("k" + i, "p" + i % 7, i % 9 == 0, 10_000 + i)).ok(), "order " + i);
     }
     double millis = (System.nanoTime() - began) / 1e6 / 1000;
-    assertTrue(millis < 50, "an entry takes " + millis + " ms");
-    assertFalse(say(ask("more", "ann", false, machines)).ok(), "more than are kept");
-    MaintenanceState again = MaintenanceState.fromSnapshot(settled.toSnapshot());
-    assertEquals(settled.toSnapshot(), again.toSnapshot());
+    assertTrue(millis < 50, "applying an entry takes " + millis + " ms");
+    assertFalse(apply(ask("more", "ann", false, machines)).ok(), "over the limit of machines");
+    MaintenanceState restored = MaintenanceState.fromSnapshot(state.toSnapshot());
+    assertEquals(state.toSnapshot(), restored.toSnapshot());
   }
 
   @Test
-  void aMachineIsOverdueAndBlocksNobodyElse() {
+  void overdueMachineDoesNotBlockOthers() {
     join("a", false, 2, 0.5);
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
-    say(new Command.Free("a", 1, order, "m1"));
+    long order = apply(ask("k", "ann", false, 1)).value();
+    apply(new Command.Free("a", 1, order, "m1"));
     now += 60_001;
     report("a", 4, 3);
-    assertTrue(settled.machineStatuses(order, 1).get(0).overdue());
-    assertEquals(Phase.OUT, phase(order), "nothing is put back while somebody works on it");
-    long other = say(ask("o", "bo", false, 2)).value();
+    assertTrue(state.machineStatuses(order, 1).get(0).overdue());
+    assertEquals(Phase.OUT, phase(order), "a machine is not put back while it is being worked on");
+    long other = apply(ask("o", "bo", false, 2)).value();
     assertEquals(Phase.EMPTYING, phase(other));
-    say(new Command.Extend(order, 60_000));
-    assertFalse(settled.machineStatuses(order, 1).get(0).overdue());
+    apply(new Command.Extend(order, 60_000));
+    assertFalse(state.machineStatuses(order, 1).get(0).overdue());
   }
 
-  /** Said and nothing more: nobody but who works there knows when a machine can come back. */
+  /** They are only marked: just those who work on a machine know when it can come back. */
   @Test
-  void machinesAtWorkAreWantedBackWhileCapacityIsUnderItsFloor() {
+  void machinesThatAreOutAreWantedBackWhileCapacityIsBelowFloor() {
     MaintenanceRules rules =
         new MaintenanceRules(1, 4000, 1000, 2, 2, List.of(new CapacityFloor("store", "*", 0.5)));
-    say(
+    apply(
         new Command.Join(
             "a", 1, 0, true, false, rules, new FormatSupport(FormatSupport.LATEST, 1)));
     report("a", 4, 4);
-    long order = say(ask("k", "ann", false, 1)).value();
-    say(new Command.Free("a", 1, order, "m1"));
+    long order = apply(ask("k", "ann", false, 1)).value();
+    apply(new Command.Free("a", 1, order, "m1"));
     report("a", 4, 2);
-    assertEquals(0, settled.wantedBackCount(order));
-    long changes = settled.changeCount();
+    assertEquals(0, state.wantedBackCount(order));
+    long changes = state.changeCount();
     report("a", 4, 1.5);
-    assertEquals(1, settled.wantedBackCount(order));
+    assertEquals(1, state.wantedBackCount(order));
     assertEquals(Phase.OUT, phase(order));
-    assertTrue(settled.changeCount() > changes && settled.awayMachines().get(0).wanted());
-    String said = settled.machineStatuses(order, 1).get(0).waitsFor();
-    assertTrue(said.contains("wanted back") && said.contains("a sees 1.50"), said);
+    assertTrue(state.changeCount() > changes && state.awayMachines().get(0).wantedBack());
+    String reason = state.machineStatuses(order, 1).get(0).waitsFor();
+    assertTrue(reason.contains("wanted back") && reason.contains("a sees 1.50"), reason);
     assertEquals(
-        settled.toSnapshot(), MaintenanceState.fromSnapshot(settled.toSnapshot()).toSnapshot());
-    long other = say(ask("o", "bo", false, 2)).value();
+        state.toSnapshot(), MaintenanceState.fromSnapshot(state.toSnapshot()).toSnapshot());
+    long other = apply(ask("o", "bo", false, 2)).value();
     assertEquals(Phase.WAITING, phase(other));
     report("a", 4, 3);
-    assertEquals(0, settled.wantedBackCount(order));
+    assertEquals(0, state.wantedBackCount(order));
     assertEquals(Phase.EMPTYING, phase(other));
   }
 
-  /** An earlier release computes as it always did until all have been upgraded. */
+  /** Until all have been upgraded, the state computed is that of the earlier release. */
   @Test
-  void aLaterFormIsInForceWhenAllInstancesKnowIt() {
+  void laterFormatVersionIsInForceOnceAllInstancesReadIt() {
     MaintenanceRules rules =
         new MaintenanceRules(1, 4000, 1000, 2, 2, List.of(new CapacityFloor("store", "*", 0.9)));
-    FormatSupport late = new FormatSupport(FormatSupport.LATEST, 2);
-    say(new Command.Join("a", 1, 0, true, false, rules, late));
-    assertEquals(FormatSupport.FIRST, settled.formatVersion(), "there is to be another");
-    say(new Command.Join("b", 1, 0, true, false, rules, FormatSupport.UNSTATED));
+    FormatSupport latest = new FormatSupport(FormatSupport.LATEST, 2);
+    apply(new Command.Join("a", 1, 0, true, false, rules, latest));
+    assertEquals(
+        FormatSupport.FIRST, state.formatVersion(), "one of two instances has not joined yet");
+    apply(new Command.Join("b", 1, 0, true, false, rules, FormatSupport.UNSTATED));
     report("a", 4, 1);
-    assertEquals(FormatSupport.FIRST, settled.formatVersion());
-    say(new Command.Join("b", 2, 1, true, false, rules, late));
-    assertEquals(FormatSupport.LATEST, settled.formatVersion());
-    assertEquals(FormatSupport.LATEST, MaintenanceState.fromSnapshot(settled.toSnapshot()).formatVersion());
-    CommandResult back =
-        say(new Command.Join("b", 3, 2, true, false, rules, FormatSupport.UNSTATED));
-    assertFalse(back.ok());
-    assertTrue(back.message().contains("a later release expected"), back.message());
+    assertEquals(FormatSupport.FIRST, state.formatVersion());
+    apply(new Command.Join("b", 2, 1, true, false, rules, latest));
+    assertEquals(FormatSupport.LATEST, state.formatVersion());
+    assertEquals(
+        FormatSupport.LATEST, MaintenanceState.fromSnapshot(state.toSnapshot()).formatVersion());
+    CommandResult result =
+        apply(new Command.Join("b", 3, 2, true, false, rules, FormatSupport.UNSTATED));
+    assertFalse(result.ok());
+    assertTrue(result.message().contains("a later release expected"), result.message());
   }
 
-  /** Everything that can be said goes through the form in which the log has it. */
+  /** Covers all commands and, with them, rules and reports. */
   @Test
-  void everyCommandIsReadAsItWasWritten() {
+  void everyCommandIsDecodedAsEncoded() {
     MaintenanceRules rules =
         new MaintenanceRules(7, 4000, 500, 3, 2, List.of(new CapacityFloor("*", "b", 0.75)));
     CapacityReport report =
-        new CapacityReport(9, Map.of(STORE, new CapacityReport.Capacity(3, 2.5)), Set.of("m4"));
+        new CapacityReport(
+            9, Map.of(STORE_GROUP, new CapacityReport.Capacity(3, 2.5)), Set.of("m4"));
     for (Command command :
         List.of(
             new Command.Join("a", 4, 3, true, false, rules, new FormatSupport(2, 5)),
@@ -367,28 +372,30 @@
     }
   }
 
-  /** One that is not there, or lacks the log, settles nothing: no change may count on its vote. */
+  /** An instance that is unreachable or lacks the log cannot acknowledge entries. */
   @Test
-  void thoseThatVoteAreChangedOnlyWhileAMajorityOfThemIsThere() {
+  void votersChangeOnlyWhileAMajorityOfThemIsReachable() {
     join("a", false, 1, 0.5);
     join("b", false, 1, 0.5);
     assertEquals(
-        "c is not there with the log yet", settled.voteObstacle(List.of("a", "c"), "c", -1));
+        "c is not reachable with an up-to-date log yet",
+        state.voteObstacle(List.of("a", "c"), "c", -1));
     join("c", false, 1, 0.5);
-    assertEquals("", settled.voteObstacle(List.of("a", "b", "c"), "c", -1));
+    assertEquals("", state.voteObstacle(List.of("a", "b", "c"), "c", -1));
     assertEquals(
-        "c is not there with the log yet",
-        settled.voteObstacle(List.of("a", "b", "c"), "c", 0),
-        "heard before it was asked for");
+        "c is not reachable with an up-to-date log yet",
+        state.voteObstacle(List.of("a", "b", "c"), "c", 0),
+        "last renewed before the change was requested");
     now = 3001;
     report("a", 4, 4);
     report("c", 4, 4);
-    assertEquals("", settled.voteObstacle(List.of("a", "b", "c"), null, 0));
+    assertEquals("", state.voteObstacle(List.of("a", "b", "c"), null, 0));
     assertEquals(
-        "of a, b only 1 would be there to vote", settled.voteObstacle(List.of("a", "b"), null, 0));
-    say(new Command.Fence("c", false));
+        "only 1 of the voters a, b would be reachable",
+        state.voteObstacle(List.of("a", "b"), null, 0));
+    apply(new Command.Fence("c", false));
     assertEquals(
-        "of a, b, c only 1 would be there to vote",
-        settled.voteObstacle(List.of("a", "b", "c"), null, 0));
+        "only 1 of the voters a, b, c would be reachable",
+        state.voteObstacle(List.of("a", "b", "c"), null, 0));
   }
 }
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -1,16 +1,16 @@
 package heathswitch.proxy.maintenance;
 
-import static heathswitch.proxy.maintenance.MaintenanceFixture.SHAPE;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.SERVER_SHAPE;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.ask;
-import static heathswitch.proxy.maintenance.MaintenanceFixture.askedAtLast;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.askUntilAccepted;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.awaitOut;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.done;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.fenced;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.lines;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.listVersion;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.machineStatus;
 import static heathswitch.proxy.maintenance.MaintenanceFixture.phase;
-import static heathswitch.proxy.maintenance.MaintenanceFixture.shown;
-import static heathswitch.proxy.maintenance.MaintenanceFixture.standing;
-import static heathswitch.proxy.maintenance.MaintenanceFixture.version;
+import static heathswitch.proxy.maintenance.MaintenanceFixture.workField;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -32,22 +32,24 @@
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
-/** Work orders in several processes whose disks, programs, lists and servers fail. */
+/**
+ * Tests maintenance orders with a fleet whose disks, releases, lists and servers fail or differ.
+ */
 class MaintenanceFaultTest {
   private static final String FLOOR = "[[work.floor]]\nkind = \"front\"\nleast = %s\n";
 
-  private final MaintenanceFixture work = new MaintenanceFixture();
+  private final MaintenanceFixture fixture = new MaintenanceFixture();
 
   private static Node other(Fleet fleet, Node than) {
     return fleet.nodes().stream().filter(node -> node != than).findFirst().orElseThrow();
   }
 
-  /** Whoever leads has settled a grant and is killed before the others have heard of it. */
+  /** The leader has committed a grant and is killed before the others have applied it. */
   @Test
-  void aGrantHoldsWhoseLeaderIsKilledBeforeItIsTold() throws Exception {
+  void grantHoldsWhenTheLeaderIsKilledBeforeOthersApplyIt() throws Exception {
     try (Fleet fleet = new Fleet(11)) {
-      fleet.servers(3, "front", SHAPE).start(3, 3, Terms.stopping(1500, 1));
-      work.load(fleet);
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fixture.load(fleet);
       for (int round = 1; round <= 3; round++) {
         Node leader = fleet.leader();
         Node other = other(fleet, leader);
@@ -58,33 +60,34 @@
                   try {
                     ask(leader, key, "machine=front-1");
                   } catch (IOException e) {
-                    // Killed before it could say so.
+                    // Killed before it could reply.
                   }
                 });
-        int before = ((List<?>) shown(leader, "orders")).size();
-        Await.until("granted", () -> shown(leader, "orders").toString().contains("emptying=1"));
+        int before = ((List<?>) workField(leader, "orders")).size();
+        Await.until("granted", () -> workField(leader, "orders").toString().contains("emptying=1"));
         leader.kill();
         fleet.history().note("killed " + leader.name() + " after " + before + " orders");
         asked.get(60, TimeUnit.SECONDS);
         long order = round;
         Await.until("it is out", () -> phase(other, order).equals("out"));
-        assertEquals(order, ask(other, key, "machine=front-1"), "the same request is one order");
+        assertEquals(
+            order, ask(other, key, "machine=front-1"), "the same request is the same order");
         fleet.history().out("front-1");
         leader.start();
         Await.until("it is back", () -> leader.serves() && phase(leader, order).equals("out"));
         done(fleet, other, order, "front-1");
         Await.until("done", () -> phase(other, order).equals("done"));
       }
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** What was being written when the power failed is cut off and told; nothing else is lost. */
+  /** An entry cut short by a power failure is dropped and reported; nothing else is lost. */
   @Test
-  void aTornLogIsCutOffAndReported() throws Exception {
+  void tornLogIsTruncatedAndReported() throws Exception {
     try (Fleet fleet = new Fleet(12)) {
-      fleet.servers(3, "front", SHAPE).start(3, 3, Terms.serving(1));
-      work.load(fleet);
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fixture.load(fleet);
       Node leader = fleet.leader();
       Node torn = other(fleet, leader);
       long order = ask(torn, "front-1");
@@ -99,102 +102,104 @@
               .map(line -> String.valueOf(line.get("message")))
               .anyMatch(message -> message.contains("Failed to read segment file")),
           lines(torn)::toString);
-      // It is one of a majority again, with what it has.
+      // With what it has it completes a majority again.
       leader.kill();
-      long next = askedAtLast(torn, "next", "machine=front-2");
+      long next = askUntilAccepted(torn, "next", "machine=front-2");
       assertEquals("waiting", phase(torn, next));
       torn.post("work/fence/" + leader.name());
       done(fleet, torn, order, "front-1");
       awaitOut(fleet, torn, next, "front-2");
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** Under "stop" the others go on without it; with room on its disk its next start joins. */
+  /** Under "stop" the instance is fenced; once its disk has room it joins at its next start. */
   @Test
-  void oneWhoseDiskIsFullLeavesOffAndTheOthersGoOn() throws Exception {
+  void othersGoOnWhenTheDiskOfOneInstanceIsFull() throws Exception {
     try (Fleet fleet = new Fleet(13)) {
-      fleet.servers(3, "front", SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
       Node full = fleet.leader();
       Node other = other(fleet, full);
       fleet.nodes().stream().filter(node -> node != full).forEach(node -> fleet.load(node, 60));
       full.fillDisk(1 << 16);
       List<Long> orders = new ArrayList<>();
-      for (int i = 0; !String.valueOf(shown(full, "trouble")).contains("written"); i++) {
-        assertTrue(i < 100, "its log is longer than its disk");
-        orders.add(askedAtLast(other, "k" + i + "x".repeat(3000), "machine=front-1"));
+      for (int i = 0; !String.valueOf(workField(full, "trouble")).contains("written"); i++) {
+        assertTrue(i < 100, "its log never filled its disk");
+        orders.add(askUntilAccepted(other, "k" + i + "x".repeat(3000), "machine=front-1"));
       }
       Await.until("fenced", () -> fenced(other, full));
-      assertEquals(0, shown(full, "lease_left_ms"));
+      assertEquals(0, workField(full, "lease_left_ms"));
       awaitOut(fleet, other, orders.get(0), "front-1");
-      fleet.history().note("another leads: " + fleet.leader().name());
-      // The library's lines are limited as all are: it is sent the same again and again.
+      fleet.history().note("now leads: " + fleet.leader().name());
+      // The Raft library reports the same fault again and again; its log lines are rate-limited,
+      // too.
       assertTrue(lines(full).size() < 300, "lines " + lines(full).size());
       full.end();
       full.start();
       Await.until("it serves", full::serves);
       assertEquals("out", phase(full, orders.get(0)));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** Orders go on among two releases; what is new holds when the last one has been upgraded. */
+  /** Orders go on across two releases; the new format is in force once all are upgraded. */
   @Test
-  void anInstanceOfAnOlderReleaseTakesPartUntilAllAreUpgraded() throws Exception {
+  void instanceOfAnOlderReleaseTakesPartUntilAllAreUpgraded() throws Exception {
     try (Fleet fleet = new Fleet(14)) {
-      fleet.servers(3, "front", SHAPE);
+      fleet.servers(3, "front", SERVER_SHAPE);
       fleet.before(
           node -> node.flags(node == fleet.node(3) ? "-Dheathswitch.work.knows=1" : "-ea"));
       fleet.start(3, 3, Terms.serving(1));
-      work.load(fleet);
+      fixture.load(fleet);
       Node older = fleet.node(3);
-      assertEquals(1, shown(fleet.node(1), "form"));
+      assertEquals(1, workField(fleet.node(1), "form"));
       long order = ask(older, "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
       done(fleet, older, order, "front-1");
       Await.until("done", () -> phase(older, order).equals("done"));
-      assertEquals(1, shown(older, "form"));
+      assertEquals(1, workField(older, "form"));
       older.end();
       older.flags();
       older.start();
       Await.until("it serves", older::serves);
       for (Node node : fleet.nodes()) {
-        Await.until("all are upgraded", () -> shown(node, "form").equals(2));
+        Await.until("all are upgraded", () -> workField(node, "form").equals(2));
       }
       long next = ask(older, "front-2");
       awaitOut(fleet, older, next, "front-2");
-      // Back to the older release: it can't take what is written now, and must not guess.
+      // Back to the older release: it cannot read the entries written now and must not guess.
       older.end();
       older.flags("-Dheathswitch.work.knows=1");
       older.start();
-      Await.until("told", () -> shown(older, "trouble").toString().contains("beyond 1"));
+      Await.until(
+          "the fault is shown", () -> workField(older, "trouble").toString().contains("beyond 1"));
       assertFalse(older.serves());
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** Its twins die while it is out: it is wanted back, and nothing more goes. */
+  /** While capacity is below the floor, no further machine goes out. */
   @Test
-  void aMachineIsWantedBackWhenItsTwinsDie() throws Exception {
+  void machineIsWantedBackWhenOthersOfItsGroupDie() throws Exception {
     try (Fleet fleet = new Fleet(15)) {
-      fleet.servers(5, "front", SHAPE);
+      fleet.servers(5, "front", SERVER_SHAPE);
       fleet.start(3, 3, Terms.serving(3).with(FLOOR.formatted("0.5")));
-      work.load(fleet);
+      fixture.load(fleet);
       Node node = fleet.node(2);
       long out = ask(node, "front-1");
       awaitOut(fleet, node, out, "front-1");
       fleet.servers().get(1).close();
       fleet.servers().get(2).close();
-      Await.until("wanted", () -> Boolean.TRUE.equals(seen(node, out).get("wanted_back")));
-      String reason = String.valueOf(seen(node, out).get("waits_for"));
+      Await.until("wanted", () -> Boolean.TRUE.equals(statusOrEmpty(node, out).get("wanted_back")));
+      String reason = String.valueOf(statusOrEmpty(node, out).get("waits_for"));
       assertTrue(reason.contains("wanted back: floor 0.5 of kind front"), reason);
       long next = ask(node, "front-4");
       Thread.sleep(1500);
       assertEquals("waiting", phase(node, next));
-      assertEquals("out", phase(node, out), "nobody but who works there puts it back");
+      assertEquals("out", phase(node, out), "only the one who works on it puts it back");
       done(fleet, node, out, "front-1");
       Await.until("back", () -> phase(node, out).equals("done"));
-      assertEquals("waiting", phase(node, next), "three of five are left, and three must be");
+      assertEquals("waiting", phase(node, next), "three of five are left, and three must stay");
       for (Node each : fleet.nodes()) {
         Map<String, Object> line =
             lines(each).stream()
@@ -207,44 +212,46 @@
         assertEquals("work order", line.get("kind"));
         assertEquals("WARN", line.get("level"));
       }
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  private static Map<?, ?> seen(Node node, long order) {
+  /** The status of the first machine of an order, empty while the node does not answer. */
+  private static Map<?, ?> statusOrEmpty(Node node, long order) {
     try {
-      return standing(node, order);
+      return machineStatus(node, order);
     } catch (IOException e) {
       return Map.of();
     }
   }
 
-  /** Only one instance can't reach a server: what it sees counts, and says who sees it. */
+  /** One instance cannot reach a server: its report counts, and the reason names the instance. */
   @Test
-  void whoeverSeesLeastDecidesWhatIsInService() throws Exception {
+  void lowestReportedCapacityCounts() throws Exception {
     try (Fleet fleet = new Fleet(16)) {
-      fleet.servers(4, "front", SHAPE).relayed();
+      fleet.servers(4, "front", SERVER_SHAPE).relayed();
       fleet.start(3, 3, Terms.serving(2).with(FLOOR.formatted("0.75")));
-      work.load(fleet);
+      fixture.load(fleet);
       Node apart = fleet.node(3);
       StandIn lost = fleet.servers().get(3);
       apart.way(lost).cut(true);
-      Await.until("ill for one", () -> worth(fleet.node(1), apart) == 3);
-      Await.until("well for the others", () -> worth(fleet.node(1), fleet.node(2)) == 4);
+      Await.until(
+          "one instance sees the server fail", () -> reportedCapacity(fleet.node(1), apart) == 3);
+      Await.until("the others do not", () -> reportedCapacity(fleet.node(1), fleet.node(2)) == 4);
       long order = ask(fleet.node(1), "front-1");
       assertEquals("waiting", phase(fleet.node(1), order));
-      String waits = String.valueOf(standing(fleet.node(1), order).get("waits_for"));
+      String waits = String.valueOf(machineStatus(fleet.node(1), order).get("waits_for"));
       assertTrue(waits.contains("edge-3 sees 3.00 in service, 3.00 must be left"), waits);
       apart.way(lost).cut(false);
       awaitOut(fleet, fleet.node(1), order, "front-1");
       done(fleet, apart, order, "front-1");
       Await.until("done", () -> phase(apart, order).equals("done"));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** What an instance has said to be in service, as another has taken it. */
-  private static double worth(Node node, Node of) {
+  /** The capacity in service that an instance has reported, as another node shows it. */
+  private static double reportedCapacity(Node node, Node of) {
     try {
       for (Object each : (List<?>) node.get("work/settled").get("instances")) {
         Map<?, ?> row = (Map<?, ?>) each;
@@ -254,30 +261,31 @@
         }
       }
     } catch (IOException e) {
-      // Not yet; the next look does better.
+      // Not available yet; the caller tries again.
     }
     return -1;
   }
 
-  /** The list leaves it out while it is out, and names it again: it is out all the same. */
+  /** The list drops a machine that is out and then names it again. */
   @Test
-  void aMachineThatIsOutAndListedAgainStaysOut() throws Exception {
+  void machineThatIsOutStaysOutWhenListedAgain() throws Exception {
     try (Fleet fleet = new Fleet(17)) {
-      fleet.servers(3, "front", SHAPE).start(3, 3, Terms.serving(1));
-      work.load(fleet);
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fixture.load(fleet);
       long order = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
       for (List<StandIn> listed :
           List.of(fleet.servers().subList(1, 3), fleet.servers(), fleet.servers().subList(1, 3))) {
         for (Node node : fleet.nodes()) {
-          String version = version(node);
+          String version = listVersion(node);
           fleet.list(node, listed);
-          Await.until("taken", () -> !version(node).equals(version));
+          Await.until("the list is in force", () -> !listVersion(node).equals(version));
         }
         long before = fleet.servers().get(1).received();
         Await.until("calls", () -> fleet.servers().get(1).received() > before + 30);
       }
-      // Put back while no list names it: nobody has to see it warm, and it gets nothing yet.
+      // Put back while no list names it: no instance has to report it warm, and it gets no calls
+      // yet.
       fleet.node(2).post("work/done/" + order);
       Await.until("done", () -> phase(fleet.node(2), order).equals("done"));
       fleet.history().back("front-1");
@@ -286,21 +294,21 @@
         fleet.list(node, fleet.servers());
       }
       Await.until("it serves", () -> fleet.servers().get(0).received() > received);
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** Some list a machine and some don't: it goes out at all, and comes back to those that do. */
+  /** One instance does not list the machine that goes out. */
   @Test
-  void instancesWhoseListsDifferSettleAllTheSame() throws Exception {
+  void ordersCompleteWhenInstancesHaveDifferentLists() throws Exception {
     try (Fleet fleet = new Fleet(18)) {
-      fleet.servers(4, "front", SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(4, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
       fleet.list(fleet.node(3), fleet.servers().subList(0, 3));
-      Await.until("taken", () -> "2".equals(version(fleet.node(3))));
-      work.load(fleet);
-      // Once what it had there is over, it knows of no such machine.
+      Await.until("the list is in force", () -> "2".equals(listVersion(fleet.node(3))));
+      fixture.load(fleet);
+      // Once its calls there have ended, it does not know the machine any more.
       Await.until(
-          "it has gone there",
+          "the machine is gone from its list",
           () -> {
             try {
               ask(fleet.node(3), "gone", "machine=front-4&after=999");
@@ -311,24 +319,24 @@
           });
       long order = ask(fleet.node(1), "front-4");
       awaitOut(fleet, fleet.node(3), order, "front-4");
-      // Listed there while it is out: it gets nothing from the first moment.
+      // Listed there again while it is out: it gets no calls from the first moment.
       fleet.list(fleet.node(3), fleet.servers());
-      Await.until("taken", () -> "3".equals(version(fleet.node(3))));
+      Await.until("the list is in force", () -> "3".equals(listVersion(fleet.node(3))));
       long before = fleet.servers().get(0).received();
       Await.until("calls", () -> fleet.servers().get(0).received() > before + 60);
       done(fleet, fleet.node(3), order, "front-4");
       Await.until("done", () -> phase(fleet.node(1), order).equals("done"));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** MaintenanceRules of a later version, with a higher floor, come with the restart of one. */
+  /** Rules of a later version with a higher floor come with the restart of one instance. */
   @Test
-  void floorsThatAreRaisedWhileOrdersRunHoldAtOnce() throws Exception {
+  void raisedFloorAppliesToRunningOrdersAtOnce() throws Exception {
     try (Fleet fleet = new Fleet(19)) {
-      fleet.servers(4, "front", SHAPE);
+      fleet.servers(4, "front", SERVER_SHAPE);
       fleet.start(3, 3, Terms.serving(2).with(FLOOR.formatted("0.25")));
-      work.load(fleet);
+      fixture.load(fleet);
       Node node = fleet.node(1);
       long first = ask(node, "front-1");
       awaitOut(fleet, node, first, "front-1");
@@ -338,52 +346,55 @@
       changed.end();
       changed.start();
       Await.until("it serves", changed::serves);
-      Await.until("wanted", () -> Boolean.TRUE.equals(seen(node, first).get("wanted_back")));
+      Await.until(
+          "wanted", () -> Boolean.TRUE.equals(statusOrEmpty(node, first).get("wanted_back")));
       IOException refused = assertThrows(IOException.class, () -> ask(node, "front-2"));
       assertTrue(refused.getMessage().contains("can never go"), refused.getMessage());
       assertEquals("out", phase(node, first));
       done(fleet, node, first, "front-1");
       Await.until("done", () -> phase(node, first).equals("done"));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** It goes on sending and nobody hears it: fenced, it stops in time; then it is back. */
+  /**
+   * No message of the instance arrives: it stops before the machine is out, and then joins again.
+   */
   @Test
-  void oneThatIsHeardByNobodyStopsInTime() throws Exception {
+  void instanceThatNobodyHearsStopsInTime() throws Exception {
     try (Fleet fleet = new Fleet(20)) {
-      fleet.servers(3, "front", SHAPE).start(4, 3, Terms.stopping(1500, 1));
-      work.load(fleet);
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.stopping(1500, 1));
+      fixture.load(fleet);
       Node mute = fleet.node(4);
-      fleet.history().note("nothing that " + mute.name() + " says comes through");
+      fleet.history().note("no message from " + mute.name() + " arrives");
       fleet.mute(mute, true, false);
       long order = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
       assertTrue(fenced(fleet.node(1), mute));
-      assertEquals(0, shown(mute, "lease_left_ms"));
+      assertEquals(0, workField(mute, "lease_left_ms"));
       fleet.mute(mute, false, false);
       Await.until("it is back", () -> !fenced(fleet.node(1), mute));
       done(fleet, mute, order, "front-1");
       Await.until("done", () -> phase(mute, order).equals("done"));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  /** Ten thousand machines in one order and a thousand orders, beside calls that mind neither. */
+  /** One order of ten thousand machines and a thousand orders, with calls beside them. */
   @Test
-  void aLargeOrderAndManyOrdersHoldUpNoCalls() throws Exception {
+  void largeOrderAndManyOrdersDoNotDelayCalls() throws Exception {
     try (Fleet fleet = new Fleet(21)) {
-      fleet.servers(3, "front", SHAPE).start(3, 3, Terms.serving(50));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(50));
       Node node = fleet.node(1);
       for (Node each : fleet.nodes()) {
         List<ListedServer> lines = new ArrayList<>();
         fleet.servers().forEach(server -> lines.add(fleet.line(each, server)));
-        for (int i = 0; i < 9_990; i++) { // Listed and out of service: nothing is sent there.
+        for (int i = 0; i < 9_990; i++) { // Listed out of service, so nothing is sent there.
           String address = "127.1." + (i >> 8) + '.' + (i & 255) + ":9";
           lines.add(new ListedServer("bulk-" + i, address, "a", "bulk", 100 + i, 1, false));
         }
         fleet.listLines(each, lines);
-        Await.until("taken", () -> "2".equals(version(each)));
+        Await.until("the list is in force", () -> "2".equals(listVersion(each)));
       }
       OpenLoop load = fleet.load(node, 100);
       Await.until("calls", () -> load.tally().total() > 20);
@@ -394,10 +405,10 @@
       }
       node.post("work/done/" + large);
       node.post("work/cancel/" + large);
-      Await.until("the next go", () -> shown(node, "orders").toString().contains("out=1"));
+      Await.until("the next go", () -> workField(node, "orders").toString().contains("out=1"));
       load.stop();
       assertEquals(0, fleet.ledger().lost());
-      // On a busy machine some are turned away; none is left without an answer.
+      // On a busy host some are rejected, but every call is answered.
       long served = load.tally().count(Tally.Result.SERVED);
       assertTrue(served > 0.9 * load.tally().total(), served + " of " + load.tally().total());
     }
@@ -411,30 +422,31 @@
     }
   }
 
-  /** Its log is opened anew while it serves: what was out stays out, and it hears what follows. */
+  /** The log is reopened while the instance serves: no state is lost, and new entries follow. */
   @Test
-  void oneThatHearsNothingForLongOpensItsLogAnew() throws Exception {
+  void instanceReopensItsLogAfterLongSilence() throws Exception {
     try (Fleet fleet = new Fleet(27)) {
-      fleet.servers(3, "front", SHAPE).start(4, 3, Terms.serving(2));
-      work.load(fleet);
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.serving(2));
+      fixture.load(fleet);
       Node apart = fleet.node(4);
       long order = ask(apart, "front-1");
       awaitOut(fleet, apart, order, "front-1");
       List<Node> rest = fleet.nodes().subList(0, 3);
       fleet.split(rest, List.of(apart), true);
-      Await.until("opened", () -> told(apart, "opened anew: nothing came for long"));
-      assertEquals("out", phase(apart, order), "what it had taken is kept");
+      Await.until(
+          "the log is reopened", () -> hasLogged(apart, "opened anew: nothing came for long"));
+      assertEquals("out", phase(apart, order), "its applied state is kept");
       fleet.split(rest, List.of(apart), false);
       long next = ask(rest.get(0), "front-2");
       awaitOut(fleet, rest.get(0), next, "front-2");
-      Await.until("it knows", () -> phase(apart, next).equals("out"));
+      Await.until("it has applied the grant", () -> phase(apart, next).equals("out"));
       done(fleet, apart, order, "front-1");
       Await.until("done", () -> phase(rest.get(1), order).equals("done"));
-      work.verdict(fleet);
+      fixture.verify(fleet);
     }
   }
 
-  private static boolean told(Node node, String message) {
+  private static boolean hasLogged(Node node, String message) {
     try {
       return lines(node).stream().anyMatch(line -> message.equals(line.get("message")));
     } catch (IOException e) {
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -18,11 +18,11 @@
 import java.util.Map;
 import testing.Await;
 
-/** What tests of work orders in several processes do to a fleet, and their verdict. */
+/** Helpers for tests of maintenance orders with a fleet of processes, and their final checks. */
 final class MaintenanceFixture {
-  static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  static final Shape SERVER_SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
 
-  private static final int PER_SECOND = 60;
+  private static final int REQUESTS_PER_SECOND = 60;
 
   private final List<OpenLoop> loads = new ArrayList<>();
   private final Map<Node, OpenLoop> latest = new HashMap<>();
@@ -32,12 +32,12 @@
   }
 
   void load(Fleet fleet, Node node) {
-    OpenLoop load = fleet.load(node, PER_SECOND);
+    OpenLoop load = fleet.load(node, REQUESTS_PER_SECOND);
     loads.add(load);
     latest.put(node, load);
   }
 
-  /** Ends a node's load; returns when all its calls have been answered. */
+  /** Stops the load of a node; returns once all its calls have been answered. */
   void stopLoad(Node node) throws InterruptedException {
     latest.get(node).stop();
   }
@@ -52,20 +52,21 @@
     return ((Number) answer.get("order")).longValue();
   }
 
-  /** The first machine of an order as a node shows it. */
-  static Map<?, ?> standing(Node node, long order) throws IOException {
+  /** The status of the first machine of an order, as a node shows it. */
+  static Map<?, ?> machineStatus(Node node, long order) throws IOException {
     return (Map<?, ?>) ((List<?>) node.get("work/" + order).get("standings")).get(0);
   }
 
   static String phase(Node node, long order) {
     try {
-      return String.valueOf(standing(node, order).get("phase"));
+      return String.valueOf(machineStatus(node, order).get("phase"));
     } catch (IOException e) {
       return "unknown";
     }
   }
 
-  static Object shown(Node node, String key) {
+  /** A field of a node's page {@code work}, empty while it does not answer. */
+  static Object workField(Node node, String key) {
     try {
       return node.get("work").get(key);
     } catch (IOException e) {
@@ -73,29 +74,31 @@
     }
   }
 
+  /** Waits until a machine is out and notes that for the check of calls. */
   static void awaitOut(Fleet fleet, Node node, long order, String machine)
       throws InterruptedException {
     Await.until(machine + " is out", () -> phase(node, order).equals("out"));
     fleet.history().out(machine);
   }
 
+  /** Ends an order and notes that its machine may get calls again. */
   static void done(Fleet fleet, Node node, long order, String machine) throws IOException {
     fleet.history().back(machine);
     node.post("work/done/" + order);
   }
 
-  /** An order that is asked for until it is taken: the same request again is the same order. */
-  static long askedAtLast(Node node, String key, String what) {
+  /** Repeats a request until it is accepted; the repeated request is the same order. */
+  static long askUntilAccepted(Node node, String key, String what) {
     long[] order = {0};
     try {
       Await.until(
-          key + " is asked for at " + node.name(),
+          key + " is accepted at " + node.name(),
           () -> {
             try {
               order[0] = ask(node, key, what);
               return true;
             } catch (IOException e) {
-              return false; // No majority there, or none yet.
+              return false; // There is no majority, or not yet.
             }
           });
     } catch (InterruptedException e) {
@@ -105,8 +108,8 @@
     return order[0];
   }
 
-  /** The version of a node's list of servers, or nothing while it does not answer. */
-  static String version(Node node) {
+  /** The version of a node's server list, empty while it does not answer. */
+  static String listVersion(Node node) {
     try {
       return String.valueOf(node.get("members").get("version"));
     } catch (IOException e) {
@@ -114,6 +117,7 @@
     }
   }
 
+  /** Whether a node shows another as fenced; true also while it does not answer. */
   static boolean fenced(Node node, Node of) {
     try {
       for (Object each : (List<?>) node.get("work").get("instances")) {
@@ -128,31 +132,31 @@
     }
   }
 
-  /** The lines of a node's log; each has to be one JSON object. */
+  /** The lines of a node's log, each of which must be a JSON object. */
   static List<Map<String, Object>> lines(Node node) throws IOException {
     List<Map<String, Object>> lines = new ArrayList<>();
     for (String line : Files.readAllLines(node.log())) {
       try {
         lines.add(JSON.std.mapFrom(line));
       } catch (IOException e) {
-        throw new IOException("no object: " + line, e);
+        throw new IOException("not a JSON object: " + line, e);
       }
     }
     return lines;
   }
 
-  /** No call began at a machine that was out, and no effect came twice. */
-  void verdict(Fleet fleet) throws InterruptedException {
-    verdict(fleet, 0);
+  /** Checks that no call began at a machine that was out and that no write took effect twice. */
+  void verify(Fleet fleet) throws InterruptedException {
+    verify(fleet, 0);
   }
 
-  /** The same, but so many calls may have begun at a machine that was out. */
-  void verdict(Fleet fleet, int most) throws InterruptedException {
+  /** Like {@link #verify(Fleet)}, but allows some calls at a machine that was out. */
+  void verify(Fleet fleet, int maxCalls) throws InterruptedException {
     for (OpenLoop load : loads) {
       load.stop();
     }
     List<History.Breach> breaches = fleet.history().breaches();
-    assertTrue(breaches.size() <= most, () -> breaches + " " + fleet.history().notes());
+    assertTrue(breaches.size() <= maxCalls, () -> breaches + " " + fleet.history().notes());
     assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
   }
 }
