--- a/src/main/java/heathswitch/policy/adapter/WireReader.java
+++ b/src/main/java/heathswitch/policy/adapter/WireReader.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.io.JsonEOFException;
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import java.io.IOException;
@@ -150,26 +150,26 @@
   }
 
   private void announce(Instance instance) throws IOException, ProtocolException {
-    ListForm form = listForm(text("form"));
+    ListUpdate form = listForm(text("form"));
     numberOr("generation", 0);
     long sheet = numberOr("sheet", 0);
     end();
     List<ServerEntry> entries = List.of();
-    if (form != ListForm.BROKEN) {
+    if (form != ListUpdate.FAILED) {
       check(sheet >= 0 && sheet < SHEETS, "a sheet from 0 to 15 expected, not " + sheet);
       entries = sheets.get((int) sheet);
       check(entries != null, "a sheet that was defined expected, not " + sheet);
     }
     List<ServerEntry> news = entries;
-    guarded(() -> instance.balancer.onServers(nowNanos, form, news));
+    guarded(() -> instance.balancer.onListUpdate(nowNanos, form, news));
   }
 
-  private ListForm listForm(String word) throws ProtocolException {
+  private ListUpdate listForm(String word) throws ProtocolException {
     return switch (word == null ? "" : word) {
-      case "patch" -> ListForm.CHANGES;
-      case "whole" -> ListForm.WHOLE;
-      case "stale_copy" -> ListForm.STALE;
-      case "broken" -> ListForm.BROKEN;
+      case "patch" -> ListUpdate.DELTA;
+      case "whole" -> ListUpdate.FULL;
+      case "stale_copy" -> ListUpdate.STALE_FULL;
+      case "broken" -> ListUpdate.FAILED;
       default -> throw bad("form patch, whole, stale_copy or broken expected, not " + word);
     };
   }
@@ -184,7 +184,10 @@
     boolean repeat = bool("repeat");
     bool("is_write");
     end();
-    guarded(() -> instance.balancer.onRequest(nowNanos, rid, type, team, ttl, repeat, Form.HTTP1));
+    guarded(
+        () ->
+            instance.balancer.onRequest(
+                nowNanos, rid, type, team, ttl, repeat, RequestProtocol.HTTP1));
   }
 
   private void opened(Instance instance) throws IOException, ProtocolException {
@@ -193,7 +196,7 @@
     int shot = (int) number("shot");
     number("upstream");
     end();
-    guarded(() -> instance.balancer.onFirst(nowNanos, rid, shot, took));
+    guarded(() -> instance.balancer.onAnswerBegun(nowNanos, rid, shot, took));
   }
 
   private void response(Instance instance) throws IOException, ProtocolException {
@@ -211,7 +214,7 @@
   private void hangup(Instance instance) throws IOException, ProtocolException {
     long rid = number("rid");
     end();
-    guarded(() -> instance.balancer.onGone(nowNanos, rid));
+    guarded(() -> instance.balancer.onClientGone(nowNanos, rid));
   }
 
   private void wake(Instance instance) throws IOException, ProtocolException {
--- a/src/main/java/heathswitch/policy/api/Actions.java
+++ b/src/main/java/heathswitch/policy/api/Actions.java
@@ -15,7 +15,7 @@
   void fail(long requestId);
 
   /** Says why the refusal or failure that follows is the answer. */
-  default void givingUp(long requestId, GiveUp reason) {}
+  default void reportUnserved(long requestId, UnservedReason reason) {}
 
   /** Asks for a timer event with this token. */
   void setTimer(long delayNanos, long token);
--- a/src/main/java/heathswitch/policy/api/ListForm.java
+++ b/src/main/java/heathswitch/policy/api/ListUpdate.java
@@ -1,44 +1,44 @@
 package heathswitch.policy.api;
 
 /** The forms in which discovery's news arrives. */
-public enum ListForm {
+public enum ListUpdate {
   /** Only the changed entries. */
-  CHANGES,
+  DELTA,
   /**
    * Only the changed entries, and no answer to a call: of an older watch, or an operator's mark.
    */
-  UNASKED,
+  UNSOLICITED_DELTA,
   /** The whole list. */
-  WHOLE,
+  FULL,
   /** The whole list as this instance last had it, possibly old. */
-  STALE,
+  STALE_FULL,
   /** A call failed or the subscription broke; no entries. */
-  BROKEN,
+  FAILED,
   /** Discovery answered a call, and turned it away; no entries. */
-  TURNED_AWAY,
+  REJECTED,
   /** Discovery began to answer a call, and the answer broke off before it told anything. */
-  CUT_SHORT,
+  TRUNCATED,
   /** A call was taken or a watch was open, and nothing came any more; no entries. */
   SILENT,
   /** A call could not be made from here, which tells nothing of discovery; no entries. */
-  NOT_MADE;
+  NOT_SENT;
 
   /** Whether what is not among the entries is gone. */
-  public boolean whole() {
-    return this == WHOLE || this == STALE;
+  public boolean isFull() {
+    return this == FULL || this == STALE_FULL;
   }
 
   /** Whether discovery has answered with it, if it was called. */
-  public boolean answer() {
-    return this == CHANGES || this == WHOLE;
+  public boolean answersCall() {
+    return this == DELTA || this == FULL;
   }
 
   /** Whether a call or a subscription has failed; such news has no entries. */
-  public boolean failure() {
-    return this == BROKEN
-        || this == TURNED_AWAY
-        || this == CUT_SHORT
+  public boolean isFailure() {
+    return this == FAILED
+        || this == REJECTED
+        || this == TRUNCATED
         || this == SILENT
-        || this == NOT_MADE;
+        || this == NOT_SENT;
   }
 }
--- a/src/main/java/heathswitch/policy/api/RequestClass.java
+++ b/src/main/java/heathswitch/policy/api/RequestClass.java
@@ -7,7 +7,7 @@
     Group group,
     long aimNanos,
     long deadlineNanos,
-    long windowNanos,
+    long dedupWindowNanos,
     double worth,
     double lateWorth,
     boolean stream) {
@@ -35,7 +35,7 @@
     Settings.require(group != null, "classes[].group");
     Settings.require(aimNanos > 0, "classes[].aim_ns");
     Settings.require(deadlineNanos >= aimNanos, "classes[].hard_limit_ns");
-    Settings.require(windowNanos >= 0, "classes[].window_ns");
+    Settings.require(dedupWindowNanos >= 0, "classes[].window_ns");
     Settings.require(worth >= 0, "classes[].importance");
     Settings.require(lateWorth >= 0, "classes[].late_worth");
   }
--- a/src/main/java/heathswitch/policy/api/Form.java
+++ b/src/main/java/heathswitch/policy/api/RequestProtocol.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.api;
 
 /** In what form a request comes: which servers can take it, and whether it may have a copy. */
-public enum Form {
+public enum RequestProtocol {
   /** Over HTTP/1.1, whole. */
   HTTP1(1, true),
   /** Over HTTP/1.1, with more of its body still to come. */
@@ -12,23 +12,23 @@
   GRPC_STREAM(2, false);
 
   /** Sets of protocols that a server may speak, none and all of them included. */
-  public static final int MIXES = 4;
+  public static final int PROTOCOL_SETS = 4;
 
-  private final int protocol;
-  private final boolean copies;
+  private final int protocolBit;
+  private final boolean hedgeable;
 
-  Form(int protocol, boolean copies) {
-    this.protocol = protocol;
-    this.copies = copies;
+  RequestProtocol(int protocol, boolean copies) {
+    this.protocolBit = protocol;
+    this.hedgeable = copies;
   }
 
   /** The protocol's bit in {@link ServerEntry#speaks}. */
-  public int protocol() {
-    return protocol;
+  public int protocolBit() {
+    return protocolBit;
   }
 
   /** Whether a second attempt may run beside a first one. */
-  public boolean copies() {
-    return copies;
+  public boolean hedgeable() {
+    return hedgeable;
   }
 }
--- a/src/main/java/heathswitch/policy/api/ServerEntry.java
+++ b/src/main/java/heathswitch/policy/api/ServerEntry.java
@@ -4,8 +4,8 @@
  * One line of the server list.
  *
  * @param startedNanos clock time of the last start, or 0 for long ago
- * @param speaks the protocols that it takes, a {@link Form#protocol} bit for each
- * @param part whether this balancer is to use it
+ * @param protocols the protocols that it takes, a {@link RequestProtocol#protocolBit} bit for each
+ * @param role whether this balancer is to use it
  */
 public record ServerEntry(
     long id,
@@ -15,8 +15,8 @@
     Health health,
     double weight,
     long startedNanos,
-    int speaks,
-    Part part) {
+    int protocols,
+    SubsetRole role) {
 
   /** One of which nothing is said who is to use it. */
   public ServerEntry(
@@ -27,8 +27,8 @@
       Health health,
       double weight,
       long startedNanos,
-      int speaks) {
-    this(id, zone, kind, cell, health, weight, startedNanos, speaks, Part.ANY);
+      int protocols) {
+    this(id, zone, kind, cell, health, weight, startedNanos, protocols, SubsetRole.ANY);
   }
 
   /** Likewise one that speaks HTTP/1.1 alone. */
@@ -40,10 +40,11 @@
       Health health,
       double weight,
       long startedNanos) {
-    this(id, zone, kind, cell, health, weight, startedNanos, Form.HTTP1.protocol());
+    this(id, zone, kind, cell, health, weight, startedNanos, RequestProtocol.HTTP1.protocolBit());
   }
 
   public ServerEntry {
-    Settings.require(speaks > 0 && speaks < Form.MIXES, "members[].speaks");
+    Settings.require(
+        protocols > 0 && protocols < RequestProtocol.PROTOCOL_SETS, "members[].speaks");
   }
 }
--- a/src/main/java/heathswitch/policy/api/Settings.java
+++ b/src/main/java/heathswitch/policy/api/Settings.java
@@ -6,26 +6,26 @@
 public record Settings(
     List<RequestClass> classes,
     List<Tenant> tenants,
-    double overShareWorth,
+    double overQuotaFactor,
     boolean worthByWork,
     int tier,
     int instance,
     int instances,
     String zone,
-    boolean mustAsk,
+    boolean subscribes,
     Limits limits,
     Obligations obligations) {
 
   /** What the site allows. */
   public record Limits(
-      int mostTries,
-      boolean mayDuplicate,
+      int maxAttempts,
+      boolean mayHedge,
       boolean mayCancel,
       long keepAliveNanos,
       long dialTimeoutNanos,
       long maxRetryAfterNanos) {
     public Limits {
-      require(mostTries >= 1, "limits.most_tries");
+      require(maxAttempts >= 1, "limits.most_tries");
       require(keepAliveNanos >= 0, "limits.keepalive_ns");
       require(dialTimeoutNanos >= 0, "limits.dial_timeout_ns");
       require(maxRetryAfterNanos >= 0, "limits.max_retry_after_ns");
@@ -34,21 +34,21 @@
 
   /** The figures of the rules. */
   public record Obligations(
-      long graceToAnswerNanos,
+      long answerGraceNanos,
       long stopSendingWithinNanos,
-      long mustAskInNanos,
+      long subscribeWithinNanos,
       double startCapacity,
       long warmUpNanos,
-      double tipMultiple,
-      long fallNanos) {
+      double coldBudgetMultiple,
+      long coldBudgetWindowNanos) {
     public Obligations {
-      require(graceToAnswerNanos >= 0, "obligations.grace_to_answer_ns");
+      require(answerGraceNanos >= 0, "obligations.grace_to_answer_ns");
       require(stopSendingWithinNanos >= 0, "obligations.stop_sending_within_ns");
-      require(mustAskInNanos >= 0, "obligations.must_ask_in_ns");
+      require(subscribeWithinNanos >= 0, "obligations.must_ask_in_ns");
       require(startCapacity >= 0 && startCapacity <= 1, "obligations.start_capacity");
       require(warmUpNanos >= 0, "obligations.warm_up_ns");
-      require(tipMultiple >= 0, "obligations.tip_multiple");
-      require(fallNanos >= 0, "obligations.fall_ns");
+      require(coldBudgetMultiple >= 0, "obligations.tip_multiple");
+      require(coldBudgetWindowNanos >= 0, "obligations.fall_ns");
     }
   }
 
--- a/src/main/java/heathswitch/policy/api/GiveUp.java
+++ b/src/main/java/heathswitch/policy/api/UnservedReason.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.api;
 
 /** Why a request got its final answer without having been served, for the log. */
-public enum GiveUp {
+public enum UnservedReason {
   /** The entry takes no more of its worth at present. */
   NOT_ADMITTED,
   /** No server could take it. */
--- a/src/main/java/heathswitch/policy/core/RuleSet.java
+++ b/src/main/java/heathswitch/policy/core/ActiveSettings.java
@@ -11,7 +11,7 @@
  * request keeps the version it was taken under. A departure: the paper refuses whoever comes when
  * there is no room, and a tenant far over its quota would push out those that keep to theirs.
  */
-final class RuleSet {
+final class ActiveSettings {
   /** Seconds of quota that a tenant may have saved up. */
   static final double SAVED_SECONDS = 1;
 
@@ -26,7 +26,7 @@
   private final long[] filledNanos;
 
   /** Takes over what was learned of the same names under the version before, or null. */
-  RuleSet(Settings settings, RuleSet before) {
+  ActiveSettings(Settings settings, ActiveSettings before) {
     this.settings = settings;
     this.limits = settings.limits();
     this.classDelay = new double[settings.classes().size()];
@@ -72,7 +72,7 @@
       best = Math.max(best, perWork(i));
     }
     double relative = best > 0 ? perWork(classIndex) / best : 1;
-    return overShare(tenant, nowNanos) ? relative * settings.overShareWorth() : relative;
+    return overShare(tenant, nowNanos) ? relative * settings.overQuotaFactor() : relative;
   }
 
   /** The tenant has been let in. A refused try takes nothing, or retries would eat the quota. */
--- a/src/main/java/heathswitch/policy/core/Balancer.java
+++ b/src/main/java/heathswitch/policy/core/Balancer.java
@@ -1,14 +1,14 @@
 package heathswitch.policy.core;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.UnservedReason;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -55,7 +55,7 @@
   private final Actions actions;
   private final SplittableRandom random;
   private final Membership members;
-  private RuleSet rules;
+  private ActiveSettings rules;
   private final Map<Long, Request> requests = new HashMap<>();
   private final EntryWindow entry = new EntryWindow();
   private final ArrayDeque<Request> waiting = new ArrayDeque<>();
@@ -72,12 +72,12 @@
     this.actions = actions;
     this.random = new SplittableRandom(seed);
     this.members = new Membership(settings, actions, random);
-    this.rules = new RuleSet(settings, null);
+    this.rules = new ActiveSettings(settings, null);
   }
 
   /** Other settings for the requests that come from now on; those that are here keep their own. */
   public void reload(Settings settings) {
-    rules = new RuleSet(settings, rules);
+    rules = new ActiveSettings(settings, rules);
     members.settings = settings;
   }
 
@@ -107,20 +107,26 @@
   }
 
   /** Discovery has news. */
-  public void onServers(long nowNanos, ListForm form, List<ServerEntry> entries) {
+  public void onListUpdate(long nowNanos, ListUpdate form, List<ServerEntry> entries) {
     members.onNews(nowNanos, form, entries);
     serveWaiting(nowNanos);
   }
 
   /** A client's request has arrived. */
   public void onRequest(
-      long nowNanos, long id, String type, String tenant, long ttl, boolean repeat, Form form) {
+      long nowNanos,
+      long id,
+      String type,
+      String tenant,
+      long ttl,
+      boolean repeat,
+      RequestProtocol form) {
     Request request = new Request(id, rules, type, form, nowNanos, ttl);
     requests.put(id, request);
     retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
     entry.onStart(nowNanos, request);
     if (rules.settings.tier() == 0 && !admitted(request, rules.tenant(tenant), nowNanos)) {
-      giveUp(request, nowNanos, GiveUp.NOT_ADMITTED);
+      giveUp(request, nowNanos, UnservedReason.NOT_ADMITTED);
     } else if (!trySend(request, nowNanos)) {
       noRoom(request, nowNanos);
     }
@@ -135,7 +141,7 @@
   }
 
   /** An answer has begun, so long after its server had the request; its deadline no longer runs. */
-  public void onFirst(long nowNanos, long id, int number, long tookNanos) {
+  public void onAnswerBegun(long nowNanos, long id, int number, long tookNanos) {
     Request.Attempt attempt = open(id, number);
     if (attempt != null && !attempt.request.over) {
       attempt.request.over = true;
@@ -188,7 +194,7 @@
   }
 
   /** The client has gone, or its request is over in some other way. */
-  public void onGone(long nowNanos, long id) {
+  public void onClientGone(long nowNanos, long id) {
     Request request = requests.get(id);
     if (request != null && !request.over) {
       finish(request, nowNanos);
@@ -226,7 +232,7 @@
   // ---- sending ----
 
   private boolean trySend(Request request, long nowNanos) {
-    if (request.tries >= request.rules.limits.mostTries()
+    if (request.tries >= request.rules.limits.maxAttempts()
         || nowNanos >= request.deadlineNanos
         || members.trust(nowNanos) == ListTrust.NONE) {
       return false;
@@ -271,10 +277,10 @@
     decayRate(nowNanos);
     sendCount += 1;
     actions.send(request.id, server.id, 0);
-    if (request.rules.limits.mayDuplicate()
+    if (request.rules.limits.mayHedge()
         && request.type.effect() != RequestClass.Effect.UNSAFE
-        && request.form.copies()
-        && request.tries < request.rules.limits.mostTries()) {
+        && request.form.hedgeable()
+        && request.tries < request.rules.limits.maxAttempts()) {
       watched.add(attempt);
       setSweep(nowNanos, attempt.overdueNanos);
     }
@@ -302,7 +308,7 @@
     // A call that comes with no time left would be answered too late by any timer.
     long left = request.deadlineNanos - nowNanos;
     if ((request.rules.settings.tier() == 0 && !members.suspended(nowNanos))
-        || left <= request.rules.settings.obligations().graceToAnswerNanos()) {
+        || left <= request.rules.settings.obligations().answerGraceNanos()) {
       giveUp(request, nowNanos, withoutRoom(nowNanos));
       return;
     }
@@ -312,12 +318,12 @@
     setSweep(nowNanos, request.waitUntilNanos);
   }
 
-  private GiveUp withoutRoom(long nowNanos) {
-    return members.suspended(nowNanos) ? GiveUp.LIST_NOT_CURRENT : GiveUp.NO_ROOM;
+  private UnservedReason withoutRoom(long nowNanos) {
+    return members.suspended(nowNanos) ? UnservedReason.LIST_NOT_CURRENT : UnservedReason.NO_ROOM;
   }
 
-  private void giveUp(Request request, long nowNanos, GiveUp reason) {
-    actions.givingUp(request.id, reason);
+  private void giveUp(Request request, long nowNanos, UnservedReason reason) {
+    actions.reportUnserved(request.id, reason);
     if (request.mayRefuse()) {
       actions.refuse(request.id, Math.min(request.rules.limits.maxRetryAfterNanos(), 500_000_000L));
     } else {
@@ -337,8 +343,8 @@
     boolean hopeless = left < request.classDelay() || (ran && retryTokens < 1);
     if (!hopeless && trySend(request, nowNanos)) {
       retryTokens -= ran ? 1 : 0;
-    } else if (hopeless || ran || request.tries >= request.rules.limits.mostTries()) {
-      giveUp(request, nowNanos, GiveUp.NO_FURTHER_ATTEMPT);
+    } else if (hopeless || ran || request.tries >= request.rules.limits.maxAttempts()) {
+      giveUp(request, nowNanos, UnservedReason.NO_FURTHER_ATTEMPT);
     } else {
       noRoom(request, nowNanos);
     }
@@ -391,7 +397,9 @@
       giveUp(
           request,
           nowNanos,
-          members.suspended(nowNanos) ? GiveUp.LIST_NOT_CURRENT : GiveUp.WAITED_IN_VAIN);
+          members.suspended(nowNanos)
+              ? UnservedReason.LIST_NOT_CURRENT
+              : UnservedReason.WAITED_IN_VAIN);
     }
     return !request.waiting;
   }
@@ -407,7 +415,7 @@
   }
 
   /** The module's own view in a line, to be held against what the sockets show. */
-  public String figures(long nowNanos) {
+  public String summary(long nowNanos) {
     return String.format(
         "entry %s, retries left %.0f, level %.2f, errors %.2f, waiting %d, requests %d; %s",
         entry,
@@ -452,7 +460,7 @@
     server.tookNanos = Math.max(server.tookNanos, attempt.sentNanos);
     server.failures = 0;
     noteError(server, 0);
-    RuleSet of = attempt.request.rules;
+    ActiveSettings of = attempt.request.rules;
     int index = attempt.request.classIndex;
     double bare = tookNanos / of.classDelay[index];
     double ratio = bare / level;
--- a/src/main/java/heathswitch/policy/core/ListCalls.java
+++ b/src/main/java/heathswitch/policy/core/DiscoveryBackoff.java
@@ -9,7 +9,7 @@
  * waits after calls that are turned away therefore double until even calls that cost as much as
  * answers would let the queue drain.
  */
-final class ListCalls {
+final class DiscoveryBackoff {
   /** Part of the time limit over which instances spread their first call. */
   static final double FIRST_SPREAD = 0.6;
 
@@ -44,7 +44,7 @@
   private int failedInRow;
   private int turnedAwayInRow;
 
-  ListCalls(SplittableRandom random) {
+  DiscoveryBackoff(SplittableRandom random) {
     this.random = random;
   }
 
--- a/src/main/java/heathswitch/policy/core/ListLease.java
+++ b/src/main/java/heathswitch/policy/core/ListLease.java
@@ -149,7 +149,7 @@
    */
   void unanswered(long calledNanos, Settings.Obligations obligations) {
     long known = unansweredNanos == NEVER ? confirmedNanos : unansweredNanos;
-    long limit = failed ? toldNanos : Math.max(toldNanos, obligations.mustAskInNanos());
+    long limit = failed ? toldNanos : Math.max(toldNanos, obligations.subscribeWithinNanos());
     boolean outage = !discoveryRuns && calledNanos < known + limit;
     fails();
     if (outage) {
@@ -186,7 +186,7 @@
   private long toldAfterOutageNanos(Settings.Obligations obligations) {
     if (!failed) {
       // With no call that failed a balancer is held to its list for as long as it may not ask.
-      return Math.min(confirmedNanos + obligations.mustAskInNanos(), toldWithMoveNanos());
+      return Math.min(confirmedNanos + obligations.subscribeWithinNanos(), toldWithMoveNanos());
     }
     if (unansweredNanos == NEVER || discoveryRuns) {
       return confirmedNanos;
@@ -205,7 +205,7 @@
   /** With no watch a balancer is held to its list for as long as it may leave off asking. */
   private long limitNanos(Settings.Obligations obligations) {
     boolean held = watched || pushed;
-    return held ? toldNanos : Math.min(toldNanos, obligations.mustAskInNanos());
+    return held ? toldNanos : Math.min(toldNanos, obligations.subscribeWithinNanos());
   }
 
   /** For how long the list has not been confirmed. */
--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -2,10 +2,10 @@
 
 import heathswitch.policy.api.Actions;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.SubsetRole;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,8 +29,8 @@
   final WorkingSet spare;
   private int coldTurn;
   private double heaviest = 1;
-  private final ListCalls calls;
-  private final StartTimes starts = new StartTimes();
+  private final DiscoveryBackoff calls;
+  private final StartTimeEstimator starts = new StartTimeEstimator();
 
   /** Null where a list holds until the next one comes. */
   private ListLease lease;
@@ -51,8 +51,8 @@
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    this.calls = new ListCalls(random);
-    this.asks = settings.mustAsk();
+    this.calls = new DiscoveryBackoff(random);
+    this.asks = settings.subscribes();
     long idleNanos = settings.limits().keepAliveNanos();
     this.near = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
     this.far = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
@@ -62,7 +62,7 @@
   /** Plans the first call: spread by seed, since all instances may start at once. */
   void start(long nowNanos) {
     if (asks) {
-      callIn(nowNanos, calls.first(settings.obligations().mustAskInNanos()));
+      callIn(nowNanos, calls.first(settings.obligations().subscribeWithinNanos()));
     }
   }
 
@@ -89,7 +89,7 @@
     if (!subscribed) {
       call(nowNanos);
     }
-    callIn(nowNanos, calls.repeat(settings.obligations().mustAskInNanos()));
+    callIn(nowNanos, calls.repeat(settings.obligations().subscribeWithinNanos()));
   }
 
   private void call(long nowNanos) {
@@ -161,7 +161,7 @@
   }
 
   /** A call has failed or a watch has broken: another call is planned. */
-  private void onFailure(long nowNanos, ListForm form) {
+  private void onFailure(long nowNanos, ListUpdate form) {
     boolean called = calling;
     subscribed = false;
     calling = false;
@@ -173,21 +173,21 @@
     }
   }
 
-  private long waitAfter(ListForm form, boolean called, long tookNanos) {
+  private long waitAfter(ListUpdate form, boolean called, long tookNanos) {
     if (called && tookNanos > ListLease.PROMPT_NANOS) {
       return calls.afterWait();
     }
-    return called && form == ListForm.TURNED_AWAY ? calls.afterTurnedAway() : calls.afterFailure();
+    return called && form == ListUpdate.REJECTED ? calls.afterTurnedAway() : calls.afterFailure();
   }
 
-  private void tellLease(long nowNanos, ListForm form, boolean called) {
-    if (!asks && form == ListForm.SILENT) {
+  private void tellLease(long nowNanos, ListUpdate form, boolean called) {
+    if (!asks && form == ListUpdate.SILENT) {
       lease.agentSilent(nowNanos);
-    } else if (!called || form == ListForm.NOT_MADE) {
+    } else if (!called || form == ListUpdate.NOT_SENT) {
       lease.broken(nowNanos);
-    } else if (form == ListForm.TURNED_AWAY) {
+    } else if (form == ListUpdate.REJECTED) {
       lease.turnedAway(calledNanos, nowNanos, settings.obligations());
-    } else if (form == ListForm.CUT_SHORT) {
+    } else if (form == ListUpdate.TRUNCATED) {
       lease.cutShort();
     } else {
       lease.unanswered(calledNanos, settings.obligations());
@@ -195,17 +195,17 @@
   }
 
   /** Takes news; after a call that failed another is planned. */
-  void onNews(long nowNanos, ListForm form, List<ServerEntry> entries) {
-    if (form.failure()) {
+  void onNews(long nowNanos, ListUpdate form, List<ServerEntry> entries) {
+    if (form.isFailure()) {
       onFailure(nowNanos, form);
       return;
     }
-    if (form.answer() && calling) {
+    if (form.answersCall() && calling) {
       subscribed = true;
       calling = false;
       calls.answered();
     }
-    if (form.whole()) {
+    if (form.isFull()) {
       dropMissing(entries);
     }
     starts.onList(nowNanos, form, entries, settings.obligations().warmUpNanos());
@@ -241,7 +241,7 @@
   }
 
   WorkingSet setOf(Server server) {
-    return server.part == Part.SPARE ? spare : server.near ? near : far;
+    return server.part == SubsetRole.SPARE ? spare : server.near ? near : far;
   }
 
   private void dropMissing(List<ServerEntry> entries) {
@@ -310,7 +310,7 @@
     double filled = elapsed * fair * COLD_HEADROOM * capacityShare(server, nowNanos);
     server.coldTokens = Math.min(1.5, server.coldTokens + filled);
     if (server.coldTokens < 1
-        || server.part == Part.SPARE
+        || server.part == SubsetRole.SPARE
         || !server.hasRoom(nowNanos)
         || !mayUse(server, nowNanos)) {
       return null;
--- a/src/main/java/heathswitch/policy/core/Request.java
+++ b/src/main/java/heathswitch/policy/core/Request.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.core;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 
 /** One request and its attempts. */
 final class Request {
@@ -28,11 +28,11 @@
   final long id;
 
   /** The settings that it was taken under, which decide over it to its end. */
-  final RuleSet rules;
+  final ActiveSettings rules;
 
   final int classIndex;
   final RequestClass type;
-  final Form form;
+  final RequestProtocol form;
   final long arrivedNanos;
   final long deadlineNanos;
   Attempt[] attempts = new Attempt[2];
@@ -42,7 +42,8 @@
   boolean waiting;
   long waitUntilNanos;
 
-  Request(long id, RuleSet rules, String type, Form form, long nowNanos, long ttl) {
+  Request(
+      long id, ActiveSettings rules, String type, RequestProtocol form, long nowNanos, long ttl) {
     this.id = id;
     this.rules = rules;
     this.classIndex = rules.classOf(type);
@@ -87,13 +88,13 @@
   /** The same for the attempt of this number. */
   boolean maySend(int number, Server server, long nowNanos) {
     Attempt binding = type.effect() == RequestClass.Effect.SAFE ? null : binding(number);
-    boolean speaks = (server.speaks & form.protocol()) != 0;
+    boolean speaks = (server.speaks & form.protocolBit()) != 0;
     return speaks && (binding == null || mayRepeat(binding, server, nowNanos));
   }
 
   private boolean mayRepeat(Attempt binding, Server server, long nowNanos) {
     return type.effect() == RequestClass.Effect.KEYED
-        && nowNanos - binding.sentNanos < type.windowNanos()
+        && nowNanos - binding.sentNanos < type.dedupWindowNanos()
         && inGroup(binding.server, server);
   }
 
--- a/src/main/java/heathswitch/policy/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -1,8 +1,8 @@
 package heathswitch.policy.core;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.Part;
 import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.SubsetRole;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
@@ -20,7 +20,7 @@
   String zone;
   long cell;
   boolean near;
-  Part part = Part.ANY;
+  SubsetRole part = SubsetRole.ANY;
   Health health = Health.GONE;
 
   /** As discovery tells it, by its own clock; 0 for long ago. */
@@ -64,10 +64,10 @@
   void describe(ServerEntry entry, String ownZone) {
     zone = entry.zone();
     cell = entry.cell();
-    part = entry.part();
-    near = part == Part.OWN || zone == null || zone.equals(ownZone);
+    part = entry.role();
+    near = part == SubsetRole.OWN || zone == null || zone.equals(ownZone);
     health = entry.health();
-    speaks = entry.speaks();
+    speaks = entry.protocols();
     weight = entry.weight() > 0 && entry.weight() < 1e9 ? entry.weight() : 1;
   }
 
--- a/src/main/java/heathswitch/policy/core/StartTimes.java
+++ b/src/main/java/heathswitch/policy/core/StartTimeEstimator.java
@@ -1,6 +1,6 @@
 package heathswitch.policy.core;
 
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.ServerEntry;
 import java.util.List;
 
@@ -12,7 +12,7 @@
  * first list there is no such span; of these the newest start is held to be just now, unless that
  * would make a large part of the fleet cold.
  */
-final class StartTimes {
+final class StartTimeEstimator {
   /** One in so many servers may be held to be cold for want of a better clock. */
   private static final int PRESUMED_ONE_IN = 3;
 
@@ -32,11 +32,11 @@
   private long newestNanos;
 
   /** A list is about to be taken. */
-  void onList(long nowNanos, ListForm form, List<ServerEntry> entries, long warmUpNanos) {
+  void onList(long nowNanos, ListUpdate form, List<ServerEntry> entries, long warmUpNanos) {
     first = !listed;
-    listed |= form.answer();
+    listed |= form.answersCall();
     spanNanos = nowNanos - heardNanos + NOTICE_NANOS;
-    if (form != ListForm.UNASKED) {
+    if (form != ListUpdate.UNSOLICITED_DELTA) {
       heard(nowNanos);
     }
     if (!first) {
--- a/src/main/java/heathswitch/policy/core/WorkingSet.java
+++ b/src/main/java/heathswitch/policy/core/WorkingSet.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.core;
 
-import heathswitch.policy.api.Form;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.RequestProtocol;
+import heathswitch.policy.api.SubsetRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -33,7 +33,7 @@
       List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
 
   /** Members by what they speak. */
-  private final int[] joined = new int[Form.MIXES];
+  private final int[] joined = new int[RequestProtocol.PROTOCOL_SETS];
 
   private final List<Server> members = new ArrayList<>();
   private final Usable usable;
@@ -65,12 +65,12 @@
   void add(Server server) {
     server.poolIndex = pools.get(server.speaks).size();
     pools.get(server.speaks).add(server);
-    own += server.part == Part.OWN ? 1 : 0;
+    own += server.part == SubsetRole.OWN ? 1 : 0;
   }
 
   void remove(Server server) {
     leave(server);
-    own -= server.part == Part.OWN ? 1 : 0;
+    own -= server.part == SubsetRole.OWN ? 1 : 0;
     List<Server> pool = pools.get(server.speaks);
     Server last = pool.get(pool.size() - 1);
     pool.set(server.poolIndex, last);
@@ -142,7 +142,7 @@
 
   /** Members that speak the request's protocol. */
   private int able(Request request) {
-    return joined[request.form.protocol()] + joined[Form.MIXES - 1];
+    return joined[request.form.protocolBit()] + joined[RequestProtocol.PROTOCOL_SETS - 1];
   }
 
   private Server join(Request request, long nowNanos) {
@@ -170,8 +170,8 @@
   }
 
   private Server find(Request request, Predicate<Server> fits) {
-    List<Server> alone = pools.get(request.form.protocol());
-    List<Server> both = pools.get(Form.MIXES - 1);
+    List<Server> alone = pools.get(request.form.protocolBit());
+    List<Server> both = pools.get(RequestProtocol.PROTOCOL_SETS - 1);
     int all = alone.size() + both.size();
     for (int i = 0; i < DRAWS && all > 0; i++) {
       int at = random.nextInt(all);
--- a/src/main/java/heathswitch/policy/rotation/Rotation.java
+++ b/src/main/java/heathswitch/policy/rotation/Rotation.java
@@ -12,79 +12,81 @@
    * What discovery has to tell counts as told after so long. An upstream that was put back is held
    * to be cold until then, unless its start is known: it was restarted while it was out.
    */
-  public static final long NEWS_MILLIS = 6500;
+  public static final long DISCOVERY_LAG_MILLIS = 6500;
 
   /** Marks that are held at most; operators take out a few at a time. */
-  public static final int MOST_MARKS = 4096;
+  public static final int MAX_SUSPENSIONS = 4096;
 
   /**
    * What a listed upstream counts for.
    *
    * @param startedMillis Unix time of its last start as it is to be believed
    */
-  public record Standing(Health health, long startedMillis) {}
+  public record EffectiveState(Health health, long startedMillis) {}
 
-  private Map<String, Mark> marks = Map.of();
+  private Map<String, Suspension> suspensions = Map.of();
 
   /** The ids that are held to be cold for want of news. */
-  private final Set<String> presumed = new HashSet<>();
+  private final Set<String> presumedRestarted = new HashSet<>();
 
   /**
    * Takes the marks as they are now.
    *
    * @return the ids whose standing may have changed, by these marks or by the time that has passed
    */
-  public Set<String> update(Map<String, Mark> now, long nowMillis) {
+  public Set<String> update(Map<String, Suspension> now, long nowMillis) {
     Set<String> changed = new HashSet<>();
-    for (Mark mark : now.values()) {
-      if (!mark.equals(marks.get(mark.id()))) {
+    for (Suspension mark : now.values()) {
+      if (!mark.equals(suspensions.get(mark.id()))) {
         changed.add(mark.id());
       }
     }
-    for (String id : marks.keySet()) {
+    for (String id : suspensions.keySet()) {
       if (!now.containsKey(id)) {
         changed.add(id);
       }
     }
-    for (String id : presumed) {
-      if (!now.containsKey(id) || now.get(id).settled(nowMillis)) {
+    for (String id : presumedRestarted) {
+      if (!now.containsKey(id) || now.get(id).isObsolete(nowMillis)) {
         changed.add(id);
       }
     }
-    presumed.removeAll(changed); // Told now; one that is no longer listed has no standing again.
-    marks = new HashMap<>(now);
+    presumedRestarted.removeAll(
+        changed); // Told now; one that is no longer listed has no standing again.
+    suspensions = new HashMap<>(now);
     return changed;
   }
 
   /** The mark of an upstream, or null. */
-  public Mark mark(String id) {
-    return marks.get(id);
+  public Suspension suspension(String id) {
+    return suspensions.get(id);
   }
 
   /** How many are held to be cold for want of news. */
-  int presumed() {
-    return presumed.size();
+  int presumedCount() {
+    return presumedRestarted.size();
   }
 
   /** How many are out. */
-  public int out() {
-    return (int) marks.values().stream().filter(Mark::out).count();
+  public int suspendedCount() {
+    return (int) suspensions.values().stream().filter(Suspension::isSuspended).count();
   }
 
   /** What an upstream counts for that discovery lists so. */
-  public Standing standing(String id, Health listed, long startedMillis, long nowMillis) {
-    presumed.remove(id);
-    Mark mark = marks.get(id);
+  public EffectiveState effectiveState(
+      String id, Health listed, long startedMillis, long nowMillis) {
+    presumedRestarted.remove(id);
+    Suspension mark = suspensions.get(id);
     if (mark == null || listed == Health.GONE) {
-      return new Standing(listed, startedMillis);
+      return new EffectiveState(listed, startedMillis);
     }
-    if (mark.out()) {
-      return new Standing(Health.DRAINING, startedMillis);
+    if (mark.isSuspended()) {
+      return new EffectiveState(Health.DRAINING, startedMillis);
     }
-    if (startedMillis > mark.outMillis() || mark.settled(nowMillis)) {
-      return new Standing(listed, startedMillis);
+    if (startedMillis > mark.suspendedMillis() || mark.isObsolete(nowMillis)) {
+      return new EffectiveState(listed, startedMillis);
     }
-    presumed.add(id);
-    return new Standing(listed, mark.backMillis());
+    presumedRestarted.add(id);
+    return new EffectiveState(listed, mark.resumedMillis());
   }
 }
--- a/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -3,14 +3,14 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.UnservedReason;
 import heathswitch.policy.core.Balancer;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
@@ -46,7 +46,7 @@
   /** What lies over the lists of discovery before anybody else sees them. */
   public interface Overlay {
     /** The entries as they are to be taken. */
-    List<Member> over(ListForm form, List<Member> entries);
+    List<Member> over(ListUpdate form, List<Member> entries);
   }
 
   /** Whether anything may be sent at all; asked right before the first byte of an attempt. */
@@ -128,7 +128,7 @@
   public void start(Discovery discovery, List<Member> known) {
     this.discovery = discovery;
     event(null, () -> balancer.start(clock.nowNanos()));
-    onServers(ListForm.STALE, known);
+    onServers(ListUpdate.STALE_FULL, known);
   }
 
   /**
@@ -167,7 +167,7 @@
 
   /** What the module makes of the world. */
   public String figures() {
-    return balancer.figures(clock.nowNanos());
+    return balancer.summary(clock.nowNanos());
   }
 
   /** Attempts that are out at such upstreams, those that are no longer listed among them. */
@@ -253,12 +253,12 @@
       String tenant,
       boolean repeat,
       long ttlNanos,
-      Form form,
+      RequestProtocol form,
       Payload payload) {
     LiveRequest request =
         new LiveRequest(
             nextRequestId++, name, client, type, payload, clock.nowNanos(), ttlNanos, this);
-    request.mostTries = settings.limits().mostTries();
+    request.mostTries = settings.limits().maxAttempts();
     request.retryAfterNanos = Math.min(RETRY_AFTER_NANOS, settings.limits().maxRetryAfterNanos());
     requests.put(request.id, request);
     open.add(request.name);
@@ -365,7 +365,7 @@
   }
 
   private void forgo(LiveRequest request) {
-    event(null, () -> balancer.onGone(clock.nowNanos(), request.id));
+    event(null, () -> balancer.onClientGone(clock.nowNanos(), request.id));
     for (LiveRequest.Attempt attempt : List.copyOf(request.attempts)) {
       callOff(attempt);
     }
@@ -393,7 +393,7 @@
     }
     answered(request);
     counters.served++;
-    event(request, () -> balancer.onFirst(now, request.id, attempt.number, took));
+    event(request, () -> balancer.onAnswerBegun(now, request.id, attempt.number, took));
     // The module hears of it first: told of another's end while it holds the request for open, it
     // would call off this one too.
     for (LiveRequest.Attempt other : List.copyOf(request.attempts)) {
@@ -461,7 +461,7 @@
   /** One that the module holds back for want of room may go elsewhere at once. */
   private void offerHeld(LiveRequest request) {
     if (!request.over && request.openAttempts == 0 && sentAway(request)) {
-      balancer.onGone(clock.nowNanos(), request.id);
+      balancer.onClientGone(clock.nowNanos(), request.id);
     }
   }
 
@@ -541,7 +541,7 @@
 
   // ---- discovery's news ----
 
-  public void onServers(ListForm form, List<Member> entries) {
+  public void onServers(ListUpdate form, List<Member> entries) {
     over(0, form, entries);
   }
 
@@ -551,10 +551,10 @@
    * @param by whose doing it is; what lies over it has its say
    */
   public void onStanding(Overlay by, List<Member> entries) {
-    over(overlays.indexOf(by) + 1, ListForm.UNASKED, entries);
+    over(overlays.indexOf(by) + 1, ListUpdate.UNSOLICITED_DELTA, entries);
   }
 
-  private void over(int from, ListForm form, List<Member> entries) {
+  private void over(int from, ListUpdate form, List<Member> entries) {
     List<Member> laidOver = entries;
     for (Overlay each : overlays.subList(from, overlays.size())) {
       laidOver = each.over(form, laidOver);
@@ -562,7 +562,7 @@
     take(form, laidOver);
   }
 
-  private void take(ListForm form, List<Member> entries) {
+  private void take(ListUpdate form, List<Member> entries) {
     Set<Upstream> listed = new HashSet<>();
     List<ServerEntry> news = new ArrayList<>();
     for (Member entry : entries) {
@@ -571,7 +571,7 @@
       apply(upstream, entry);
       news.add(entry.forModule(upstream.id));
     }
-    if (form.whole()) {
+    if (form.isFull()) {
       for (Upstream upstream : upstreams.values()) {
         if (!listed.contains(upstream)) {
           upstream.unwanted = true;
@@ -580,7 +580,7 @@
         }
       }
     }
-    event(null, () -> balancer.onServers(clock.nowNanos(), form, news));
+    event(null, () -> balancer.onListUpdate(clock.nowNanos(), form, news));
     upstreams.values().removeIf(this::forgotten);
   }
 
@@ -622,8 +622,8 @@
    *
    * @param form how it failed
    */
-  public void onDiscoveryFailed(ListForm form) {
-    event(null, () -> balancer.onServers(clock.nowNanos(), form, List.of()));
+  public void onDiscoveryFailed(ListUpdate form) {
+    event(null, () -> balancer.onListUpdate(clock.nowNanos(), form, List.of()));
   }
 
   /** Has a list that is not confirmed hold for a limited time only. */
@@ -695,7 +695,7 @@
   }
 
   @Override
-  public void givingUp(long requestId, GiveUp reason) {
+  public void reportUnserved(long requestId, UnservedReason reason) {
     LiveRequest request = requests.get(requestId);
     if (request != null) {
       request.givenUp = reason;
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.dispatch;
 
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.UnservedReason;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
 import heathswitch.proxy.spi.Payload;
@@ -110,7 +110,7 @@
   int mostTries;
 
   /** Why it was given up; null if it was not. */
-  GiveUp givenUp;
+  UnservedReason givenUp;
 
   /** What its caller is told of when to come back, should it be turned away. */
   long retryAfterNanos;
--- a/src/main/java/heathswitch/proxy/dispatch/Member.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Member.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.dispatch;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.SubsetRole;
 import java.net.InetSocketAddress;
 
 /**
@@ -24,7 +24,7 @@
     long cell,
     double weight,
     long startedMillis,
-    Part part) {
+    SubsetRole part) {
   /** One of which nothing is said who is to use it. */
   public Member(
       String id,
@@ -36,7 +36,7 @@
       long cell,
       double weight,
       long startedMillis) {
-    this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, Part.ANY);
+    this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, SubsetRole.ANY);
   }
 
   /** The same upstream with another standing. */
@@ -48,20 +48,23 @@
   }
 
   /** The same upstream with another part in what this balancer uses. */
-  public Member with(Part nowPart, double nowWeight) {
+  public Member with(SubsetRole nowPart, double nowWeight) {
     return new Member(
         id, address, grpcAddress, health, zone, kind, cell, nowWeight, startedMillis, nowPart);
   }
 
   ServerEntry forModule(long number) {
-    int speaks = speaks() == 0 ? Form.HTTP1.protocol() : speaks(); // Of no matter once it is gone.
+    int speaks =
+        speaks() == 0
+            ? RequestProtocol.HTTP1.protocolBit()
+            : speaks(); // Of no matter once it is gone.
     return new ServerEntry(
         number, zone, kind, cell, health, weight, startedMillis * 1_000_000L, speaks, part);
   }
 
   /** A bit for each protocol that it has an address for. */
   int speaks() {
-    return (address == null ? 0 : Form.HTTP1.protocol())
-        | (grpcAddress == null ? 0 : Form.GRPC.protocol());
+    return (address == null ? 0 : RequestProtocol.HTTP1.protocolBit())
+        | (grpcAddress == null ? 0 : RequestProtocol.GRPC.protocolBit());
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.gateway.Gateway;
 import heathswitch.policy.gateway.Trail;
 import heathswitch.proxy.http1.AnswerSink;
@@ -200,7 +200,7 @@
             forwarded.get(HeaderRules.TENANT),
             "1".equals(forwarded.get(HeaderRules.RETRY)),
             Math.min(left, type.deadlineNanos()),
-            Form.HTTP1,
+            RequestProtocol.HTTP1,
             payload);
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
-import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.grpc.Gathering;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.Link;
@@ -191,7 +191,7 @@
             tenant != null ? tenant.toString() : method.tenant(),
             previous != null && !"0".contentEquals(previous),
             left,
-            ended ? Form.GRPC : Form.GRPC_STREAM,
+            ended ? RequestProtocol.GRPC : RequestProtocol.GRPC_STREAM,
             this);
   }
 
--- a/src/main/java/heathswitch/proxy/http1/ClientHandler.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientHandler.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
@@ -372,7 +372,8 @@
     HttpRequest taken = head;
     head = null;
     phase = Phase.UPLOAD;
-    dispatch(taken, Unpooled.EMPTY_BUFFER, ttlNanos + MOST_UPLOAD_NANOS, Form.HTTP1_STREAM);
+    dispatch(
+        taken, Unpooled.EMPTY_BUFFER, ttlNanos + MOST_UPLOAD_NANOS, RequestProtocol.HTTP1_STREAM);
   }
 
   private void uploaded(HttpContent content) {
@@ -468,11 +469,11 @@
       whole.release();
       readiness(taken);
     } else {
-      dispatch(taken, whole, ttlNanos, Form.HTTP1);
+      dispatch(taken, whole, ttlNanos, RequestProtocol.HTTP1);
     }
   }
 
-  private void dispatch(HttpRequest taken, ByteBuf whole, long ttl, Form form) {
+  private void dispatch(HttpRequest taken, ByteBuf whole, long ttl, RequestProtocol form) {
     HttpHeaders headers = taken.headers();
     HttpHeaders forwarded = new DefaultHttpHeaders(false);
     HeaderRules.copyEndToEnd(headers, forwarded);
--- a/src/main/java/heathswitch/proxy/maintenance/Holdings.java
+++ b/src/main/java/heathswitch/proxy/maintenance/Holdings.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.maintenance;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.maintenance.Group;
 import heathswitch.policy.maintenance.Machine;
 import heathswitch.policy.maintenance.Phase;
@@ -40,8 +40,8 @@
   private Set<String> rested = new HashSet<>();
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> over(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
     }
     List<Member> laidOver = new ArrayList<>(entries.size());
--- a/src/main/java/heathswitch/proxy/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.members.Departures;
 import heathswitch.policy.members.Verdict;
 import heathswitch.proxy.dispatch.Dispatcher;
@@ -177,7 +177,7 @@
       slice.add(queue.poll());
     }
     try {
-      dispatcher.onServers(ListForm.CHANGES, slice);
+      dispatcher.onServers(ListUpdate.DELTA, slice);
     } catch (RuntimeException e) {
       Log.error("members", "a slice could not be told", e);
     }
--- a/src/main/java/heathswitch/proxy/operations/Marks.java
+++ b/src/main/java/heathswitch/proxy/operations/Marks.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import heathswitch.policy.rotation.Mark;
 import heathswitch.policy.rotation.Rotation;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.files.AtomicFile;
 import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
@@ -24,7 +24,7 @@
   private static final int MOST_FILE_BYTES = 1024;
 
   private final Path folder;
-  private Map<String, Mark> marks = new HashMap<>();
+  private Map<String, Suspension> marks = new HashMap<>();
 
   /** Uses the folder, which is made if it is not there; null for none. */
   Marks(Path folder) {
@@ -32,12 +32,13 @@
   }
 
   /** What stands now, in the folder of both processes. */
-  Map<String, Mark> read(long nowMillis) {
+  Map<String, Suspension> read(long nowMillis) {
     if (folder != null) {
-      Map<String, Mark> found = new HashMap<>();
+      Map<String, Suspension> found = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
-          Mark mark = found.size() < Rotation.MOST_MARKS ? readFile(file, nowMillis) : null;
+          Suspension mark =
+              found.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
           if (mark != null) {
             found.put(mark.id(), mark);
           }
@@ -54,13 +55,13 @@
   }
 
   /** A file that cannot be read now says what it said before, or that its upstream is out. */
-  private Mark readFile(Path file, long nowMillis) {
+  private Suspension readFile(Path file, long nowMillis) {
     try {
       if (Files.size(file) > MOST_FILE_BYTES) {
         throw new IllegalArgumentException("too long");
       }
       String[] words = Files.readString(file).split("\n");
-      return new Mark(words[2], Long.parseLong(words[0]), Long.parseLong(words[1]));
+      return new Suspension(words[2], Long.parseLong(words[0]), Long.parseLong(words[1]));
     } catch (NoSuchFileException e) {
       return null; // The other process has just taken it away.
     } catch (CharacterCodingException | RuntimeException e) {
@@ -72,20 +73,20 @@
     }
   }
 
-  private Mark unread(Path file, long nowMillis) {
+  private Suspension unread(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Mark before = marks.get(id);
-      return before != null ? before : Mark.suspend(null, id, nowMillis);
+      Suspension before = marks.get(id);
+      return before != null ? before : Suspension.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
       return null; // Its name is none of ours.
     }
   }
 
   private void dropSettled(long nowMillis) {
-    for (Mark mark : Map.copyOf(marks).values()) {
-      if (mark.settled(nowMillis)) {
+    for (Suspension mark : Map.copyOf(marks).values()) {
+      if (mark.isObsolete(nowMillis)) {
         marks.remove(mark.id());
         if (folder != null) {
           try {
@@ -100,25 +101,25 @@
 
   /** Takes an upstream out; returns only once every process of the balancer will know. */
   void suspend(String id, long nowMillis) throws IOException {
-    Map<String, Mark> now = read(nowMillis);
-    if (now.size() >= Rotation.MOST_MARKS && !now.containsKey(id)) {
-      throw new IOException("more than " + Rotation.MOST_MARKS + " are out");
+    Map<String, Suspension> now = read(nowMillis);
+    if (now.size() >= Rotation.MAX_SUSPENSIONS && !now.containsKey(id)) {
+      throw new IOException("more than " + Rotation.MAX_SUSPENSIONS + " are out");
     }
-    write(Mark.suspend(now.get(id), id, nowMillis));
+    write(Suspension.suspend(now.get(id), id, nowMillis));
   }
 
   /** Puts an upstream back that may be out. */
   void resume(String id, long nowMillis) throws IOException {
-    Mark back = Mark.resume(read(nowMillis).get(id), nowMillis);
+    Suspension back = Suspension.resume(read(nowMillis).get(id), nowMillis);
     if (back != null) {
       write(back);
     }
   }
 
-  private void write(Mark mark) throws IOException {
+  private void write(Suspension mark) throws IOException {
     if (folder != null) {
       Files.createDirectories(folder);
-      String text = mark.outMillis() + "\n" + mark.backMillis() + "\n" + mark.id() + "\n";
+      String text = mark.suspendedMillis() + "\n" + mark.resumedMillis() + "\n" + mark.id() + "\n";
       AtomicFile.write(file(mark.id()), text.getBytes(UTF_8));
     }
     marks.put(mark.id(), mark);
--- a/src/main/java/heathswitch/proxy/operations/Operations.java
+++ b/src/main/java/heathswitch/proxy/operations/Operations.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Log;
@@ -92,7 +92,7 @@
 
   private void poll() {
     try {
-      Map<String, Mark> now = marks.read(node.nowMillis());
+      Map<String, Suspension> now = marks.read(node.nowMillis());
       int held = generation.heldElsewhere(System.nanoTime());
       if (serving) {
         generation.serving(holds);
@@ -124,7 +124,7 @@
       Log.error("operations", "a mark could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
-    Map<String, Mark> marked = marks.read(now);
+    Map<String, Suspension> marked = marks.read(now);
     HttpResponseStatus said = status;
     node.loop()
         .execute(
--- a/src/main/java/heathswitch/proxy/operations/Standings.java
+++ b/src/main/java/heathswitch/proxy/operations/Standings.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.operations;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.rotation.Rotation;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
@@ -27,8 +27,8 @@
   }
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> over(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
     }
     long now = clockMillis.getAsLong();
@@ -45,13 +45,13 @@
   }
 
   private Member standing(Member entry, long nowMillis) {
-    Rotation.Standing standing =
-        rotation.standing(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
+    Rotation.EffectiveState standing =
+        rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
     return entry.with(standing.health(), standing.startedMillis());
   }
 
   /** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
-  void update(Map<String, Mark> marks, Dispatcher dispatcher) {
+  void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
     long now = clockMillis.getAsLong();
     List<Member> changed = new ArrayList<>();
     for (String id : rotation.update(marks, now)) {
@@ -67,7 +67,7 @@
 
   /** Whether an upstream is listed, or marked though it no longer is. */
   boolean knows(String id) {
-    return Mark.markable(id) && (listed.containsKey(id) || rotation.mark(id) != null);
+    return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
   }
 
   int listed() {
@@ -75,6 +75,6 @@
   }
 
   int out() {
-    return rotation.out();
+    return rotation.suspendedCount();
   }
 }
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
@@ -179,7 +179,7 @@
     }
     if (watch != null && watch.uses(address)) {
       // It goes on telling, and has said nothing just now that would confirm the list.
-      dispatcher.onServers(ListForm.CHANGES, List.of());
+      dispatcher.onServers(ListUpdate.DELTA, List.of());
       return;
     }
     String cause = keepWatch ? "kept up" : "asked";
@@ -201,11 +201,11 @@
   }
 
   @Override
-  public void ended(ListCall call, String why, ListForm how) {
+  public void ended(ListCall call, String why, ListUpdate how) {
     if (stopped || (call != watch && call != pending && call != fetch)) {
       return;
     }
-    boolean fellSilent = call == watch && how == ListForm.SILENT;
+    boolean fellSilent = call == watch && how == ListUpdate.SILENT;
     if (call == fetch) {
       fetch = null;
     } else if (call == watch) {
@@ -249,11 +249,11 @@
   }
 
   /** Changes that an address tells which is no longer asked answer no call. */
-  private ListForm form(ListCall call, DiscoveryList list) {
+  private ListUpdate form(ListCall call, DiscoveryList list) {
     if (list.whole()) {
-      return ListForm.WHOLE;
+      return ListUpdate.FULL;
     }
-    return call.uses(address) ? ListForm.CHANGES : ListForm.UNASKED;
+    return call.uses(address) ? ListUpdate.DELTA : ListUpdate.UNSOLICITED_DELTA;
   }
 
   /** What an address that is no longer asked says does not confirm the list. */
--- a/src/main/java/heathswitch/proxy/platform/ListCall.java
+++ b/src/main/java/heathswitch/proxy/platform/ListCall.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.proxy.runtime.Channels;
 import heathswitch.proxy.runtime.Log;
 import io.netty.bootstrap.Bootstrap;
@@ -59,7 +59,7 @@
      *
      * @param how what its end shows of discovery
      */
-    void ended(ListCall call, String why, ListForm how);
+    void ended(ListCall call, String why, ListUpdate how);
   }
 
   private static final int MOST_LINE_BYTES = 4 << 20;
@@ -152,7 +152,7 @@
   private void connected(ChannelFuture connecting) {
     if (!connecting.isSuccess()) {
       Throwable cause = connecting.cause();
-      end("cannot connect: " + cause, notReached(cause) ? ListForm.BROKEN : ListForm.NOT_MADE);
+      end("cannot connect: " + cause, notReached(cause) ? ListUpdate.FAILED : ListUpdate.NOT_SENT);
       return;
     }
     connected = true;
@@ -207,7 +207,7 @@
     }
     if (part instanceof HttpResponse response && response.status().code() != 200) {
       if (response.status().code() >= 200) {
-        end("status " + response.status().code(), ListForm.TURNED_AWAY);
+        end("status " + response.status().code(), ListUpdate.REJECTED);
       }
       return;
     }
@@ -286,18 +286,18 @@
     end("silent for " + millis + " ms", form(cut));
   }
 
-  private ListForm form(boolean cut) {
+  private ListUpdate form(boolean cut) {
     if (cut) {
-      return ListForm.CUT_SHORT;
+      return ListUpdate.TRUNCATED;
     }
-    return connected ? ListForm.SILENT : ListForm.BROKEN;
+    return connected ? ListUpdate.SILENT : ListUpdate.FAILED;
   }
 
   private void fail(String why) {
-    end(why, begun ? ListForm.CUT_SHORT : ListForm.BROKEN);
+    end(why, begun ? ListUpdate.TRUNCATED : ListUpdate.FAILED);
   }
 
-  private void end(String why, ListForm how) {
+  private void end(String why, ListUpdate how) {
     if (!closed) {
       close();
       log.failed(entry, why, told);
--- a/src/main/java/heathswitch/proxy/platform/ListClock.java
+++ b/src/main/java/heathswitch/proxy/platform/ListClock.java
@@ -35,7 +35,7 @@
 
   static ListClock of(Settings settings) {
     long grace = settings.obligations().stopSendingWithinNanos() / NANOS_A_MILLI;
-    return new ListClock(!settings.mustAsk(), grace);
+    return new ListClock(!settings.subscribes(), grace);
   }
 
   /** From one whole line of a watch to the next. */
--- a/src/main/java/heathswitch/proxy/platform/NodeConfig.java
+++ b/src/main/java/heathswitch/proxy/platform/NodeConfig.java
@@ -64,7 +64,7 @@
   boolean sameProcess(NodeConfig other) {
     return listen.equals(other.listen)
         && sockets == other.sockets
-        && settings.mustAsk() == other.settings.mustAsk();
+        && settings.subscribes() == other.settings.subscribes();
   }
 
   /**
--- a/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
+++ b/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.subsetting;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ListUpdate;
+import heathswitch.policy.api.SubsetRole;
 import heathswitch.policy.subsetting.Census;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
@@ -29,8 +29,8 @@
   private Map<String, Double> uses;
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> over(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
       told.clear();
     }
@@ -56,8 +56,8 @@
     Double part = uses.get(entry.id());
     // Weights of its own are 1 on the mean, like those of others as lists state them.
     return part == null
-        ? entry.with(Part.SPARE, entry.weight())
-        : entry.with(Part.OWN, Math.max(1e-6, part * uses.size()));
+        ? entry.with(SubsetRole.SPARE, entry.weight())
+        : entry.with(SubsetRole.OWN, Math.max(1e-6, part * uses.size()));
   }
 
   /** Takes what is used from now on and tells the dispatcher of whatever that changes. */
--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -54,14 +54,14 @@
       for (Effect b : Effect.values()) {
         for (int servers = 1; servers <= 2; servers++) {
           for (int tier = 0; tier <= 1; tier++) {
-            worlds.add(new World.Setup(a, b, Form.HTTP1, servers, tier, true, false));
+            worlds.add(new World.Setup(a, b, RequestProtocol.HTTP1, servers, tier, true, false));
           }
         }
       }
-      worlds.add(new World.Setup(a, a, Form.HTTP1, 2, 0, false, false));
-      worlds.add(new World.Setup(a, a, Form.GRPC_STREAM, 2, 0, true, false));
+      worlds.add(new World.Setup(a, a, RequestProtocol.HTTP1, 2, 0, false, false));
+      worlds.add(new World.Setup(a, a, RequestProtocol.GRPC_STREAM, 2, 0, true, false));
       for (int tier = 0; tier <= 1; tier++) {
-        worlds.add(new World.Setup(a, a, Form.HTTP1, 1, tier, true, true));
+        worlds.add(new World.Setup(a, a, RequestProtocol.HTTP1, 1, tier, true, true));
       }
     }
     return worlds;
--- a/src/main/java/heathswitch/testbed/explore/Walks.java
+++ b/src/main/java/heathswitch/testbed/explore/Walks.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -10,7 +10,7 @@
 /** Long random orders in larger worlds, each told by its seed alone. */
 public final class Walks {
   private static final Effect[] EFFECTS = Effect.values();
-  private static final Form[] FORMS = Form.values();
+  private static final RequestProtocol[] FORMS = RequestProtocol.values();
 
   private Walks() {}
 
--- a/src/main/java/heathswitch/testbed/explore/World.java
+++ b/src/main/java/heathswitch/testbed/explore/World.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Elsewhere;
@@ -45,7 +45,7 @@
   public record Setup(
       RequestClass.Effect effectA,
       RequestClass.Effect effectB,
-      Form form,
+      RequestProtocol form,
       int servers,
       int tier,
       boolean cancel,
@@ -314,7 +314,7 @@
       if (attempt.number() >= MOST_TRIES) {
         broken.add(Property.TOO_MANY_ATTEMPTS);
       }
-      if (!setup.form().copies() && calls.stream().anyMatch(call -> !call.over)) {
+      if (!setup.form().hedgeable() && calls.stream().anyMatch(call -> !call.over)) {
         broken.add(Property.SENT_BESIDE);
       }
       Call binding = binding();
@@ -523,7 +523,7 @@
 
   private void list(Health now) {
     health[0] = now;
-    dispatcher.onServers(ListForm.CHANGES, members().subList(0, 1));
+    dispatcher.onServers(ListUpdate.DELTA, members().subList(0, 1));
   }
 
   // ---- at rest ----
--- a/src/test/java/heathswitch/policy/EmbeddingTest.java
+++ b/src/test/java/heathswitch/policy/EmbeddingTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.RequestClass.Effect;
 import heathswitch.policy.api.RequestClass.Group;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import heathswitch.policy.core.Balancer;
@@ -77,9 +77,9 @@
     long now = 5 * SECOND;
     Balancer balancer = new Balancer(settings(SECOND), 1, actions);
     balancer.start(now);
-    balancer.onServers(
-        now, ListForm.WHOLE, List.of(new ServerEntry(9, "here", "big", 0, Health.READY, 1, 0)));
-    balancer.onRequest(now, 1, "read", null, 4 * SECOND, false, Form.HTTP1);
+    balancer.onListUpdate(
+        now, ListUpdate.FULL, List.of(new ServerEntry(9, "here", "big", 0, Health.READY, 1, 0)));
+    balancer.onRequest(now, 1, "read", null, 4 * SECOND, false, RequestProtocol.HTTP1);
     long later = now + SECOND / 10;
     balancer.onOutcome(later, 1, 0, Outcome.OK, later - now, true);
     assertEquals(List.of("send 1 to 9"), seen);
--- a/src/test/java/heathswitch/policy/core/RuleSetTest.java
+++ b/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
@@ -1,6 +1,6 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,13 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RuleSetTest {
+class ActiveSettingsTest {
   private static final double[] DELAYS = {100, 400};
 
-  private static RuleSet worth(boolean byWork) {
-    Settings base = Harness.settings(0, type("light", 2), type("heavy", 4));
-    RuleSet rules =
-        new RuleSet(
+  private static ActiveSettings worth(boolean byWork) {
+    Settings base = BalancerHarness.settings(0, type("light", 2), type("heavy", 4));
+    ActiveSettings rules =
+        new ActiveSettings(
             new Settings(
                 base.classes(),
                 List.of(new Tenant("one", 0.5, 8)),
@@ -35,7 +35,7 @@
   }
 
   private static RequestClass type(String name, double worth) {
-    RequestClass safe = Harness.safe(name);
+    RequestClass safe = BalancerHarness.safe(name);
     return new RequestClass(
         name,
         safe.effect(),
@@ -62,7 +62,7 @@
 
   @Test
   void aTenantOverItsPartOfTheQuotaCountsAsTheSettingsSay() {
-    RuleSet worth = worth(true);
+    ActiveSettings worth = worth(true);
     int tenant = worth.tenant("one");
     for (int i = 0; i < 2; i++) { // Two a second is this instance's part of eight.
       assertEquals(1, worth.relative(1, tenant, SECOND), 1e-12);
@@ -74,7 +74,7 @@
 
   @Test
   void refusedTriesTakeNothingFromTheQuota() {
-    RuleSet worth = worth(true);
+    ActiveSettings worth = worth(true);
     for (int i = 0; i < 50; i++) {
       assertEquals(1, worth.relative(1, 0, SECOND), 1e-12);
     }
--- a/src/test/java/heathswitch/policy/core/Harness.java
+++ b/src/test/java/heathswitch/policy/core/BalancerHarness.java
@@ -1,11 +1,11 @@
 package heathswitch.policy.core;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import heathswitch.policy.api.Tenant;
@@ -13,7 +13,7 @@
 import java.util.List;
 
 /** A balancer under test with a clock that the test moves and actions that it can read. */
-final class Harness implements Actions {
+final class BalancerHarness implements Actions {
   static final long MS = 1_000_000L;
   static final long SECOND = 1000 * MS;
 
@@ -31,11 +31,11 @@
   long now = 100 * SECOND;
   final Balancer balancer;
 
-  Harness(Settings settings) {
+  BalancerHarness(Settings settings) {
     this(settings, 42);
   }
 
-  Harness(Settings settings, long seed) {
+  BalancerHarness(Settings settings, long seed) {
     balancer = new Balancer(settings, seed, this);
     balancer.start(now);
   }
@@ -74,7 +74,7 @@
 
   /** The same settings with another grace for servers that drain. */
   static Settings graceOf(Settings like, long nanos) {
-    return rules(like, nanos, like.obligations().mustAskInNanos());
+    return rules(like, nanos, like.obligations().subscribeWithinNanos());
   }
 
   private static Settings rules(Settings like, long graceNanos, long mustAskNanos) {
@@ -82,22 +82,22 @@
     return new Settings(
         like.classes(),
         like.tenants(),
-        like.overShareWorth(),
+        like.overQuotaFactor(),
         like.worthByWork(),
         like.tier(),
         like.instance(),
         like.instances(),
         like.zone(),
-        like.mustAsk(),
+        like.subscribes(),
         like.limits(),
         new Settings.Obligations(
-            rules.graceToAnswerNanos(),
+            rules.answerGraceNanos(),
             graceNanos,
             mustAskNanos,
             rules.startCapacity(),
             rules.warmUpNanos(),
-            rules.tipMultiple(),
-            rules.fallNanos()));
+            rules.coldBudgetMultiple(),
+            rules.coldBudgetWindowNanos()));
   }
 
   static ServerEntry ready(long id) {
@@ -108,12 +108,12 @@
     return new ServerEntry(id, "a", "kind", id % 2, health, 1, startedNanos);
   }
 
-  Harness servers(ServerEntry... entries) {
-    balancer.onServers(now, ListForm.WHOLE, List.of(entries));
+  BalancerHarness servers(ServerEntry... entries) {
+    balancer.onListUpdate(now, ListUpdate.FULL, List.of(entries));
     return this;
   }
 
-  Harness readyServers(int count) {
+  BalancerHarness readyServers(int count) {
     ServerEntry[] entries = new ServerEntry[count];
     for (int i = 0; i < count; i++) {
       entries[i] = ready(i + 1);
@@ -122,7 +122,7 @@
   }
 
   void request(long id, String type) {
-    balancer.onRequest(now, id, type, null, 4 * SECOND, false, Form.HTTP1);
+    balancer.onRequest(now, id, type, null, 4 * SECOND, false, RequestProtocol.HTTP1);
   }
 
   Sent last() {
--- a/src/test/java/heathswitch/policy/core/BalancerTest.java
+++ b/src/test/java/heathswitch/policy/core/BalancerTest.java
@@ -1,23 +1,23 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
-import static heathswitch.policy.core.Harness.entry;
-import static heathswitch.policy.core.Harness.ready;
-import static heathswitch.policy.core.Harness.safe;
-import static heathswitch.policy.core.Harness.settings;
-import static heathswitch.policy.core.Harness.type;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.entry;
+import static heathswitch.policy.core.BalancerHarness.ready;
+import static heathswitch.policy.core.BalancerHarness.safe;
+import static heathswitch.policy.core.BalancerHarness.settings;
+import static heathswitch.policy.core.BalancerHarness.type;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass.Effect;
 import heathswitch.policy.api.RequestClass.Group;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -26,14 +26,14 @@
 class BalancerTest {
   @Test
   void refusesAtOnceAtTheTopWhenNoServerIsKnown() {
-    Harness h = new Harness(settings(0, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read")));
     h.request(1, "read");
     assertEquals(List.of(1L), h.refused);
   }
 
   @Test
   void waitsShortlyAtDeeperTiersAndThenRefuses() {
-    Harness h = new Harness(settings(1, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(1, safe("read")));
     h.request(1, "read");
     assertTrue(h.refused.isEmpty());
     h.advance(4 * SECOND);
@@ -42,9 +42,9 @@
 
   @Test
   void aWaitingCallDueSoonerThanTheFirstIsAnsweredInItsTime() {
-    Harness h = new Harness(settings(1, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(1, safe("read")));
     h.request(1, "read");
-    h.balancer.onRequest(h.now, 2, "read", null, 100 * MS, false, Form.HTTP1);
+    h.balancer.onRequest(h.now, 2, "read", null, 100 * MS, false, RequestProtocol.HTTP1);
     h.advance(100 * MS);
     assertEquals(List.of(2L), h.refused);
   }
@@ -52,8 +52,8 @@
   @Test
   void aCallThatComesWithNoTimeLeftIsAnsweredAtOnceAtEveryTier() {
     for (int tier = 0; tier < 3; tier++) {
-      Harness h = new Harness(settings(tier, safe("read"))).readyServers(3);
-      h.balancer.onRequest(h.now, 1, "read", null, 0, false, Form.HTTP1);
+      BalancerHarness h = new BalancerHarness(settings(tier, safe("read"))).readyServers(3);
+      h.balancer.onRequest(h.now, 1, "read", null, 0, false, RequestProtocol.HTTP1);
       assertEquals(List.of(1L), h.refused);
       assertTrue(h.sent.isEmpty());
     }
@@ -61,7 +61,7 @@
 
   @Test
   void aWaitingCallIsSentWhenRoomAppears() {
-    Harness h = new Harness(settings(1, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(1, safe("read")));
     h.request(1, "read");
     h.readyServers(1);
     assertEquals(1, h.sent.size());
@@ -71,7 +71,7 @@
 
   @Test
   void capsCallsInFlightByTheWindow() {
-    Harness h = new Harness(settings(0, safe("read"))).readyServers(1);
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read"))).readyServers(1);
     for (int i = 1; i <= 40; i++) {
       h.request(i, "read");
     }
@@ -81,9 +81,9 @@
 
   @Test
   void aTimerThatTheClockRoundedDownStillEndsTheWait() {
-    Harness h = new Harness(settings(1, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(1, safe("read")));
     h.request(1, "read");
-    Harness.Timer timer = h.timers.get(0);
+    BalancerHarness.Timer timer = h.timers.get(0);
     h.timers.clear();
     h.now = timer.dueNanos() - 300; // The bench's clock counts in microseconds.
     h.balancer.onTimer(h.now, timer.token());
@@ -93,7 +93,7 @@
 
   @Test
   void spreadsByFewestOwnCalls() {
-    Harness h = new Harness(settings(0, safe("read"))).readyServers(4);
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read"))).readyServers(4);
     for (int i = 1; i <= 20; i++) {
       h.request(i, "read");
     }
@@ -104,10 +104,10 @@
 
   @Test
   void neverSendsToADrainingOrMissingServer() {
-    Harness h =
-        new Harness(settings(0, safe("read")))
+    BalancerHarness h =
+        new BalancerHarness(settings(0, safe("read")))
             .servers(ready(1), entry(2, Health.DRAINING, 0), ready(3));
-    h.balancer.onServers(h.now, ListForm.CHANGES, List.of(entry(3, Health.GONE, 0)));
+    h.balancer.onListUpdate(h.now, ListUpdate.DELTA, List.of(entry(3, Health.GONE, 0)));
     for (int i = 1; i <= 4; i++) {
       h.request(i, "read");
     }
@@ -120,7 +120,8 @@
   @Test
   void unsafeRequestThatMayHaveRunIsFailedAndNeverResent() {
     for (Outcome outcome : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)) {
-      Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
+      BalancerHarness h =
+          new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
       h.request(1, "pay");
       h.advance(SECOND);
       h.outcome(h.last(), outcome, false);
@@ -133,7 +134,8 @@
 
   @Test
   void unsafeRequestThatProvablyNeverRanIsTriedElsewhere() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
     h.request(1, "pay");
     long first = h.last().server();
     h.outcome(h.last(), Outcome.REFUSED, false);
@@ -143,11 +145,11 @@
 
   @Test
   void keyedRequestIsResentOnlyInsideItsCellAndWindow() {
-    Harness h =
-        new Harness(settings(0, false, false, type("key", Effect.KEYED, Group.CELL)))
+    BalancerHarness h =
+        new BalancerHarness(settings(0, false, false, type("key", Effect.KEYED, Group.CELL)))
             .readyServers(6);
     h.request(1, "key");
-    Harness.Sent first = h.last();
+    BalancerHarness.Sent first = h.last();
     h.advance(50 * MS);
     h.outcome(first, Outcome.ERROR, false);
     assertEquals(2, h.sent.size());
@@ -160,11 +162,12 @@
 
   @Test
   void theFirstSendThatMayHaveRunBindsEvenWhenALaterOneEndsBeforeIt() {
-    Harness h = new Harness(settings(0, type("key", Effect.KEYED, Group.CELL))).readyServers(6);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("key", Effect.KEYED, Group.CELL))).readyServers(6);
     h.request(1, "key");
-    Harness.Sent first = h.last();
+    BalancerHarness.Sent first = h.last();
     h.advance(1500 * MS); // overdue: a second copy goes out
-    Harness.Sent second = h.last();
+    BalancerHarness.Sent second = h.last();
     assertEquals(2, h.sent.size());
     h.outcome(second, Outcome.ERROR, false);
     h.advance(700 * MS); // the window runs from the first send and has passed
@@ -174,9 +177,9 @@
 
   @Test
   void overdueSafeCallGetsASecondCopyAndTheLoserIsCalledOff() {
-    Harness h = new Harness(settings(0, safe("read"))).readyServers(3);
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read"))).readyServers(3);
     h.request(1, "read");
-    Harness.Sent first = h.last();
+    BalancerHarness.Sent first = h.last();
     h.advance(1600 * MS);
     assertEquals(2, h.sent.size());
     assertNotEquals(first.server(), h.last().server());
@@ -186,7 +189,8 @@
 
   @Test
   void overdueUnsafeCallGetsNoSecondCopy() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(3);
     h.request(1, "pay");
     h.advance(3 * SECOND);
     assertEquals(1, h.sent.size());
@@ -194,7 +198,8 @@
 
   @Test
   void noSecondCopyWhereTheSettingsForbidIt() {
-    Harness h = new Harness(settings(0, false, false, safe("read"))).readyServers(3);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, false, false, safe("read"))).readyServers(3);
     h.request(1, "read");
     h.advance(3 * SECOND);
     assertEquals(1, h.sent.size());
@@ -202,13 +207,14 @@
 
   @Test
   void aSilentServerGetsNothingMoreBeforeItsTimeOut() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(2);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(2);
     h.request(1, "pay");
     long silent = h.last().server();
     for (int i = 2; i < 40; i++) {
       h.advance(100 * MS);
       h.request(i, "pay");
-      Harness.Sent sent = h.last();
+      BalancerHarness.Sent sent = h.last();
       if (h.now - 100 * SECOND > 1500 * MS) {
         assertNotEquals(silent, sent.server());
       }
@@ -221,7 +227,8 @@
 
   @Test
   void aServerThatAloneFailsIsPutToRest() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(4);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(4);
     int toFaulty = 0;
     for (int i = 1; i <= 80; i++) {
       h.request(i, "pay");
@@ -235,7 +242,8 @@
 
   @Test
   void errorsOfTheTierBelowThatStrikeAllServersCloseNone() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(4);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(4);
     for (int i = 1; i <= 200; i++) {
       h.request(i, "pay");
       h.advance(20 * MS);
@@ -246,7 +254,7 @@
 
   @Test
   void aColdServerGetsLessThanItsShareAtItsStart() {
-    Harness h = new Harness(settings(0, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read")));
     h.servers(ready(1), ready(2), ready(3), entry(4, Health.READY, h.now));
     for (int i = 1; i <= 400; i++) {
       h.request(i, "read");
@@ -261,7 +269,7 @@
 
   @Test
   void allServersColdAtOnceAreBudgetedToo() {
-    Harness h = new Harness(settings(0, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read")));
     h.servers(entry(1, Health.READY, h.now), entry(2, Health.READY, h.now));
     for (int i = 1; i <= 200; i++) {
       int before = h.sent.size();
@@ -276,31 +284,31 @@
 
   @Test
   void asksForTheListInsideTheLimitAndAgainAfterAFailure() {
-    Harness h = new Harness(settings(0, true, true, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(0, true, true, safe("read")));
     h.advance(7 * SECOND);
     assertEquals(1, h.watches);
-    h.balancer.onServers(h.now, ListForm.BROKEN, List.of());
+    h.balancer.onListUpdate(h.now, ListUpdate.FAILED, List.of());
     h.advance(2 * SECOND);
     assertEquals(2, h.watches);
-    h.balancer.onServers(h.now, ListForm.CHANGES, List.of(ready(1)));
+    h.balancer.onListUpdate(h.now, ListUpdate.DELTA, List.of(ready(1)));
     h.advance(60 * SECOND);
     assertEquals(2, h.watches);
   }
 
   @Test
   void aListServiceThatNeverAnswersIsAskedAgainInsideTheLimit() {
-    Harness h = new Harness(settings(0, true, true, safe("read")));
+    BalancerHarness h = new BalancerHarness(settings(0, true, true, safe("read")));
     h.advance(60 * SECOND);
     assertTrue(h.watches >= 6, "asked " + h.watches);
   }
 
   @Test
   void legalOdditiesAreTolerated() {
-    Harness h = new Harness(settings(0, safe("read"))).readyServers(2);
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read"))).readyServers(2);
     h.request(1, "read");
-    Harness.Sent sent = h.last();
-    h.balancer.onGone(h.now, 1);
-    h.balancer.onGone(h.now, 1);
+    BalancerHarness.Sent sent = h.last();
+    h.balancer.onClientGone(h.now, 1);
+    h.balancer.onClientGone(h.now, 1);
     h.outcome(sent, Outcome.CANCELLED, true);
     h.outcome(sent, Outcome.OK, true);
     h.balancer.onOutcome(h.now, 77, 0, Outcome.UNKNOWN, 5, true);
@@ -312,12 +320,12 @@
 
   @Test
   void nothingIsSentAfterAFinalAnswer() {
-    Harness h = new Harness(settings(0, safe("read"))).readyServers(3);
+    BalancerHarness h = new BalancerHarness(settings(0, safe("read"))).readyServers(3);
     h.request(1, "read");
-    Harness.Sent first = h.last();
+    BalancerHarness.Sent first = h.last();
     h.advance(3900 * MS);
     h.sent.subList(1, h.sent.size()).clear();
-    h.balancer.onGone(h.now, 1);
+    h.balancer.onClientGone(h.now, 1);
     h.outcome(first, Outcome.ERROR, true);
     h.advance(10 * SECOND);
     assertEquals(1, h.sent.size());
@@ -325,9 +333,9 @@
 
   @Test
   void sameEventsAndSeedGiveTheSameActions() {
-    List<List<Harness.Sent>> runs = new java.util.ArrayList<>();
+    List<List<BalancerHarness.Sent>> runs = new java.util.ArrayList<>();
     for (int run = 0; run < 2; run++) {
-      Harness h = new Harness(settings(0, safe("read")), 7).readyServers(30);
+      BalancerHarness h = new BalancerHarness(settings(0, safe("read")), 7).readyServers(30);
       for (int i = 1; i <= 100; i++) {
         h.request(i, "read");
         h.advance(10 * MS);
@@ -340,7 +348,7 @@
 
   @Test
   void aNearServerLeadsByFewCallsOnly() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL)));
+    BalancerHarness h = new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL)));
     h.servers(
         ready(1),
         new heathswitch.policy.api.ServerEntry(2, "b", "kind", 0, Health.READY, 1, 0),
@@ -358,12 +366,13 @@
 
   @Test
   void aFlightThatFailsTogetherRestsItsServerOnce() {
-    Harness h = new Harness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(2);
+    BalancerHarness h =
+        new BalancerHarness(settings(0, type("pay", Effect.UNSAFE, Group.ALL))).readyServers(2);
     for (int i = 1; i <= 8; i++) {
       h.request(i, "pay");
     }
     h.advance(10 * MS);
-    for (Harness.Sent sent : List.copyOf(h.sent)) {
+    for (BalancerHarness.Sent sent : List.copyOf(h.sent)) {
       h.outcome(sent, sent.server() == 1 ? Outcome.CONNECT_FAILED : Outcome.OK, true);
     }
     h.advance(800 * MS); // Past the longest first rest, before the shortest third one.
--- a/src/test/java/heathswitch/policy/core/ColdFleetTest.java
+++ b/src/test/java/heathswitch/policy/core/ColdServerBudgetTest.java
@@ -1,11 +1,11 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
@@ -22,7 +22,7 @@
  * them: in no stretch of the time that the settings name more than the budget of N calls and what
  * is put down to chance, 2 x root of N + 2.
  */
-class ColdFleetTest {
+class ColdServerBudgetTest {
   private static final int BALANCERS = 30;
   private static final int SERVERS = 12;
   private static final long COLD = SERVERS;
@@ -34,19 +34,19 @@
   private static final long STEP_NANOS = 5 * MS;
   private static final long WARM_UP_SECONDS = 20;
 
-  private record End(long dueNanos, Harness at, Harness.Sent attempt) {}
+  private record End(long dueNanos, BalancerHarness at, BalancerHarness.Sent attempt) {}
 
   private final SplittableRandom random;
-  private final List<Harness> fleet = new ArrayList<>();
+  private final List<BalancerHarness> fleet = new ArrayList<>();
   private final PriorityQueue<End> ends =
       new PriorityQueue<>((one, other) -> Long.compare(one.dueNanos(), other.dueNanos()));
   private final ArrayDeque<Long> toCold = new ArrayDeque<>();
-  private final Settings settings = Harness.settings(1, Harness.safe("read"));
+  private final Settings settings = BalancerHarness.settings(1, BalancerHarness.safe("read"));
   private final int[] seen = new int[BALANCERS];
   private long nextId = 1;
   private long startedNanos;
 
-  ColdFleetTest() {
+  ColdServerBudgetTest() {
     random = new SplittableRandom(11);
   }
 
@@ -55,19 +55,21 @@
   @CsvSource({"0.6, 1, 1", "0.6, 1, 2", "1.2, 1, 3", "1.4, 1.5, 4", "1.4, 2.5, 5"})
   void theFleetKeepsToTheBudget(double load, double burst, long seed) {
     for (int i = 0; i < BALANCERS; i++) {
-      Harness harness = new Harness(settings, seed * 1000 + i);
+      BalancerHarness harness = new BalancerHarness(settings, seed * 1000 + i);
       List<ServerEntry> warm = new ArrayList<>();
       for (long id = 1; id < SERVERS; id++) {
-        warm.add(Harness.ready(id));
+        warm.add(BalancerHarness.ready(id));
       }
-      harness.balancer.onServers(harness.now, ListForm.WHOLE, warm);
+      harness.balancer.onListUpdate(harness.now, ListUpdate.FULL, warm);
       fleet.add(harness);
     }
     run(5 * SECOND, load);
     startedNanos = fleet.get(0).now;
-    for (Harness harness : fleet) {
-      harness.balancer.onServers(
-          harness.now, ListForm.CHANGES, List.of(Harness.entry(COLD, Health.READY, startedNanos)));
+    for (BalancerHarness harness : fleet) {
+      harness.balancer.onListUpdate(
+          harness.now,
+          ListUpdate.DELTA,
+          List.of(BalancerHarness.entry(COLD, Health.READY, startedNanos)));
     }
     run(2 * SECOND, load);
     run((WARM_UP_SECONDS - 4) * SECOND, load * burst);
@@ -97,9 +99,9 @@
   }
 
   private void follow(int index, long now) {
-    Harness harness = fleet.get(index);
+    BalancerHarness harness = fleet.get(index);
     for (; seen[index] < harness.sent.size(); seen[index]++) {
-      Harness.Sent attempt = harness.sent.get(seen[index]);
+      BalancerHarness.Sent attempt = harness.sent.get(seen[index]);
       long took = (long) (CALL_NANOS * (0.5 + random.nextDouble()));
       if (attempt.server() == COLD) {
         took = (long) (took / share(now));
@@ -117,12 +119,12 @@
   }
 
   private void hold(long now) {
-    long window = settings.obligations().fallNanos();
+    long window = settings.obligations().coldBudgetWindowNanos();
     while (toCold.peek() <= now - window) {
       toCold.poll();
     }
     double budget =
-        settings.obligations().tipMultiple() * share(now) * SERVER_RATE * window / SECOND;
+        settings.obligations().coldBudgetMultiple() * share(now) * SERVER_RATE * window / SECOND;
     assertTrue(
         toCold.size() <= budget + 2 * Math.sqrt(budget) + 2,
         toCold.size() + " calls where " + budget + " are allowed");
--- a/src/test/java/heathswitch/policy/core/ListHerdTest.java
+++ b/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
@@ -1,10 +1,10 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,7 +14,7 @@
  * Many balancers lose their watches at once while discovery is busy: their calls for the list may
  * not keep its queue full, whatever a call costs that is turned away.
  */
-class ListHerdTest {
+class DiscoveryCallHerdTest {
   private static final long STEP = 5 * MS;
   private static final long TIMEOUT = 3 * SECOND;
 
@@ -47,19 +47,21 @@
   }
 
   private static final class Instance {
-    private final Harness harness;
+    private final BalancerHarness harness;
     private int calls;
     private long answerAt = Long.MAX_VALUE;
     private long answeredAt = -1;
 
     Instance(int number) {
-      harness = new Harness(Harness.settings(0, true, true, Harness.safe("read")), number);
+      harness =
+          new BalancerHarness(
+              BalancerHarness.settings(0, true, true, BalancerHarness.safe("read")), number);
       harness.advance(7 * SECOND);
       harness.readyServers(3);
       harness.balancer.limitListAge(harness.now, 6 * SECOND);
       harness.balancer.onListConfirmed(harness.now);
       calls = harness.watches;
-      harness.balancer.onServers(harness.now, ListForm.BROKEN, List.of());
+      harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
     }
 
     void step(Queue queue) {
@@ -69,12 +71,12 @@
         answerAt = queue.call(harness.now);
         if (answerAt < 0) {
           answerAt = Long.MAX_VALUE;
-          harness.balancer.onServers(harness.now, ListForm.TURNED_AWAY, List.of());
+          harness.balancer.onListUpdate(harness.now, ListUpdate.REJECTED, List.of());
         }
       }
       if (harness.now >= answerAt && answeredAt < 0) {
         answeredAt = harness.now;
-        harness.balancer.onServers(harness.now, ListForm.CHANGES, List.of());
+        harness.balancer.onListUpdate(harness.now, ListUpdate.DELTA, List.of());
         harness.balancer.onListConfirmed(harness.now);
       }
     }
--- a/src/test/java/heathswitch/policy/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -1,12 +1,12 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
@@ -21,8 +21,9 @@
   }
 
   private static Request request(long now) {
-    RuleSet rules = new RuleSet(Harness.settings(0, Harness.safe("read")), null);
-    return new Request(1, rules, "read", Form.HTTP1, now, 4 * SECOND);
+    ActiveSettings rules =
+        new ActiveSettings(BalancerHarness.settings(0, BalancerHarness.safe("read")), null);
+    return new Request(1, rules, "read", RequestProtocol.HTTP1, now, 4 * SECOND);
   }
 
   private void end(long now) {
--- a/src/test/java/heathswitch/policy/core/ListLeaseTest.java
+++ b/src/test/java/heathswitch/policy/core/ListLeaseTest.java
@@ -1,13 +1,13 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.Settings;
 import java.util.List;
@@ -25,8 +25,9 @@
   /** From one request to the next, so that each of three servers serves within the grace. */
   private static final long EVERY = 200 * MS;
 
-  private final Settings settings = Harness.settings(0, true, true, Harness.safe("read"));
-  private Harness h;
+  private final Settings settings =
+      BalancerHarness.settings(0, true, true, BalancerHarness.safe("read"));
+  private BalancerHarness h;
   private final long holds =
       TOLD + settings.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS;
   private long requests;
@@ -38,9 +39,9 @@
 
   /** A balancer whose list has just been confirmed. */
   private void begin(Settings of) {
-    h = new Harness(of);
+    h = new BalancerHarness(of);
     h.balancer.limitListAge(h.now, TOLD);
-    while (of.mustAsk() && h.watches == 0) {
+    while (of.subscribes() && h.watches == 0) {
       h.advance(10 * MS);
     }
     h.readyServers(3);
@@ -58,12 +59,12 @@
     return true;
   }
 
-  private void fail(ListForm form) {
-    h.balancer.onServers(h.now, form, List.of());
+  private void fail(ListUpdate form) {
+    h.balancer.onListUpdate(h.now, form, List.of());
   }
 
   /** Fails each call so long after it was made, until a time; the last one may end after it. */
-  private void failCalls(ListForm form, long afterNanos, long untilNanos) {
+  private void failCalls(ListUpdate form, long afterNanos, long untilNanos) {
     while (h.now < untilNanos) {
       int calls = h.watches;
       while (h.watches == calls && h.now < untilNanos) {
@@ -89,24 +90,24 @@
   @Test
   void nothingIsSentOnceTheTimeIsOverThoughAllCallsWereTurnedAway() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds - 25 * MS);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds - 25 * MS);
     assertTrue(sends());
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
     assertFalse(sends());
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds + 20 * SECOND);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds + 20 * SECOND);
     assertFalse(sends());
   }
 
   /** What is turned away costs discovery, too: repeated at once it would keep the queue full. */
   @Test
   void callsThatAreTurnedAwayBecomeRarer() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     int before = h.watches;
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, h.now + 10 * SECOND);
+    failCalls(ListUpdate.REJECTED, 20 * MS, h.now + 10 * SECOND);
     int calls = h.watches - before;
     assertTrue(calls >= 3 && calls <= 6, "calls in 10 s: " + calls);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, h.now + 60 * SECOND);
+    failCalls(ListUpdate.REJECTED, 20 * MS, h.now + 60 * SECOND);
     int later = h.watches - before - calls;
     assertTrue(later >= 6 && later <= 20, "calls in the minute after it: " + later);
   }
@@ -114,13 +115,14 @@
   @Test
   void requestsWaitAndAreSentWhenTheListIsConfirmed() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
     int before = h.sent.size();
     h.request(++requests, "read");
     h.advance(SECOND);
     assertEquals(List.of(), h.refused);
-    h.balancer.onServers(h.now, ListForm.CHANGES, List.of(Harness.entry(1, Health.DRAINING, 0)));
+    h.balancer.onListUpdate(
+        h.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
     assertEquals(before, h.sent.size(), "news alone confirm nothing");
     h.balancer.onListConfirmed(h.now);
     assertEquals(before + 1, h.sent.size());
@@ -130,8 +132,8 @@
   @Test
   void aRequestThatWaitsInVainIsRefusedInTime() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
     h.request(++requests, "read");
     h.advance(2 * SECOND);
     assertEquals(List.of(requests), h.refused);
@@ -141,16 +143,16 @@
   @Test
   void whatWasChosenBeforeDoesNotBeginAfterwards() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     h.now = confirmed + holds - MS;
     h.request(++requests, "read");
-    Harness.Sent attempt = h.last();
+    BalancerHarness.Sent attempt = h.last();
     assertTrue(h.balancer.mayBegin(h.now, attempt.request(), attempt.attempt()));
     assertFalse(h.balancer.mayBegin(h.now + MS, attempt.request(), attempt.attempt()));
   }
 
   /** Sends a request every so often and fails each call so long after it was made. */
-  private int sentThrough(ListForm form, long afterNanos, long forNanos) {
+  private int sentThrough(ListUpdate form, long afterNanos, long forNanos) {
     long until = h.now + forNanos;
     long calledNanos = -1;
     int calls = h.watches;
@@ -177,25 +179,25 @@
    * cannot be reached: servers that go on serving are used, and no others.
    */
   @ParameterizedTest
-  @EnumSource(names = {"TURNED_AWAY", "BROKEN"})
-  void whileDiscoveryCannotBeReachedServersThatServeAreUsed(ListForm form) {
-    begin(Harness.graceOf(settings, 2 * SECOND));
-    fail(ListForm.BROKEN);
+  @EnumSource(names = {"REJECTED", "FAILED"})
+  void whileDiscoveryCannotBeReachedServersThatServeAreUsed(ListUpdate form) {
+    begin(BalancerHarness.graceOf(settings, 2 * SECOND));
+    fail(ListUpdate.FAILED);
     long lasts = 60 * SECOND;
     assertEquals(lasts / EVERY, sentThrough(form, DOWN_CALL, lasts));
   }
 
   @Test
   void soTheyAreWhereConnectionsAreRefused() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     long lasts = 60 * SECOND;
-    assertEquals(lasts / EVERY, sentThrough(ListForm.BROKEN, 0, lasts));
+    assertEquals(lasts / EVERY, sentThrough(ListUpdate.FAILED, 0, lasts));
   }
 
   /** Nothing shows an outage where a watch has broken and the call after it is still out. */
   @Test
   void whileNoCallHasFailedNothingIsSentOnceTheTimeIsOver() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     sendUntil(h.now + holds - 10 * MS);
     h.advance(20 * MS);
     assertFalse(sends());
@@ -204,14 +206,14 @@
   /** What a call that failed once showed of discovery grows old, too. */
   @Test
   void anOutageThatNoFurtherCallShowsIsTakenForOver() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     int calls = h.watches;
     while (h.watches == calls) {
       h.advance(10 * MS);
     }
     long called = h.now;
     h.advance(DOWN_CALL);
-    fail(ListForm.TURNED_AWAY);
+    fail(ListUpdate.REJECTED);
     sendUntil(called + holds - 10 * MS);
     h.advance(20 * MS);
     assertFalse(sends());
@@ -232,17 +234,17 @@
   @ValueSource(longs = {0, DOWN_CALL})
   void noFailedCallLengthensTheTimeOfAList(long afterNanos) {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.BROKEN, afterNanos, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.FAILED, afterNanos, confirmed + holds);
     assertFalse(sends());
-    failCalls(ListForm.BROKEN, afterNanos, h.now + 30 * SECOND);
+    failCalls(ListUpdate.FAILED, afterNanos, h.now + 30 * SECOND);
     assertFalse(sends());
   }
 
   /** A server that turns new work away may drain, and the grace lasts from its last service. */
   @Test
   void aServerThatNoLongerServesIsNotSentToPastTheGrace() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     long since = h.now;
     long grace = settings.obligations().stopSendingWithinNanos();
     long latest = since;
@@ -251,10 +253,10 @@
       h.advance(EVERY / 4);
       if (h.watches > calls) {
         calls = h.watches;
-        fail(ListForm.BROKEN);
+        fail(ListUpdate.FAILED);
       }
       h.request(++requests, "read");
-      Harness.Sent attempt = h.last();
+      BalancerHarness.Sent attempt = h.last();
       boolean drains = attempt.server() == 1 && h.now >= since + 10 * SECOND;
       if (drains) {
         latest = Math.max(latest, h.now);
@@ -274,8 +276,8 @@
 
   @Test
   void withNoWatchAListHoldsNoLongerThanABalancerMayLeaveOffAsking() {
-    Settings often = Harness.mustAskWithin(settings, 2 * SECOND);
-    Harness harness = new Harness(often);
+    Settings often = BalancerHarness.mustAskWithin(settings, 2 * SECOND);
+    BalancerHarness harness = new BalancerHarness(often);
     harness.balancer.limitListAge(harness.now, TOLD);
     harness.readyServers(3);
     long ends = 2 * SECOND + often.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS;
@@ -292,7 +294,8 @@
   void theFirstCallComesBeforeAChangeCanCountAsTold() {
     int late = 0;
     for (long seed = 0; seed < 20; seed++) {
-      Harness harness = new Harness(Harness.mustAskWithin(settings, 60 * SECOND), seed);
+      BalancerHarness harness =
+          new BalancerHarness(BalancerHarness.mustAskWithin(settings, 60 * SECOND), seed);
       harness.balancer.limitListAge(harness.now, TOLD);
       harness.advance(TOLD);
       late += harness.watches == 0 ? 1 : 0;
@@ -303,13 +306,13 @@
   /** What an agent has counts as told whether or not a watch is open. */
   @Test
   void aPushedListHoldsForTheGraceOnceItsWatchHasBroken() {
-    Settings pushed = Harness.settings(0, true, false, Harness.safe("read"));
-    Harness harness = new Harness(pushed);
+    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safe("read"));
+    BalancerHarness harness = new BalancerHarness(pushed);
     harness.balancer.limitListAge(harness.now, TOLD);
     harness.readyServers(3);
     harness.balancer.onListConfirmed(harness.now);
     harness.advance(2 * SECOND);
-    harness.balancer.onServers(harness.now, ListForm.BROKEN, List.of());
+    harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
     harness.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS - MS);
     harness.request(1, "read");
     assertEquals(1, harness.sent.size());
@@ -325,10 +328,10 @@
   @Test
   void aLongWaitAmongCallsThatAreTurnedAwayCounts() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + 3 * SECOND);
-    failCalls(ListForm.TURNED_AWAY, DOWN_CALL, h.now + SECOND);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 3 * SECOND);
+    failCalls(ListUpdate.REJECTED, DOWN_CALL, h.now + SECOND);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
     assertFalse(sends());
   }
 
@@ -336,9 +339,9 @@
   @Test
   void callsThatCannotBeMadeAreNoOutage() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + 2 * SECOND);
-    failCalls(ListForm.NOT_MADE, MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 2 * SECOND);
+    failCalls(ListUpdate.NOT_SENT, MS, confirmed + holds);
     assertFalse(sends());
   }
 
@@ -346,10 +349,10 @@
   @Test
   void anOutageDoesNotBringBackAListWhoseTimeWasOver() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
     assertFalse(sends());
-    failCalls(ListForm.TURNED_AWAY, DOWN_CALL, h.now + 20 * SECOND);
+    failCalls(ListUpdate.REJECTED, DOWN_CALL, h.now + 20 * SECOND);
     assertFalse(sends());
   }
 
@@ -357,9 +360,9 @@
   @Test
   void anOutageDoesNotLengthenTheGrace() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + TOLD);
-    failCalls(ListForm.TURNED_AWAY, DOWN_CALL, confirmed + holds + 8 * SECOND);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + TOLD);
+    failCalls(ListUpdate.REJECTED, DOWN_CALL, confirmed + holds + 8 * SECOND);
     assertFalse(sends());
   }
 
@@ -367,28 +370,28 @@
   @Test
   void changesThatNobodyAskedForAnswerNoCall() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.TURNED_AWAY, 20 * MS, confirmed + 3 * SECOND);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 3 * SECOND);
     int before = h.watches;
     while (h.watches == before) {
       h.advance(10 * MS);
     }
-    h.balancer.onServers(h.now, ListForm.UNASKED, List.of());
+    h.balancer.onListUpdate(h.now, ListUpdate.UNSOLICITED_DELTA, List.of());
     h.advance(DOWN_CALL);
-    fail(ListForm.TURNED_AWAY);
-    failCalls(ListForm.TURNED_AWAY, DOWN_CALL, confirmed + holds);
+    fail(ListUpdate.REJECTED);
+    failCalls(ListUpdate.REJECTED, DOWN_CALL, confirmed + holds);
     assertFalse(sends());
   }
 
   /** It is still missing, and the next call comes when it is due. */
   @Test
   void changesThatNobodyAskedForAreNoSubscription() {
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     int before = h.watches;
     while (h.watches == before) {
       h.advance(10 * MS);
     }
-    h.balancer.onServers(h.now, ListForm.UNASKED, List.of());
+    h.balancer.onListUpdate(h.now, ListUpdate.UNSOLICITED_DELTA, List.of());
     h.advance(60 * SECOND);
     assertTrue(h.watches > before + 1);
   }
@@ -397,25 +400,25 @@
   @Test
   void anAnswerThatBreaksOffIsNoOutage() {
     long confirmed = h.now;
-    fail(ListForm.BROKEN);
-    failCalls(ListForm.CUT_SHORT, 500 * MS, confirmed + holds);
+    fail(ListUpdate.FAILED);
+    failCalls(ListUpdate.TRUNCATED, 500 * MS, confirmed + holds);
     assertFalse(sends());
   }
 
   /** Its agent learns nothing while it is silent; one that is not there may have been told. */
   @Test
   void aPushedListHoldsWhileItsAgentIsSilentAndNotWhileNobodyListens() {
-    Settings pushed = Harness.settings(0, true, false, Harness.safe("read"));
+    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safe("read"));
     begin(pushed);
     for (int i = 0; i < 30; i++) {
       h.advance(2 * SECOND);
-      fail(ListForm.SILENT);
+      fail(ListUpdate.SILENT);
       assertTrue(sends());
     }
-    fail(ListForm.BROKEN);
+    fail(ListUpdate.FAILED);
     h.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS);
     assertFalse(sends());
-    fail(ListForm.SILENT); // It may have been told before it fell silent.
+    fail(ListUpdate.SILENT); // It may have been told before it fell silent.
     assertFalse(sends());
   }
 
@@ -423,7 +426,7 @@
   void aMoveIsFollowedByOneCallSoon() {
     int before = h.watches;
     h.balancer.onDiscoveryMoved(h.now);
-    h.advance(ListCalls.MOST_SETTLE_NANOS);
+    h.advance(DiscoveryBackoff.MOST_SETTLE_NANOS);
     assertEquals(before + 1, h.watches);
   }
 
@@ -451,17 +454,17 @@
     long first = h.now;
     for (int i = 0; i < 4; i++) {
       h.balancer.onDiscoveryMoved(h.now);
-      fail(ListForm.BROKEN); // The watch at the address before ends.
+      fail(ListUpdate.FAILED); // The watch at the address before ends.
       h.advance(400 * MS);
     }
-    h.advance(first + ListCalls.MOST_SETTLE_NANOS - h.now);
+    h.advance(first + DiscoveryBackoff.MOST_SETTLE_NANOS - h.now);
     assertEquals(before + 1, h.watches);
   }
 
   @Test
   void whereNoLimitIsSetAListHolds() {
-    Harness unlimited = new Harness(settings).readyServers(3);
-    unlimited.balancer.onServers(unlimited.now, ListForm.BROKEN, List.of());
+    BalancerHarness unlimited = new BalancerHarness(settings).readyServers(3);
+    unlimited.balancer.onListUpdate(unlimited.now, ListUpdate.FAILED, List.of());
     unlimited.advance(100 * SECOND);
     unlimited.request(1, "read");
     assertEquals(1, unlimited.sent.size());
--- a/src/test/java/heathswitch/policy/core/MembershipTest.java
+++ b/src/test/java/heathswitch/policy/core/MembershipTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import java.util.List;
@@ -13,11 +13,11 @@
 
 /** Machines are replaced under new ids for as long as a balancer runs. */
 class MembershipTest {
-  private final Settings settings = Harness.settings(0, Harness.safe("view"));
+  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safe("view"));
   private final Membership members =
-      new Membership(settings, new Harness(settings), new SplittableRandom(1));
+      new Membership(settings, new BalancerHarness(settings), new SplittableRandom(1));
 
-  private void news(ListForm form, Health health, long... ids) {
+  private void news(ListUpdate form, Health health, long... ids) {
     List<ServerEntry> entries =
         java.util.Arrays.stream(ids).mapToObj(id -> entry(id, health)).toList();
     members.onNews(0, form, entries);
@@ -25,22 +25,22 @@
 
   @Test
   void theGoneAreForgotten() {
-    news(ListForm.WHOLE, Health.READY, 1, 2, 3);
-    news(ListForm.CHANGES, Health.GONE, 1);
+    news(ListUpdate.FULL, Health.READY, 1, 2, 3);
+    news(ListUpdate.DELTA, Health.GONE, 1);
     assertNull(members.known.get(1L));
-    news(ListForm.WHOLE, Health.READY, 3);
+    news(ListUpdate.FULL, Health.READY, 3);
     assertNull(members.known.get(2L));
     assertNotNull(members.known.get(3L));
   }
 
   @Test
   void butNotBeforeTheirLastCallHasEnded() {
-    news(ListForm.WHOLE, Health.READY, 1, 2);
+    news(ListUpdate.FULL, Health.READY, 1, 2);
     members.known.get(1L).inFlight = 1;
-    news(ListForm.WHOLE, Health.READY, 2);
+    news(ListUpdate.FULL, Health.READY, 2);
     assertNotNull(members.known.get(1L));
     members.known.get(1L).inFlight = 0;
-    news(ListForm.CHANGES, Health.READY, 2);
+    news(ListUpdate.DELTA, Health.READY, 2);
     assertNull(members.known.get(1L));
   }
 
--- a/src/test/java/heathswitch/policy/core/ReplayTest.java
+++ b/src/test/java/heathswitch/policy/core/ReplayTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.ServerEntry;
@@ -58,16 +58,16 @@
   }
 
   private static String play(double[] weights) throws Exception {
-    Harness harness =
-        new Harness(
-            Harness.settings(
+    BalancerHarness harness =
+        new BalancerHarness(
+            BalancerHarness.settings(
                 0,
-                Harness.safe("a"),
-                Harness.type("k", RequestClass.Effect.KEYED, RequestClass.Group.CELL),
-                Harness.type("u", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL)),
+                BalancerHarness.safe("a"),
+                BalancerHarness.type("k", RequestClass.Effect.KEYED, RequestClass.Group.CELL),
+                BalancerHarness.type("u", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL)),
             7);
     SplittableRandom random = new SplittableRandom(11);
-    List<Harness.Sent> out = new ArrayList<>();
+    List<BalancerHarness.Sent> out = new ArrayList<>();
     int taken = 0;
     long requests = 0;
     StringBuilder lines = new StringBuilder();
@@ -77,18 +77,18 @@
       harness.advance(random.nextInt(1, 8_000_000));
       int event = random.nextInt(1000);
       if (event < 2) {
-        ListForm form = random.nextBoolean() ? ListForm.WHOLE : ListForm.CHANGES;
+        ListUpdate form = random.nextBoolean() ? ListUpdate.FULL : ListUpdate.DELTA;
         ServerEntry[] entries = list(1 + random.nextInt(40), random, harness.now, weights);
-        harness.balancer.onServers(harness.now, form, List.of(entries));
+        harness.balancer.onListUpdate(harness.now, form, List.of(entries));
       } else if (event < 500) {
         harness.request(++requests, CLASSES[(int) (requests % CLASSES.length)]);
       } else if (!out.isEmpty()) {
-        Harness.Sent sent = out.remove(random.nextInt(Math.min(out.size(), 20)));
+        BalancerHarness.Sent sent = out.remove(random.nextInt(Math.min(out.size(), 20)));
         boolean ok = random.nextInt(12) > 0;
         harness.outcome(sent, ok ? Outcome.OK : OUTCOMES[random.nextInt(OUTCOMES.length)], ok);
       }
       for (; taken < harness.sent.size(); taken++) {
-        Harness.Sent sent = harness.sent.get(taken);
+        BalancerHarness.Sent sent = harness.sent.get(taken);
         out.add(sent);
         actions.append(sent).append('\n');
       }
@@ -114,7 +114,8 @@
     ServerEntry[] entries = new ServerEntry[count];
     for (int i = 0; i < count; i++) {
       Health health = random.nextInt(12) == 0 ? Health.DRAINING : Health.READY;
-      long started = random.nextInt(6) == 0 ? now - random.nextLong(30 * Harness.SECOND) : 0;
+      long started =
+          random.nextInt(6) == 0 ? now - random.nextLong(30 * BalancerHarness.SECOND) : 0;
       String zone = i % 3 == 0 ? "b" : "a";
       entries[i] =
           new ServerEntry(i + 1, zone, "kind", i % 4, health, weights[i % weights.length], started);
--- a/src/test/java/heathswitch/policy/core/SpeaksTest.java
+++ b/src/test/java/heathswitch/policy/core/ServerProtocolTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** No attempt goes to a server that does not speak the request's protocol. */
-class SpeaksTest {
+class ServerProtocolTest {
   private static final int HTTP1 = 1;
   private static final int GRPC = 2;
 
@@ -27,27 +27,28 @@
 
   /** Also where one in a hundred speaks it, and after every way in which an attempt can fail. */
   @ParameterizedTest
-  @EnumSource(Form.class)
-  void onlyThoseThatSpeakItAreAsked(Form form) {
+  @EnumSource(RequestProtocol.class)
+  void onlyThoseThatSpeakItAreAsked(RequestProtocol form) {
     for (int speakers : new int[] {1, 2, 50}) {
-      Harness h = new Harness(Harness.settings(0, Harness.safe("read")));
+      BalancerHarness h =
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")));
       List<ServerEntry> list = new ArrayList<>();
       Set<Long> able = new HashSet<>();
       for (int i = 1; i <= 200; i++) {
         boolean speaks = i <= speakers;
-        int other = form.protocol() == HTTP1 ? GRPC : HTTP1;
-        list.add(server(i, !speaks ? other : i % 2 == 0 ? HTTP1 | GRPC : form.protocol()));
+        int other = form.protocolBit() == HTTP1 ? GRPC : HTTP1;
+        list.add(server(i, !speaks ? other : i % 2 == 0 ? HTTP1 | GRPC : form.protocolBit()));
         if (speaks) {
           able.add((long) i);
         }
       }
-      h.balancer.onServers(h.now, ListForm.WHOLE, list);
+      h.balancer.onListUpdate(h.now, ListUpdate.FULL, list);
       for (int i = 1; i <= 20; i++) {
-        h.balancer.onRequest(h.now, i, "read", null, 4 * Harness.SECOND, false, form);
+        h.balancer.onRequest(h.now, i, "read", null, 4 * BalancerHarness.SECOND, false, form);
       }
       assertEquals(20, h.sent.size(), "each found a server among " + speakers);
       for (int i = 0; i < h.sent.size(); i++) {
-        Harness.Sent send = h.sent.get(i);
+        BalancerHarness.Sent send = h.sent.get(i);
         assertTrue(able.contains(send.server()), "sent to " + send.server());
         if (i < 40) {
           h.outcome(send, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.ERROR, false);
@@ -59,13 +60,14 @@
   /** More of it is still to come: two servers cannot both have that. */
   @Test
   void aCallThatGoesOnGetsNoCopy() {
-    for (Form form : Form.values()) {
-      Harness h = new Harness(Harness.settings(0, Harness.safe("read")));
-      h.balancer.onServers(
-          h.now, ListForm.WHOLE, List.of(server(1, HTTP1 | GRPC), server(2, HTTP1 | GRPC)));
-      h.balancer.onRequest(h.now, 1, "read", null, 40 * Harness.SECOND, false, form);
-      h.advance(30 * Harness.SECOND);
-      assertEquals(form.copies() ? 2 : 1, Math.min(2, h.sent.size()), form.toString());
+    for (RequestProtocol form : RequestProtocol.values()) {
+      BalancerHarness h =
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")));
+      h.balancer.onListUpdate(
+          h.now, ListUpdate.FULL, List.of(server(1, HTTP1 | GRPC), server(2, HTTP1 | GRPC)));
+      h.balancer.onRequest(h.now, 1, "read", null, 40 * BalancerHarness.SECOND, false, form);
+      h.advance(30 * BalancerHarness.SECOND);
+      assertEquals(form.hedgeable() ? 2 : 1, Math.min(2, h.sent.size()), form.toString());
     }
   }
 }
--- a/src/test/java/heathswitch/policy/core/FlightTest.java
+++ b/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Two hundred calls that fail together, as the streams of one connection do. */
-class FlightTest {
+class SimultaneousFailuresTest {
   /** Out to one server, after waves of answers that have opened its window. */
-  private static List<Harness.Sent> flight(Harness harness, int size) {
+  private static List<BalancerHarness.Sent> flight(BalancerHarness harness, int size) {
     harness.readyServers(1);
     long id = 0;
     while (true) {
@@ -21,11 +21,12 @@
       for (int i = 0; i < size; i++) {
         harness.request(id++, "a");
       }
-      List<Harness.Sent> out = new ArrayList<>(harness.sent.subList(before, harness.sent.size()));
+      List<BalancerHarness.Sent> out =
+          new ArrayList<>(harness.sent.subList(before, harness.sent.size()));
       if (out.size() == size) {
         return out;
       }
-      harness.advance(10 * Harness.MS);
+      harness.advance(10 * BalancerHarness.MS);
       out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
       assertTrue(id < 100_000, "the window opens");
     }
@@ -37,20 +38,21 @@
       value = Outcome.class,
       names = {"REFUSED", "CONNECT_FAILED"})
   void aFlightIsOneCut(Outcome outcome) {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
-    List<Harness.Sent> flight = flight(harness, 200);
-    harness.advance(10 * Harness.MS);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
+    List<BalancerHarness.Sent> flight = flight(harness, 200);
+    harness.advance(10 * BalancerHarness.MS);
     int before = harness.sent.size();
     int refused = harness.refused.size();
     flight.forEach(sent -> harness.outcome(sent, outcome, false));
     int again = harness.sent.size() - before;
     assertTrue(again <= 1, "asked again " + again);
     assertTrue(harness.refused.size() >= refused + 200 - 2 * again - 1, "answered at once");
-    harness.advance(10 * Harness.MS);
+    harness.advance(10 * BalancerHarness.MS);
     for (int i = before; i < before + again; i++) {
       harness.outcome(harness.sent.get(i), Outcome.OK, true);
     }
-    harness.advance(Server.REST_NANOS * 3 / 2 + Harness.MS);
+    harness.advance(Server.REST_NANOS * 3 / 2 + BalancerHarness.MS);
     int rested = harness.sent.size();
     harness.request(1_000_000, "a");
     assertEquals(rested + 1, harness.sent.size());
@@ -58,10 +60,11 @@
 
   @Test
   void aFlightLandsOnAServerThatHasRoom() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
-    List<Harness.Sent> flight = flight(harness, 200);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
+    List<BalancerHarness.Sent> flight = flight(harness, 200);
     harness.readyServers(8);
-    harness.advance(10 * Harness.MS);
+    harness.advance(10 * BalancerHarness.MS);
     int before = harness.sent.size();
     int refused = harness.refused.size();
     flight.forEach(sent -> harness.outcome(sent, Outcome.REFUSED, false));
--- a/src/test/java/heathswitch/policy/core/RareMomentsTest.java
+++ b/src/test/java/heathswitch/policy/core/StaleDecisionTest.java
@@ -1,35 +1,36 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.Settings;
-import heathswitch.policy.core.Harness.Sent;
+import heathswitch.policy.core.BalancerHarness.Sent;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What was decided a while ago may not begin any more; what was taken keeps its settings. */
-class RareMomentsTest {
+class StaleDecisionTest {
   private static RequestClass keyed() {
-    return Harness.type("keyed", RequestClass.Effect.KEYED, RequestClass.Group.ALL);
+    return BalancerHarness.type("keyed", RequestClass.Effect.KEYED, RequestClass.Group.ALL);
   }
 
-  private static boolean mayBegin(Harness harness, Sent attempt) {
+  private static boolean mayBegin(BalancerHarness harness, Sent attempt) {
     return harness.balancer.mayBegin(harness.now, attempt.request(), attempt.attempt());
   }
 
   @Test
   void aKeyedRepeatMayNotBeginWhenItsTimeIsOver() {
-    Harness harness = new Harness(Harness.settings(0, keyed())).readyServers(2);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, keyed())).readyServers(2);
     harness.request(1, "keyed");
-    harness.advance(keyed().windowNanos() - MS);
+    harness.advance(keyed().dedupWindowNanos() - MS);
     harness.outcome(harness.sent.get(0), Outcome.RESET, false);
     Sent repeat = harness.last();
     assertEquals(1, repeat.attempt());
@@ -40,42 +41,51 @@
 
   @Test
   void theFirstAttemptOfAKeyedRequestIsBoundByNoTime() {
-    Harness harness = new Harness(Harness.settings(0, keyed())).readyServers(2);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, keyed())).readyServers(2);
     harness.request(1, "keyed");
-    harness.now += keyed().windowNanos();
+    harness.now += keyed().dedupWindowNanos();
     assertTrue(mayBegin(harness, harness.last()));
   }
 
   @Test
   void nothingMayBeginAtAServerThatHasBeenToldToDrain() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(1);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(1);
     harness.request(1, "read");
     assertTrue(mayBegin(harness, harness.last()));
-    harness.balancer.onServers(
-        harness.now, ListForm.CHANGES, List.of(Harness.entry(1, Health.DRAINING, 0)));
+    harness.balancer.onListUpdate(
+        harness.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
     assertFalse(mayBegin(harness, harness.last()));
   }
 
   @Test
   void nothingMayBeginAtAServerThatAWholeListLeavesOut() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(1);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(1);
     harness.request(1, "read");
-    harness.balancer.onServers(harness.now, ListForm.WHOLE, List.of(Harness.ready(2)));
+    harness.balancer.onListUpdate(harness.now, ListUpdate.FULL, List.of(BalancerHarness.ready(2)));
     assertFalse(mayBegin(harness, harness.last()));
   }
 
   @Test
   void nothingMayBeginForARequestThatIsOver() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(1);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(1);
     harness.request(1, "read");
-    harness.balancer.onGone(harness.now, 1);
+    harness.balancer.onClientGone(harness.now, 1);
     assertFalse(mayBegin(harness, harness.last()));
   }
 
   /** Where a part of all connections comes up late, nobody would be left to send to. */
   @Test
   void aServerWhoseConnectionsFailAsOftenAsItsPeersStaysInService() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(2);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(2);
     int attempts = 0;
     int next = 0;
     for (int round = 0; round < 40; round++) {
@@ -93,7 +103,9 @@
 
   @Test
   void aServerThatCannotBeReachedAtAllIsTakenOut() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(3);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(3);
     int toDead = 0;
     for (int i = 0; i < 60; i++) {
       harness.request(i, "read");
@@ -112,7 +124,8 @@
   /** Or each failure would add a call to those of all balancers, and drown discovery with them. */
   @Test
   void aFailedCallIsFollowedByOneCallAtATime() {
-    Harness harness = new Harness(Harness.settings(0, true, true, Harness.safe("read")));
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, true, true, BalancerHarness.safe("read")));
     long endsNanos = 0;
     int calls = 0;
     long calledNanos = 0;
@@ -126,7 +139,7 @@
         endsNanos =
             harness.now + 3 * SECOND; // Discovery lets it wait for so long, and then fails it.
       } else if (endsNanos > 0 && harness.now >= endsNanos) {
-        harness.balancer.onServers(harness.now, ListForm.BROKEN, List.of());
+        harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
         endsNanos = 0;
       }
       assertTrue(harness.now - calledNanos < 7 * SECOND || calls == 0, "a gap between two calls");
@@ -137,10 +150,13 @@
   /** What was safe to repeat when it was taken stays so, and what comes later is not. */
   @Test
   void aRequestKeepsTheSettingsThatItWasTakenUnder() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("read"))).readyServers(3);
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+            .readyServers(3);
     harness.request(1, "read");
-    RequestClass unsafe = Harness.type("read", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL);
-    Settings later = Harness.settings(0, Harness.safe("other"), unsafe);
+    RequestClass unsafe =
+        BalancerHarness.type("read", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL);
+    Settings later = BalancerHarness.settings(0, BalancerHarness.safe("other"), unsafe);
     harness.balancer.reload(later);
     harness.request(2, "read");
     Sent before = harness.sent.get(0);
@@ -158,8 +174,8 @@
   /** Between two attempts, and under fewer attempts than it was promised. */
   @Test
   void limitsOfAttemptsAreThoseOfItsOwnSettings() {
-    Settings first = Harness.settings(0, Harness.safe("read"));
-    Harness harness = new Harness(first).readyServers(4);
+    Settings first = BalancerHarness.settings(0, BalancerHarness.safe("read"));
+    BalancerHarness harness = new BalancerHarness(first).readyServers(4);
     harness.request(1, "read");
     Settings.Limits limits = first.limits();
     Settings.Limits one =
@@ -174,13 +190,13 @@
         new Settings(
             first.classes(),
             first.tenants(),
-            first.overShareWorth(),
+            first.overQuotaFactor(),
             first.worthByWork(),
             first.tier(),
             first.instance(),
             first.instances(),
             first.zone(),
-            first.mustAsk(),
+            first.subscribes(),
             one,
             first.obligations()));
     harness.outcome(harness.sent.get(0), Outcome.REFUSED, false);
--- a/src/test/java/heathswitch/policy/core/StartTimesTest.java
+++ b/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
@@ -1,11 +1,11 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import java.util.ArrayList;
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Slow start where the clock of this machine, or that of discovery, has been stepped by a lot. */
-class StartTimesTest {
+class StartTimeEstimatorTest {
   private static final long HOUR = 3600 * SECOND;
   private static final long NOW = 100_000 * SECOND;
 
-  private final Settings settings = Harness.settings(0, Harness.safe("view"));
+  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safe("view"));
   private final long warmUp = settings.obligations().warmUpNanos();
   private final Membership members =
-      new Membership(settings, new Harness(settings), new SplittableRandom(1));
+      new Membership(settings, new BalancerHarness(settings), new SplittableRandom(1));
 
   private static ServerEntry entry(long id, long startedNanos) {
     return new ServerEntry(id, "a", "std", 1, Health.READY, 1, startedNanos);
@@ -34,7 +34,7 @@
   }
 
   /** Twelve that have run for long, and one that has just started by discovery's clock. */
-  private void tell(ListForm form, long nowNanos, long startedNanos) {
+  private void tell(ListUpdate form, long nowNanos, long startedNanos) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 12; id++) {
       entries.add(entry(id, startedNanos - HOUR / 2));
@@ -47,7 +47,7 @@
   @ParameterizedTest
   @ValueSource(longs = {-3600, -7, 0, 7, 3600})
   void whatTheFirstListTellsIsColdByTheNewestStart(long seconds) {
-    tell(ListForm.STALE, NOW, NOW - seconds * SECOND);
+    tell(ListUpdate.STALE_FULL, NOW, NOW - seconds * SECOND);
     assertTrue(cold(13, NOW), "the newest");
     assertFalse(cold(13, NOW + warmUp), "and for one warm-up only");
     assertTrue(seconds < 0 || !cold(1, NOW), "those that have run for long");
@@ -56,10 +56,10 @@
   @ParameterizedTest
   @ValueSource(longs = {-3600, -60, -7, 0, 3600})
   void whatALaterListTellsIsColdFromThenOn(long seconds) {
-    tell(ListForm.WHOLE, NOW, 0);
+    tell(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
     members.confirmed(later - SECOND);
-    members.onNews(later, ListForm.CHANGES, List.of(entry(5, later + seconds * SECOND)));
+    members.onNews(later, ListUpdate.DELTA, List.of(entry(5, later + seconds * SECOND)));
     assertTrue(cold(5, later));
     assertTrue(cold(5, later + warmUp - 1));
     assertFalse(cold(5, later + warmUp));
@@ -69,10 +69,10 @@
   @ParameterizedTest
   @ValueSource(longs = {0, 1, 2, 3})
   void aStartSinceTheListBeforeIsAsOldAsTheClocksSay(long seconds) {
-    tell(ListForm.WHOLE, NOW, 0);
+    tell(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
     members.confirmed(later - SECOND);
-    members.onNews(later, ListForm.CHANGES, List.of(entry(5, later - seconds * SECOND)));
+    members.onNews(later, ListUpdate.DELTA, List.of(entry(5, later - seconds * SECOND)));
     long warm = later - seconds * SECOND + warmUp;
     assertTrue(cold(5, warm - 1));
     assertFalse(cold(5, warm));
@@ -81,20 +81,20 @@
   /** Discovery's own clock may be set back between two starts of one server. */
   @Test
   void aStartThatIsToldAsOlderIsAStart() {
-    tell(ListForm.WHOLE, NOW, NOW);
+    tell(ListUpdate.FULL, NOW, NOW);
     long later = NOW + HOUR;
-    members.onNews(later, ListForm.CHANGES, List.of(entry(13, NOW - HOUR)));
+    members.onNews(later, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
     assertTrue(cold(13, later));
   }
 
   /** Presumed to have restarted while it was out of use, and then found not to have. */
   @Test
   void aPresumedStartThatIsTakenBackIsNoStart() {
-    tell(ListForm.WHOLE, NOW, NOW - HOUR);
+    tell(ListUpdate.FULL, NOW, NOW - HOUR);
     long later = NOW + 60 * SECOND;
-    members.onNews(later, ListForm.CHANGES, List.of(entry(13, later)));
+    members.onNews(later, ListUpdate.DELTA, List.of(entry(13, later)));
     assertTrue(cold(13, later));
-    members.onNews(later + SECOND, ListForm.CHANGES, List.of(entry(13, NOW - HOUR)));
+    members.onNews(later + SECOND, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
     assertFalse(cold(13, later + SECOND));
   }
 
@@ -105,7 +105,7 @@
     for (int id = 1; id <= 10; id++) {
       entries.add(entry(id, NOW - HOUR + id));
     }
-    members.onNews(NOW, ListForm.STALE, entries);
+    members.onNews(NOW, ListUpdate.STALE_FULL, entries);
     for (int id = 1; id <= 10; id++) {
       assertFalse(cold(id, NOW));
     }
--- a/src/test/java/heathswitch/policy/core/BegunTest.java
+++ b/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
@@ -7,34 +7,34 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers that go on as they come, at the pace of whoever reads them. */
-class BegunTest {
-  private final Harness harness =
-      new Harness(Harness.settings(0, Harness.safe("a"))).readyServers(1);
+class StreamingAnswerTest {
+  private final BalancerHarness harness =
+      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a"))).readyServers(1);
   private long id;
 
-  private Harness.Sent sent() {
+  private BalancerHarness.Sent sent() {
     int before = harness.sent.size();
     harness.request(id++, "a");
     assertEquals(before + 1, harness.sent.size(), "sent at once");
     return harness.last();
   }
 
-  private Harness.Sent begun() {
-    Harness.Sent sent = sent();
-    harness.advance(10 * Harness.MS);
-    harness.balancer.onFirst(harness.now, sent.request(), 0, 10 * Harness.MS);
+  private BalancerHarness.Sent begun() {
+    BalancerHarness.Sent sent = sent();
+    harness.advance(10 * BalancerHarness.MS);
+    harness.balancer.onAnswerBegun(harness.now, sent.request(), 0, 10 * BalancerHarness.MS);
     return sent;
   }
 
   @Test
   void aCutServerHasRoomBesideThem() {
     begun(); // Nobody reads it.
-    Harness.Sent turnedAway = sent();
+    BalancerHarness.Sent turnedAway = sent();
     harness.outcome(turnedAway, Outcome.REFUSED, true);
     harness.advance(2 * Server.REST_NANOS);
     for (int i = 0; i < 40; i++) {
-      Harness.Sent next = sent();
-      harness.advance(10 * Harness.MS);
+      BalancerHarness.Sent next = sent();
+      harness.advance(10 * BalancerHarness.MS);
       harness.outcome(next, Outcome.OK, true);
     }
   }
@@ -53,8 +53,8 @@
   void aSlowReaderIsNoSlowServer() {
     harness.readyServers(2);
     for (int i = 0; i < 40; i++) {
-      Harness.Sent slow = begun();
-      harness.advance((slow.server() == 1 ? 300 : 3) * Harness.MS);
+      BalancerHarness.Sent slow = begun();
+      harness.advance((slow.server() == 1 ? 300 : 3) * BalancerHarness.MS);
       harness.outcome(slow, Outcome.OK, true);
     }
     assertTrue(harness.balancer.load(harness.now, 1)[1] >= DelayWindow.START, "the window was cut");
@@ -63,8 +63,8 @@
   @Test
   void itsServerIsNotSilent() {
     begun();
-    harness.advance(3600 * Harness.SECOND);
-    String figures = harness.balancer.figures(harness.now);
+    harness.advance(3600 * BalancerHarness.SECOND);
+    String figures = harness.balancer.summary(harness.now);
     assertTrue(figures.contains("silent 0"), figures);
   }
 
@@ -72,11 +72,11 @@
   void oneThatBreaksOffIsAnError() {
     harness.readyServers(4);
     for (int i = 0; i < 12; i++) {
-      Harness.Sent broken = begun();
-      harness.advance(10 * Harness.MS);
+      BalancerHarness.Sent broken = begun();
+      harness.advance(10 * BalancerHarness.MS);
       harness.outcome(broken, Outcome.RESET, true);
     }
-    String figures = harness.balancer.figures(harness.now);
+    String figures = harness.balancer.summary(harness.now);
     assertTrue(!figures.contains("errors 0.00"), figures);
   }
 }
--- a/src/test/java/heathswitch/policy/core/PartTest.java
+++ b/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
 import heathswitch.policy.api.Outcome;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.SubsetRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,26 +18,36 @@
 import org.junit.jupiter.api.Test;
 
 /** A balancer among others that is told which servers are its own. */
-class PartTest {
-  private final Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+class SubsetRoleTest {
+  private final BalancerHarness harness =
+      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
   private long calls;
 
-  private static ServerEntry entry(long id, Part part, double weight, String zone, long started) {
+  private static ServerEntry entry(
+      long id, SubsetRole part, double weight, String zone, long started) {
     return new ServerEntry(
-        id, zone, "kind", 0, Health.READY, weight, started, Form.HTTP1.protocol(), part);
+        id,
+        zone,
+        "kind",
+        0,
+        Health.READY,
+        weight,
+        started,
+        RequestProtocol.HTTP1.protocolBit(),
+        part);
   }
 
   private void servers(int own, int spare, long started) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= own + spare; id++) {
-      Part part = id <= own ? Part.OWN : Part.SPARE;
+      SubsetRole part = id <= own ? SubsetRole.OWN : SubsetRole.SPARE;
       entries.add(entry(id, part, 1, id % 2 == 0 ? "a" : "b", id <= own ? 0 : started));
     }
     harness.servers(entries.toArray(ServerEntry[]::new));
   }
 
-  private Harness.Sent call() {
-    harness.advance(5 * Harness.MS);
+  private BalancerHarness.Sent call() {
+    harness.advance(5 * BalancerHarness.MS);
     harness.request(calls++, "a");
     return harness.last();
   }
@@ -45,9 +55,9 @@
   private Map<Long, Integer> answered(int many) {
     Map<Long, Integer> shares = new TreeMap<>();
     for (int i = 0; i < many; i++) {
-      Harness.Sent sent = call();
+      BalancerHarness.Sent sent = call();
       shares.merge(sent.server(), 1, Integer::sum);
-      harness.advance(20 * Harness.MS);
+      harness.advance(20 * BalancerHarness.MS);
       harness.outcome(sent, Outcome.OK, true);
     }
     return shares;
@@ -67,9 +77,9 @@
   @Test
   void itsOwnGetCallsByTheirWeights() {
     harness.servers(
-        entry(1, Part.OWN, 0.4, "a", 0),
-        entry(2, Part.OWN, 1.6, "b", 0),
-        entry(3, Part.SPARE, 1, "a", 0));
+        entry(1, SubsetRole.OWN, 0.4, "a", 0),
+        entry(2, SubsetRole.OWN, 1.6, "b", 0),
+        entry(3, SubsetRole.SPARE, 1, "a", 0));
     Map<Long, Integer> shares = answered(2000);
     assertEquals(Set.of(1L, 2L), shares.keySet());
     assertEquals(1600, shares.get(2L), 80);
@@ -79,7 +89,7 @@
   @Test
   void whatItsOwnHaveNoRoomForGoesToOthers() {
     servers(2, 50, 0);
-    List<Harness.Sent> out = new ArrayList<>();
+    List<BalancerHarness.Sent> out = new ArrayList<>();
     while (out.size() < 90) {
       out.add(call());
     }
@@ -97,8 +107,8 @@
     servers(3, 20, 0);
     int beyond = 0;
     for (int i = 0; i < 400; i++) {
-      Harness.Sent sent = call();
-      harness.advance(20 * Harness.MS);
+      BalancerHarness.Sent sent = call();
+      harness.advance(20 * BalancerHarness.MS);
       beyond += i >= 200 && sent.server() > 3 ? 1 : 0;
       harness.outcome(sent, sent.server() > 3 ? Outcome.OK : Outcome.ERROR, true);
     }
@@ -109,21 +119,21 @@
 
   @Test
   void aColdServerOfOthersIsNotWarmedByIt() {
-    servers(2, 5, harness.now - Harness.SECOND);
+    servers(2, 5, harness.now - BalancerHarness.SECOND);
     assertEquals(Set.of(1L, 2L), answered(2000).keySet());
   }
 
   @Test
   void whichAreItsOwnMayChangeWhileCallsAreOut() {
     servers(2, 4, 0);
-    List<Harness.Sent> out = List.of(call(), call());
+    List<BalancerHarness.Sent> out = List.of(call(), call());
     harness.servers(
-        entry(1, Part.SPARE, 1, "a", 0),
-        entry(2, Part.SPARE, 1, "a", 0),
-        entry(5, Part.OWN, 1, "b", 0));
+        entry(1, SubsetRole.SPARE, 1, "a", 0),
+        entry(2, SubsetRole.SPARE, 1, "a", 0),
+        entry(5, SubsetRole.OWN, 1, "b", 0));
     assertEquals(
-        Set.of(1L, 2L), out.stream().map(Harness.Sent::server).collect(Collectors.toSet()));
-    harness.advance(20 * Harness.MS);
+        Set.of(1L, 2L), out.stream().map(BalancerHarness.Sent::server).collect(Collectors.toSet()));
+    harness.advance(20 * BalancerHarness.MS);
     out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
     assertEquals(Set.of(5L), answered(50).keySet());
   }
--- a/src/test/java/heathswitch/policy/core/WeightTest.java
+++ b/src/test/java/heathswitch/policy/core/WeightTest.java
@@ -22,15 +22,15 @@
   }
 
   /** Shares of the calls by server, with so many always out and answered in turn. */
-  private static Map<Long, Integer> shares(Harness harness, int out) {
-    ArrayDeque<Harness.Sent> flight = new ArrayDeque<>();
+  private static Map<Long, Integer> shares(BalancerHarness harness, int out) {
+    ArrayDeque<BalancerHarness.Sent> flight = new ArrayDeque<>();
     Map<Long, Integer> shares = new HashMap<>();
     for (int i = 0; i < CALLS; i++) {
-      harness.advance(10 * Harness.MS);
+      harness.advance(10 * BalancerHarness.MS);
       harness.request(i, "a");
       flight.add(harness.last());
       shares.merge(harness.last().server(), 1, Integer::sum);
-      harness.advance(10 * Harness.MS);
+      harness.advance(10 * BalancerHarness.MS);
       if (flight.size() > out) {
         harness.outcome(flight.poll(), Outcome.OK, true);
       }
@@ -41,7 +41,8 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 3})
   void sharesFollowWeightsUnderLightLoad(int out) {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
     harness.servers(weighing(1, 1, 0), weighing(2, 2, 0), weighing(3, 4, 0));
     Map<Long, Integer> shares = shares(harness, out);
     for (long id = 1; id <= 3; id++) {
@@ -52,7 +53,8 @@
 
   @Test
   void oneLightServerAmongEqualsLeavesThemEqual() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
     harness.servers(weighing(1, 0.1, 0), weighing(2, 1, 0), weighing(3, 1, 0));
     Map<Long, Integer> shares = shares(harness, 0);
     assertEquals(shares.get(2L), shares.get(3L), 2);
@@ -61,7 +63,8 @@
 
   @Test
   void callsInFlightCountForTheWeight() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
     harness.servers(weighing(1, 1, 0), weighing(2, 4, 0));
     Map<Long, Integer> held = new HashMap<>();
     for (int i = 0; i < 25; i++) {
@@ -73,7 +76,8 @@
 
   @Test
   void weightsThatAreNoneCountAsOne() {
-    Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+    BalancerHarness harness =
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
     harness.servers(
         weighing(1, Double.NaN, 0),
         weighing(2, -4, 0),
@@ -90,14 +94,15 @@
   void aLightServerStartsWithLess() {
     int[] early = new int[2];
     for (int light = 0; light < 2; light++) {
-      Harness harness = new Harness(Harness.settings(0, Harness.safe("a")));
+      BalancerHarness harness =
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
       harness.servers(
           weighing(1, 1, 0), weighing(2, 1, 0), weighing(3, light == 0 ? 1 : 0.25, harness.now));
       for (int i = 0; i < 1000; i++) {
-        harness.advance(10 * Harness.MS);
+        harness.advance(10 * BalancerHarness.MS);
         harness.request(i, "a");
         early[light] += harness.last().server() == 3 ? 1 : 0;
-        harness.advance(10 * Harness.MS);
+        harness.advance(10 * BalancerHarness.MS);
         harness.outcome(harness.last(), Outcome.OK, true);
       }
     }
--- a/src/test/java/heathswitch/proxy/operations/MarksTest.java
+++ b/src/test/java/heathswitch/proxy/operations/MarksTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Suspension;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
@@ -33,7 +33,7 @@
   void anUpstreamThatIsOutStaysOutWhileItsMarkCannotBeRead() throws IOException {
     Marks marks = new Marks(folder);
     marks.suspend("s/1", NOW);
-    Mark before = marks.read(NOW).get("s/1");
+    Suspension before = marks.read(NOW).get("s/1");
     makeUnreadable();
     assertEquals(before, marks.read(NOW + 1000).get("s/1"));
   }
@@ -43,8 +43,8 @@
   void aProcessThatHasNeverReadAMarkTakesItsUpstreamForOut() throws IOException {
     new Marks(folder).suspend("s/1", NOW);
     makeUnreadable();
-    Map<String, Mark> seen = new Marks(folder).read(NOW + 1000);
-    assertTrue(seen.get("s/1").out());
+    Map<String, Suspension> seen = new Marks(folder).read(NOW + 1000);
+    assertTrue(seen.get("s/1").isSuspended());
   }
 
   @Test
--- a/src/test/java/heathswitch/proxy/platform/SitesTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SitesTest.java
@@ -126,7 +126,7 @@
       assertEquals(classes.get(i).getLong("deadline_ms") * MS, read.deadlineNanos());
     }
     assertEquals(tables(site, "tenant").size(), settings.tenants().size());
-    assertEquals(!pushed(site), settings.mustAsk());
+    assertEquals(!pushed(site), settings.subscribes());
     new Balancer(settings, 1, null); // Takes them as they are.
   }
 
--- a/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.testbed.mutants.Mutant;
 import java.util.ArrayList;
 import java.util.List;
@@ -48,14 +48,15 @@
     assertEquals(
         Set.of(),
         Explorer.play(
-            new World.Setup(Effect.UNSAFE, Effect.SAFE, Form.HTTP1, 2, 0, true, false),
+            new World.Setup(Effect.UNSAFE, Effect.SAFE, RequestProtocol.HTTP1, 2, 0, true, false),
             List.of(Step.ASK_A, Step.RESET, Step.ASK_B, Step.DEADLINE)));
   }
 
   /** Where nothing may be called off, the copy that loses may be answered well, too. */
   @Test
   void oneRequestIsToldAsServedOnce() {
-    World.Setup setup = new World.Setup(Effect.SAFE, Effect.SAFE, Form.HTTP1, 2, 0, true, true);
+    World.Setup setup =
+        new World.Setup(Effect.SAFE, Effect.SAFE, RequestProtocol.HTTP1, 2, 0, true, true);
     List<Step> order = List.of(Step.RELOAD, Step.ASK_B, Step.TIMER, Step.OK_NEWEST, Step.OK);
     assertEquals(Set.of(), Explorer.play(setup, order));
   }
