--- a/src/main/java/heathswitch/policy/adapter/Instance.java
+++ b/src/main/java/heathswitch/policy/adapter/Instance.java
@@ -27,46 +27,50 @@
   }
 
   static void fault(String name, String text, WireWriter out) {
-    out.open(FAULT, WireWriter.quoted(name)).text(text).close();
+    out.openAction(FAULT, WireWriter.quoted(name)).text(text).closeAction();
   }
 
   @Override
-  public void send(long requestId, long serverId, long notPastNanos) {
-    out.open(FORWARD, name).number(requestId).number(serverId).number(notPastNanos).close();
+  public void send(long requestId, long serverId, long attemptDeadlineNanos) {
+    out.openAction(FORWARD, name)
+        .number(requestId)
+        .number(serverId)
+        .number(attemptDeadlineNanos)
+        .closeAction();
   }
 
   @Override
   public void cancel(long requestId, int attempt) {
-    out.open(STOP_ATTEMPT, name).number(requestId).number(attempt).close();
+    out.openAction(STOP_ATTEMPT, name).number(requestId).number(attempt).closeAction();
   }
 
   @Override
   public void refuse(long requestId, long retryAfterNanos) {
-    out.open(NOT_NOW, name).number(requestId).number(retryAfterNanos).close();
+    out.openAction(NOT_NOW, name).number(requestId).number(retryAfterNanos).closeAction();
   }
 
   @Override
   public void fail(long requestId) {
-    out.open(FAIL, name).number(requestId).close();
+    out.openAction(FAIL, name).number(requestId).closeAction();
   }
 
   @Override
   public void setTimer(long delayNanos, long token) {
-    out.open(SET_ALARM, name).number(delayNanos).number(token).close();
+    out.openAction(SET_ALARM, name).number(delayNanos).number(token).closeAction();
   }
 
   @Override
   public void watch(boolean enable) {
-    out.open(TAIL, name).bool(enable).close();
+    out.openAction(TAIL, name).bool(enable).closeAction();
   }
 
   @Override
   public void fetch() {
-    out.open(FETCH, name).close();
+    out.openAction(FETCH, name).closeAction();
   }
 
   @Override
   public void log(String message) {
-    out.open(NOTE_DOWN, name).text(message).close();
+    out.openAction(NOTE_DOWN, name).text(message).closeAction();
   }
 }
--- a/src/main/java/heathswitch/policy/adapter/SettingsReader.java
+++ b/src/main/java/heathswitch/policy/adapter/SettingsReader.java
@@ -112,15 +112,15 @@
     throw new IllegalArgumentException("invalid setting: " + key + " is no list");
   }
 
-  private static String text(Map<String, Object> map, String key, String otherwise) {
-    return map.get(key) instanceof String text ? text : otherwise;
+  private static String text(Map<String, Object> map, String key, String defaultValue) {
+    return map.get(key) instanceof String text ? text : defaultValue;
   }
 
-  private static double number(Map<String, Object> map, String key, double otherwise) {
-    return map.get(key) instanceof Number number ? number.doubleValue() : otherwise;
+  private static double number(Map<String, Object> map, String key, double defaultValue) {
+    return map.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  private static long whole(Map<String, Object> map, String key, long otherwise) {
-    return map.get(key) instanceof Number number ? number.longValue() : otherwise;
+  private static long whole(Map<String, Object> map, String key, long defaultValue) {
+    return map.get(key) instanceof Number number ? number.longValue() : defaultValue;
   }
 }
--- a/src/main/java/heathswitch/policy/adapter/WireReader.java
+++ b/src/main/java/heathswitch/policy/adapter/WireReader.java
@@ -23,23 +23,23 @@
 
 /** Reads batches token by token and hands each event to its instance. */
 final class WireReader {
-  private static final int SHEETS = 16;
+  private static final int LIST_SLOTS = 16;
 
   private final JsonParser parser;
   private final WireWriter out;
   private final PrintStream err;
   private final Map<String, Instance> instances = new HashMap<>();
-  private final List<List<ServerEntry>> sheets = new ArrayList<>();
+  private final List<List<ServerEntry>> lists = new ArrayList<>();
   private long nowNanos;
   private boolean inBatch;
-  private String current;
+  private String currentInstance;
 
   WireReader(InputStream in, OutputStream out, PrintStream err) throws IOException {
     this.parser = new JsonFactory().createParser(in);
     this.out = new WireWriter(out);
     this.err = err;
-    for (int i = 0; i < SHEETS; i++) {
-      sheets.add(null);
+    for (int i = 0; i < LIST_SLOTS; i++) {
+      lists.add(null);
     }
   }
 
@@ -87,20 +87,20 @@
       case "WAKE" -> wake(instance());
       case "PING_RESULT" -> pingResult(instance());
       case "PEER" -> peer(instance());
-      default -> throw bad("an event's name expected, not " + name);
+      default -> throw error("an event's name expected, not " + name);
     }
   }
 
   private void commit() throws IOException, ProtocolException {
     end();
     inBatch = false;
-    out.next();
+    out.endReply();
     out.flush();
   }
 
   private void roster() throws IOException, ProtocolException {
-    long sheet = number("sheet");
-    check(sheet >= 0 && sheet < SHEETS, "a sheet from 0 to 15 expected, not " + sheet);
+    long slot = number("sheet");
+    check(slot >= 0 && slot < LIST_SLOTS, "a sheet from 0 to 15 expected, not " + slot);
     expect(parser.nextToken(), JsonToken.START_ARRAY, "members_list as an array");
     List<ServerEntry> entries = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -108,7 +108,7 @@
       entries.add(entry());
     }
     end();
-    sheets.set((int) sheet, entries);
+    lists.set((int) slot, entries);
   }
 
   private ServerEntry entry() throws IOException, ProtocolException {
@@ -118,9 +118,9 @@
     long cell = number("cohort");
     Health health = health(text("health"));
     double weight = decimal("power_hint");
-    long started = numberOr("came_up_ns", 0);
+    long startedNanos = numberOr("came_up_ns", 0);
     end();
-    return new ServerEntry(id, zone, kind, cell, health, weight, started);
+    return new ServerEntry(id, zone, kind, cell, health, weight, startedNanos);
   }
 
   private Health health(String word) throws ProtocolException {
@@ -128,7 +128,7 @@
       case "on" -> Health.READY;
       case "fading" -> Health.DRAINING;
       case "off" -> Health.GONE;
-      default -> throw bad("health on, fading or off expected, not " + word);
+      default -> throw error("health on, fading or off expected, not " + word);
     };
   }
 
@@ -139,8 +139,8 @@
     Map<String, Object> env = object();
     end();
     check(id != null && !instances.containsKey(id), "a new instance expected, not " + id);
-    current = id;
-    guarded(
+    currentInstance = id;
+    runOrReportFault(
         () -> {
           Settings settings = SettingsReader.read(env);
           Instance instance = new Instance(id, settings, seed, out);
@@ -150,77 +150,81 @@
   }
 
   private void announce(Instance instance) throws IOException, ProtocolException {
-    ListUpdate form = listForm(text("form"));
+    ListUpdate update = listUpdate(text("form"));
     numberOr("generation", 0);
-    long sheet = numberOr("sheet", 0);
+    long slot = numberOr("sheet", 0);
     end();
     List<ServerEntry> entries = List.of();
-    if (form != ListUpdate.FAILED) {
-      check(sheet >= 0 && sheet < SHEETS, "a sheet from 0 to 15 expected, not " + sheet);
-      entries = sheets.get((int) sheet);
-      check(entries != null, "a sheet that was defined expected, not " + sheet);
+    if (update != ListUpdate.FAILED) {
+      check(slot >= 0 && slot < LIST_SLOTS, "a sheet from 0 to 15 expected, not " + slot);
+      entries = lists.get((int) slot);
+      check(entries != null, "a sheet that was defined expected, not " + slot);
     }
-    List<ServerEntry> news = entries;
-    guarded(() -> instance.balancer.onListUpdate(nowNanos, form, news));
+    List<ServerEntry> listed = entries;
+    runOrReportFault(() -> instance.balancer.onListUpdate(nowNanos, update, listed));
   }
 
-  private ListUpdate listForm(String word) throws ProtocolException {
+  private ListUpdate listUpdate(String word) throws ProtocolException {
     return switch (word == null ? "" : word) {
       case "patch" -> ListUpdate.DELTA;
       case "whole" -> ListUpdate.FULL;
       case "stale_copy" -> ListUpdate.STALE_FULL;
       case "broken" -> ListUpdate.FAILED;
-      default -> throw bad("form patch, whole, stale_copy or broken expected, not " + word);
+      default -> throw error("form patch, whole, stale_copy or broken expected, not " + word);
     };
   }
 
   private void query(Instance instance) throws IOException, ProtocolException {
-    long rid = number("rid");
-    String type = text("profile");
-    String team = text("team");
+    long requestId = number("rid");
+    String className = text("profile");
+    String tenant = text("team");
     text("affinity");
-    long ttl = number("ttl_ns");
+    long ttlNanos = number("ttl_ns");
     numberOr("expected_ns", 0);
     boolean repeat = bool("repeat");
     bool("is_write");
     end();
-    guarded(
+    runOrReportFault(
         () ->
             instance.balancer.onRequest(
-                nowNanos, rid, type, team, ttl, repeat, RequestProtocol.HTTP1));
+                nowNanos, requestId, className, tenant, ttlNanos, repeat, RequestProtocol.HTTP1));
   }
 
   private void opened(Instance instance) throws IOException, ProtocolException {
-    long rid = number("rid");
-    long took = number("took_ns");
-    int shot = (int) number("shot");
+    long requestId = number("rid");
+    long tookNanos = number("took_ns");
+    int attempt = (int) number("shot");
     number("upstream");
     end();
-    guarded(() -> instance.balancer.onAnswerBegun(nowNanos, rid, shot, took));
+    runOrReportFault(
+        () -> instance.balancer.onAnswerBegun(nowNanos, requestId, attempt, tookNanos));
   }
 
   private void response(Instance instance) throws IOException, ProtocolException {
-    long rid = number("rid");
-    int shot = (int) number("shot");
+    long requestId = number("rid");
+    int attempt = (int) number("shot");
     number("upstream");
     Outcome outcome = outcome(number("reason"));
-    long took = number("took_ns");
+    long tookNanos = number("took_ns");
     boolean terminal = bool("terminal");
     pressure();
     end();
-    guarded(() -> instance.balancer.onOutcome(nowNanos, rid, shot, outcome, took, terminal));
+    runOrReportFault(
+        () ->
+            instance.balancer.onOutcome(
+                nowNanos, requestId, attempt, outcome, tookNanos, terminal));
   }
 
   private void hangup(Instance instance) throws IOException, ProtocolException {
-    long rid = number("rid");
+    long requestId = number("rid");
     end();
-    guarded(() -> instance.balancer.onClientGone(nowNanos, rid));
+    runOrReportFault(() -> instance.balancer.onClientGone(nowNanos, requestId));
   }
 
   private void wake(Instance instance) throws IOException, ProtocolException {
-    long handle = number("handle");
+    long token = number("handle");
     end();
-    guarded(() -> instance.balancer.onTimer(nowNanos, handle));
+    runOrReportFault(() -> instance.balancer.onTimer(nowNanos, token));
   }
 
   /** The module sends no probes; a result is checked for its form and dropped. */
@@ -253,24 +257,24 @@
     };
   }
 
-  private void guarded(Runnable decision) {
+  private void runOrReportFault(Runnable decision) {
     int mark = out.mark();
     try {
       decision.run();
     } catch (RuntimeException e) {
-      out.reset(mark);
+      out.truncate(mark);
       e.printStackTrace(err);
-      Instance.fault(current, e.toString(), out);
+      Instance.fault(currentInstance, e.toString(), out);
     }
   }
 
   // ---- values ----
 
   private Instance instance() throws IOException, ProtocolException {
-    current = text("balancer_id");
-    Instance instance = instances.get(current);
+    currentInstance = text("balancer_id");
+    Instance instance = instances.get(currentInstance);
     if (instance == null) {
-      throw bad("an instance that runs expected, not " + current);
+      throw error("an instance that runs expected, not " + currentInstance);
     }
     return instance;
   }
@@ -280,9 +284,9 @@
     return wholeValue(what);
   }
 
-  private long numberOr(String what, long otherwise) throws IOException, ProtocolException {
+  private long numberOr(String what, long defaultValue) throws IOException, ProtocolException {
     if (parser.nextToken() == JsonToken.VALUE_NULL) {
-      return otherwise;
+      return defaultValue;
     }
     expect(parser.currentToken(), JsonToken.VALUE_NUMBER_INT, what + " as a whole number or null");
     return wholeValue(what);
@@ -369,17 +373,17 @@
     };
   }
 
-  private void expect(JsonToken token, JsonToken wanted, String what) throws ProtocolException {
-    check(token == wanted, what + " expected");
+  private void expect(JsonToken token, JsonToken expected, String what) throws ProtocolException {
+    check(token == expected, what + " expected");
   }
 
   private void check(boolean holds, String message) throws ProtocolException {
     if (!holds) {
-      throw bad(message);
+      throw error(message);
     }
   }
 
-  private ProtocolException bad(String message) {
+  private ProtocolException error(String message) {
     return new ProtocolException(line(), message);
   }
 
--- a/src/main/java/heathswitch/policy/adapter/WireWriter.java
+++ b/src/main/java/heathswitch/policy/adapter/WireWriter.java
@@ -19,7 +19,7 @@
   }
 
   /** The opening of an action: its name and its instance, both already quoted. */
-  WireWriter open(byte[] name, byte[] instance) {
+  WireWriter openAction(byte[] name, byte[] instance) {
     put((byte) '[');
     put(name);
     put((byte) ',');
@@ -41,13 +41,13 @@
     return put(quoted(value));
   }
 
-  void close() {
+  void closeAction() {
     put((byte) ']');
     put((byte) '\n');
   }
 
   /** The line that closes a reply. */
-  void next() {
+  void endReply() {
     put(NEXT);
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Takes back what was written since the mark. */
-  void reset(int mark) {
+  void truncate(int mark) {
     length = mark;
   }
 
@@ -75,14 +75,14 @@
   }
 
   private WireWriter put(byte[] bytes) {
-    ensure(bytes.length);
+    ensureCapacity(bytes.length);
     System.arraycopy(bytes, 0, buffer, length, bytes.length);
     length += bytes.length;
     return this;
   }
 
   private void put(byte value) {
-    ensure(1);
+    ensureCapacity(1);
     buffer[length++] = value;
   }
 
@@ -90,7 +90,7 @@
     if (value < 0) {
       return put(ascii(Long.toString(value)));
     }
-    ensure(20);
+    ensureCapacity(20);
     int end = length + 1;
     for (long rest = value; rest >= 10; rest /= 10) {
       end++;
@@ -104,9 +104,9 @@
     return this;
   }
 
-  private void ensure(int more) {
-    if (length + more > buffer.length) {
-      buffer = Arrays.copyOf(buffer, Math.max(length + more, 2 * buffer.length));
+  private void ensureCapacity(int extra) {
+    if (length + extra > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(length + extra, 2 * buffer.length));
     }
   }
 }
--- a/src/main/java/heathswitch/policy/api/Actions.java
+++ b/src/main/java/heathswitch/policy/api/Actions.java
@@ -3,7 +3,7 @@
 /** What a balancer asks of its host. Calls are carried out in the order in which they are made. */
 public interface Actions {
   /** Starts an attempt of the request; attempts are numbered from 0 in this order. */
-  void send(long requestId, long serverId, long notPastNanos);
+  void send(long requestId, long serverId, long attemptDeadlineNanos);
 
   /** Stops waiting for one attempt. */
   void cancel(long requestId, int attempt);
--- a/src/main/java/heathswitch/policy/api/RequestProtocol.java
+++ b/src/main/java/heathswitch/policy/api/RequestProtocol.java
@@ -17,9 +17,9 @@
   private final int protocolBit;
   private final boolean hedgeable;
 
-  RequestProtocol(int protocol, boolean copies) {
-    this.protocolBit = protocol;
-    this.hedgeable = copies;
+  RequestProtocol(int protocolBit, boolean hedgeable) {
+    this.protocolBit = protocolBit;
+    this.hedgeable = hedgeable;
   }
 
   /** The protocol's bit in {@link ServerEntry#speaks}. */
--- a/src/main/java/heathswitch/policy/core/ActiveSettings.java
+++ b/src/main/java/heathswitch/policy/core/ActiveSettings.java
@@ -13,91 +13,93 @@
  */
 final class ActiveSettings {
   /** Seconds of quota that a tenant may have saved up. */
-  static final double SAVED_SECONDS = 1;
+  static final double QUOTA_BURST_SECONDS = 1;
 
-  final Settings settings;
+  final Settings declared;
   final Settings.Limits limits;
-  final double[] classDelay;
-  final long[] classCount;
+  final double[] classDelayNanos;
+  final long[] classSamples;
   private final Map<String, Integer> classIndex = new HashMap<>();
   private final Map<String, Integer> tenantIndex = new HashMap<>();
   private final double[] quotaPerSecond;
-  private final double[] tokens;
-  private final long[] filledNanos;
+  private final double[] quotaTokens;
+  private final long[] quotaFilledNanos;
 
   /** Takes over what was learned of the same names under the version before, or null. */
-  ActiveSettings(Settings settings, ActiveSettings before) {
-    this.settings = settings;
+  ActiveSettings(Settings settings, ActiveSettings previous) {
+    this.declared = settings;
     this.limits = settings.limits();
-    this.classDelay = new double[settings.classes().size()];
-    this.classCount = new long[classDelay.length];
-    for (int i = 0; i < classDelay.length; i++) {
+    this.classDelayNanos = new double[settings.classes().size()];
+    this.classSamples = new long[classDelayNanos.length];
+    for (int i = 0; i < classDelayNanos.length; i++) {
       String name = settings.classes().get(i).name();
       classIndex.put(name, i);
-      Integer old = before == null ? null : before.classIndex.get(name);
-      classDelay[i] = old == null ? type(i).aimNanos() / 4.0 : before.classDelay[old];
-      classCount[i] = old == null ? 0 : before.classCount[old];
+      Integer old = previous == null ? null : previous.classIndex.get(name);
+      classDelayNanos[i] =
+          old == null ? requestClass(i).aimNanos() / 4.0 : previous.classDelayNanos[old];
+      classSamples[i] = old == null ? 0 : previous.classSamples[old];
     }
     this.quotaPerSecond = new double[settings.tenants().size()];
-    this.tokens = new double[quotaPerSecond.length];
-    this.filledNanos = new long[quotaPerSecond.length];
+    this.quotaTokens = new double[quotaPerSecond.length];
+    this.quotaFilledNanos = new long[quotaPerSecond.length];
     for (int i = 0; i < quotaPerSecond.length; i++) {
       Tenant tenant = settings.tenants().get(i);
       tenantIndex.put(tenant.name(), i);
       quotaPerSecond[i] = tenant.quotaPerSecond() / settings.instances();
-      Integer old = before == null ? null : before.tenantIndex.get(tenant.name());
-      tokens[i] = old == null ? most(i) : Math.min(most(i), before.tokens[old]);
-      filledNanos[i] = old == null ? 0 : before.filledNanos[old];
+      Integer old = previous == null ? null : previous.tenantIndex.get(tenant.name());
+      quotaTokens[i] =
+          old == null ? maxQuotaTokens(i) : Math.min(maxQuotaTokens(i), previous.quotaTokens[old]);
+      quotaFilledNanos[i] = old == null ? 0 : previous.quotaFilledNanos[old];
     }
   }
 
-  RequestClass type(int index) {
-    return settings.classes().get(index);
+  RequestClass requestClass(int index) {
+    return declared.classes().get(index);
   }
 
   /** Place of a class; the first one's for a name that the settings do not know. */
-  int classOf(String name) {
+  int classIndexOf(String name) {
     return classIndex.getOrDefault(name, 0);
   }
 
   /** Place of a tenant, or -1 for one that the settings do not name. */
-  int tenant(String name) {
+  int tenantIndexOf(String name) {
     return tenantIndex.getOrDefault(name, -1);
   }
 
   /** From 0 to 1, where 1 is the class that is worth most for its work, inside its quota. */
-  double relative(int classIndex, int tenant, long nowNanos) {
+  double relativeWorth(int classIndex, int tenant, long nowNanos) {
     double best = 0;
-    for (int i = 0; i < classDelay.length; i++) {
-      best = Math.max(best, perWork(i));
+    for (int i = 0; i < classDelayNanos.length; i++) {
+      best = Math.max(best, worthPerWork(i));
     }
-    double relative = best > 0 ? perWork(classIndex) / best : 1;
-    return overShare(tenant, nowNanos) ? relative * settings.overQuotaFactor() : relative;
+    double worth = best > 0 ? worthPerWork(classIndex) / best : 1;
+    return overQuota(tenant, nowNanos) ? worth * declared.overQuotaFactor() : worth;
   }
 
   /** The tenant has been let in. A refused try takes nothing, or retries would eat the quota. */
-  void take(int tenant) {
+  void takeQuotaToken(int tenant) {
     if (tenant >= 0) {
-      tokens[tenant] = Math.max(0, tokens[tenant] - 1);
+      quotaTokens[tenant] = Math.max(0, quotaTokens[tenant] - 1);
     }
   }
 
-  private double perWork(int index) {
-    double worth = type(index).worth();
-    return settings.worthByWork() ? worth : worth / classDelay[index];
+  private double worthPerWork(int index) {
+    double worth = requestClass(index).worth();
+    return declared.worthByWork() ? worth : worth / classDelayNanos[index];
   }
 
-  private boolean overShare(int tenant, long nowNanos) {
+  private boolean overQuota(int tenant, long nowNanos) {
     if (tenant < 0 || quotaPerSecond[tenant] <= 0) {
       return false;
     }
-    double filled = (nowNanos - filledNanos[tenant]) / 1e9 * quotaPerSecond[tenant];
-    tokens[tenant] = Math.min(most(tenant), tokens[tenant] + filled);
-    filledNanos[tenant] = nowNanos;
-    return tokens[tenant] < 1;
+    double added = (nowNanos - quotaFilledNanos[tenant]) / 1e9 * quotaPerSecond[tenant];
+    quotaTokens[tenant] = Math.min(maxQuotaTokens(tenant), quotaTokens[tenant] + added);
+    quotaFilledNanos[tenant] = nowNanos;
+    return quotaTokens[tenant] < 1;
   }
 
-  private double most(int tenant) {
-    return Math.max(2, SAVED_SECONDS * quotaPerSecond[tenant]);
+  private double maxQuotaTokens(int tenant) {
+    return Math.max(2, QUOTA_BURST_SECONDS * quotaPerSecond[tenant]);
   }
 }
--- a/src/main/java/heathswitch/policy/core/DelayWindow.java
+++ b/src/main/java/heathswitch/policy/core/DelayWindow.java
@@ -5,39 +5,39 @@
 /** The window over one server (Equation 2 of the paper); delays are multiples of their class's. */
 public final class DelayWindow {
   /** Delays in the running mean (the paper's k). */
-  static final int RECENT = 8;
+  static final int MEAN_SAMPLES = 8;
 
   /** Until there are so many, the missing ones count as normal: a few heavy calls are no breach. */
-  static final int LEAST_RECENT = 4;
+  static final int MIN_MEAN_SAMPLES = 4;
 
   /** Alpha as a part of the estimate. */
   static final double ALPHA_SCALE = 0.5;
 
   /** A new window holds what a server of some size takes; the first cut finds the rest. */
-  static final double START = 32;
+  static final double INITIAL = 32;
 
-  static final double CAP = 256;
+  static final double MAX = 256;
 
   /** Completions in one non-overlapping interval of the normal delay. */
-  static final int INTERVAL = 16;
+  static final int INTERVAL_COMPLETIONS = 16;
 
   /** Weight of a finished interval in the estimate. */
   static final double INTERVAL_WEIGHT = 0.3;
 
   /** Bound of one sample, in normal delays: one heavy request must not look like a slow server. */
-  static final double SAMPLE_BOUND = 2;
+  static final double MAX_SAMPLE = 2;
 
   /** Below this part of the fleet's level slow start goes on past the threshold. */
-  static final double FAST = 0.9;
+  static final double FAST_MEAN = 0.9;
 
-  private final double[] recent = new double[RECENT];
+  private final double[] recent = new double[MEAN_SAMPLES];
   private long recentCount;
   private double recentSum;
-  private double window = START;
-  double threshold = CAP;
+  private double window = INITIAL;
+  double slowStartThreshold = MAX;
 
   /** The paper's CCT estimate. */
-  double normal = 1;
+  double normalDelay = 1;
 
   private double intervalSum;
   private int intervalCount;
@@ -52,20 +52,20 @@
     return window;
   }
 
-  double bound() {
-    return reference() * (1 + ALPHA_SCALE);
+  double breachBound() {
+    return referenceDelay() * (1 + ALPHA_SCALE);
   }
 
   /** The normal delay, but never under what the fleet takes (1), or the best would be cut first. */
-  private double reference() {
-    return Math.max(1, normal);
+  private double referenceDelay() {
+    return Math.max(1, normalDelay);
   }
 
   /** Mean of the recent delays. */
   double recentMean() {
-    int count = (int) Math.min(RECENT, recentCount);
-    int missing = Math.max(0, LEAST_RECENT - count);
-    return (recentSum + missing * normal) / (count + missing);
+    int count = (int) Math.min(MEAN_SAMPLES, recentCount);
+    int missing = Math.max(0, MIN_MEAN_SAMPLES - count);
+    return (recentSum + missing * normalDelay) / (count + missing);
   }
 
   /**
@@ -76,22 +76,22 @@
   public boolean onCompletion(long nowNanos, long sentNanos, double delay, int inFlight) {
     if (cutSince(sentNanos)) {
       // One cut a flight, but what comes back in good time still counts for slow start.
-      if (window < threshold && delay < bound()) {
+      if (window < slowStartThreshold && delay < breachBound()) {
         window++;
       }
       return false;
     }
-    double sample = Math.min(delay, SAMPLE_BOUND * reference());
-    push(sample);
-    if (recentMean() >= bound()) {
+    double sample = Math.min(delay, MAX_SAMPLE * referenceDelay());
+    addRecent(sample);
+    if (recentMean() >= breachBound()) {
       cut(nowNanos);
       return true;
     }
-    learnNormal(sample);
+    updateNormalDelay(sample);
     if (2 * inFlight >= window) { // An unused window proves nothing and must not grow.
       // After several cuts the threshold is near one; the quickest servers need not wait for it.
-      boolean slowStart = window < threshold || recentMean() < FAST;
-      window = Math.min(CAP, window + (slowStart ? 1 : 1 / window));
+      boolean slowStart = window < slowStartThreshold || recentMean() < FAST_MEAN;
+      window = Math.min(MAX, window + (slowStart ? 1 : 1 / window));
     }
     return false;
   }
@@ -103,7 +103,7 @@
 
   /** The threshold becomes half the window and the window one; the interval is void. */
   public void cut(long nowNanos) {
-    threshold = Math.max(1, window / 2);
+    slowStartThreshold = Math.max(1, window / 2);
     window = 1;
     cutAtNanos = nowNanos;
     recentCount = 0;
@@ -114,21 +114,21 @@
   }
 
   /** A cut would close a server for as long as anybody reads answers that have begun. */
-  void leaveRoom(int begun) {
-    window = Math.max(window, Math.min(START, 1 + begun));
+  void reserveFor(int begunAnswers) {
+    window = Math.max(window, Math.min(INITIAL, 1 + begunAnswers));
   }
 
-  private void push(double sample) {
-    int at = (int) (recentCount++ % RECENT);
-    recentSum -= recent[at]; // Nothing until it has been filled once.
-    recent[at] = sample;
+  private void addRecent(double sample) {
+    int index = (int) (recentCount++ % MEAN_SAMPLES);
+    recentSum -= recent[index]; // Nothing until it has been filled once.
+    recent[index] = sample;
     recentSum += sample;
   }
 
-  private void learnNormal(double sample) {
+  private void updateNormalDelay(double sample) {
     intervalSum += sample;
-    if (++intervalCount == INTERVAL) {
-      normal += INTERVAL_WEIGHT * (intervalSum / INTERVAL - normal);
+    if (++intervalCount == INTERVAL_COMPLETIONS) {
+      normalDelay += INTERVAL_WEIGHT * (intervalSum / INTERVAL_COMPLETIONS - normalDelay);
       intervalSum = 0;
       intervalCount = 0;
     }
--- a/src/main/java/heathswitch/policy/core/ListLease.java
+++ b/src/main/java/heathswitch/policy/core/ListLease.java
@@ -21,17 +21,17 @@
    * A process may be held up for 0.15 s between a look at the clock and its write, and a line takes
    * its time from discovery to here.
    */
-  static final long MARGIN_NANOS = 250_000_000L;
+  static final long SEND_MARGIN_NANOS = 250_000_000L;
 
   /** A call that was turned away after more than this had its place in the queue. */
-  static final long PROMPT_NANOS = 1_000_000_000L;
+  static final long PROMPT_REJECTION_NANOS = 1_000_000_000L;
 
   /** What has changed before counts as told so long after a new configuration moved discovery. */
-  static final long MOVE_NANOS = 4_000_000_000L;
+  static final long MOVE_DELIVERY_NANOS = 4_000_000_000L;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final long toldNanos;
+  private final long deliveryNanos;
   private final boolean pushed;
 
   /** When the list was last known to be current. */
@@ -45,13 +45,13 @@
    * it held for seconds and turned away, an agent that took one and was silent. Nothing is told
    * then. When the list was confirmed if that is later.
    */
-  private long downNanos;
+  private long lastDownNanos;
 
   /** When an agent first stopped telling since then. */
-  private long untoldNanos = NEVER;
+  private long pushLostNanos = NEVER;
 
   /** When the newest call was made that was not answered in what may be an outage. */
-  private long unansweredNanos = NEVER;
+  private long lastUnansweredNanos = NEVER;
 
   /** Whether a watch has confirmed the list and not failed since. */
   private boolean watched;
@@ -69,28 +69,28 @@
    * @param pushed whether an agent beside the balancer has the list, so that a change counts as
    *     told at once where no watch is open
    */
-  ListLease(long nowNanos, long toldNanos, boolean pushed) {
-    this.toldNanos = toldNanos;
+  ListLease(long nowNanos, long deliveryNanos, boolean pushed) {
+    this.deliveryNanos = deliveryNanos;
     this.pushed = pushed;
     this.confirmedNanos = nowNanos;
-    this.downNanos = nowNanos;
-    this.untoldNanos = pushed ? nowNanos : NEVER;
+    this.lastDownNanos = nowNanos;
+    this.pushLostNanos = pushed ? nowNanos : NEVER;
   }
 
   /** Discovery has said that the list is current. */
-  void confirmed(long nowNanos) {
+  void onListConfirmed(long nowNanos) {
     confirmedNanos = nowNanos;
-    downNanos = nowNanos;
+    lastDownNanos = nowNanos;
     movedNanos = NEVER;
-    untoldNanos = NEVER;
-    unansweredNanos = NEVER;
+    pushLostNanos = NEVER;
+    lastUnansweredNanos = NEVER;
     watched = true;
     failed = false;
     discoveryRuns = false;
   }
 
   /** Discovery is asked at another address from now on. */
-  void moved(long nowNanos) {
+  void onDiscoveryMoved(long nowNanos) {
     movedNanos = Math.min(movedNanos, nowNanos);
   }
 
@@ -98,11 +98,11 @@
    * A watch has broken that had confirmed the list until then, or a call could not even be made
    * from here.
    */
-  void broken(long nowNanos) {
-    fails();
+  void onWatchBroken(long nowNanos) {
+    markFailed();
     if (pushed) {
-      untoldNanos = Math.min(untoldNanos, nowNanos);
-      unansweredNanos = nowNanos;
+      pushLostNanos = Math.min(pushLostNanos, nowNanos);
+      lastUnansweredNanos = nowNanos;
     }
   }
 
@@ -111,34 +111,34 @@
    * nothing then, and what it gets later counts from then on. What it had before that counts all
    * the same, if nobody was listening to it then.
    */
-  void agentSilent(long nowNanos) {
-    fails();
-    unansweredNanos = nowNanos;
-    if (untoldNanos == NEVER) {
-      downNanos = nowNanos;
+  void onAgentSilent(long nowNanos) {
+    markFailed();
+    lastUnansweredNanos = nowNanos;
+    if (pushLostNanos == NEVER) {
+      lastDownNanos = nowNanos;
     }
   }
 
-  private void fails() {
+  private void markFailed() {
     watched = false;
     failed = true;
   }
 
   /** A call was answered, and its answer broke off before it told anything. */
-  void cutShort() {
-    fails();
+  void onAnswerTruncated() {
+    markFailed();
     discoveryRuns = true;
   }
 
   /** A call was turned away, so long after it was made. */
-  void turnedAway(long calledNanos, long nowNanos, Settings.Obligations obligations) {
-    if (nowNanos - calledNanos > PROMPT_NANOS) {
-      boolean down = !discoveryRuns && calledNanos < earliestToldNanos(obligations);
-      unanswered(calledNanos, obligations);
-      downNanos = down ? Math.max(downNanos, calledNanos) : downNanos;
+  void onCallRejected(long callStartedNanos, long nowNanos, Settings.Obligations obligations) {
+    if (nowNanos - callStartedNanos > PROMPT_REJECTION_NANOS) {
+      boolean down = !discoveryRuns && callStartedNanos < earliestDeliveryNanos(obligations);
+      onCallUnanswered(callStartedNanos, obligations);
+      lastDownNanos = down ? Math.max(lastDownNanos, callStartedNanos) : lastDownNanos;
       return;
     }
-    fails();
+    markFailed();
     discoveryRuns = true;
   }
 
@@ -147,24 +147,25 @@
    * the first such call is taken for a long queue. One that was made when a change may have counted
    * as told already shows no outage in which it was not.
    */
-  void unanswered(long calledNanos, Settings.Obligations obligations) {
-    long known = unansweredNanos == NEVER ? confirmedNanos : unansweredNanos;
-    long limit = failed ? toldNanos : Math.max(toldNanos, obligations.subscribeWithinNanos());
-    boolean outage = !discoveryRuns && calledNanos < known + limit;
-    fails();
+  void onCallUnanswered(long callStartedNanos, Settings.Obligations obligations) {
+    long outageSinceNanos = lastUnansweredNanos == NEVER ? confirmedNanos : lastUnansweredNanos;
+    long limitNanos =
+        failed ? deliveryNanos : Math.max(deliveryNanos, obligations.subscribeWithinNanos());
+    boolean outage = !discoveryRuns && callStartedNanos < outageSinceNanos + limitNanos;
+    markFailed();
     if (outage) {
-      unansweredNanos = Math.max(known, calledNanos);
+      lastUnansweredNanos = Math.max(outageSinceNanos, callStartedNanos);
     }
     discoveryRuns = false;
   }
 
   /** How far the list may be acted on. */
   ListTrust trust(long nowNanos, Settings.Obligations obligations) {
-    long grace = obligations.stopSendingWithinNanos() - MARGIN_NANOS;
-    if (nowNanos < earliestToldNanos(obligations) + grace) {
+    long graceNanos = obligations.stopSendingWithinNanos() - SEND_MARGIN_NANOS;
+    if (nowNanos < earliestDeliveryNanos(obligations) + graceNanos) {
       return ListTrust.CURRENT;
     }
-    boolean mayBeOutage = nowNanos < toldAfterOutageNanos(obligations) + grace;
+    boolean mayBeOutage = nowNanos < outageDeliveryNanos(obligations) + graceNanos;
     return mayBeOutage ? ListTrust.SERVING_ONLY : ListTrust.NONE;
   }
 
@@ -172,40 +173,45 @@
    * Whether a server may be sent to that took an attempt at a time and served it. If it began to
    * drain it did so later, and the grace lasts from then at least.
    */
-  static boolean serving(long tookNanos, long nowNanos, Settings.Obligations obligations) {
-    return nowNanos < tookNanos + obligations.stopSendingWithinNanos() - MARGIN_NANOS;
+  static boolean recentlyServed(
+      long lastServedSentNanos, long nowNanos, Settings.Obligations obligations) {
+    return nowNanos
+        < lastServedSentNanos + obligations.stopSendingWithinNanos() - SEND_MARGIN_NANOS;
   }
 
   /** The earliest time at which a change that was not heard can count as told. */
-  private long earliestToldNanos(Settings.Obligations obligations) {
-    long told = downNanos + limitNanos(obligations);
-    return Math.min(Math.min(told, untoldNanos), toldWithMoveNanos());
+  private long earliestDeliveryNanos(Settings.Obligations obligations) {
+    long withoutMoveNanos = lastDownNanos + effectiveDeliveryNanos(obligations);
+    return Math.min(Math.min(withoutMoveNanos, pushLostNanos), moveDeliveryNanos());
   }
 
   /** The same if discovery was down when the newest call was made that was not answered. */
-  private long toldAfterOutageNanos(Settings.Obligations obligations) {
+  private long outageDeliveryNanos(Settings.Obligations obligations) {
     if (!failed) {
       // With no call that failed a balancer is held to its list for as long as it may not ask.
-      return Math.min(confirmedNanos + obligations.subscribeWithinNanos(), toldWithMoveNanos());
+      return Math.min(confirmedNanos + obligations.subscribeWithinNanos(), moveDeliveryNanos());
     }
-    if (unansweredNanos == NEVER || discoveryRuns) {
+    if (lastUnansweredNanos == NEVER || discoveryRuns) {
       return confirmedNanos;
     }
-    long limit = limitNanos(obligations);
-    return unansweredNanos + (movedNanos == NEVER ? limit : Math.min(limit, MOVE_NANOS));
+    long limitNanos = effectiveDeliveryNanos(obligations);
+    return lastUnansweredNanos
+        + (movedNanos == NEVER ? limitNanos : Math.min(limitNanos, MOVE_DELIVERY_NANOS));
   }
 
-  private long toldWithMoveNanos() {
+  private long moveDeliveryNanos() {
     if (movedNanos == NEVER) {
       return NEVER;
     }
-    return (pushed ? movedNanos : Math.max(movedNanos, downNanos)) + MOVE_NANOS;
+    return (pushed ? movedNanos : Math.max(movedNanos, lastDownNanos)) + MOVE_DELIVERY_NANOS;
   }
 
   /** With no watch a balancer is held to its list for as long as it may leave off asking. */
-  private long limitNanos(Settings.Obligations obligations) {
-    boolean held = watched || pushed;
-    return held ? toldNanos : Math.min(toldNanos, obligations.subscribeWithinNanos());
+  private long effectiveDeliveryNanos(Settings.Obligations obligations) {
+    boolean subscribedOrPushed = watched || pushed;
+    return subscribedOrPushed
+        ? deliveryNanos
+        : Math.min(deliveryNanos, obligations.subscribeWithinNanos());
   }
 
   /** For how long the list has not been confirmed. */
--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -17,20 +17,20 @@
 /** Follows the list of servers: who is known, in service, cold; and asks where it must be asked. */
 final class Membership {
   /** A cold server gets at most this multiple of its fair part of the traffic. */
-  static final double COLD_HEADROOM = 0.9;
+  static final double COLD_BUDGET_SHARE = 0.9;
 
   Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
-  final Map<Long, Server> known = new HashMap<>();
+  final Map<Long, Server> servers = new HashMap<>();
   private final List<Server> cold = new ArrayList<>();
   final WorkingSet near;
   final WorkingSet far;
   final WorkingSet spare;
-  private int coldTurn;
-  private double heaviest = 1;
-  private final DiscoveryBackoff calls;
-  private final StartTimeEstimator starts = new StartTimeEstimator();
+  private int coldIndex;
+  private double maxWeight = 1;
+  private final DiscoveryBackoff backoff;
+  private final StartTimeEstimator startTimes = new StartTimeEstimator();
 
   /** Null where a list holds until the next one comes. */
   private ListLease lease;
@@ -39,89 +39,89 @@
   private boolean calling;
 
   /** Whether discovery has another address since movedNanos and was not called there yet. */
-  private boolean moving;
+  private boolean moveCallPending;
 
-  private long movedNanos;
-  private final boolean asks;
+  private long firstMoveNanos;
+  private final boolean subscribes;
   private ListTrust trust = ListTrust.CURRENT;
-  private long calledNanos;
+  private long callStartedNanos;
   private long callDueNanos;
 
   Membership(Settings settings, Actions actions, SplittableRandom random) {
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    this.calls = new DiscoveryBackoff(random);
-    this.asks = settings.subscribes();
+    this.backoff = new DiscoveryBackoff(random);
+    this.subscribes = settings.subscribes();
     long idleNanos = settings.limits().keepAliveNanos();
-    this.near = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
-    this.far = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
-    this.spare = new WorkingSet(random, idleNanos, 0, this::mayUse);
+    this.near = new WorkingSet(random, idleNanos, WorkingSet.MIN_MEMBERS, this::allowedByList);
+    this.far = new WorkingSet(random, idleNanos, WorkingSet.MIN_MEMBERS, this::allowedByList);
+    this.spare = new WorkingSet(random, idleNanos, 0, this::allowedByList);
   }
 
   /** Plans the first call: spread by seed, since all instances may start at once. */
   void start(long nowNanos) {
-    if (asks) {
-      callIn(nowNanos, calls.first(settings.obligations().subscribeWithinNanos()));
+    if (subscribes) {
+      scheduleCall(nowNanos, backoff.firstCall(settings.obligations().subscribeWithinNanos()));
     }
   }
 
   /** From now on a list that is not confirmed may be acted on for a limited time only. */
-  void limitAge(long nowNanos, long toldNanos) {
-    lease = new ListLease(nowNanos, toldNanos, !asks);
-    if (asks && callDueNanos - nowNanos > toldNanos) {
+  void limitListAge(long nowNanos, long deliveryNanos) {
+    lease = new ListLease(nowNanos, deliveryNanos, !subscribes);
+    if (subscribes && callDueNanos - nowNanos > deliveryNanos) {
       // Spread over the time for asking the first call would come when changes have been told.
-      callIn(nowNanos, (callDueNanos - nowNanos) % toldNanos);
+      scheduleCall(nowNanos, (callDueNanos - nowNanos) % deliveryNanos);
     }
   }
 
   /** Only the newest plan counts: one call at a time, or all instances together drown discovery. */
-  private void callIn(long nowNanos, long delayNanos) {
+  private void scheduleCall(long nowNanos, long delayNanos) {
     callDueNanos = nowNanos + delayNanos;
-    actions.setTimer(delayNanos, Balancer.ASK);
+    actions.setTimer(delayNanos, Balancer.SUBSCRIBE_TIMER);
   }
 
   /** A timer for a call has come due: calls if the subscription is missing. */
-  void ask(long nowNanos) {
+  void onSubscribeTimer(long nowNanos) {
     if (nowNanos < callDueNanos - Balancer.TIMER_SLACK_NANOS) {
       return;
     }
     if (!subscribed) {
       call(nowNanos);
     }
-    callIn(nowNanos, calls.repeat(settings.obligations().subscribeWithinNanos()));
+    scheduleCall(nowNanos, backoff.repeatCall(settings.obligations().subscribeWithinNanos()));
   }
 
   private void call(long nowNanos) {
-    moving = false;
+    moveCallPending = false;
     if (!calling) {
-      calledNanos = nowNanos; // Else the one that is out keeps its turn.
+      callStartedNanos = nowNanos; // Else the one that is out keeps its turn.
     }
     calling = true;
     actions.watch(true);
   }
 
   /** Discovery is to be asked at another address, where nobody is asked yet. */
-  void moved(long nowNanos) {
-    if (!moving) {
-      moving = true;
-      movedNanos = nowNanos;
+  void onDiscoveryMoved(long nowNanos) {
+    if (!moveCallPending) {
+      moveCallPending = true;
+      firstMoveNanos = nowNanos;
     }
     if (lease != null) {
-      lease.moved(nowNanos);
+      lease.onDiscoveryMoved(nowNanos);
     }
-    if (asks) {
+    if (subscribes) {
       subscribed = false;
       calling = false;
-      callIn(nowNanos, calls.settle(nowNanos - movedNanos));
+      scheduleCall(nowNanos, backoff.afterMove(nowNanos - firstMoveNanos));
     }
   }
 
   /** Discovery has said that the list is current. */
-  void confirmed(long nowNanos) {
-    starts.heard(nowNanos);
+  void onListConfirmed(long nowNanos) {
+    startTimes.onContact(nowNanos);
     if (lease != null) {
-      lease.confirmed(nowNanos);
+      lease.onListConfirmed(nowNanos);
       trust(nowNanos);
     }
   }
@@ -143,78 +143,82 @@
   }
 
   /** Whether the list lets a server be sent to; {@link #trust} has been asked at this time. */
-  boolean mayUse(Server server, long nowNanos) {
+  boolean allowedByList(Server server, long nowNanos) {
     return switch (trust) {
       case CURRENT -> true;
-      case SERVING_ONLY -> ListLease.serving(server.tookNanos, nowNanos, settings.obligations());
+      case SERVING_ONLY ->
+          ListLease.recentlyServed(server.lastServedSentNanos, nowNanos, settings.obligations());
       case NONE -> false;
     };
   }
 
   /** Whether the list lets no server at all be sent to. */
-  boolean suspended(long nowNanos) {
+  boolean noneAllowedByList(long nowNanos) {
     return switch (trust(nowNanos)) {
       case CURRENT -> false;
-      case SERVING_ONLY -> known.values().stream().noneMatch(server -> mayUse(server, nowNanos));
+      case SERVING_ONLY ->
+          servers.values().stream().noneMatch(server -> allowedByList(server, nowNanos));
       case NONE -> true;
     };
   }
 
   /** A call has failed or a watch has broken: another call is planned. */
-  private void onFailure(long nowNanos, ListUpdate form) {
-    boolean called = calling;
+  private void onFailure(long nowNanos, ListUpdate update) {
+    boolean callFailed = calling;
     subscribed = false;
     calling = false;
     if (lease != null) {
-      tellLease(nowNanos, form, called);
+      recordFailure(nowNanos, update, callFailed);
     }
-    if (asks && !moving) {
-      callIn(nowNanos, waitAfter(form, called, nowNanos - calledNanos));
+    if (subscribes && !moveCallPending) {
+      scheduleCall(nowNanos, backoffAfter(update, callFailed, nowNanos - callStartedNanos));
     }
   }
 
-  private long waitAfter(ListUpdate form, boolean called, long tookNanos) {
-    if (called && tookNanos > ListLease.PROMPT_NANOS) {
-      return calls.afterWait();
+  private long backoffAfter(ListUpdate update, boolean callFailed, long durationNanos) {
+    if (callFailed && durationNanos > ListLease.PROMPT_REJECTION_NANOS) {
+      return backoff.afterTimeout();
     }
-    return called && form == ListUpdate.REJECTED ? calls.afterTurnedAway() : calls.afterFailure();
+    return callFailed && update == ListUpdate.REJECTED
+        ? backoff.afterRejection()
+        : backoff.afterFailure();
   }
 
-  private void tellLease(long nowNanos, ListUpdate form, boolean called) {
-    if (!asks && form == ListUpdate.SILENT) {
-      lease.agentSilent(nowNanos);
-    } else if (!called || form == ListUpdate.NOT_SENT) {
-      lease.broken(nowNanos);
-    } else if (form == ListUpdate.REJECTED) {
-      lease.turnedAway(calledNanos, nowNanos, settings.obligations());
-    } else if (form == ListUpdate.TRUNCATED) {
-      lease.cutShort();
+  private void recordFailure(long nowNanos, ListUpdate update, boolean callFailed) {
+    if (!subscribes && update == ListUpdate.SILENT) {
+      lease.onAgentSilent(nowNanos);
+    } else if (!callFailed || update == ListUpdate.NOT_SENT) {
+      lease.onWatchBroken(nowNanos);
+    } else if (update == ListUpdate.REJECTED) {
+      lease.onCallRejected(callStartedNanos, nowNanos, settings.obligations());
+    } else if (update == ListUpdate.TRUNCATED) {
+      lease.onAnswerTruncated();
     } else {
-      lease.unanswered(calledNanos, settings.obligations());
+      lease.onCallUnanswered(callStartedNanos, settings.obligations());
     }
   }
 
   /** Takes news; after a call that failed another is planned. */
-  void onNews(long nowNanos, ListUpdate form, List<ServerEntry> entries) {
-    if (form.isFailure()) {
-      onFailure(nowNanos, form);
+  void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries) {
+    if (update.isFailure()) {
+      onFailure(nowNanos, update);
       return;
     }
-    if (form.answersCall() && calling) {
+    if (update.answersCall() && calling) {
       subscribed = true;
       calling = false;
-      calls.answered();
+      backoff.reset();
     }
-    if (form.isFull()) {
-      dropMissing(entries);
+    if (update.isFull()) {
+      dropUnlisted(entries);
     }
-    starts.onList(nowNanos, form, entries, settings.obligations().warmUpNanos());
+    startTimes.onListUpdate(nowNanos, update, entries, settings.obligations().warmUpNanos());
     for (ServerEntry entry : entries) {
-      apply(nowNanos, entry);
+      applyEntry(nowNanos, entry);
     }
     // One that is gone is dropped with its last call; if it comes back it is met as a stranger.
-    known.values().removeIf(it -> it.health == Health.GONE && it.inFlight == 0);
-    heaviest = known.values().stream().mapToDouble(server -> server.weight).max().orElse(1);
+    servers.values().removeIf(it -> it.health == Health.GONE && it.inFlight == 0);
+    maxWeight = servers.values().stream().mapToDouble(server -> server.weight).max().orElse(1);
   }
 
   int poolSize() {
@@ -222,68 +226,70 @@
   }
 
   /** Servers by state, and the sum of the windows of those that serve. */
-  String figures(long nowNanos) {
-    int resting = 0;
-    int silent = 0;
+  String summary(long nowNanos) {
+    int ejectedCount = 0;
+    int unresponsiveCount = 0;
     int inFlight = 0;
     double windows = 0;
-    for (Server server : known.values()) {
+    for (Server server : servers.values()) {
       inFlight += server.inFlight;
-      boolean rests = server.resting(nowNanos);
-      boolean quiet = !rests && server.silent(nowNanos);
-      resting += rests ? 1 : 0;
-      silent += quiet ? 1 : 0;
-      windows += rests || quiet || server.health != Health.READY ? 0 : server.window.window();
+      boolean ejected = server.ejected(nowNanos);
+      boolean unresponsive = !ejected && server.unresponsive(nowNanos);
+      ejectedCount += ejected ? 1 : 0;
+      unresponsiveCount += unresponsive ? 1 : 0;
+      windows +=
+          ejected || unresponsive || server.health != Health.READY ? 0 : server.window.window();
     }
     return String.format(
         "%d servers, cold %d, resting %d, silent %d, near %s, far %s, calls %d in %.0f",
-        known.size(), cold.size(), resting, silent, near, far, inFlight, windows);
+        servers.size(), cold.size(), ejectedCount, unresponsiveCount, near, far, inFlight, windows);
   }
 
   WorkingSet setOf(Server server) {
-    return server.part == SubsetRole.SPARE ? spare : server.near ? near : far;
+    return server.role == SubsetRole.SPARE ? spare : server.near ? near : far;
   }
 
-  private void dropMissing(List<ServerEntry> entries) {
+  private void dropUnlisted(List<ServerEntry> entries) {
     Set<Long> listed = entries.stream().map(ServerEntry::id).collect(Collectors.toSet());
-    for (Server server : known.values()) {
+    for (Server server : servers.values()) {
       if (!listed.contains(server.id)) {
-        withdraw(server);
+        removeFromSets(server);
         server.health = Health.GONE;
       }
     }
   }
 
-  private void apply(long nowNanos, ServerEntry entry) {
-    Server server = known.computeIfAbsent(entry.id(), Server::new);
+  private void applyEntry(long nowNanos, ServerEntry entry) {
+    Server server = servers.computeIfAbsent(entry.id(), Server::new);
     boolean restarted =
         entry.startedNanos() != server.startedNanos
-            && server.started(
-                entry.startedNanos(), nowNanos - starts.ageNanos(nowNanos, entry.startedNanos()));
-    withdraw(server);
-    server.describe(entry, settings.zone());
+            && server.startTimeChanged(
+                entry.startedNanos(),
+                nowNanos - startTimes.ageNanos(nowNanos, entry.startedNanos()));
+    removeFromSets(server);
+    server.update(entry, settings.zone());
     if (restarted) {
       server.coldTokens = random.nextDouble();
       server.coldFilledNanos = nowNanos;
-      server.failures = 0;
-      server.restUntilNanos = nowNanos;
+      server.consecutiveEjections = 0;
+      server.ejectedUntilNanos = nowNanos;
     }
-    boolean serves = server.health == Health.READY;
-    if (serves && coldNow(server, nowNanos)) {
+    boolean ready = server.health == Health.READY;
+    if (ready && isCold(server, nowNanos)) {
       cold.add(server);
-    } else if (serves) {
+    } else if (ready) {
       setOf(server).add(server);
     }
   }
 
-  private void withdraw(Server server) {
+  private void removeFromSets(Server server) {
     if (server.poolIndex >= 0) {
       setOf(server).remove(server);
     }
     cold.remove(server);
   }
 
-  boolean coldNow(Server server, long nowNanos) {
+  boolean isCold(Server server, long nowNanos) {
     return server.startedNanos > 0
         && nowNanos - server.coldSinceNanos < settings.obligations().warmUpNanos();
   }
@@ -292,33 +298,34 @@
    * A cold server that may take a call now, or null. It gets a part of a warm one's rate, growing
    * as the slowest permitted warm-up does; buckets start at random, or all would send at once.
    */
-  Server coldTurn(Request request, long nowNanos, double ratePerSecond) {
+  Server nextCold(Request request, long nowNanos, double ratePerSecond) {
     if (cold.isEmpty()) {
       return null;
     }
-    coldTurn = (coldTurn + 1) % cold.size();
-    Server server = cold.get(coldTurn);
-    if (!coldNow(server, nowNanos)) {
-      cold.remove(coldTurn);
+    coldIndex = (coldIndex + 1) % cold.size();
+    Server server = cold.get(coldIndex);
+    if (!isCold(server, nowNanos)) {
+      cold.remove(coldIndex);
       setOf(server).add(server);
       return null;
     }
-    double fair = ratePerSecond / Math.max(1, poolSize() + cold.size());
-    fair *= server.weight / heaviest; // A light server starts with little; a heavy one is fair.
-    double elapsed = (nowNanos - server.coldFilledNanos) / 1e9;
+    double fairRate = ratePerSecond / Math.max(1, poolSize() + cold.size());
+    fairRate *=
+        server.weight / maxWeight; // A light server starts with little; a heavy one is fair.
+    double elapsedSeconds = (nowNanos - server.coldFilledNanos) / 1e9;
     server.coldFilledNanos = nowNanos;
-    double filled = elapsed * fair * COLD_HEADROOM * capacityShare(server, nowNanos);
+    double filled = elapsedSeconds * fairRate * COLD_BUDGET_SHARE * warmUpShare(server, nowNanos);
     server.coldTokens = Math.min(1.5, server.coldTokens + filled);
     if (server.coldTokens < 1
-        || server.part == SubsetRole.SPARE
+        || server.role == SubsetRole.SPARE
         || !server.hasRoom(nowNanos)
-        || !mayUse(server, nowNanos)) {
+        || !allowedByList(server, nowNanos)) {
       return null;
     }
     return request.maySendTo(server, nowNanos) ? server : null;
   }
 
-  private double capacityShare(Server server, long nowNanos) {
+  private double warmUpShare(Server server, long nowNanos) {
     double start = settings.obligations().startCapacity();
     double age = (double) (nowNanos - server.coldSinceNanos) / settings.obligations().warmUpNanos();
     return start + (1 - start) * Math.max(0, Math.min(1, age));
--- a/src/main/java/heathswitch/policy/core/Request.java
+++ b/src/main/java/heathswitch/policy/core/Request.java
@@ -13,7 +13,7 @@
     final long sentNanos;
     final long overdueNanos;
     boolean open = true;
-    boolean begun;
+    boolean answerBegun;
     boolean mayHaveRun;
 
     Attempt(Request request, Server server, int number, long sentNanos, long overdueNanos) {
@@ -28,51 +28,56 @@
   final long id;
 
   /** The settings that it was taken under, which decide over it to its end. */
-  final ActiveSettings rules;
+  final ActiveSettings settings;
 
   final int classIndex;
-  final RequestClass type;
-  final RequestProtocol form;
+  final RequestClass requestClass;
+  final RequestProtocol protocol;
   final long arrivedNanos;
   final long deadlineNanos;
   Attempt[] attempts = new Attempt[2];
-  int tries;
-  int open;
-  boolean over;
-  boolean waiting;
-  long waitUntilNanos;
+  int attemptCount;
+  int openAttempts;
+  boolean finished;
+  boolean queued;
+  long queuedUntilNanos;
 
   Request(
-      long id, ActiveSettings rules, String type, RequestProtocol form, long nowNanos, long ttl) {
+      long id,
+      ActiveSettings settings,
+      String className,
+      RequestProtocol protocol,
+      long nowNanos,
+      long ttlNanos) {
     this.id = id;
-    this.rules = rules;
-    this.classIndex = rules.classOf(type);
-    this.type = rules.type(classIndex);
-    this.form = form;
+    this.settings = settings;
+    this.classIndex = settings.classIndexOf(className);
+    this.requestClass = settings.requestClass(classIndex);
+    this.protocol = protocol;
     this.arrivedNanos = nowNanos;
-    this.deadlineNanos = nowNanos + ttl;
+    this.deadlineNanos = nowNanos + ttlNanos;
   }
 
   /** What its class takes at present. */
-  double classDelay() {
-    return rules.classDelay[classIndex];
+  double expectedDelayNanos() {
+    return settings.classDelayNanos[classIndex];
   }
 
   void add(Attempt attempt) {
-    if (tries == attempts.length) {
-      attempts = java.util.Arrays.copyOf(attempts, 2 * tries);
+    if (attemptCount == attempts.length) {
+      attempts = java.util.Arrays.copyOf(attempts, 2 * attemptCount);
     }
-    attempts[tries++] = attempt;
-    open++;
+    attempts[attemptCount++] = attempt;
+    openAttempts++;
   }
 
   /** The earliest attempt that is out or may have run, or null; it binds all that follow. */
-  Attempt binding() {
-    return binding(tries);
+  Attempt bindingAttempt() {
+    return bindingAttempt(attemptCount);
   }
 
-  private Attempt binding(int before) {
-    for (int i = 0; i < before; i++) {
+  private Attempt bindingAttempt(int count) {
+    for (int i = 0; i < count; i++) {
       if (attempts[i].open || attempts[i].mayHaveRun) {
         return attempts[i];
       }
@@ -82,24 +87,25 @@
 
   /** Whether the class's rule lets one more attempt go to this server now. */
   boolean maySendTo(Server server, long nowNanos) {
-    return maySend(tries, server, nowNanos);
+    return maySend(attemptCount, server, nowNanos);
   }
 
   /** The same for the attempt of this number. */
   boolean maySend(int number, Server server, long nowNanos) {
-    Attempt binding = type.effect() == RequestClass.Effect.SAFE ? null : binding(number);
-    boolean speaks = (server.speaks & form.protocolBit()) != 0;
-    return speaks && (binding == null || mayRepeat(binding, server, nowNanos));
+    Attempt binding =
+        requestClass.effect() == RequestClass.Effect.SAFE ? null : bindingAttempt(number);
+    boolean protocolSupported = (server.protocols & protocol.protocolBit()) != 0;
+    return protocolSupported && (binding == null || mayRepeat(binding, server, nowNanos));
   }
 
-  private boolean mayRepeat(Attempt binding, Server server, long nowNanos) {
-    return type.effect() == RequestClass.Effect.KEYED
-        && nowNanos - binding.sentNanos < type.dedupWindowNanos()
-        && inGroup(binding.server, server);
+  private boolean mayRepeat(Attempt bound, Server server, long nowNanos) {
+    return requestClass.effect() == RequestClass.Effect.KEYED
+        && nowNanos - bound.sentNanos < requestClass.dedupWindowNanos()
+        && inDedupGroup(bound.server, server);
   }
 
-  private boolean inGroup(Server first, Server other) {
-    return switch (type.group()) {
+  private boolean inDedupGroup(Server first, Server other) {
+    return switch (requestClass.group()) {
       case ALL -> true;
       case ZONE -> first.zone.equals(other.zone);
       case CELL -> first.cell == other.cell;
@@ -107,9 +113,10 @@
   }
 
   /** Whether the class's rule lets the client be told that a retry is harmless. */
-  boolean mayRefuse() {
-    return type.effect() == RequestClass.Effect.SAFE
-        || (type.effect() == RequestClass.Effect.KEYED && type.group() == RequestClass.Group.ALL)
-        || binding() == null;
+  boolean mayAdviseRetry() {
+    return requestClass.effect() == RequestClass.Effect.SAFE
+        || (requestClass.effect() == RequestClass.Effect.KEYED
+            && requestClass.group() == RequestClass.Group.ALL)
+        || bindingAttempt() == null;
   }
 }
--- a/src/main/java/heathswitch/policy/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -9,18 +9,18 @@
 /** What one balancer knows of one server. */
 final class Server {
   /** First rest after a cut for cause; doubled with each further one. */
-  static final long REST_NANOS = 500_000_000L;
+  static final long EJECTION_NANOS = 500_000_000L;
 
-  static final int MOST_DOUBLINGS = 4;
+  static final int MAX_DOUBLINGS = 4;
 
   /** Weight of one result in the server's share of errors. */
-  static final double ERROR_WEIGHT = 0.2;
+  static final double ERROR_SAMPLE_WEIGHT = 0.2;
 
   final long id;
   String zone;
   long cell;
   boolean near;
-  SubsetRole part = SubsetRole.ANY;
+  SubsetRole role = SubsetRole.ANY;
   Health health = Health.GONE;
 
   /** As discovery tells it, by its own clock; 0 for long ago. */
@@ -29,29 +29,29 @@
   /** Since when it is cold, by this balancer's clock. */
   long coldSinceNanos;
 
-  private long beforeStartedNanos = -1;
-  private long beforeColdSinceNanos;
+  private long previousStartedNanos = -1;
+  private long previousColdSinceNanos;
   double weight = 1;
-  int speaks;
+  int protocols;
 
   /** Its next turn among servers of other weights, in the virtual time of its set. */
-  double due;
+  double virtualTurn;
 
   final DelayWindow window = new DelayWindow();
   int inFlight;
 
   /** Calls in flight whose answer has not begun, oldest first. */
-  private final Set<Request.Attempt> owed = new LinkedHashSet<>();
+  private final Set<Request.Attempt> unanswered = new LinkedHashSet<>();
 
-  long heardNanos = Long.MIN_VALUE / 2;
-  long usedNanos = Long.MIN_VALUE / 2;
+  long lastResponseNanos = Long.MIN_VALUE / 2;
+  long lastUsedNanos = Long.MIN_VALUE / 2;
 
   /** When the newest attempt was made that it took and served. */
-  long tookNanos = Long.MIN_VALUE / 2;
+  long lastServedSentNanos = Long.MIN_VALUE / 2;
 
-  long restUntilNanos = Long.MIN_VALUE / 2;
-  int failures;
-  double errorShare;
+  long ejectedUntilNanos = Long.MIN_VALUE / 2;
+  int consecutiveEjections;
+  double errorRate;
   double coldTokens;
   long coldFilledNanos;
   int poolIndex = -1;
@@ -61,13 +61,13 @@
     this.id = id;
   }
 
-  void describe(ServerEntry entry, String ownZone) {
+  void update(ServerEntry entry, String ownZone) {
     zone = entry.zone();
     cell = entry.cell();
-    part = entry.role();
-    near = part == SubsetRole.OWN || zone == null || zone.equals(ownZone);
+    role = entry.role();
+    near = role == SubsetRole.OWN || zone == null || zone.equals(ownZone);
     health = entry.health();
-    speaks = entry.protocols();
+    protocols = entry.protocols();
     weight = entry.weight() > 0 && entry.weight() < 1e9 ? entry.weight() : 1;
   }
 
@@ -77,56 +77,56 @@
    *
    * @return whether it is a new start
    */
-  boolean started(long toNanos, long sinceNanos) {
-    boolean stoodBefore = toNanos == beforeStartedNanos;
-    long coldSince = stoodBefore ? beforeColdSinceNanos : sinceNanos;
-    beforeStartedNanos = startedNanos;
-    beforeColdSinceNanos = coldSinceNanos;
-    startedNanos = toNanos;
+  boolean startTimeChanged(long newStartedNanos, long newColdSinceNanos) {
+    boolean restoresPrevious = newStartedNanos == previousStartedNanos;
+    long coldSince = restoresPrevious ? previousColdSinceNanos : newColdSinceNanos;
+    previousStartedNanos = startedNanos;
+    previousColdSinceNanos = coldSinceNanos;
+    startedNanos = newStartedNanos;
     coldSinceNanos = coldSince;
-    return !stoodBefore;
+    return !restoresPrevious;
   }
 
-  boolean resting(long nowNanos) {
-    return restUntilNanos > nowNanos;
+  boolean ejected(long nowNanos) {
+    return ejectedUntilNanos > nowNanos;
   }
 
   /** Silent: nothing at all came back for as long as makes its oldest call overdue. */
-  boolean silent(long nowNanos) {
-    if (owed.isEmpty()) {
+  boolean unresponsive(long nowNanos) {
+    if (unanswered.isEmpty()) {
       return false;
     }
-    Request.Attempt head = owed.iterator().next();
-    long quiet = nowNanos - Math.max(heardNanos, head.sentNanos);
-    return quiet > head.overdueNanos - head.sentNanos;
+    Request.Attempt oldest = unanswered.iterator().next();
+    long quietNanos = nowNanos - Math.max(lastResponseNanos, oldest.sentNanos);
+    return quietNanos > oldest.overdueNanos - oldest.sentNanos;
   }
 
   boolean hasRoom(long nowNanos) {
-    return inFlight < window.size() && !resting(nowNanos) && !silent(nowNanos);
+    return inFlight < window.size() && !ejected(nowNanos) && !unresponsive(nowNanos);
   }
 
   /** Leaves service for a while: longer each time, and never in step with other balancers. */
-  void rest(long nowNanos, double jitter) {
-    window.leaveRoom(inFlight - owed.size());
-    long base = REST_NANOS << Math.min(failures, MOST_DOUBLINGS);
-    failures++;
-    restUntilNanos = nowNanos + (long) (base * (0.5 + jitter));
+  void eject(long nowNanos, double jitter) {
+    window.reserveFor(inFlight - unanswered.size());
+    long baseNanos = EJECTION_NANOS << Math.min(consecutiveEjections, MAX_DOUBLINGS);
+    consecutiveEjections++;
+    ejectedUntilNanos = nowNanos + (long) (baseNanos * (0.5 + jitter));
   }
 
   void onSend(Request.Attempt attempt) {
     inFlight++;
-    usedNanos = attempt.sentNanos;
-    owed.add(attempt);
+    lastUsedNanos = attempt.sentNanos;
+    unanswered.add(attempt);
   }
 
   /** It has answered; what still comes may take as long as the caller likes. */
-  void onFirst(Request.Attempt attempt) {
-    owed.remove(attempt);
-    attempt.begun = true;
+  void onAnswerBegun(Request.Attempt attempt) {
+    unanswered.remove(attempt);
+    attempt.answerBegun = true;
   }
 
   void onEnd(Request.Attempt attempt) {
     inFlight--;
-    owed.remove(attempt);
+    unanswered.remove(attempt);
   }
 }
--- a/src/main/java/heathswitch/policy/core/StartTimeEstimator.java
+++ b/src/main/java/heathswitch/policy/core/StartTimeEstimator.java
@@ -14,54 +14,54 @@
  */
 final class StartTimeEstimator {
   /** One in so many servers may be held to be cold for want of a better clock. */
-  private static final int PRESUMED_ONE_IN = 3;
+  private static final int PRESUMED_COLD_DIVISOR = 3;
 
   /** A server may run for so long before discovery tells of it. */
-  static final long NOTICE_NANOS = 3_000_000_000L;
+  static final long DISCOVERY_LAG_NANOS = 3_000_000_000L;
 
   /** Whether discovery has told a list in this instance's life. */
-  private boolean listed;
+  private boolean listReceived;
 
   /** When discovery last said anything of the list, and the span from then to the newest list. */
-  private long heardNanos;
+  private long lastContactNanos;
 
-  private long spanNanos;
+  private long maxAgeNanos;
 
-  private boolean first = true;
-  private boolean presumed;
-  private long newestNanos;
+  private boolean firstList = true;
+  private boolean newestIsNow;
+  private long newestStartNanos;
 
   /** A list is about to be taken. */
-  void onList(long nowNanos, ListUpdate form, List<ServerEntry> entries, long warmUpNanos) {
-    first = !listed;
-    listed |= form.answersCall();
-    spanNanos = nowNanos - heardNanos + NOTICE_NANOS;
-    if (form != ListUpdate.UNSOLICITED_DELTA) {
-      heard(nowNanos);
+  void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries, long warmUpNanos) {
+    firstList = !listReceived;
+    listReceived |= update.answersCall();
+    maxAgeNanos = nowNanos - lastContactNanos + DISCOVERY_LAG_NANOS;
+    if (update != ListUpdate.UNSOLICITED_DELTA) {
+      onContact(nowNanos);
     }
-    if (!first) {
+    if (!firstList) {
       return;
     }
-    newestNanos = entries.stream().mapToLong(ServerEntry::startedNanos).max().orElse(0);
-    long young = entries.stream().filter(entry -> young(entry, warmUpNanos)).count();
-    presumed = young * PRESUMED_ONE_IN <= entries.size();
+    newestStartNanos = entries.stream().mapToLong(ServerEntry::startedNanos).max().orElse(0);
+    long recent = entries.stream().filter(entry -> startedRecently(entry, warmUpNanos)).count();
+    newestIsNow = recent * PRESUMED_COLD_DIVISOR <= entries.size();
   }
 
   /** Discovery has told all that it knew. */
-  void heard(long nowNanos) {
-    heardNanos = nowNanos;
+  void onContact(long nowNanos) {
+    lastContactNanos = nowNanos;
   }
 
-  private boolean young(ServerEntry entry, long warmUpNanos) {
-    return entry.startedNanos() > 0 && newestNanos - entry.startedNanos() < warmUpNanos;
+  private boolean startedRecently(ServerEntry entry, long warmUpNanos) {
+    return entry.startedNanos() > 0 && newestStartNanos - entry.startedNanos() < warmUpNanos;
   }
 
   /** How long ago a start was that the newest list tells for the first time, by no clock's word. */
   long ageNanos(long nowNanos, long startedNanos) {
     long ageNanos = Math.max(0, nowNanos - startedNanos);
-    if (!first) {
-      return ageNanos <= spanNanos ? ageNanos : 0;
+    if (!firstList) {
+      return ageNanos <= maxAgeNanos ? ageNanos : 0;
     }
-    return presumed ? Math.min(ageNanos, newestNanos - startedNanos) : ageNanos;
+    return newestIsNow ? Math.min(ageNanos, newestStartNanos - startedNanos) : ageNanos;
   }
 }
--- a/src/main/java/heathswitch/policy/core/WorkingSet.java
+++ b/src/main/java/heathswitch/policy/core/WorkingSet.java
@@ -13,48 +13,48 @@
  */
 final class WorkingSet {
   /** Members below which the set widens even while members have room. */
-  static final int LEAST = 16;
+  static final int MIN_MEMBERS = 16;
 
-  static final int MOST = 48;
+  static final int MAX_MEMBERS = 48;
 
   /** Random draws from the pool before the search is given up. */
-  static final int DRAWS = 6;
+  static final int MAX_DRAWS = 6;
 
   /** Calls of the lighter of two servers that count as no difference. */
-  static final double LEVEL_CALLS = 2;
+  static final double TIE_CALLS = 2;
 
   /** Whether a server may be used at all at a time, whatever room it has. */
-  interface Usable {
+  interface Eligibility {
     boolean test(Server server, long nowNanos);
   }
 
   /** By what they speak: a request draws from those of its protocol alone and those of both. */
-  private final List<List<Server>> pools =
+  private final List<List<Server>> poolsByProtocols =
       List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
 
   /** Members by what they speak. */
-  private final int[] joined = new int[RequestProtocol.PROTOCOL_SETS];
+  private final int[] membersByProtocols = new int[RequestProtocol.PROTOCOL_SETS];
 
   private final List<Server> members = new ArrayList<>();
-  private final Usable usable;
+  private final Eligibility eligibility;
   private final SplittableRandom random;
-  private final long idleNanos;
-  private final int least;
+  private final long maxIdleNanos;
+  private final int minMembers;
 
   /** Servers of the pool that this balancer is to use: all of them are members if they can be. */
-  private int own;
+  private int ownCount;
 
-  private double turn;
+  private double virtualTime;
 
-  WorkingSet(SplittableRandom random, long idleNanos, int least, Usable usable) {
-    this.usable = usable;
+  WorkingSet(SplittableRandom random, long maxIdleNanos, int minMembers, Eligibility eligibility) {
+    this.eligibility = eligibility;
     this.random = random;
-    this.idleNanos = idleNanos;
-    this.least = least;
+    this.maxIdleNanos = maxIdleNanos;
+    this.minMembers = minMembers;
   }
 
   int poolSize() {
-    return pools.stream().mapToInt(List::size).sum();
+    return poolsByProtocols.stream().mapToInt(List::size).sum();
   }
 
   @Override
@@ -63,15 +63,15 @@
   }
 
   void add(Server server) {
-    server.poolIndex = pools.get(server.speaks).size();
-    pools.get(server.speaks).add(server);
-    own += server.part == SubsetRole.OWN ? 1 : 0;
+    server.poolIndex = poolsByProtocols.get(server.protocols).size();
+    poolsByProtocols.get(server.protocols).add(server);
+    ownCount += server.role == SubsetRole.OWN ? 1 : 0;
   }
 
   void remove(Server server) {
     leave(server);
-    own -= server.part == SubsetRole.OWN ? 1 : 0;
-    List<Server> pool = pools.get(server.speaks);
+    ownCount -= server.role == SubsetRole.OWN ? 1 : 0;
+    List<Server> pool = poolsByProtocols.get(server.protocols);
     Server last = pool.get(pool.size() - 1);
     pool.set(server.poolIndex, last);
     last.poolIndex = server.poolIndex;
@@ -83,7 +83,7 @@
     if (server.memberIndex < 0) {
       return;
     }
-    joined[server.speaks]--;
+    membersByProtocols[server.protocols]--;
     Server last = members.get(members.size() - 1);
     members.set(server.memberIndex, last);
     last.memberIndex = server.memberIndex;
@@ -93,11 +93,11 @@
 
   /** The server for this request, or null where none has room. */
   Server choose(Request request, long nowNanos) {
-    if (able(request) < Math.max(least, own)) {
+    if (memberCount(request) < Math.max(minMembers, ownCount)) {
       join(request, nowNanos);
     }
     Server best = best(request, nowNanos);
-    if (best == null && able(request) < Math.max(MOST, own)) {
+    if (best == null && memberCount(request) < Math.max(MAX_MEMBERS, ownCount)) {
       best = join(request, nowNanos);
     }
     return best != null && request.maySendTo(best, nowNanos) ? best : null;
@@ -107,12 +107,12 @@
     Server best = null;
     for (int i = members.size() - 1; i >= 0; i--) {
       Server server = members.get(i);
-      if (nowNanos - server.usedNanos > idleNanos || server.resting(nowNanos)) {
+      if (nowNanos - server.lastUsedNanos > maxIdleNanos || server.ejected(nowNanos)) {
         leave(server);
       } else if (server.hasRoom(nowNanos)
-          && usable.test(server, nowNanos)
+          && eligibility.test(server, nowNanos)
           && request.maySendTo(server, nowNanos)
-          && (best == null || before(server, best))) {
+          && (best == null || preferred(server, best))) {
         best = server;
       }
     }
@@ -123,60 +123,62 @@
    * Fewest own calls first; among equals the one whose turn is longest ago. Where weights differ,
    * calls for the weight, unless both are within some calls of the lighter; then by virtual time.
    */
-  private static boolean before(Server one, Server other) {
+  private static boolean preferred(Server one, Server other) {
     if (one.weight != other.weight) {
-      double more = one.inFlight / one.weight - other.inFlight / other.weight;
-      boolean level = Math.abs(more) < LEVEL_CALLS / Math.min(one.weight, other.weight);
-      return level ? one.due < other.due : more < 0;
+      double loadDifference = one.inFlight / one.weight - other.inFlight / other.weight;
+      boolean tied = Math.abs(loadDifference) < TIE_CALLS / Math.min(one.weight, other.weight);
+      return tied ? one.virtualTurn < other.virtualTurn : loadDifference < 0;
     }
     return one.inFlight != other.inFlight
         ? one.inFlight < other.inFlight
-        : one.usedNanos < other.usedNanos;
+        : one.lastUsedNanos < other.lastUsedNanos;
   }
 
   /** The server takes a call: its next turn comes the later the lighter it is. */
-  void taken(Server server) {
-    turn = Math.max(turn, server.due);
-    server.due = turn + 1 / server.weight;
+  void onSend(Server server) {
+    virtualTime = Math.max(virtualTime, server.virtualTurn);
+    server.virtualTurn = virtualTime + 1 / server.weight;
   }
 
   /** Members that speak the request's protocol. */
-  private int able(Request request) {
-    return joined[request.form.protocolBit()] + joined[RequestProtocol.PROTOCOL_SETS - 1];
+  private int memberCount(Request request) {
+    return membersByProtocols[request.protocol.protocolBit()]
+        + membersByProtocols[RequestProtocol.PROTOCOL_SETS - 1];
   }
 
   private Server join(Request request, long nowNanos) {
     Server server =
-        find(
-            request, it -> it.memberIndex < 0 && it.hasRoom(nowNanos) && usable.test(it, nowNanos));
+        drawFromPool(
+            request,
+            it -> it.memberIndex < 0 && it.hasRoom(nowNanos) && eligibility.test(it, nowNanos));
     if (server != null) {
-      joined[server.speaks]++;
+      membersByProtocols[server.protocols]++;
       server.memberIndex = members.size();
       members.add(server);
-      server.due = Math.max(server.due, turn);
-      server.usedNanos = Math.max(server.usedNanos, nowNanos - idleNanos / 2);
+      server.virtualTurn = Math.max(server.virtualTurn, virtualTime);
+      server.lastUsedNanos = Math.max(server.lastUsedNanos, nowNanos - maxIdleNanos / 2);
     }
     return server;
   }
 
   /** A ready server whatever its window says, for when all are out of service. */
-  Server any(Request request, long nowNanos) {
-    return find(
+  Server anyReady(Request request, long nowNanos) {
+    return drawFromPool(
         request,
         it ->
             it.inFlight < it.window.size()
-                && usable.test(it, nowNanos)
+                && eligibility.test(it, nowNanos)
                 && request.maySendTo(it, nowNanos));
   }
 
-  private Server find(Request request, Predicate<Server> fits) {
-    List<Server> alone = pools.get(request.form.protocolBit());
-    List<Server> both = pools.get(RequestProtocol.PROTOCOL_SETS - 1);
-    int all = alone.size() + both.size();
-    for (int i = 0; i < DRAWS && all > 0; i++) {
-      int at = random.nextInt(all);
-      Server server = at < alone.size() ? alone.get(at) : both.get(at - alone.size());
-      if (fits.test(server)) {
+  private Server drawFromPool(Request request, Predicate<Server> condition) {
+    List<Server> single = poolsByProtocols.get(request.protocol.protocolBit());
+    List<Server> both = poolsByProtocols.get(RequestProtocol.PROTOCOL_SETS - 1);
+    int total = single.size() + both.size();
+    for (int i = 0; i < MAX_DRAWS && total > 0; i++) {
+      int index = random.nextInt(total);
+      Server server = index < single.size() ? single.get(index) : both.get(index - single.size());
+      if (condition.test(server)) {
         return server;
       }
     }
--- a/src/main/java/heathswitch/policy/rotation/Rotation.java
+++ b/src/main/java/heathswitch/policy/rotation/Rotation.java
@@ -34,26 +34,26 @@
    *
    * @return the ids whose standing may have changed, by these marks or by the time that has passed
    */
-  public Set<String> update(Map<String, Suspension> now, long nowMillis) {
+  public Set<String> update(Map<String, Suspension> current, long nowMillis) {
     Set<String> changed = new HashSet<>();
-    for (Suspension mark : now.values()) {
-      if (!mark.equals(suspensions.get(mark.id()))) {
-        changed.add(mark.id());
+    for (Suspension suspension : current.values()) {
+      if (!suspension.equals(suspensions.get(suspension.id()))) {
+        changed.add(suspension.id());
       }
     }
     for (String id : suspensions.keySet()) {
-      if (!now.containsKey(id)) {
+      if (!current.containsKey(id)) {
         changed.add(id);
       }
     }
     for (String id : presumedRestarted) {
-      if (!now.containsKey(id) || now.get(id).isObsolete(nowMillis)) {
+      if (!current.containsKey(id) || current.get(id).isObsolete(nowMillis)) {
         changed.add(id);
       }
     }
     presumedRestarted.removeAll(
         changed); // Told now; one that is no longer listed has no standing again.
-    suspensions = new HashMap<>(now);
+    suspensions = new HashMap<>(current);
     return changed;
   }
 
@@ -74,19 +74,19 @@
 
   /** What an upstream counts for that discovery lists so. */
   public EffectiveState effectiveState(
-      String id, Health listed, long startedMillis, long nowMillis) {
+      String id, Health listedHealth, long startedMillis, long nowMillis) {
     presumedRestarted.remove(id);
-    Suspension mark = suspensions.get(id);
-    if (mark == null || listed == Health.GONE) {
-      return new EffectiveState(listed, startedMillis);
+    Suspension suspension = suspensions.get(id);
+    if (suspension == null || listedHealth == Health.GONE) {
+      return new EffectiveState(listedHealth, startedMillis);
     }
-    if (mark.isSuspended()) {
+    if (suspension.isSuspended()) {
       return new EffectiveState(Health.DRAINING, startedMillis);
     }
-    if (startedMillis > mark.suspendedMillis() || mark.isObsolete(nowMillis)) {
-      return new EffectiveState(listed, startedMillis);
+    if (startedMillis > suspension.suspendedMillis() || suspension.isObsolete(nowMillis)) {
+      return new EffectiveState(listedHealth, startedMillis);
     }
     presumedRestarted.add(id);
-    return new EffectiveState(listed, mark.resumedMillis());
+    return new EffectiveState(listedHealth, suspension.resumedMillis());
   }
 }
--- a/src/main/java/heathswitch/policy/rotation/Suspension.java
+++ b/src/main/java/heathswitch/policy/rotation/Suspension.java
@@ -30,16 +30,16 @@
   }
 
   /** Taken out; once more changes nothing, so that one call back undoes both. */
-  public static Suspension suspend(Suspension before, String id, long nowMillis) {
-    return before != null && before.isSuspended() ? before : new Suspension(id, nowMillis, 0);
+  public static Suspension suspend(Suspension previous, String id, long nowMillis) {
+    return previous != null && previous.isSuspended() ? previous : new Suspension(id, nowMillis, 0);
   }
 
   /** Put back; null where there is nothing to put back. */
-  public static Suspension resume(Suspension before, long nowMillis) {
-    return before == null || !before.isSuspended()
-        ? before
+  public static Suspension resume(Suspension previous, long nowMillis) {
+    return previous == null || !previous.isSuspended()
+        ? previous
         : new Suspension(
-            before.id, before.suspendedMillis, Math.max(nowMillis, before.suspendedMillis));
+            previous.id, previous.suspendedMillis, Math.max(nowMillis, previous.suspendedMillis));
   }
 
   /** Whether everything that discovery could have had to tell of its return has been told. */
--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -238,8 +238,8 @@
 
   /**
    * Closes the connections on which no request is being read or answered. To be called again while
-   * there are {@link #clientCount}: one that has just come is left for as long as its first request may
-   * take.
+   * there are {@link #clientCount}: one that has just come is left for as long as its first request
+   * may take.
    */
   public void closeIdle() {
     for (ClientConnection client : new ArrayList<>(idle)) {
--- a/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
+++ b/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
@@ -30,7 +30,7 @@
                 base.limits(),
                 base.obligations()),
             null);
-    System.arraycopy(DELAYS, 0, rules.classDelay, 0, DELAYS.length);
+    System.arraycopy(DELAYS, 0, rules.classDelayNanos, 0, DELAYS.length);
     return rules;
   }
 
@@ -50,39 +50,39 @@
 
   @Test
   void countsWorthForTheWorkWhereWorthIsByRequest() {
-    assertEquals(1, worth(false).relative(0, -1, SECOND), 1e-12);
-    assertEquals(0.5, worth(false).relative(1, -1, SECOND), 1e-12);
+    assertEquals(1, worth(false).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(0.5, worth(false).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
   void countsImportanceAloneWhereWorthIsByWork() {
-    assertEquals(0.5, worth(true).relative(0, -1, SECOND), 1e-12);
-    assertEquals(1, worth(true).relative(1, -1, SECOND), 1e-12);
+    assertEquals(0.5, worth(true).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(1, worth(true).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
   void aTenantOverItsPartOfTheQuotaCountsAsTheSettingsSay() {
     ActiveSettings worth = worth(true);
-    int tenant = worth.tenant("one");
+    int tenant = worth.tenantIndexOf("one");
     for (int i = 0; i < 2; i++) { // Two a second is this instance's part of eight.
-      assertEquals(1, worth.relative(1, tenant, SECOND), 1e-12);
-      worth.take(tenant);
+      assertEquals(1, worth.relativeWorth(1, tenant, SECOND), 1e-12);
+      worth.takeQuotaToken(tenant);
     }
-    assertEquals(0.05, worth.relative(1, tenant, SECOND), 1e-12);
-    assertEquals(1, worth.relative(1, tenant, 2 * SECOND), 1e-12);
+    assertEquals(0.05, worth.relativeWorth(1, tenant, SECOND), 1e-12);
+    assertEquals(1, worth.relativeWorth(1, tenant, 2 * SECOND), 1e-12);
   }
 
   @Test
   void refusedTriesTakeNothingFromTheQuota() {
     ActiveSettings worth = worth(true);
     for (int i = 0; i < 50; i++) {
-      assertEquals(1, worth.relative(1, 0, SECOND), 1e-12);
+      assertEquals(1, worth.relativeWorth(1, 0, SECOND), 1e-12);
     }
   }
 
   @Test
   void anUnknownTenantHasNoQuota() {
-    assertEquals(-1, worth(true).tenant("nobody"));
-    assertTrue(worth(true).relative(1, -1, SECOND) > 0.99);
+    assertEquals(-1, worth(true).tenantIndexOf("nobody"));
+    assertTrue(worth(true).relativeWorth(1, -1, SECOND) > 0.99);
   }
 }
--- a/src/test/java/heathswitch/policy/core/BalancerTest.java
+++ b/src/test/java/heathswitch/policy/core/BalancerTest.java
@@ -75,8 +75,8 @@
     for (int i = 1; i <= 40; i++) {
       h.request(i, "read");
     }
-    assertEquals((int) DelayWindow.START, h.sent.size());
-    assertEquals(40 - (int) DelayWindow.START, h.refused.size());
+    assertEquals((int) DelayWindow.INITIAL, h.sent.size());
+    assertEquals(40 - (int) DelayWindow.INITIAL, h.refused.size());
   }
 
   @Test
@@ -358,7 +358,8 @@
       h.request(i, "pay");
       calls[(int) h.last().server()]++;
       long fewest = Math.min(calls[2], calls[3]);
-      assertTrue(calls[1] <= fewest + Balancer.FAR_CALLS + 1, calls[1] + " against " + fewest);
+      assertTrue(
+          calls[1] <= fewest + Balancer.FAR_HANDICAP_CALLS + 1, calls[1] + " against " + fewest);
     }
     assertTrue(calls[1] > calls[2] && calls[2] + calls[3] > 0, "near first, then far");
     assertTrue(h.refused.isEmpty());
--- a/src/test/java/heathswitch/policy/core/DelayWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/DelayWindowTest.java
@@ -18,7 +18,7 @@
   void slowStartGrowsByOneForEachCompletion() {
     for (int i = 1; i <= 5; i++) {
       assertFalse(complete(i, 1));
-      assertEquals(DelayWindow.START + i, window.window());
+      assertEquals(DelayWindow.INITIAL + i, window.window());
     }
   }
 
@@ -30,7 +30,7 @@
     assertFalse(complete(4, 2)); // 5.9 / 4 = 1.475 < 1.5; 36
     assertTrue(complete(5, 2.4)); // bounded at 2: 7.9 / 5 = 1.58
     assertEquals(1, window.window());
-    assertEquals((DelayWindow.START + 4) / 2, window.threshold);
+    assertEquals((DelayWindow.INITIAL + 4) / 2, window.slowStartThreshold);
   }
 
   @Test
@@ -38,7 +38,7 @@
     complete(1, 2); // (2 + 3) / 4 = 1.25; 33
     complete(2, 1.9); // (3.9 + 2) / 4 = 1.475; 34
     assertTrue(complete(3, 2.4)); // bounded at 2: (5.9 + 1) / 4 = 1.725
-    assertEquals(17, window.threshold);
+    assertEquals(17, window.slowStartThreshold);
     for (int i = 4; i < 20; i++) {
       complete(i, 1);
     }
@@ -65,11 +65,11 @@
     for (int i = 1; i <= 3; i++) {
       window.onCompletion(100, i, 3, 4);
     }
-    double threshold = window.threshold;
+    double threshold = window.slowStartThreshold;
     for (int i = 4; i < 20; i++) {
       assertFalse(window.onCompletion(101, i, 3, 4));
     }
-    assertEquals(threshold, window.threshold);
+    assertEquals(threshold, window.slowStartThreshold);
     assertEquals(1, window.window());
   }
 
@@ -81,22 +81,22 @@
     for (int i = 2; i <= 40; i++) {
       assertFalse(window.onCompletion(101, i, 1, 31 - i));
     }
-    assertEquals(DelayWindow.START / 2, window.window());
-    assertEquals(DelayWindow.START / 2, window.threshold);
+    assertEquals(DelayWindow.INITIAL / 2, window.window());
+    assertEquals(DelayWindow.INITIAL / 2, window.slowStartThreshold);
   }
 
   @Test
   void normalDelayIsLearnedFromBreachFreeIntervalsOnly() {
-    for (int i = 0; i < DelayWindow.INTERVAL; i++) {
+    for (int i = 0; i < DelayWindow.INTERVAL_COMPLETIONS; i++) {
       complete(i, 1.2);
     }
-    assertEquals(1 + DelayWindow.INTERVAL_WEIGHT * 0.2, window.normal, 1e-9);
-    double learned = window.normal;
+    assertEquals(1 + DelayWindow.INTERVAL_WEIGHT * 0.2, window.normalDelay, 1e-9);
+    double learned = window.normalDelay;
     assertTrue(learned > 1);
     for (int i = 0; i < 200; i++) {
       complete(100 + i, 3);
     }
-    assertEquals(learned, window.normal);
+    assertEquals(learned, window.normalDelay);
   }
 
   @Test
@@ -112,7 +112,7 @@
     for (int i = 0; i < 50; i++) {
       window.onCompletion(i, i, 1, 1);
     }
-    assertEquals(DelayWindow.START, window.window());
+    assertEquals(DelayWindow.INITIAL, window.window());
   }
 
   @Test
@@ -120,7 +120,7 @@
     for (int i = 1; i <= 200; i++) {
       complete(i, 0.6);
     }
-    assertTrue(window.normal < 0.7);
+    assertTrue(window.normalDelay < 0.7);
     for (int i = 201; i <= 220; i++) {
       assertFalse(complete(i, 1.1)); // Above 1.5 times its own normal delay, yet the fleet's level.
     }
@@ -130,7 +130,7 @@
   void slowStartGoesOnPastTheThresholdWhileBetterThanThePeers() {
     window.cut(1);
     window.cut(2);
-    assertEquals(1, window.threshold);
+    assertEquals(1, window.slowStartThreshold);
     for (int i = 3; i <= 10; i++) {
       complete(i, 0.5);
     }
--- a/src/test/java/heathswitch/policy/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -44,14 +44,14 @@
   @Test
   void shortDelaysNeverCut() {
     steady(0, 10 * SECOND, 10, 200 * MS);
-    assertTrue(window.window >= EntryWindow.START);
+    assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
   @Test
   void delaysNearTheAimCutToAPartOfWhatIsInFlight() {
     steady(0, 5 * SECOND, 20, 1500 * MS);
     assertTrue(window.window < 20, "window " + window.window);
-    assertTrue(window.window >= EntryWindow.LEAST);
+    assertTrue(window.window >= EntryWindow.MIN);
   }
 
   /** Rates of one call in some seconds: what one call takes is then all that is known. */
@@ -60,7 +60,7 @@
     for (long now = 0; now < 100 * SECOND; now += 3 * SECOND) {
       start(now);
       end(now + 700 * MS);
-      assertEquals(EntryWindow.START, window.window);
+      assertEquals(EntryWindow.INITIAL, window.window);
     }
   }
 
@@ -70,7 +70,7 @@
       start(now);
       end(now + 900 * MS);
     }
-    assertTrue(window.window < EntryWindow.START);
+    assertTrue(window.window < EntryWindow.INITIAL);
   }
 
   /** Nothing was known before they came, and each is soon over. */
@@ -84,7 +84,7 @@
         end(from + (300 - out.size()) * MS);
       }
     }
-    assertTrue(window.window >= EntryWindow.START);
+    assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
   /** The servers take five times as long: a cut must not wait for calls that have taken it. */
@@ -133,7 +133,7 @@
 
   @Test
   void whatIsWorthMostFindsRoomWhereTheLeastDoesNot() {
-    for (int i = 0; i < EntryWindow.START + 1; i++) {
+    for (int i = 0; i < EntryWindow.INITIAL + 1; i++) {
       window.onStart(0, request(0));
     }
     assertTrue(window.hasRoom(1));
--- a/src/test/java/heathswitch/policy/core/ListLeaseTest.java
+++ b/src/test/java/heathswitch/policy/core/ListLeaseTest.java
@@ -29,7 +29,7 @@
       BalancerHarness.settings(0, true, true, BalancerHarness.safe("read"));
   private BalancerHarness h;
   private final long holds =
-      TOLD + settings.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS;
+      TOLD + settings.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
   private long requests;
 
   @BeforeEach
@@ -280,7 +280,8 @@
     BalancerHarness harness = new BalancerHarness(often);
     harness.balancer.limitListAge(harness.now, TOLD);
     harness.readyServers(3);
-    long ends = 2 * SECOND + often.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS;
+    long ends =
+        2 * SECOND + often.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
     harness.now += ends - MS;
     harness.request(1, "read");
     assertEquals(1, harness.sent.size());
@@ -313,7 +314,8 @@
     harness.balancer.onListConfirmed(harness.now);
     harness.advance(2 * SECOND);
     harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
-    harness.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS - MS);
+    harness.advance(
+        pushed.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS - MS);
     harness.request(1, "read");
     assertEquals(1, harness.sent.size());
     harness.now += MS;
@@ -416,7 +418,7 @@
       assertTrue(sends());
     }
     fail(ListUpdate.FAILED);
-    h.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.MARGIN_NANOS);
+    h.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS);
     assertFalse(sends());
     fail(ListUpdate.SILENT); // It may have been told before it fell silent.
     assertFalse(sends());
@@ -426,7 +428,7 @@
   void aMoveIsFollowedByOneCallSoon() {
     int before = h.watches;
     h.balancer.onDiscoveryMoved(h.now);
-    h.advance(DiscoveryBackoff.MOST_SETTLE_NANOS);
+    h.advance(DiscoveryBackoff.MAX_MOVE_NANOS);
     assertEquals(before + 1, h.watches);
   }
 
@@ -435,7 +437,7 @@
   void aListHoldsForFourSecondsAndTheGraceAfterAMove() {
     long moved = h.now;
     long grace = settings.obligations().stopSendingWithinNanos();
-    long ends = moved + ListLease.MOVE_NANOS + grace - ListLease.MARGIN_NANOS;
+    long ends = moved + ListLease.MOVE_DELIVERY_NANOS + grace - ListLease.SEND_MARGIN_NANOS;
     h.balancer.onDiscoveryMoved(moved);
     h.advance(SECOND);
     h.balancer.onDiscoveryMoved(h.now); // The second one gives no time back.
@@ -457,7 +459,7 @@
       fail(ListUpdate.FAILED); // The watch at the address before ends.
       h.advance(400 * MS);
     }
-    h.advance(first + DiscoveryBackoff.MOST_SETTLE_NANOS - h.now);
+    h.advance(first + DiscoveryBackoff.MAX_MOVE_NANOS - h.now);
     assertEquals(before + 1, h.watches);
   }
 
--- a/src/test/java/heathswitch/policy/core/MembershipTest.java
+++ b/src/test/java/heathswitch/policy/core/MembershipTest.java
@@ -20,28 +20,28 @@
   private void news(ListUpdate form, Health health, long... ids) {
     List<ServerEntry> entries =
         java.util.Arrays.stream(ids).mapToObj(id -> entry(id, health)).toList();
-    members.onNews(0, form, entries);
+    members.onListUpdate(0, form, entries);
   }
 
   @Test
   void theGoneAreForgotten() {
     news(ListUpdate.FULL, Health.READY, 1, 2, 3);
     news(ListUpdate.DELTA, Health.GONE, 1);
-    assertNull(members.known.get(1L));
+    assertNull(members.servers.get(1L));
     news(ListUpdate.FULL, Health.READY, 3);
-    assertNull(members.known.get(2L));
-    assertNotNull(members.known.get(3L));
+    assertNull(members.servers.get(2L));
+    assertNotNull(members.servers.get(3L));
   }
 
   @Test
   void butNotBeforeTheirLastCallHasEnded() {
     news(ListUpdate.FULL, Health.READY, 1, 2);
-    members.known.get(1L).inFlight = 1;
+    members.servers.get(1L).inFlight = 1;
     news(ListUpdate.FULL, Health.READY, 2);
-    assertNotNull(members.known.get(1L));
-    members.known.get(1L).inFlight = 0;
+    assertNotNull(members.servers.get(1L));
+    members.servers.get(1L).inFlight = 0;
     news(ListUpdate.DELTA, Health.READY, 2);
-    assertNull(members.known.get(1L));
+    assertNull(members.servers.get(1L));
   }
 
   private static ServerEntry entry(long id, Health health) {
--- a/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
+++ b/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
@@ -52,7 +52,7 @@
     for (int i = before; i < before + again; i++) {
       harness.outcome(harness.sent.get(i), Outcome.OK, true);
     }
-    harness.advance(Server.REST_NANOS * 3 / 2 + BalancerHarness.MS);
+    harness.advance(Server.EJECTION_NANOS * 3 / 2 + BalancerHarness.MS);
     int rested = harness.sent.size();
     harness.request(1_000_000, "a");
     assertEquals(rested + 1, harness.sent.size());
--- a/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
+++ b/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
@@ -30,7 +30,7 @@
   }
 
   private boolean cold(long id, long nowNanos) {
-    return members.coldNow(members.known.get(id), nowNanos);
+    return members.isCold(members.servers.get(id), nowNanos);
   }
 
   /** Twelve that have run for long, and one that has just started by discovery's clock. */
@@ -40,7 +40,7 @@
       entries.add(entry(id, startedNanos - HOUR / 2));
     }
     entries.add(entry(13, startedNanos));
-    members.onNews(nowNanos, form, entries);
+    members.onListUpdate(nowNanos, form, entries);
   }
 
   /** Steps of the machine's own clock before its start, by so many seconds. */
@@ -58,8 +58,8 @@
   void whatALaterListTellsIsColdFromThenOn(long seconds) {
     tell(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
-    members.confirmed(later - SECOND);
-    members.onNews(later, ListUpdate.DELTA, List.of(entry(5, later + seconds * SECOND)));
+    members.onListConfirmed(later - SECOND);
+    members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(5, later + seconds * SECOND)));
     assertTrue(cold(5, later));
     assertTrue(cold(5, later + warmUp - 1));
     assertFalse(cold(5, later + warmUp));
@@ -71,8 +71,8 @@
   void aStartSinceTheListBeforeIsAsOldAsTheClocksSay(long seconds) {
     tell(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
-    members.confirmed(later - SECOND);
-    members.onNews(later, ListUpdate.DELTA, List.of(entry(5, later - seconds * SECOND)));
+    members.onListConfirmed(later - SECOND);
+    members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(5, later - seconds * SECOND)));
     long warm = later - seconds * SECOND + warmUp;
     assertTrue(cold(5, warm - 1));
     assertFalse(cold(5, warm));
@@ -83,7 +83,7 @@
   void aStartThatIsToldAsOlderIsAStart() {
     tell(ListUpdate.FULL, NOW, NOW);
     long later = NOW + HOUR;
-    members.onNews(later, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
+    members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
     assertTrue(cold(13, later));
   }
 
@@ -92,9 +92,9 @@
   void aPresumedStartThatIsTakenBackIsNoStart() {
     tell(ListUpdate.FULL, NOW, NOW - HOUR);
     long later = NOW + 60 * SECOND;
-    members.onNews(later, ListUpdate.DELTA, List.of(entry(13, later)));
+    members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(13, later)));
     assertTrue(cold(13, later));
-    members.onNews(later + SECOND, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
+    members.onListUpdate(later + SECOND, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
     assertFalse(cold(13, later + SECOND));
   }
 
@@ -105,7 +105,7 @@
     for (int id = 1; id <= 10; id++) {
       entries.add(entry(id, NOW - HOUR + id));
     }
-    members.onNews(NOW, ListUpdate.STALE_FULL, entries);
+    members.onListUpdate(NOW, ListUpdate.STALE_FULL, entries);
     for (int id = 1; id <= 10; id++) {
       assertFalse(cold(id, NOW));
     }
--- a/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
+++ b/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
@@ -31,7 +31,7 @@
     begun(); // Nobody reads it.
     BalancerHarness.Sent turnedAway = sent();
     harness.outcome(turnedAway, Outcome.REFUSED, true);
-    harness.advance(2 * Server.REST_NANOS);
+    harness.advance(2 * Server.EJECTION_NANOS);
     for (int i = 0; i < 40; i++) {
       BalancerHarness.Sent next = sent();
       harness.advance(10 * BalancerHarness.MS);
@@ -42,7 +42,7 @@
   @Test
   void oneThatBeginsInGoodTimeOpensACutWindow() {
     harness.outcome(sent(), Outcome.REFUSED, true);
-    harness.advance(2 * Server.REST_NANOS);
+    harness.advance(2 * Server.EJECTION_NANOS);
     for (int i = 0; i < 10; i++) { // None of them ends.
       begun();
     }
@@ -57,7 +57,8 @@
       harness.advance((slow.server() == 1 ? 300 : 3) * BalancerHarness.MS);
       harness.outcome(slow, Outcome.OK, true);
     }
-    assertTrue(harness.balancer.load(harness.now, 1)[1] >= DelayWindow.START, "the window was cut");
+    assertTrue(
+        harness.balancer.load(harness.now, 1)[1] >= DelayWindow.INITIAL, "the window was cut");
   }
 
   @Test
--- a/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
+++ b/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
@@ -95,7 +95,7 @@
     }
     assertEquals(List.of(), harness.refused);
     long beyond = out.stream().filter(sent -> sent.server() > 2).count();
-    assertEquals(90 - 2 * (long) DelayWindow.START, beyond);
+    assertEquals(90 - 2 * (long) DelayWindow.INITIAL, beyond);
     out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
     Set<Long> used = new TreeSet<>(answered(200).keySet());
     assertEquals(Set.of(1L, 2L), used);
