--- a/src/main/java/heathswitch/proxy/platform/PlatformNode.java
+++ b/src/main/java/heathswitch/proxy/platform/PlatformNode.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.platform;
 
 import heathswitch.proxy.node.Node;
-import heathswitch.proxy.operations.Operations;
+import heathswitch.proxy.operations.OperationsService;
 import java.nio.file.Path;
 import java.util.Map;
 
@@ -14,8 +14,8 @@
 
   private final NodeConfig config;
   private final Node node;
-  private final Reload reload;
-  private final Operations operations;
+  private final ConfigReload reload;
+  private final OperationsService operations;
   private DiscoveryClient discovery;
 
   public PlatformNode(NodeConfig config, Map<String, String> environment) {
@@ -24,13 +24,13 @@
         new Node(
             config.node(),
             loop -> {
-              ListClock clock = ListClock.of(config.settings());
+              DiscoveryTimeouts clock = DiscoveryTimeouts.of(config.settings());
               discovery = new DiscoveryClient(loop, config.discovery(), clock, config.known());
               return discovery;
             },
             WATCH_NANOS);
-    reload = new Reload(node, config, environment, discovery);
-    operations = config.console() == null ? null : new Operations(node, folder(environment));
+    reload = new ConfigReload(node, config, environment, discovery);
+    operations = config.console() == null ? null : new OperationsService(node, folder(environment));
   }
 
   /** Shared by the processes of one balancer, and empty when the first of them starts. */
@@ -45,24 +45,24 @@
       node.start();
       return;
     }
-    if (operations.follows()) {
+    if (operations.hasPredecessor()) {
       discovery.askAtOnce();
     }
     operations.start(config.console());
     node.start();
-    operations.serving();
+    operations.announceServing();
   }
 
   public Node node() {
     return node;
   }
 
-  public Reload reload() {
+  public ConfigReload reload() {
     return reload;
   }
 
   /** What operators can do with it, or null where it has no second address. */
-  public Operations operations() {
+  public OperationsService operations() {
     return operations;
   }
 
