--- a/src/main/java/heathswitch/proxy/dispatch/Counters.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Counters.java
@@ -2,7 +2,7 @@
 
 import heathswitch.policy.api.Outcome;
 
-/** What happened since the last line of figures in the log. */
+/** Counts requests and attempt outcomes since the last line of figures in the log. */
 public final class Counters {
   long requests;
   long served;
@@ -15,7 +15,7 @@
     outcomes[outcome.ordinal()]++;
   }
 
-  /** The figures as text; they start again from zero. */
+  /** Returns the counts as text and resets them to zero. */
   public String formatAndReset() {
     StringBuilder text =
         new StringBuilder()
--- a/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -32,32 +32,32 @@
 import java.util.function.Predicate;
 
 /**
- * Carries out what the decision module asks and tells it what happens. It decides nothing: which
- * upstream, whether to try again, to refuse or to fail is the module's.
+ * Executes the actions of the decision module and reports events to it. All policy is the module's:
+ * the choice of the upstream, and whether to retry, refuse or fail a request.
  */
 public final class Dispatcher implements Actions, LiveRequest.Listener {
-  /** What discovery is asked for on the module's behalf. */
+  /** The calls to discovery that are made on behalf of the decision module. */
   public interface Discovery {
     void watch(boolean enable);
 
     void fetch();
   }
 
-  /** What lies over the lists of discovery before anybody else sees them. */
+  /** Modifies the list entries from discovery before they are applied. */
   public interface Overlay {
-    /** The entries as they are to be taken. */
+    /** Returns the entries to use in place of the given ones. */
     List<Member> apply(ListForm form, List<Member> entries);
   }
 
-  /** Whether anything may be sent at all; asked right before the first byte of an attempt. */
+  /** Blocks all sending while it is closed; checked right before the first byte of an attempt. */
   public interface SendGate {
     boolean isOpen();
   }
 
-  /** When to come back is said so at most where the module has said nothing of it. */
+  /** Upper bound of the retry-after interval of a refusal for which the module has set none. */
   private static final long DEFAULT_RETRY_AFTER_NANOS = 500_000_000L;
 
-  /** The answer that the module still owes so long after the deadline is given without it. */
+  /** A request without a decision this long after its deadline is failed by the dispatcher. */
   private static final long DECISION_GRACE_NANOS = 10_000_000L;
 
   private final EventExecutor loop;
@@ -66,7 +66,7 @@
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<Long, LiveRequest> requests = new HashMap<>();
 
-  /** The ids of the requests that still owe an answer, as their clients named them. */
+  /** The client-supplied ids of the requests that have not been answered. */
   private final Set<String> openRequestNames = new HashSet<>();
 
   private final Map<String, Upstream> upstreams = new HashMap<>();
@@ -77,13 +77,13 @@
   public final Counters counters = new Counters();
   private Discovery discovery;
 
-  /** Each lies over all before it. */
+  /** Applied in this order, each to the result of the one before. */
   private final List<Overlay> overlays = new ArrayList<>();
 
-  /** Null where it is always open. */
+  /** Null if sending is never blocked. */
   private SendGate sendGate;
 
-  /** Where requests may go that have no room here, or null. */
+  /** Forwards requests that have no local capacity; may be null. */
   private OverflowRouter overflowRouter;
 
   private boolean handlingEvent;
@@ -100,22 +100,22 @@
     this.balancer = new Balancer(settings, seed, this);
   }
 
-  /** Adds a protocol in which upstreams are spoken to; before the start. */
+  /** Adds the transport of a protocol. To be called before the start. */
   public void addTransport(Transport transport) {
     transports.add(transport);
   }
 
-  /** Lays something over all lists from now on, and over what lies there; before the start. */
+  /** Adds an overlay that is applied after those added before. To be called before the start. */
   public void addOverlay(Overlay overlay) {
     overlays.add(overlay);
   }
 
-  /** Has somebody say whether anything may be sent; before the start. */
+  /** Sets the gate that can block all sending. To be called before the start. */
   public void setSendGate(SendGate gate) {
     sendGate = gate;
   }
 
-  /** Offers somebody what has no room here; before the start. */
+  /** Sets the router for requests without local capacity. To be called before the start. */
   public void setOverflowRouter(OverflowRouter router) {
     overflowRouter = router;
   }
@@ -124,17 +124,14 @@
     transports.forEach(transport -> transport.closeIdle(upstream));
   }
 
-  /** Starts the module with the list as this balancer last had it. */
+  /** Starts the module with the list that this balancer last had. */
   public void start(Discovery discovery, List<Member> knownMembers) {
     this.discovery = discovery;
     deliverEvent(null, () -> balancer.start(clock.nowNanos()));
     onServers(ListForm.STALE, knownMembers);
   }
 
-  /**
-   * Other settings for the requests that are taken from now on. What is open keeps those that it
-   * was taken under, to its end.
-   */
+  /** Replaces the settings for new requests. Open requests keep the settings they started with. */
   public void reload(Settings newSettings) {
     settings = newSettings;
     reloadCount++;
@@ -143,12 +140,15 @@
     balancer.reload(newSettings);
   }
 
-  /** How often the settings have been replaced: what was read by a class before may be void. */
+  /**
+   * How often the settings have been replaced. Values derived from a request class before the last
+   * replacement may be outdated.
+   */
   public int reloadCount() {
     return reloadCount;
   }
 
-  /** Requests that have come in since the start. */
+  /** The number of requests received since the start. */
   public long requestCount() {
     return nextRequestId - 1;
   }
@@ -158,19 +158,19 @@
   }
 
   /**
-   * Whether a request of this id waits for its answer here. Ids are new with every request, so a
-   * second one is a mistake or a forgery, and an upstream could not tell the two apart.
+   * Whether a request with this id is waiting for its answer. Ids are unique, so a second request
+   * with the same id is a client error or a forgery, and an upstream could not tell the two apart.
    */
   public boolean isRequestOpen(String name) {
     return openRequestNames.contains(name);
   }
 
-  /** What the module makes of the world. */
+  /** The state of the decision module as text. */
   public String figures() {
     return balancer.figures(clock.nowNanos());
   }
 
-  /** Attempts that are out at such upstreams, those that are no longer listed among them. */
+  /** The number of attempts in flight at the matching upstreams, listed or not. */
   public int inFlight(Predicate<Upstream> matching) {
     int attempts = 0;
     for (Upstream upstream : upstreams.values()) {
@@ -179,7 +179,10 @@
     return attempts;
   }
 
-  /** Of each server's name calls in flight, window, and 1 if it is ill; so many at most. */
+  /**
+   * For at most this many servers, by name: calls in flight, window, and 1 if the server is
+   * considered unhealthy.
+   */
   public Map<String, int[]> loads(int maxServers) {
     Map<String, int[]> loads = new LinkedHashMap<>();
     long now = clock.nowNanos();
@@ -196,7 +199,7 @@
     return requests.size();
   }
 
-  /** Upstreams to which there are connections. */
+  /** The number of upstreams with an open connection. */
   public int connectedUpstreamCount() {
     int connected = 0;
     for (Upstream upstream : upstreams.values()) {
@@ -209,12 +212,12 @@
     return connected;
   }
 
-  // ---- events for the module ----
+  // ---- events for the decision module ----
 
   /**
-   * Hands an event to the module, one at a time: what an action causes at once, a failed connect
-   * say, comes as a later event and never inside the call that caused it. An exception ends the
-   * request that it belongs to and nothing else.
+   * Delivers an event to the module, one at a time. An event that an action causes synchronously,
+   * such as a failed connect, is queued and never delivered inside the call that caused it. An
+   * exception fails the request that the event belongs to and nothing else.
    */
   private void deliverEvent(LiveRequest request, Runnable event) {
     pendingEvents.add(
@@ -242,9 +245,9 @@
   }
 
   /**
-   * A request has come in; its time runs from now.
+   * Accepts a request; its time limit runs from now.
    *
-   * @param name the client's name for it, which no open request has
+   * @param name the client-supplied id, which no open request has
    */
   public void onRequest(
       Caller caller,
@@ -279,7 +282,7 @@
         });
   }
 
-  /** The client's time is up: open attempts end, and the module gives the answer. */
+  /** At the deadline, open attempts time out and the module decides on the answer. */
   private void onDeadline(LiveRequest request) {
     for (LiveRequest.Attempt attempt : List.copyOf(request.attempts)) {
       timeOutAttempt(attempt);
@@ -290,11 +293,11 @@
   }
 
   /**
-   * The one place that says whether an attempt may begin, asked right before its first byte. A
-   * connection that took its time may come up after the client has gone, after its upstream has
-   * been told to drain or after the time in which a keyed request may be repeated. The gate, which
-   * closes by the clock, is asked last: a process that is stopped after that look and before the
-   * write sends one request when it wakes.
+   * The only check of whether an attempt may be sent, made right before its first byte. A slow
+   * connect may complete after the client has disconnected, after the upstream was told to drain or
+   * after the window in which a keyed request may be repeated. The gate, which closes by the clock,
+   * is checked last: a process that is suspended between this check and the write sends one request
+   * when it resumes.
    */
   @Override
   public boolean maySend(LiveRequest.Attempt attempt) {
@@ -313,18 +316,21 @@
       return;
     }
     if (attempt.upstream().silentSinceNanos <= attempt.sentNanos) {
-      closeIdle(attempt.upstream()); // Silent all along: its other connections are no better.
+      closeIdle(attempt.upstream()); // Nothing received since the send: all are suspect.
     }
     complete(attempt, Outcome.TIMEOUT, null);
     attempt.cancel();
   }
 
-  /** The last resort that keeps the promise of one answer: the module threw, or said nothing. */
+  /**
+   * Guarantees that a request is answered: fails it if the module threw an exception or made no
+   * decision.
+   */
   private void failWithoutDecision(LiveRequest request) {
     if (!request.completed) {
       Log.warn(
           "no decision",
-          "request " + request.id + " failed by the host",
+          "request " + request.id + " failed by the dispatcher",
           "request",
           Long.toString(request.id));
       Answer lastError = request.takeLastError();
@@ -335,8 +341,8 @@
   }
 
   /**
-   * No time is left for any decision: the process is about to be killed. What is taken from now on,
-   * a body that was long in coming say, is turned away at once, as nothing of it has run.
+   * Fails all requests because the process is about to be killed. Requests that are accepted from
+   * now on, for example after a slow upload, are refused at once, as nothing of them has run.
    */
   public void failAll() {
     refusingAll = true;
@@ -345,7 +351,7 @@
     }
   }
 
-  /** The client has gone; of a stream that has begun, what is still out is called off. */
+  /** Drops a request whose caller is gone and cancels its attempts, including a started stream. */
   @Override
   public void callerGone(LiveRequest request) {
     if (!request.completed) {
@@ -379,7 +385,7 @@
     }
   }
 
-  /** An answer that is passed on as it comes has begun: the request is over, its attempt is not. */
+  /** Starts streaming an answer: the request is completed, while its attempt remains open. */
   @Override
   public boolean beginStreaming(LiveRequest.Attempt attempt) {
     LiveRequest request = attempt.request;
@@ -395,11 +401,11 @@
     markCompleted(request);
     counters.served++;
     deliverEvent(request, () -> balancer.onFirst(now, request.id, attempt.number, tookNanos));
-    // The module hears of it first: told of another's end while it holds the request for open, it
-    // would call off this one too.
+    // The module has to be told first: if it learned of another attempt's end while it considers
+    // the request open, it would cancel this attempt too.
     for (LiveRequest.Attempt other : List.copyOf(request.attempts)) {
       if (other != attempt) {
-        cancelAttempt(other); // Two answers must not go to one caller.
+        cancelAttempt(other); // A caller must not get two answers.
       }
     }
     return true;
@@ -457,9 +463,9 @@
         });
   }
 
-  // ---- what has no room here ----
+  // ---- overflow to other sites ----
 
-  /** One that the module holds back for want of room may go elsewhere at once. */
+  /** Forwards a request at once that the module holds back for lack of capacity. */
   private void overflowIfHeldBack(LiveRequest request) {
     if (!request.completed && request.openAttempts == 0 && sendOverflow(request)) {
       balancer.onGone(clock.nowNanos(), request.id);
@@ -467,12 +473,13 @@
   }
 
   /**
-   * Sends a request elsewhere that nothing here has run; false if there is no place for it. One
-   * whose client turns out to have gone is over, as if it had been sent.
+   * Forwards a request that has not run on any local server to another site; false if no site takes
+   * it. True also if the client turns out to have disconnected, which completes the request.
    */
   private boolean sendOverflow(LiveRequest request) {
     long now = clock.nowNanos();
-    // However many attempts here never ran: a site that is lost has made all of them in no time.
+    // Any number of local attempts that never ran is fine: when a whole site is lost, all attempts
+    // fail within no time.
     if (overflowRouter == null || !request.neverRan || !request.caller.mayOverflow()) {
       return false;
     }
@@ -498,13 +505,16 @@
     return true;
   }
 
-  /** What never ran may try once more; a failure is told as the request's own effect demands. */
+  /**
+   * Ends an attempt at another site. A request that never ran is forwarded once more or refused;
+   * otherwise the request's effect decides between refusal and failure.
+   */
   private void onOverflowEnded(LiveRequest.Attempt attempt, Outcome outcome, long nowNanos) {
     LiveRequest request = attempt.request;
     request.openAttempts--;
     overflowRouter.onEnd(attempt.upstream(), request.type, outcome, nowNanos - attempt.sentNanos);
     if (!request.completed && outcome == Outcome.RESET && isSafe(request)) {
-      request.neverRan = true; // A safe one may run twice, so that a lost link is no loss.
+      request.neverRan = true; // A safe request may run twice, so it survives a lost link.
     }
     if (!request.completed && !sendOverflow(request)) {
       if (request.neverRan || isSafe(request)) {
@@ -526,7 +536,7 @@
     }
   }
 
-  /** From here on nothing more is sent for the request. */
+  /** Marks a request as completed; nothing is sent for it any more. */
   private void markCompleted(LiveRequest request) {
     request.completed = true;
     openRequestNames.remove(request.name);
@@ -540,16 +550,16 @@
     }
   }
 
-  // ---- discovery's news ----
+  // ---- updates from discovery ----
 
   public void onServers(ListForm form, List<Member> entries) {
     applyOverlays(0, form, entries);
   }
 
   /**
-   * Some entries mean something else than before, though discovery has said nothing new.
+   * Applies entries whose meaning an overlay has changed without an update from discovery.
    *
-   * @param by whose doing it is; what lies over it has its say
+   * @param overlay the overlay that made the change; those after it are applied to the entries
    */
   public void onOverlayChanged(Overlay overlay, List<Member> entries) {
     applyOverlays(overlays.indexOf(overlay) + 1, ListForm.UNASKED, entries);
@@ -609,7 +619,10 @@
     }
   }
 
-  /** Machines are replaced under new names for as long as the process runs. */
+  /**
+   * Forgets a removed upstream that has no attempts in flight. Machines are replaced under new
+   * names, so upstreams would otherwise accumulate while the process runs.
+   */
   private boolean forgetIfUnused(Upstream upstream) {
     boolean forget = upstream.removed && upstream.inFlight == 0;
     if (forget) {
@@ -619,33 +632,33 @@
   }
 
   /**
-   * A call to discovery failed, or its watch broke.
+   * Reports that a call to discovery failed or its watch broke.
    *
-   * @param form how it failed
+   * @param form the kind of failure
    */
   public void onDiscoveryFailed(ListForm form) {
     deliverEvent(null, () -> balancer.onServers(clock.nowNanos(), form, List.of()));
   }
 
-  /** Has a list that is not confirmed hold for a limited time only. */
-  public void limitListAge(long maxAgeNanos) {
-    deliverEvent(null, () -> balancer.limitListAge(clock.nowNanos(), maxAgeNanos));
+  /** Limits how long a list is valid without being confirmed. */
+  public void limitListAge(long propagationNanos) {
+    deliverEvent(null, () -> balancer.limitListAge(clock.nowNanos(), propagationNanos));
   }
 
-  /** Discovery has said that the list is current, after all news of it. */
+  /** Reports that discovery has confirmed the list as current, after all its updates. */
   public void onListConfirmed() {
     deliverEvent(null, () -> balancer.onListConfirmed(clock.nowNanos()));
   }
 
-  /** Discovery is to be asked at another address from now on. */
+  /** Reports that discovery is reached at another address from now on. */
   public void onDiscoveryMoved() {
     deliverEvent(null, () -> balancer.onDiscoveryMoved(clock.nowNanos()));
   }
 
-  // ---- the module's actions ----
+  // ---- actions of the decision module ----
 
   @Override
-  public void send(long requestId, long serverId, long timeoutNanos) {
+  public void send(long requestId, long serverId, long attemptDeadlineNanos) {
     LiveRequest request = requests.get(requestId);
     Upstream upstream = upstreamsById.get(serverId);
     if (request == null || upstream == null) {
@@ -663,12 +676,12 @@
         || !request.payload.isRepeatable()
         || !maySend(attempt)
         || !request.payload.start(attempt)) {
-      upstream.inFlight++; // Taken back with the outcome, like that of any attempt.
+      upstream.inFlight++; // Decremented with the outcome, as for every attempt.
       complete(attempt, Outcome.MOOT, null);
       return;
     }
-    if (attempt.open && timeoutNanos > 0 && timeoutNanos < request.deadlineNanos) {
-      long leftNanos = Math.max(0, timeoutNanos - now);
+    if (attempt.open && attemptDeadlineNanos > 0 && attemptDeadlineNanos < request.deadlineNanos) {
+      long leftNanos = Math.max(0, attemptDeadlineNanos - now);
       attempt.timeout = loop.schedule(() -> timeOutAttempt(attempt), leftNanos, NANOSECONDS);
     }
   }
@@ -706,7 +719,7 @@
   private void sendRefusal(LiveRequest request) {
     counters.refused++;
     RequestLog.logRefusal(request, clock.nowNanos());
-    Answer lastError = request.takeLastError(); // Else it ends with the request.
+    Answer lastError = request.takeLastError(); // Otherwise it is released with the request.
     markCompleted(request);
     request.caller.refuse(request.retryAfterNanos, lastError);
   }
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -12,9 +12,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that has been taken: what it says, its attempts, and whether it has been answered. */
+/** An accepted request with its attempts and its completion state. */
 final class LiveRequest implements RequestHandle {
-  /** What becomes of the attempts. */
+  /** Receives the events of a request and its attempts. */
   interface Listener {
     boolean beginStreaming(Attempt attempt);
 
@@ -34,15 +34,15 @@
     final long sentNanos;
     private final Listener listener;
 
-    /** Whether it was made elsewhere, of which the module knows nothing. */
+    /** Whether the attempt was sent to another site; the decision module doesn't know of it. */
     boolean overflow;
 
     boolean open = true;
 
-    /** How it ended; null while it is out. */
+    /** The outcome, or null while the attempt is in flight. */
     Outcome outcome;
 
-    /** Whether its answer goes on to the caller as it comes. */
+    /** Whether the answer is streamed to the caller as it arrives. */
     boolean streaming;
 
     Future<?> timeout;
@@ -83,7 +83,7 @@
 
   final long id;
 
-  /** The client's name for it, which no other open request may have. */
+  /** The client's id of the request, unique among the open requests. */
   final String name;
 
   final Caller caller;
@@ -92,7 +92,7 @@
   final long arrivedNanos;
   long deadlineNanos;
 
-  /** When all of it had come. */
+  /** When the request was received completely. */
   long bodyCompleteNanos;
 
   private final Listener listener;
@@ -100,24 +100,27 @@
   int openAttempts;
   boolean completed;
 
-  /** Attempts that were made elsewhere; once there is one the module has let go of the request. */
+  /**
+   * The number of attempts at other sites. Once there is one, the decision module has released the
+   * request.
+   */
   int overflowAttempts;
 
-  /** Whether all attempts so far never ran. */
+  /** Whether no attempt so far can have been executed. */
   boolean neverRan = true;
 
-  /** By the settings that it was taken under. */
+  /** The limit of the settings that were in force when the request was accepted. */
   int maxAttempts;
 
-  /** Why it was given up; null if it was not. */
+  /** Why the request was given up, or null if it was not. */
   GiveUp giveUpReason;
 
-  /** What its caller is told of when to come back, should it be turned away. */
+  /** The retry-after interval that the caller is told if the request is refused. */
   long retryAfterNanos;
 
   Future<?> deadline;
 
-  /** The last error that an upstream answered, to be passed on if nothing better comes. */
+  /** The last error answer from an upstream, forwarded if there is no better answer. */
   Answer lastError;
 
   LiveRequest(
@@ -150,12 +153,12 @@
     listener.callerGone(this);
   }
 
-  /** Nothing more can happen to the request. */
+  /** Whether nothing more can happen to the request. */
   boolean isFinished() {
     return completed && openAttempts == 0;
   }
 
-  /** Keeps the answer of an error in place of an earlier one. */
+  /** Stores an error answer and releases the previous one. */
   void replaceLastError(Answer error) {
     if (lastError != null) {
       lastError.release();
@@ -163,7 +166,7 @@
     lastError = error;
   }
 
-  /** Hands over the last error, or null. */
+  /** Transfers ownership of the last error answer, or returns null. */
   Answer takeLastError() {
     Answer error = lastError;
     lastError = null;
--- a/src/main/java/heathswitch/proxy/dispatch/Member.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Member.java
@@ -7,12 +7,13 @@
 import java.net.InetSocketAddress;
 
 /**
- * One upstream as a list names it.
+ * An upstream's entry in a list.
  *
- * @param address where it speaks HTTP/1.1, or null where it does not; one that is gone has neither
- * @param grpcAddress where it speaks gRPC, or null where it does not
- * @param startedMillis Unix time of its last start, 0 for long ago
- * @param part whether this balancer is to use it, one among others
+ * @param address the address for HTTP/1.1, or null if not spoken; a removed upstream has neither
+ *     address
+ * @param grpcAddress the address for gRPC, or null if not spoken
+ * @param startedMillis Unix time of the last start, 0 for long ago
+ * @param part whether this balancer, among several, is to use the upstream
  */
 public record Member(
     String id,
@@ -25,7 +26,7 @@
     double weight,
     long startedMillis,
     Part part) {
-  /** One of which nothing is said who is to use it. */
+  /** Creates an entry that any balancer may use. */
   public Member(
       String id,
       InetSocketAddress address,
@@ -39,28 +40,28 @@
     this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, Part.ANY);
   }
 
-  /** The same upstream with another standing. */
-  public Member with(Health nowHealth, long nowStartedMillis) {
-    return nowHealth == health && nowStartedMillis == startedMillis
+  /** Returns this entry with the given health and start time. */
+  public Member withHealth(Health newHealth, long newStartedMillis) {
+    return newHealth == health && newStartedMillis == startedMillis
         ? this
         : new Member(
-            id, address, grpcAddress, nowHealth, zone, kind, cell, weight, nowStartedMillis, part);
+            id, address, grpcAddress, newHealth, zone, kind, cell, weight, newStartedMillis, part);
   }
 
-  /** The same upstream with another part in what this balancer uses. */
-  public Member with(Part nowPart, double nowWeight) {
+  /** Returns this entry with the given part and weight. */
+  public Member withPart(Part newPart, double newWeight) {
     return new Member(
-        id, address, grpcAddress, health, zone, kind, cell, nowWeight, startedMillis, nowPart);
+        id, address, grpcAddress, health, zone, kind, cell, newWeight, startedMillis, newPart);
   }
 
-  ServerEntry toServerEntry(long number) {
-    int speaks =
-        protocols() == 0 ? Form.HTTP1.protocol() : protocols(); // Of no matter once it is gone.
+  ServerEntry toServerEntry(long serverId) {
+    // The value is irrelevant for a removed upstream.
+    int protocols = protocols() == 0 ? Form.HTTP1.protocol() : protocols();
     return new ServerEntry(
-        number, zone, kind, cell, health, weight, startedMillis * 1_000_000L, speaks, part);
+        serverId, zone, kind, cell, health, weight, startedMillis * 1_000_000L, protocols, part);
   }
 
-  /** A bit for each protocol that it has an address for. */
+  /** Bit set of the protocols that the upstream has an address for. */
   int protocols() {
     return (address == null ? 0 : Form.HTTP1.protocol())
         | (grpcAddress == null ? 0 : Form.GRPC.protocol());
--- a/src/main/java/heathswitch/proxy/dispatch/OverflowRouter.java
+++ b/src/main/java/heathswitch/proxy/dispatch/OverflowRouter.java
@@ -7,31 +7,36 @@
 import heathswitch.proxy.spi.Upstream;
 
 /**
- * Where a request may go that the servers here have no room for and none of them has begun to run.
- * Whether one goes, where to and how often is decided there. All calls come on the loop.
+ * Routes requests to other sites if the local servers have no capacity and none of them has started
+ * to process the request. The implementation decides whether, where and how often a request is
+ * forwarded. All calls are made on the event loop.
  */
 public interface OverflowRouter {
   /**
-   * A place for a request, or null for none.
+   * Chooses a site for a request, or returns null for none.
    *
-   * @param leftNanos of its caller's time
-   * @param tries how often it was sent elsewhere before
+   * @param leftNanos the time left until the caller's deadline
+   * @param tries how often the request has been forwarded before
    */
   Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries);
 
-  /** Starts an attempt at a place that was chosen; false if nothing was sent. */
+  /** Starts an attempt at a chosen site; returns false if nothing was sent. */
   boolean start(Attempt attempt, RequestClass type, Payload payload);
 
-  /** An attempt is over; told for each that was chosen. */
+  /** Reports the end of an attempt; called once for each chosen site. */
   void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos);
 
   /**
-   * A request was turned away here.
+   * Reports that a request was refused by the local servers.
    *
-   * @param own whether its caller is one of this place's own, not another place
+   * @param own whether the request comes from a client of this site, not from another site
    */
   void onLocalRefusal(boolean own);
 
-  /** A request was served here, so long after it had come whole. */
+  /**
+   * Reports that a request was served by a local server.
+   *
+   * @param tookNanos the time since the request was complete
+   */
   void onLocalAnswer(RequestClass type, long tookNanos);
 }
--- a/src/main/java/heathswitch/proxy/dispatch/RequestLog.java
+++ b/src/main/java/heathswitch/proxy/dispatch/RequestLog.java
@@ -5,20 +5,20 @@
 import java.util.stream.Collectors;
 
 /**
- * The log of requests that did not go their plain way: each further attempt, refusal and failure
- * with the request's id, its reason and what became of the attempts before. On the loop.
+ * Logs each retry, refusal and failure with the request's id, the reason and the outcomes of the
+ * attempts so far. Used on the event loop.
  */
 final class RequestLog {
   private static final String RETRIED = "retry";
   private static final String REFUSED = "refused";
   private static final String FAILED = "failed";
 
-  /** A client may name its request by as much as a header holds. */
+  /** A client-supplied id may be as long as a header can be. */
   private static final int MAX_NAME_CHARS = 64;
 
   private RequestLog() {}
 
-  /** An attempt is made; the first one is no news. */
+  /** Logs an attempt unless it is the request's first. */
   static void logRetry(LiveRequest request, long nowNanos) {
     if (request.attempts.size() > 1) {
       Log.info(RETRIED, () -> format(request, nowNanos));
--- a/src/main/java/heathswitch/proxy/gateway/Outward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Outward.java
@@ -24,143 +24,143 @@
 
 /** The links to other sites, and the calls that go over them. */
 final class Outward implements OverflowRouter {
-private static final int CONNECT_MILLIS = 1000;
-
-private final GatewayTable table;
-private final Gateway gateway;
-private final Clock clock;
-private final ResourceBudget budget;
-private final Bootstrap bootstrap;
-private final Map<Upstream, Far> byPlace = new LinkedHashMap<>();
-private final List<Far> all;
-private Identity identity;
-private long lastTickNanos;
-
-Outward(GatewayTable table, Gateway gateway, ProtocolListener.Context parts, Identity identity) {
-this.table = table;
-this.gateway = gateway;
-this.clock = parts.clock();
-this.budget = parts.budget();
-this.identity = identity;
-bootstrap =
-new Bootstrap()
-.group(parts.loop())
-.channel(NioSocketChannel.class)
-.option(ChannelOption.TCP_NODELAY, true)
-.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
-for (GatewayTable.FarSite site : table.sites()) {
-site.gateways()
-.forEach(
-address -> {
-// Below zero: the numbers above are of upstreams.
-Far far = new Far(this, gateway.add(site.name()), address, -1 - byPlace.size());
-byPlace.put(far.place, far);
-});
-}
-all = List.copyOf(byPlace.values());
-}
-
-GatewayTable table() {
-return table;
-}
-
-Gateway gateway() {
-return gateway;
-}
-
-Bootstrap bootstrap() {
-return bootstrap;
-}
-
-Identity identity() {
-return identity;
-}
-
-long now() {
-return clock.nowNanos();
-}
-
-boolean mayOpen() {
-return budget.availableConnections() > 0;
-}
-
-/** Counts a descriptor until its channel closes. */
-void opened(Channel channel) {
-budget.connectionOpened();
-channel.closeFuture().addListener(closed -> budget.connectionClosed());
-}
-
-/** To be called every so often; what comes much later was held up, and its links with it. */
-void tick(long periodNanos) {
-long now = now();
-long late = lastTickNanos == 0 ? 0 : now - lastTickNanos - periodNanos;
-lastTickNanos = now;
-all.forEach(far -> far.tick(now, late > periodNanos ? late : 0));
-}
-
-/** From now on this is shown; links that have the earlier one are replaced. */
-void identity(Identity next) {
-identity = next;
-all.forEach(Far::renew);
-}
-
-void close() {
-all.forEach(Far::close);
-}
-
-void forEach(Consumer<Far> each) {
-all.forEach(each);
-}
-
-@Override
-public Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries) {
-if (!(payload instanceof HttpPayload http) || !http.isBodyComplete()) {
-return null; // What still comes can be sent to one place only.
-}
-FarLink link = gateway.choose(now(), type, leftNanos, tries);
-for (Far far : all) {
-if (far.state == link) {
-return far.place;
-}
-}
-return null;
-}
-
-@Override
-public boolean start(Attempt attempt, RequestClass type, Payload payload) {
-Far far = byPlace.get(attempt.upstream());
-OutLink link = far.link();
-return link != null
-&& new OutCall(this, far, link, attempt, type, (HttpPayload) payload).begin();
-}
-
-@Override
-public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
-Far far = byPlace.get(at);
-far.counts.ended(outcome);
-gateway.onEnded(now(), far.state, type, outcome, tookNanos);
-}
-
-@Override
-public void onLocalRefusal(boolean own) {
-gateway.onRefusedHere(now(), own);
-}
-
-@Override
-public void onLocalAnswer(RequestClass type, long tookNanos) {
-gateway.onServedHere(now(), type, tookNanos);
-}
-
-/** A link is taken out or put back; false if there is none of the name. */
-boolean drain(String name, boolean out) {
-boolean found = false;
-for (Far far : all) {
-if (far.place.name.equals(name.replace('/', ' ')) || far.state.site().equals(name)) {
-gateway.drain(far.state, out);
-Log.info("gateway", far.place.name + (out ? " drained" : " in use again"));
-found = true;
-}
-}
-return found;
-}
+  private static final int CONNECT_MILLIS = 1000;
+
+  private final GatewayTable table;
+  private final Gateway gateway;
+  private final Clock clock;
+  private final ResourceBudget budget;
+  private final Bootstrap bootstrap;
+  private final Map<Upstream, Far> byPlace = new LinkedHashMap<>();
+  private final List<Far> all;
+  private Identity identity;
+  private long lastTickNanos;
+
+  Outward(GatewayTable table, Gateway gateway, ProtocolListener.Context parts, Identity identity) {
+    this.table = table;
+    this.gateway = gateway;
+    this.clock = parts.clock();
+    this.budget = parts.budget();
+    this.identity = identity;
+    bootstrap =
+        new Bootstrap()
+            .group(parts.loop())
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+    for (GatewayTable.FarSite site : table.sites()) {
+      site.gateways()
+          .forEach(
+              address -> {
+                // Below zero: the numbers above are of upstreams.
+                Far far = new Far(this, gateway.add(site.name()), address, -1 - byPlace.size());
+                byPlace.put(far.place, far);
+              });
+    }
+    all = List.copyOf(byPlace.values());
+  }
+
+  GatewayTable table() {
+    return table;
+  }
+
+  Gateway gateway() {
+    return gateway;
+  }
+
+  Bootstrap bootstrap() {
+    return bootstrap;
+  }
+
+  Identity identity() {
+    return identity;
+  }
+
+  long now() {
+    return clock.nowNanos();
+  }
+
+  boolean mayOpen() {
+    return budget.availableConnections() > 0;
+  }
+
+  /** Counts a descriptor until its channel closes. */
+  void opened(Channel channel) {
+    budget.connectionOpened();
+    channel.closeFuture().addListener(closed -> budget.connectionClosed());
+  }
+
+  /** To be called every so often; what comes much later was held up, and its links with it. */
+  void tick(long periodNanos) {
+    long now = now();
+    long late = lastTickNanos == 0 ? 0 : now - lastTickNanos - periodNanos;
+    lastTickNanos = now;
+    all.forEach(far -> far.tick(now, late > periodNanos ? late : 0));
+  }
+
+  /** From now on this is shown; links that have the earlier one are replaced. */
+  void identity(Identity next) {
+    identity = next;
+    all.forEach(Far::renew);
+  }
+
+  void close() {
+    all.forEach(Far::close);
+  }
+
+  void forEach(Consumer<Far> each) {
+    all.forEach(each);
+  }
+
+  @Override
+  public Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries) {
+    if (!(payload instanceof HttpPayload http) || !http.isBodyComplete()) {
+      return null; // What still comes can be sent to one place only.
+    }
+    FarLink link = gateway.choose(now(), type, leftNanos, tries);
+    for (Far far : all) {
+      if (far.state == link) {
+        return far.place;
+      }
+    }
+    return null;
+  }
+
+  @Override
+  public boolean start(Attempt attempt, RequestClass type, Payload payload) {
+    Far far = byPlace.get(attempt.upstream());
+    OutLink link = far.link();
+    return link != null
+        && new OutCall(this, far, link, attempt, type, (HttpPayload) payload).begin();
+  }
+
+  @Override
+  public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
+    Far far = byPlace.get(at);
+    far.counts.ended(outcome);
+    gateway.onEnded(now(), far.state, type, outcome, tookNanos);
+  }
+
+  @Override
+  public void onLocalRefusal(boolean own) {
+    gateway.onRefusedHere(now(), own);
+  }
+
+  @Override
+  public void onLocalAnswer(RequestClass type, long tookNanos) {
+    gateway.onServedHere(now(), type, tookNanos);
+  }
+
+  /** A link is taken out or put back; false if there is none of the name. */
+  boolean drain(String name, boolean out) {
+    boolean found = false;
+    for (Far far : all) {
+      if (far.place.name.equals(name.replace('/', ' ')) || far.state.site().equals(name)) {
+        gateway.drain(far.state, out);
+        Log.info("gateway", far.place.name + (out ? " drained" : " in use again"));
+        found = true;
+      }
+    }
+    return found;
+  }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -20,147 +20,147 @@
 
 /** Listens for gRPC clients, bounds what they may do, and ends their connections in good order. */
 public final class GrpcServer implements ProtocolListener {
-private static final long TICK_MILLIS = 1000;
-
-private final EventLoop loop;
-private final Clock clock;
-private final ResourceBudget budget;
-private final GrpcTable table;
-private final Dispatcher dispatcher;
-private final Held held;
-private final GrpcPool pool;
-private final SplittableRandom random;
-private final Patience patience;
-private final Set<ClientLink> links = new HashSet<>();
-private Channel listener;
-private boolean draining;
-private String forbidden;
-private long number;
-
-/** Makes the front and its transport; to be called on the loop's node before its start. */
-public GrpcServer(ProtocolListener.Context parts, GrpcTable table, Settings settings, long seed) {
-this.loop = parts.loop();
-this.clock = parts.clock();
-this.budget = parts.budget();
-this.dispatcher = parts.dispatcher();
-this.table = table;
-held = new Held(table.mostHeld());
-patience = new Patience(loop, clock, table.gatherNanos());
-pool = new GrpcPool(this, loop, budget, settings.limits(), parts.evict());
-dispatcher.addTransport(pool);
-random = new SplittableRandom(seed);
-}
-
-@Override
-public void start() throws InterruptedException {
-listener =
-Listeners.bootstrap(loop, this::accepted)
-.option(ChannelOption.SO_BACKLOG, 1024)
-.bind(table.listen())
-.sync()
-.channel();
-loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
-}
-
-/** Where it listens; after the start. */
-public InetSocketAddress address() {
-return (InetSocketAddress) listener.localAddress();
-}
-
-private void accepted(Channel channel) {
-budget.connectionOpened();
-channel.closeFuture().addListener(closed -> budget.connectionClosed());
-if (links.size() >= table.mostConnections() || budget.availableConnections() <= 0) {
-channel.close();
-return;
-}
-ClientLink link =
-MultiplexedConnection.build(
-true,
-table.mostStreams(),
-GrpcHeaders.MOST_BYTES,
-GrpcHeaders.CHANGING,
-(decoder, encoder, settings) -> new ClientLink(decoder, encoder, settings, this));
-links.add(link);
-channel.closeFuture().addListener(closed -> links.remove(link));
-long now = clock.nowNanos();
-link.accepted(now, now + (long) (table.ageMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
-channel.pipeline().addLast(link);
-if (draining) {
-link.closeGracefully();
-}
-}
-
-private void tick() {
-long now = clock.nowNanos();
-List.copyOf(links).forEach(link -> link.tick(now));
-}
-
-/** A header that no client may send; before the start. */
-public void forbid(String header) {
-forbidden = header;
-}
-
-String forbidden() {
-return forbidden;
-}
-
-Clock clock() {
-return clock;
-}
-
-Dispatcher dispatcher() {
-return dispatcher;
-}
-
-Patience patience() {
-return patience;
-}
-
-GrpcTable table() {
-return table;
-}
-
-GrpcPool pool() {
-return pool;
-}
-
-Held held() {
-return held;
-}
-
-boolean draining() {
-return draining;
-}
-
-/** Calls have no names of their own, and no open request may have another's. */
-String nextName() {
-return "grpc " + number++;
-}
-
-@Override
-public void drain() {
-draining = true;
-List.copyOf(links).forEach(ClientLink::closeGracefully);
-}
-
-@Override
-public void stopListening() {
-Listeners.closeGracefully(listener, () -> budget.availableConnections() > 0);
-}
-
-@Override
-public boolean isListening() {
-return listener.isOpen();
-}
-
-@Override
-public int clients() {
-return links.size();
-}
-
-@Override
-public void closeIdle() {
-List.copyOf(links).forEach(ClientLink::closeIfIdle);
-}
+  private static final long TICK_MILLIS = 1000;
+
+  private final EventLoop loop;
+  private final Clock clock;
+  private final ResourceBudget budget;
+  private final GrpcTable table;
+  private final Dispatcher dispatcher;
+  private final Held held;
+  private final GrpcPool pool;
+  private final SplittableRandom random;
+  private final Patience patience;
+  private final Set<ClientLink> links = new HashSet<>();
+  private Channel listener;
+  private boolean draining;
+  private String forbidden;
+  private long number;
+
+  /** Makes the front and its transport; to be called on the loop's node before its start. */
+  public GrpcServer(ProtocolListener.Context parts, GrpcTable table, Settings settings, long seed) {
+    this.loop = parts.loop();
+    this.clock = parts.clock();
+    this.budget = parts.budget();
+    this.dispatcher = parts.dispatcher();
+    this.table = table;
+    held = new Held(table.mostHeld());
+    patience = new Patience(loop, clock, table.gatherNanos());
+    pool = new GrpcPool(this, loop, budget, settings.limits(), parts.evict());
+    dispatcher.addTransport(pool);
+    random = new SplittableRandom(seed);
+  }
+
+  @Override
+  public void start() throws InterruptedException {
+    listener =
+        Listeners.bootstrap(loop, this::accepted)
+            .option(ChannelOption.SO_BACKLOG, 1024)
+            .bind(table.listen())
+            .sync()
+            .channel();
+    loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
+  }
+
+  /** Where it listens; after the start. */
+  public InetSocketAddress address() {
+    return (InetSocketAddress) listener.localAddress();
+  }
+
+  private void accepted(Channel channel) {
+    budget.connectionOpened();
+    channel.closeFuture().addListener(closed -> budget.connectionClosed());
+    if (links.size() >= table.mostConnections() || budget.availableConnections() <= 0) {
+      channel.close();
+      return;
+    }
+    ClientLink link =
+        MultiplexedConnection.build(
+            true,
+            table.mostStreams(),
+            GrpcHeaders.MOST_BYTES,
+            GrpcHeaders.CHANGING,
+            (decoder, encoder, settings) -> new ClientLink(decoder, encoder, settings, this));
+    links.add(link);
+    channel.closeFuture().addListener(closed -> links.remove(link));
+    long now = clock.nowNanos();
+    link.accepted(now, now + (long) (table.ageMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
+    channel.pipeline().addLast(link);
+    if (draining) {
+      link.closeGracefully();
+    }
+  }
+
+  private void tick() {
+    long now = clock.nowNanos();
+    List.copyOf(links).forEach(link -> link.tick(now));
+  }
+
+  /** A header that no client may send; before the start. */
+  public void forbid(String header) {
+    forbidden = header;
+  }
+
+  String forbidden() {
+    return forbidden;
+  }
+
+  Clock clock() {
+    return clock;
+  }
+
+  Dispatcher dispatcher() {
+    return dispatcher;
+  }
+
+  Patience patience() {
+    return patience;
+  }
+
+  GrpcTable table() {
+    return table;
+  }
+
+  GrpcPool pool() {
+    return pool;
+  }
+
+  Held held() {
+    return held;
+  }
+
+  boolean draining() {
+    return draining;
+  }
+
+  /** Calls have no names of their own, and no open request may have another's. */
+  String nextName() {
+    return "grpc " + number++;
+  }
+
+  @Override
+  public void drain() {
+    draining = true;
+    List.copyOf(links).forEach(ClientLink::closeGracefully);
+  }
+
+  @Override
+  public void stopListening() {
+    Listeners.closeGracefully(listener, () -> budget.availableConnections() > 0);
+  }
+
+  @Override
+  public boolean isListening() {
+    return listener.isOpen();
+  }
+
+  @Override
+  public int clients() {
+    return links.size();
+  }
+
+  @Override
+  public void closeIdle() {
+    List.copyOf(links).forEach(ClientLink::closeIfIdle);
+  }
 }
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -157,9 +157,8 @@
     if (Channels.hasSocket(connecting.channel())) {
       connecting.channel().closeFuture().addListener(closed -> budget.connectionClosed());
     } else {
-      budget
-          .connectionClosed(); // No socket could be made; the channel is a stand-in that never
-                               // closes.
+      budget.connectionClosed(); // No socket could be made; the channel is a stand-in that never
+      // closes.
     }
     connection.dialing(connecting, attempt, payload);
   }
--- a/src/main/java/heathswitch/proxy/maintenance/Holdings.java
+++ b/src/main/java/heathswitch/proxy/maintenance/Holdings.java
@@ -73,10 +73,10 @@
     }
     Settled.Away held = away.get(entry.id());
     if (held != null && held.phase().held() || heldAt.containsKey(place(entry))) {
-      return entry.with(Health.DRAINING, entry.startedMillis());
+      return entry.withHealth(Health.DRAINING, entry.startedMillis());
     }
     long since = back.getOrDefault(entry.id(), 0L);
-    return entry.with(entry.health(), Math.max(since, entry.startedMillis()));
+    return entry.withHealth(entry.health(), Math.max(since, entry.startedMillis()));
   }
 
   /**
--- a/src/main/java/heathswitch/proxy/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -18,137 +18,137 @@
 
 /** One running balancer: its parts, put together on one event loop. */
 public final class Node {
-private static final long FIGURES_SECONDS = 10;
-
-private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-private final EventLoop loop = group.next();
-private final Clock clock = new Clock();
-private final NodeSettings settings;
-private final ResourceBudget budget;
-private final ClientListener server;
-private final UpstreamConnectionPool pool;
-private final Dispatcher dispatcher;
-private final MemberSource members;
-private final Shutdown shutdown;
-private final OperatorDrain operatorDrain;
-private final LoopLagMonitor lagMonitor;
-private final List<ProtocolListener> extraListeners = new ArrayList<>();
-
-/** Puts the parts together; {@link #start} must follow. */
-public Node(NodeSettings settings, MemberSource.Factory source, long lagSampleNanos) {
-this.settings = settings;
-budget = new ResourceBudget(settings.maxDescriptors(), ResourceBudget.BODY_BYTES);
-server = new ClientListener(loop, clock, budget);
-pool =
-new UpstreamConnectionPool(
-loop, clock, budget, settings.settings().limits(), server::evictIdle);
-dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
-dispatcher.addTransport(pool);
-members = source.create(loop);
-shutdown = new Shutdown(loop, settings.settings(), server, dispatcher, members, extraListeners);
-operatorDrain = new OperatorDrain(loop, server);
-lagMonitor = new LoopLagMonitor(lagSampleNanos);
-}
-
-/** Adds a front; before the start. */
-public ProtocolListener addListener(ProtocolListener.Factory factory) {
-ProtocolListener listener =
-factory.create(
-new ProtocolListener.Context(loop, clock, budget, dispatcher, pool, this::evictIdle));
-extraListeners.add(listener);
-return listener;
-}
-
-/** A header that no client over HTTP/1.1 may send; before the start. */
-public void forbidHeader(String header) {
-server.forbidHeader(header);
-}
-
-private boolean evictIdle() {
-return pool.evictIdle() || server.evictIdle();
-}
-
-/** Returns once clients can connect; fails if the address is taken. */
-public void start() throws InterruptedException {
-loop.submit(() -> members.start(dispatcher)).sync();
-members.awaitList();
-server.start(settings.listen(), settings.reusePort(), dispatcher, pool);
-for (ProtocolListener front : extraListeners) {
-front.start();
-}
-lagMonitor.start(loop);
-loop.scheduleAtFixedRate(this::logFigures, FIGURES_SECONDS, FIGURES_SECONDS, SECONDS);
-}
-
-/** Other settings for all that is taken and opened from now on; on the loop. */
-public void reload(Settings newSettings) {
-dispatcher.reload(newSettings);
-pool.reload(newSettings.limits());
-shutdown.reload(newSettings);
-}
-
-/** Where clients connect; null where the process was told to end before it listened. */
-public InetSocketAddress address() {
-return server.address();
-}
-
-public EventLoop loop() {
-return loop;
-}
-
-/** Unix time by the node's own clock, which goes on evenly when the machine's is set. */
-public long nowMillis() {
-return clock.nowNanos() / 1_000_000;
-}
-
-/** To be read on the loop. */
-public LoopLagMonitor lagMonitor() {
-return lagMonitor;
-}
-
-/** To be read on the loop. */
-public Dispatcher dispatcher() {
-return dispatcher;
-}
-
-public Shutdown shutdown() {
-return shutdown;
-}
-
-public OperatorDrain operatorDrain() {
-return operatorDrain;
-}
-
-/** What the node may hold; to be used on the loop. */
-public ResourceBudget budget() {
-return budget;
-}
-
-/** Ends at once, without a drain. */
-public void stop() {
-group.shutdownGracefully(0, 5, SECONDS).awaitUninterruptibly();
-}
-
-private void logFigures() {
-Runtime runtime = Runtime.getRuntime();
-Log.info(
-"figures",
-dispatcher.counters.formatAndReset()
-+ "; live "
-+ dispatcher.liveRequestCount()
-+ ", clients "
-+ server.clientCount()
-+ ", idle upstream connections "
-+ pool.idleConnectionCount()
-+ ", connections "
-+ budget.connections()
-+ ", loop late by up to "
-+ lagMonitor.takeMaxLagForFigures() / 1_000_000
-+ " ms, heap "
-+ (runtime.totalMemory() - runtime.freeMemory() >> 20)
-+ " MB; "
-+ dispatcher.figures()
-+ "; "
-+ members.figures());
-}
+  private static final long FIGURES_SECONDS = 10;
+
+  private final NioEventLoopGroup group = new NioEventLoopGroup(1);
+  private final EventLoop loop = group.next();
+  private final Clock clock = new Clock();
+  private final NodeSettings settings;
+  private final ResourceBudget budget;
+  private final ClientListener server;
+  private final UpstreamConnectionPool pool;
+  private final Dispatcher dispatcher;
+  private final MemberSource members;
+  private final Shutdown shutdown;
+  private final OperatorDrain operatorDrain;
+  private final LoopLagMonitor lagMonitor;
+  private final List<ProtocolListener> extraListeners = new ArrayList<>();
+
+  /** Puts the parts together; {@link #start} must follow. */
+  public Node(NodeSettings settings, MemberSource.Factory source, long lagSampleNanos) {
+    this.settings = settings;
+    budget = new ResourceBudget(settings.maxDescriptors(), ResourceBudget.BODY_BYTES);
+    server = new ClientListener(loop, clock, budget);
+    pool =
+        new UpstreamConnectionPool(
+            loop, clock, budget, settings.settings().limits(), server::evictIdle);
+    dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
+    dispatcher.addTransport(pool);
+    members = source.create(loop);
+    shutdown = new Shutdown(loop, settings.settings(), server, dispatcher, members, extraListeners);
+    operatorDrain = new OperatorDrain(loop, server);
+    lagMonitor = new LoopLagMonitor(lagSampleNanos);
+  }
+
+  /** Adds a front; before the start. */
+  public ProtocolListener addListener(ProtocolListener.Factory factory) {
+    ProtocolListener listener =
+        factory.create(
+            new ProtocolListener.Context(loop, clock, budget, dispatcher, pool, this::evictIdle));
+    extraListeners.add(listener);
+    return listener;
+  }
+
+  /** A header that no client over HTTP/1.1 may send; before the start. */
+  public void forbidHeader(String header) {
+    server.forbidHeader(header);
+  }
+
+  private boolean evictIdle() {
+    return pool.evictIdle() || server.evictIdle();
+  }
+
+  /** Returns once clients can connect; fails if the address is taken. */
+  public void start() throws InterruptedException {
+    loop.submit(() -> members.start(dispatcher)).sync();
+    members.awaitList();
+    server.start(settings.listen(), settings.reusePort(), dispatcher, pool);
+    for (ProtocolListener front : extraListeners) {
+      front.start();
+    }
+    lagMonitor.start(loop);
+    loop.scheduleAtFixedRate(this::logFigures, FIGURES_SECONDS, FIGURES_SECONDS, SECONDS);
+  }
+
+  /** Other settings for all that is taken and opened from now on; on the loop. */
+  public void reload(Settings newSettings) {
+    dispatcher.reload(newSettings);
+    pool.reload(newSettings.limits());
+    shutdown.reload(newSettings);
+  }
+
+  /** Where clients connect; null where the process was told to end before it listened. */
+  public InetSocketAddress address() {
+    return server.address();
+  }
+
+  public EventLoop loop() {
+    return loop;
+  }
+
+  /** Unix time by the node's own clock, which goes on evenly when the machine's is set. */
+  public long nowMillis() {
+    return clock.nowNanos() / 1_000_000;
+  }
+
+  /** To be read on the loop. */
+  public LoopLagMonitor lagMonitor() {
+    return lagMonitor;
+  }
+
+  /** To be read on the loop. */
+  public Dispatcher dispatcher() {
+    return dispatcher;
+  }
+
+  public Shutdown shutdown() {
+    return shutdown;
+  }
+
+  public OperatorDrain operatorDrain() {
+    return operatorDrain;
+  }
+
+  /** What the node may hold; to be used on the loop. */
+  public ResourceBudget budget() {
+    return budget;
+  }
+
+  /** Ends at once, without a drain. */
+  public void stop() {
+    group.shutdownGracefully(0, 5, SECONDS).awaitUninterruptibly();
+  }
+
+  private void logFigures() {
+    Runtime runtime = Runtime.getRuntime();
+    Log.info(
+        "figures",
+        dispatcher.counters.formatAndReset()
+            + "; live "
+            + dispatcher.liveRequestCount()
+            + ", clients "
+            + server.clientCount()
+            + ", idle upstream connections "
+            + pool.idleConnectionCount()
+            + ", connections "
+            + budget.connections()
+            + ", loop late by up to "
+            + lagMonitor.takeMaxLagForFigures() / 1_000_000
+            + " ms, heap "
+            + (runtime.totalMemory() - runtime.freeMemory() >> 20)
+            + " MB; "
+            + dispatcher.figures()
+            + "; "
+            + members.figures());
+  }
 }
--- /dev/null
+++ b/src/main/java/heathswitch/proxy/node/package-info.java
@@ -0,0 +1,2 @@
+/** Assembles a running balancer on one event loop, and drains and stops it. */
+package heathswitch.proxy.node;
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -47,7 +47,7 @@
   private Member standing(Member entry, long nowMillis) {
     Rotation.Standing standing =
         rotation.standing(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
-    return entry.with(standing.health(), standing.startedMillis());
+    return entry.withHealth(standing.health(), standing.startedMillis());
   }
 
   /** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
--- a/src/main/java/heathswitch/proxy/spi/Answer.java
+++ b/src/main/java/heathswitch/proxy/spi/Answer.java
@@ -1,6 +1,9 @@
 package heathswitch.proxy.spi;
 
-/** A whole answer in the form of its protocol; whoever holds it last releases it. */
+/**
+ * A complete answer in the representation of its protocol. It has one owner at a time; the last
+ * owner releases it.
+ */
 public interface Answer {
   void release();
 }
--- a/src/main/java/heathswitch/proxy/spi/Attempt.java
+++ b/src/main/java/heathswitch/proxy/spi/Attempt.java
@@ -2,11 +2,14 @@
 
 import heathswitch.policy.api.Outcome;
 
-/** One attempt at one upstream, as its transport sees it; whoever makes it is told how it ended. */
+/**
+ * One attempt to serve a request at one upstream, as seen by the transport that carries it. The
+ * transport reports the outcome here.
+ */
 public abstract class Attempt {
-  /** What carries an attempt: a connection, or a stream of one. */
+  /** The connection, or the stream of a connection, that carries an attempt. */
   public interface Exchange {
-    /** Nobody waits for the attempt any more. */
+    /** Cancels the exchange: the result of its attempt is no longer needed. */
     void cancel();
   }
 
@@ -21,41 +24,44 @@
     return upstream;
   }
 
-  /** When nobody waits for an answer any more, in nanoseconds of the node's clock. */
+  /** The request's deadline, in nanoseconds of the node's clock. */
   public abstract long deadlineNanos();
 
-  /** How many attempts of the request were made before. */
+  /** The zero-based number of this attempt within its request. */
   public abstract int number();
 
   /**
-   * Whether its first byte may be written now. Time may have passed since it was decided: the
-   * caller may have gone, the upstream may drain, the time for a repeat may be over, the process
-   * may even have been stopped. What may not begin ends as never sent.
+   * Whether the first byte of the attempt may be written now. Time may have passed since the
+   * attempt was decided on: the caller may have disconnected, the upstream may be draining, the
+   * retry window may be over, or the process may have been suspended. The transport completes an
+   * attempt that may not be sent as never sent.
    */
   public abstract boolean maySend();
 
   /**
-   * Asks whether the answer may go on to the caller as it comes. If so the request has this answer
-   * and no other: it can't be tried again, and attempts beside this one are called off.
+   * Asks whether the answer may be streamed to the caller as it arrives. If so, the request is
+   * bound to this answer: it can no longer be retried, and its concurrent attempts are cancelled.
    */
   public abstract boolean beginStreaming();
 
   /**
-   * The attempt is over. For {@link Outcome#OK} the answer stands ready unless it was passed on as
-   * it came; an error may bring the answer that says so. It belongs to the receiver.
+   * Reports the end of the attempt. With {@link Outcome#OK} the answer is complete, or null if it
+   * was streamed; an error may carry the upstream's error answer. The callee takes ownership of the
+   * answer.
    */
   public abstract void complete(Outcome outcome, Answer answer);
 
-  public final void attach(Exchange by) {
-    exchange = by;
+  /** Sets the exchange that {@link #cancel()} cancels. */
+  public final void attach(Exchange newExchange) {
+    exchange = newExchange;
   }
 
-  /** Stops waiting for an attempt that has not ended. */
+  /** Cancels the attempt's exchange if it has one. */
   public final void cancel() {
-    Exchange now = exchange;
+    Exchange current = exchange;
     exchange = null;
-    if (now != null) {
-      now.cancel();
+    if (current != null) {
+      current.cancel();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/spi/Caller.java
+++ b/src/main/java/heathswitch/proxy/spi/Caller.java
@@ -1,38 +1,49 @@
 package heathswitch.proxy.spi;
 
-/** Whoever waits for the one answer to a request; exactly one of the three is called, once. */
+/**
+ * The party that waits for the answer to a request. Exactly one of {@link #serve}, {@link #refuse}
+ * and {@link #fail} is called, once, unless the caller disconnects first.
+ */
 public interface Caller {
-  /** The request is live; told before anything can answer it. */
-  void accepted(RequestHandle ticket);
+  /** Hands over the handle of the accepted request; called before the request can be answered. */
+  void accepted(RequestHandle handle);
 
-  /** Whether the request may be sent to another place; one that came from there may not. */
+  /**
+   * Whether the request may be forwarded to another site. A request that was itself forwarded from
+   * another site may not.
+   */
   default boolean mayOverflow() {
     return true;
   }
 
   /**
-   * Whether somebody still waits for the answer, as far as can be found out now: what has come from
-   * the caller and has not been read yet is read first. Asked right before an attempt begins; a
-   * caller that turns out to have gone says so through its {@link RequestHandle} before this
-   * returns.
+   * Whether the caller still waits for the answer, as far as can be determined now: input from the
+   * caller that is pending is read first. Called right before an attempt is sent. A caller that
+   * turns out to be gone reports that through its {@link RequestHandle} before this method returns.
    */
   default boolean isStillWaiting() {
     return true;
   }
 
   /**
-   * A whole answer, in the caller's own protocol; it belongs to the caller. Null where it has been
-   * passed on as it came.
+   * Delivers a complete answer in the caller's own protocol and passes on its ownership.
+   *
+   * @param answer null if the answer was already streamed to the caller
    */
   void serve(Answer answer);
 
   /**
-   * Turned away; trying again is harmless, after so long where it is above zero.
+   * Refuses the request; a retry does no harm.
    *
-   * @param last the last error that an upstream answered, or null; it belongs to the caller
+   * @param retryAfterNanos how long to wait before a retry, if above zero
+   * @param last the last error answer from an upstream, or null; ownership passes to the caller
    */
   void refuse(long retryAfterNanos, Answer last);
 
-  /** Failed, and may have had an effect. */
+  /**
+   * Fails the request, which may have had an effect.
+   *
+   * @param last the last error answer from an upstream, or null; ownership passes to the caller
+   */
   void fail(Answer last);
 }
--- a/src/main/java/heathswitch/proxy/spi/Payload.java
+++ b/src/main/java/heathswitch/proxy/spi/Payload.java
@@ -1,18 +1,25 @@
 package heathswitch.proxy.spi;
 
-/** What a request asks, in the form of its protocol, for as many attempts as it takes. */
+/**
+ * The content of a request in the representation of its protocol. It can start as many attempts as
+ * the request needs.
+ */
 public interface Payload {
   /**
-   * Starts an attempt over the protocol's transport; false if no descriptor can be had, and then
-   * nothing was sent.
+   * Starts an attempt over the protocol's transport.
+   *
+   * @return false if no descriptor was available; nothing was sent then
    */
   boolean start(Attempt attempt);
 
-  /** Whether another attempt is possible: a stream that has been passed on in part is not. */
+  /**
+   * Whether another attempt can be started. This is not possible for a stream that has been
+   * forwarded in part.
+   */
   default boolean isRepeatable() {
     return true;
   }
 
-  /** Nothing more is sent; called once. */
+  /** Releases the content. Called once, after the last attempt has ended. */
   void release();
 }
--- a/src/main/java/heathswitch/proxy/spi/RequestHandle.java
+++ b/src/main/java/heathswitch/proxy/spi/RequestHandle.java
@@ -1,15 +1,19 @@
 package heathswitch.proxy.spi;
 
-/** A request that has been taken, in the hands of its caller. */
+/** A caller's handle of its accepted request. */
 public interface RequestHandle {
   /**
-   * The last of what the caller sends has come; its time runs from now. For a request that was
-   * taken before that, with more time than its caller gives it.
+   * Reports that the last part of the request has arrived, and restarts its time limit from now.
+   * For a request that was accepted before it was complete, with a longer time limit than the
+   * caller's own.
    *
    * @param ttlNanos how long the caller waits for its answer
    */
   void bodyComplete(long ttlNanos);
 
-  /** The caller waits no longer; what is still out for the request is called off. */
+  /**
+   * Reports that the caller no longer waits for an answer; open attempts of the request are
+   * cancelled.
+   */
   void callerGone();
 }
--- a/src/main/java/heathswitch/proxy/spi/Transport.java
+++ b/src/main/java/heathswitch/proxy/spi/Transport.java
@@ -1,10 +1,13 @@
 package heathswitch.proxy.spi;
 
-/** Connections to upstreams in one protocol, as far as the dispatcher knows them. */
+/** The connections to upstreams over one protocol, as seen by the dispatcher. */
 public interface Transport {
-  /** After a restart, a new address, a drain, or silence: idle connections are of no more use. */
+  /**
+   * Closes the idle connections to an upstream. Called when the upstream has restarted, changed its
+   * address, is draining or has stopped responding.
+   */
   void closeIdle(Upstream upstream);
 
-  /** Whether a connection is kept that a call to it could take. */
+  /** Whether there is an open connection to the upstream that a call could use. */
   boolean hasConnection(Upstream upstream);
 }
--- a/src/main/java/heathswitch/proxy/spi/Upstream.java
+++ b/src/main/java/heathswitch/proxy/spi/Upstream.java
@@ -2,40 +2,48 @@
 
 import java.net.InetSocketAddress;
 
-/** One upstream as a list names it, whatever it speaks. */
+/** The state of one listed upstream that all protocols share. Used on the event loop only. */
 public final class Upstream {
   public final long id;
   public final String name;
 
-  /** Where it speaks HTTP/1.1, or null where it does not. */
+  /** The address for HTTP/1.1, or null if the upstream does not speak it. */
   public InetSocketAddress address;
 
-  /** Where it speaks gRPC, or null where it does not. */
+  /** The address for gRPC, or null if the upstream does not speak it. */
   public InetSocketAddress grpcAddress;
 
   public long startedMillis;
 
-  /** Draining or gone: connections to it are not kept. */
+  /** Draining or removed: connections to the upstream are not kept open. */
   public boolean outOfService;
 
-  /** No longer on discovery's list. */
+  /** No longer on the list of discovery. */
   public boolean removed;
 
-  /** Attempts that are out, and since when nothing at all has come back. */
+  /** The number of attempts in flight. */
   public int inFlight;
 
+  /**
+   * When something was last received or, if later, when an attempt was last started with no other
+   * in flight.
+   */
   public long silentSinceNanos;
 
-  /** Connections one after the other that did not come up in time, with nothing heard between. */
+  /** Consecutive connects that timed out with nothing received in between. */
   private int consecutiveDialTimeouts;
 
-  /** Something has come from it. */
+  /** Records that something was received from the upstream. */
   public void recordHeard(long nowNanos) {
     silentSinceNanos = nowNanos;
     consecutiveDialTimeouts = 0;
   }
 
-  /** A connection did not come up in time; how many did not since it was heard of. */
+  /**
+   * Records that a connect timed out.
+   *
+   * @return the number of consecutive timeouts since something was last received
+   */
   public int recordDialTimeout() {
     return ++consecutiveDialTimeouts;
   }
--- a/src/main/java/heathswitch/proxy/spi/package-info.java
+++ b/src/main/java/heathswitch/proxy/spi/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What every protocol and the dispatcher agree on. Who writes another protocol writes a {@link
- * heathswitch.proxy.spi.Caller} for whoever waits for an answer, a {@link
- * heathswitch.proxy.spi.Payload} that starts a {@link heathswitch.proxy.spi.Attempt} over a {@link
- * heathswitch.proxy.spi.Transport} of its own, and an {@link heathswitch.proxy.spi.Answer} that
- * goes back from one to the other.
+ * The interfaces between the dispatcher and the protocols. To add a protocol, implement a {@link
+ * heathswitch.proxy.spi.Caller} that waits for an answer, a {@link heathswitch.proxy.spi.Payload}
+ * that starts an {@link heathswitch.proxy.spi.Attempt} over the protocol's own {@link
+ * heathswitch.proxy.spi.Transport}, and an {@link heathswitch.proxy.spi.Answer} that carries the
+ * result back to the caller.
  */
 package heathswitch.proxy.spi;
--- a/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
+++ b/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
@@ -56,8 +56,8 @@
     Double part = uses.get(entry.id());
     // Weights of its own are 1 on the mean, like those of others as lists state them.
     return part == null
-        ? entry.with(Part.SPARE, entry.weight())
-        : entry.with(Part.OWN, Math.max(1e-6, part * uses.size()));
+        ? entry.withPart(Part.SPARE, entry.weight())
+        : entry.withPart(Part.OWN, Math.max(1e-6, part * uses.size()));
   }
 
   /** Takes what is used from now on and tells the dispatcher of whatever that changes. */
--- a/src/main/java/heathswitch/testbed/explore/Mutants.java
+++ b/src/main/java/heathswitch/testbed/explore/Mutants.java
@@ -25,7 +25,8 @@
               DISPATCHER,
               "      markCompleted(request);\n      counters.served++;\n      request.caller.serve",
               "      counters.served++;\n      request.caller.serve"),
-          new Mutant(DISPATCHER, "        cancelAttempt(other); // Two", "        // Two"),
+          new Mutant(
+              DISPATCHER, "        cancelAttempt(other); // A caller", "        // A caller"),
           new Mutant(
               DISPATCHER,
               "    counters.served++;\n    deliverEvent(request",
@@ -51,7 +52,8 @@
               "      complete(attempt, Outcome.CANCELLED, null);"),
           new Mutant(DISPATCHER, "      request.release();\n", ""),
           new Mutant(DISPATCHER, "    openRequestNames.remove(request.name);\n", ""),
-          new Mutant(DISPATCHER, "      upstream.inFlight++; // Taken", "      // Taken"),
+          new Mutant(
+              DISPATCHER, "      upstream.inFlight++; // Decremented", "      // Decremented"),
           new Mutant(
               DISPATCHER,
               "    markCompleted(request);\n    request.caller.refuse",
