--- a/src/main/java/heathswitch/proxy/dispatch/Member.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Member.java
@@ -7,64 +7,65 @@
 import java.net.InetSocketAddress;
 
 /**
- * One upstream as a list names it.
- *
- * @param address where it speaks HTTP/1.1, or null where it does not; one that is gone has neither
- * @param grpcAddress where it speaks gRPC, or null where it does not
- * @param startedMillis Unix time of its last start, 0 for long ago
- * @param part whether this balancer is to use it, one among others
- */
+* An upstream's entry in a list.
+*
+* @param address the address for HTTP/1.1, or null if not spoken; a removed upstream has neither
+* address
+* @param grpcAddress the address for gRPC, or null if not spoken
+* @param startedMillis Unix time of the last start, 0 for long ago
+* @param part whether this balancer, among several, is to use the upstream
+*/
 public record Member(
-    String id,
-    InetSocketAddress address,
-    InetSocketAddress grpcAddress,
-    Health health,
-    String zone,
-    String kind,
-    long cell,
-    double weight,
-    long startedMillis,
-    SubsetRole part) {
-  /** One of which nothing is said who is to use it. */
-  public Member(
-      String id,
-      InetSocketAddress address,
-      InetSocketAddress grpcAddress,
-      Health health,
-      String zone,
-      String kind,
-      long cell,
-      double weight,
-      long startedMillis) {
-    this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, SubsetRole.ANY);
-  }
+String id,
+InetSocketAddress address,
+InetSocketAddress grpcAddress,
+Health health,
+String zone,
+String kind,
+long cell,
+double weight,
+long startedMillis,
+SubsetRole part) {
+/** Creates an entry that any balancer may use. */
+public Member(
+String id,
+InetSocketAddress address,
+InetSocketAddress grpcAddress,
+Health health,
+String zone,
+String kind,
+long cell,
+double weight,
+long startedMillis) {
+this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, SubsetRole.ANY);
+}
 
-  /** The same upstream with another standing. */
-  public Member with(Health nowHealth, long nowStartedMillis) {
-    return nowHealth == health && nowStartedMillis == startedMillis
-        ? this
-        : new Member(
-            id, address, grpcAddress, nowHealth, zone, kind, cell, weight, nowStartedMillis, part);
-  }
+/** Returns this entry with the given health and start time. */
+public Member withHealth(Health newHealth, long newStartedMillis) {
+return newHealth == health && newStartedMillis == startedMillis
+? this
+: new Member(
+id, address, grpcAddress, newHealth, zone, kind, cell, weight, newStartedMillis, part);
+}
 
-  /** The same upstream with another part in what this balancer uses. */
-  public Member with(SubsetRole nowPart, double nowWeight) {
-    return new Member(
-        id, address, grpcAddress, health, zone, kind, cell, nowWeight, startedMillis, nowPart);
-  }
+/** Returns this entry with the given part and weight. */
+public Member withPart(SubsetRole newPart, double newWeight) {
+return new Member(
+id, address, grpcAddress, health, zone, kind, cell, newWeight, startedMillis, newPart);
+}
 
-  ServerEntry forModule(long number) {
-    int speaks =
-        speaks() == 0
-            ? RequestProtocol.HTTP1.protocolBit()
-            : speaks(); // Of no matter once it is gone.
-    return new ServerEntry(
-        number, zone, kind, cell, health, weight, startedMillis * 1_000_000L, speaks, part);
-  }
+ServerEntry toServerEntry(long serverId) {
+// The value is irrelevant for a removed upstream.
+int protocols = protocols() == 0
+? RequestProtocol.HTTP1.protocolBit()
+: protocols();
+return new ServerEntry(
+serverId, zone, kind, cell, health, weight, startedMillis * 1_000_000L, protocols, part);
+}
 
-  /** A bit for each protocol that it has an address for. */
-  int speaks() {
-    return (address == null ? 0 : RequestProtocol.HTTP1.protocolBit())
-        | (grpcAddress == null ? 0 : RequestProtocol.GRPC.protocolBit());
-  }
+/** Bit set of the protocols that the upstream has an address for. */
+int protocols() {
+return (address == null ? 0 : RequestProtocol.HTTP1.protocolBit())
+| (grpcAddress == null ? 0 : RequestProtocol.GRPC.protocolBit());
+}
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
@@ -22,7 +22,7 @@
  */
 final class GrpcStream
     implements MultiplexedConnection.StreamHandler,
-        Attempt.Carrier,
+        Attempt.Exchange,
         ChannelFutureListener,
         Patience.Waiting {
   private final GrpcServer server;
@@ -48,7 +48,7 @@
     this.link = link;
     this.attempt = attempt;
     this.call = call;
-    attempt.carriedBy(this);
+    attempt.attach(this);
   }
 
   Upstream upstream() {
@@ -66,7 +66,7 @@
   }
 
   boolean mayBegin() {
-    return attempt.mayBegin();
+    return attempt.maySend();
   }
 
   /** The connection is there; false if it has no stream for the attempt. */
@@ -198,7 +198,7 @@
 
   /** From here on the call has this answer and no other. */
   private void passOn() {
-    if (!attempt.begun()) {
+    if (!attempt.beginStreaming()) {
       return; // It has another one, and this one is about to be called off.
     }
     passing = true;
@@ -329,7 +329,7 @@
     Attempt over = attempt;
     attempt = null;
     if (over != null) {
-      over.ended(outcome, answer);
+      over.complete(outcome, answer);
     } else if (answer != null) {
       answer.release();
     }
@@ -344,7 +344,7 @@
   }
 
   @Override
-  public void abandon() {
+  public void cancel() {
     attempt = null;
     end(Outcome.CANCELLED, null);
     if (id >= 0) {
--- a/src/main/java/heathswitch/proxy/http1/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -9,7 +9,7 @@
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
-import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.RequestHandle;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -123,7 +123,7 @@
   private long bodyBytes;
   private long reserved;
   private Object waiting;
-  private Ticket request;
+  private RequestHandle request;
   private boolean replaying;
 
   /**
@@ -195,7 +195,7 @@
    * connection, and while the loop was held up or reading paused that may have been long ago.
    */
   @Override
-  public boolean stillWaits() {
+  public boolean isStillWaiting() {
     if (!decoding && channel.isActive()) {
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
@@ -253,7 +253,7 @@
     server.becameBusy(this);
     asked = true;
     head = next;
-    readUnder = dispatcher.reloads();
+    readUnder = dispatcher.reloadCount();
     version = next.protocolVersion();
     keepAlive = HttpUtil.isKeepAlive(next);
     phase = Phase.BODY;
@@ -294,11 +294,11 @@
    * taken by another meanwhile; and it is taken wholly under the settings that hold now.
    */
   private String faultSince() {
-    if (readUnder != dispatcher.reloads()) {
-      readUnder = dispatcher.reloads();
+    if (readUnder != dispatcher.reloadCount()) {
+      readUnder = dispatcher.reloadCount();
       return fault(head);
     }
-    boolean open = dispatcher.isOpen(head.headers().get(HeaderRules.REQUEST_ID));
+    boolean open = dispatcher.isRequestOpen(head.headers().get(HeaderRules.REQUEST_ID));
     return open ? RequestHead.openTwice() : null;
   }
 
@@ -392,7 +392,7 @@
     phase = Phase.TAKEN;
     sinceNanos = pieceNanos;
     if (request != null) {
-      request.whole(ttlNanos);
+      request.bodyComplete(ttlNanos);
     }
     uploadEnd = content.content().retain();
   }
@@ -404,7 +404,7 @@
   private void passUploadEnd() {
     ByteBuf end = uploadEnd;
     uploadEnd = null;
-    if (stillWaits() && upload != null) {
+    if (isStillWaiting() && upload != null) {
       upload.add(end, true);
     } else {
       end.release();
@@ -423,12 +423,12 @@
 
   /** Its upstream takes nothing. The last byte was never sent on, so a retry is harmless. */
   private void giveUpUpload() {
-    Ticket live = request;
+    RequestHandle live = request;
     linger = LingeringClose.UPLOADING;
     reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
     if (live != null) {
       request = null;
-      live.gone();
+      live.callerGone();
     }
   }
 
@@ -439,7 +439,7 @@
 
   private void complete() {
     if (waiting != null) {
-      server.budget.giveUp(waiting);
+      server.budget.cancelReservation(waiting);
       waiting = null;
       channel.config().setAutoRead(true);
     } else if (reserved > bodyBytes) {
@@ -492,7 +492,7 @@
 
   /** The request is live; told before anything can answer it. */
   @Override
-  public void taken(Ticket live) {
+  public void accepted(RequestHandle live) {
     request = live;
   }
 
@@ -736,9 +736,9 @@
       source.clientDisconnected();
     }
     if (request != null) {
-      Ticket live = request;
+      RequestHandle live = request;
       request = null;
-      live.gone();
+      live.callerGone();
     }
     releaseReserved();
   }
@@ -754,7 +754,7 @@
   private void dropBody() {
     head = null;
     if (waiting != null) {
-      server.budget.giveUp(waiting);
+      server.budget.cancelReservation(waiting);
       waiting = null;
     }
     if (body != null) {
