--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -370,7 +370,7 @@
 
   /** Of a body that comes, all of it has to be there in time; of an answer, each part taken. */
   @Override
-  public boolean stalledSince(long nanos) {
+  public boolean stalledSinceBefore(long nanos) {
     return answered ? unsent > 0 && movedNanos < nanos : !ended && begunNanos < nanos;
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -484,7 +484,7 @@
 
   /** Whether its client has not taken the end of its answer since then. */
   @Override
-  public boolean stalledSince(long nanos) {
+  public boolean stalledSinceBefore(long nanos) {
     return answered && unwrittenNanos < nanos;
   }
 
--- a/src/main/java/heathswitch/proxy/http1/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -46,60 +46,60 @@
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements Caller, StreamedAnswerSink {
   /** A longer body is turned away by its length, before it is read. Clients send up to 32 MB. */
-  static final long MOST_BODY_BYTES = 40L << 20;
+  static final long MAX_BODY_BYTES = 40L << 20;
 
   /**
    * A body is gathered up to this size, so that its request can be tried again. Of a longer one the
    * rest goes on as it comes: memory holds only a few of them.
    */
-  static final int GATHERED_BYTES = 1 << 20;
+  static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
 
   /** So much of a long body is there before its request is taken. */
-  private static final int FIRST_BYTES = 16 << 10;
+  private static final int STREAMING_PREFIX_BYTES = 16 << 10;
 
   /** A body up to this size is read without asking; connections are few enough to bear that. */
-  static final int FREE_BODY_BYTES = 64 << 10;
+  static final int UNRESERVED_BODY_BYTES = 64 << 10;
 
   /**
    * For the head of a request, from its first byte or from the start of its connection. Guards the
    * descriptor against clients that connect and say nothing, or half a head, and owes them an end
    * within 3 s; slow ones need 2 s.
    */
-  static final long HEAD_NANOS = 2_500_000_000L;
+  static final long HEAD_TIMEOUT_NANOS = 2_500_000_000L;
 
   /**
    * Of a body something has to come so often, and from this long after its start on half of what
    * the slowest clients send, 64 kB/s. Guards against half requests and trickles.
    */
-  static final long BODY_NANOS = 1_500_000_000L;
+  static final long BODY_TIMEOUT_NANOS = 1_500_000_000L;
 
-  private static final long LEAST_BYTES_PER_SECOND = 32 << 10;
+  private static final long MIN_BYTES_PER_SECOND = 32 << 10;
 
   /** For an upstream of a long body that takes nothing of it. */
-  static final long TAKE_NANOS = 3_000_000_000L;
+  static final long UPSTREAM_STALL_TIMEOUT_NANOS = 3_000_000_000L;
 
   /** What a request may take to come whole, beside its own time, where it is taken before that. */
-  private static final long MOST_UPLOAD_NANOS = 600_000_000_000L;
+  private static final long MAX_UPLOAD_NANOS = 600_000_000_000L;
 
   /** Since the last answer; many clients ask once and never close. */
-  static final long IDLE_NANOS = 10_000_000_000L;
+  static final long IDLE_TIMEOUT_NANOS = 10_000_000_000L;
 
   /** Without any progress for so long the writing of an answer is given up. */
-  private static final long WRITE_NANOS = 10_000_000_000L;
+  private static final long WRITE_TIMEOUT_NANOS = 10_000_000_000L;
 
   private enum Phase {
     /** No request, or only a part of its head. */
     IDLE,
     /** The head has come, the body has not. */
-    BODY,
+    READING_BODY,
     /** Taken while its body still comes. */
-    UPLOAD,
+    STREAMING_BODY,
     /** Come whole; taken once it is clear what came along with it. */
-    COMPLETE,
+    REQUEST_COMPLETE,
     /** Taken; the answer is owed. */
-    TAKEN,
+    AWAITING_ANSWER,
     /** The last answer has been given; what still comes is thrown away. */
-    LINGER
+    LINGERING
   }
 
   private final ClientListener server;
@@ -109,22 +109,22 @@
   private final StrictRequestDecoder decoder;
   private final PipelineQueue pipelined = new PipelineQueue();
   private Phase phase = Phase.IDLE;
-  private long sinceNanos;
-  private long headSinceNanos;
+  private long timerStartNanos;
+  private long headStartedNanos;
   private HttpRequest head;
 
   /** The settings that the head was read by, as {@link Dispatcher#reloads} counts them. */
-  private int readUnder;
+  private int settingsReloads;
 
   private boolean keepAlive;
-  private RequestClass type;
+  private RequestClass requestClass;
   private long ttlNanos;
   private RequestBodyBuffer body;
   private long bodyBytes;
   private long reserved;
-  private Object waiting;
-  private Ticket request;
-  private boolean replaying;
+  private Object pendingReservation;
+  private Ticket ticket;
+  private boolean replayingPipeline;
 
   /**
    * Whether bytes of this very connection are being decoded, in the middle of which none are read.
@@ -132,24 +132,24 @@
   private boolean decoding;
 
   /** The end of a long body, kept until it is known that its client has stayed. */
-  private ByteBuf uploadEnd;
+  private ByteBuf lastBodyPiece;
 
-  private boolean asked;
-  private int readsBefore;
-  private long lingerBytes;
-  private LingeringClose linger = LingeringClose.ANSWERED;
-  private ChannelFuture answering;
+  private boolean hadRequest;
+  private int readsAtIdle;
+  private long discardedBytes;
+  private LingeringClose lingeringClose = LingeringClose.AFTER_ANSWER;
+  private ChannelFuture answerWrite;
   private HttpVersion version = HttpVersion.HTTP_1_1;
-  private long pieceNanos;
-  private StreamedRequestBody upload;
+  private long lastPieceNanos;
+  private StreamedRequestBody streamedBody;
   private boolean readingPaused;
 
   /** Brings an answer that goes on as it comes. */
-  private StreamedAnswerSource passing;
+  private StreamedAnswerSource answerSource;
 
-  private boolean passKeep;
-  private boolean passChunked;
-  private final ChannelFutureListener progress = done -> madeProgress();
+  private boolean streamedAnswerKeepAlive;
+  private boolean streamedAnswerChunked;
+  private final ChannelFutureListener writeListener = done -> recordWriteProgress();
 
   public ClientConnection(
       ClientListener server,
@@ -162,7 +162,7 @@
     this.dispatcher = dispatcher;
     this.clock = clock;
     this.channel = channel;
-    this.sinceNanos = clock.nowNanos();
+    this.timerStartNanos = clock.nowNanos();
   }
 
   // ---- reading ----
@@ -171,21 +171,21 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     decoding = true;
     HttpObject part = (HttpObject) message;
-    boolean busy = phase == Phase.COMPLETE || phase == Phase.TAKEN;
-    if (busy || !pipelined.isEmpty() || pipelined.isFlood()) {
-      readAhead(part);
+    boolean busy = phase == Phase.REQUEST_COMPLETE || phase == Phase.AWAITING_ANSWER;
+    if (busy || !pipelined.isEmpty() || pipelined.hasOverflowed()) {
+      queuePipelined(part);
     } else {
       read(part);
     }
   }
 
   /** Reading goes on while a request is answered, as only that shows that a client has gone. */
-  private void readAhead(HttpObject part) {
+  private void queuePipelined(HttpObject part) {
     pipelined.add(part);
-    if (pipelined.isFlood()) {
+    if (pipelined.hasOverflowed()) {
       keepAlive = false;
     }
-    if (pipelined.isEndless()) {
+    if (pipelined.overflowLimitExceeded()) {
       channel.config().setAutoRead(false);
     }
   }
@@ -200,7 +200,7 @@
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
     if (!channel.isActive()) {
-      end(); // The channel tells of its end on a later turn of the loop only.
+      onDisconnected(); // The channel tells of its end on a later turn of the loop only.
       return false;
     }
     return true;
@@ -208,23 +208,23 @@
 
   private void read(HttpObject part) {
     try {
-      if (phase == Phase.LINGER) {
-        thrownAway(part);
+      if (phase == Phase.LINGERING) {
+        discard(part);
         return;
       }
-      headSinceNanos = 0;
+      headStartedNanos = 0;
       if (part.decoderResult().isFailure()) {
-        malformed(part.decoderResult().cause());
+        rejectMalformed(part.decoderResult().cause());
         return;
       }
-      if (part instanceof HttpRequest next) {
-        begin(next);
+      if (part instanceof HttpRequest request) {
+        beginRequest(request);
       }
       if (part instanceof HttpContent content) {
-        if (phase == Phase.BODY) {
-          content(content);
-        } else if (phase == Phase.UPLOAD) {
-          uploaded(content);
+        if (phase == Phase.READING_BODY) {
+          readBody(content);
+        } else if (phase == Phase.STREAMING_BODY) {
+          readStreamedBody(content);
         }
       }
     } finally {
@@ -232,14 +232,14 @@
     }
   }
 
-  private void thrownAway(HttpObject part) {
-    lingerBytes += LingeringClose.bytes(part);
-    if (linger.endsAt(lingerBytes, part)) {
+  private void discard(HttpObject part) {
+    discardedBytes += LingeringClose.bodyBytes(part);
+    if (lingeringClose.mustCloseNow(discardedBytes, part)) {
       channel.close();
     }
   }
 
-  private void malformed(Throwable cause) {
+  private void rejectMalformed(Throwable cause) {
     HttpResponseStatus status = HttpResponseStatus.BAD_REQUEST;
     if (cause instanceof TooLongHttpHeaderException) {
       status = HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
@@ -249,81 +249,81 @@
     reject(status, "malformed request");
   }
 
-  private void begin(HttpRequest next) {
+  private void beginRequest(HttpRequest request) {
     server.becameBusy(this);
-    asked = true;
-    head = next;
-    readUnder = dispatcher.reloads();
-    version = next.protocolVersion();
-    keepAlive = HttpUtil.isKeepAlive(next);
-    phase = Phase.BODY;
-    sinceNanos = clock.nowNanos();
-    pieceNanos = sinceNanos;
+    hadRequest = true;
+    head = request;
+    settingsReloads = dispatcher.reloads();
+    version = request.protocolVersion();
+    keepAlive = HttpUtil.isKeepAlive(request);
+    phase = Phase.READING_BODY;
+    timerStartNanos = clock.nowNanos();
+    lastPieceNanos = timerStartNanos;
     bodyBytes = 0;
-    type = null;
-    boolean probe = next.uri().equals("/up");
-    String fault = probe ? null : fault(next);
-    if (fault != null) {
-      Log.info("bad request", fault);
-      reject(HttpResponseStatus.BAD_REQUEST, fault);
+    requestClass = null;
+    boolean readinessProbe = request.uri().equals("/up");
+    String error = readinessProbe ? null : validateHead(request);
+    if (error != null) {
+      Log.info("bad request", error);
+      reject(HttpResponseStatus.BAD_REQUEST, error);
       return;
     }
-    long length = HttpUtil.getContentLength(next, 0L);
-    if (length > MOST_BODY_BYTES) {
+    long contentLength = HttpUtil.getContentLength(request, 0L);
+    if (contentLength > MAX_BODY_BYTES) {
       reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
       return;
     }
-    body = new RequestBodyBuffer(channel.alloc(), HttpUtil.getContentLength(next, -1L));
-    if (length > FREE_BODY_BYTES && length <= GATHERED_BYTES) {
-      reserve(length);
+    body = new RequestBodyBuffer(channel.alloc(), HttpUtil.getContentLength(request, -1L));
+    if (contentLength > UNRESERVED_BODY_BYTES && contentLength <= MAX_BUFFERED_BODY_BYTES) {
+      reserveBuffer(contentLength);
     } else {
-      goOnReading();
+      sendContinueIfExpected();
     }
   }
 
   /** Reads what a head says; what is wrong with it, or null. */
-  private String fault(HttpRequest next) {
-    RequestHead read = RequestHead.read(next, dispatcher, server.forbiddenHeader());
-    type = read.type();
-    ttlNanos = read.ttlNanos();
-    return read.fault();
+  private String validateHead(HttpRequest request) {
+    RequestHead read = RequestHead.read(request, dispatcher, server.forbiddenHeader());
+    requestClass = read.requestClass();
+    ttlNanos = read.timeoutNanos();
+    return read.error();
   }
 
   /**
    * What has become wrong with the request since its head was read, or null. Its id may have been
    * taken by another meanwhile; and it is taken wholly under the settings that hold now.
    */
-  private String faultSince() {
-    if (readUnder != dispatcher.reloads()) {
-      readUnder = dispatcher.reloads();
-      return fault(head);
+  private String revalidateHead() {
+    if (settingsReloads != dispatcher.reloads()) {
+      settingsReloads = dispatcher.reloads();
+      return validateHead(head);
     }
-    boolean open = dispatcher.isOpen(head.headers().get(HeaderRules.REQUEST_ID));
-    return open ? RequestHead.openTwice() : null;
+    boolean idInUse = dispatcher.isOpen(head.headers().get(HeaderRules.REQUEST_ID));
+    return idInUse ? RequestHead.duplicateIdError() : null;
   }
 
-  private void reserve(long bytes) {
-    long more = bytes - reserved;
-    waiting =
+  private void reserveBuffer(long bytes) {
+    long additional = bytes - reserved;
+    pendingReservation =
         server.budget.reserve(
-            more,
+            additional,
             () -> {
-              waiting = null;
-              reserved += more;
-              sinceNanos = clock.nowNanos() - takenNanos(bodyBytes);
-              pieceNanos = clock.nowNanos();
-              goOnReading();
+              pendingReservation = null;
+              reserved += additional;
+              timerStartNanos = clock.nowNanos() - slowestTransferNanos(bodyBytes);
+              lastPieceNanos = clock.nowNanos();
+              sendContinueIfExpected();
               channel.config().setAutoRead(true);
             });
-    if (waiting == null) {
-      reserved += more;
-      goOnReading();
+    if (pendingReservation == null) {
+      reserved += additional;
+      sendContinueIfExpected();
     } else {
       channel.config().setAutoRead(false);
     }
   }
 
-  private void goOnReading() {
+  private void sendContinueIfExpected() {
     if (head != null && HttpUtil.is100ContinueExpected(head)) {
       HttpUtil.set100ContinueExpected(head, false);
       channel.writeAndFlush(
@@ -332,176 +332,184 @@
     }
   }
 
-  private void content(HttpContent content) {
+  private void readBody(HttpContent content) {
     ByteBuf piece = content.content();
     bodyBytes += piece.readableBytes();
-    if (bodyBytes > MOST_BODY_BYTES) {
+    if (bodyBytes > MAX_BODY_BYTES) {
       reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
       return;
     }
-    pieceNanos = clock.nowNanos();
+    lastPieceNanos = clock.nowNanos();
     body.append(piece);
     if (content instanceof LastHttpContent) {
-      complete();
-    } else if (type != null && waiting == null && longBody()) {
-      takeEarly();
-    } else if (bodyBytes > FREE_BODY_BYTES && reserved == 0 && waiting == null) {
+      onBodyComplete();
+    } else if (requestClass != null && pendingReservation == null && shouldStreamBody()) {
+      startStreaming();
+    } else if (bodyBytes > UNRESERVED_BODY_BYTES && reserved == 0 && pendingReservation == null) {
       // In chunks, so of unknown length: all that it may come to, or two could wait for each other.
-      reserve(GATHERED_BYTES);
+      reserveBuffer(MAX_BUFFERED_BODY_BYTES);
     }
   }
 
   /** Whether a body that has not ended is too long to be gathered. */
-  private boolean longBody() {
-    return HttpUtil.getContentLength(head, -1L) > GATHERED_BYTES
-        ? bodyBytes >= FIRST_BYTES
-        : bodyBytes >= GATHERED_BYTES;
+  private boolean shouldStreamBody() {
+    return HttpUtil.getContentLength(head, -1L) > MAX_BUFFERED_BODY_BYTES
+        ? bodyBytes >= STREAMING_PREFIX_BYTES
+        : bodyBytes >= MAX_BUFFERED_BODY_BYTES;
   }
 
   /** A long one is taken now, and the rest of its body goes on as it comes. */
-  private void takeEarly() {
-    String fault = faultSince();
-    if (fault != null) {
-      reject(HttpResponseStatus.BAD_REQUEST, fault);
+  private void startStreaming() {
+    String error = revalidateHead();
+    if (error != null) {
+      reject(HttpResponseStatus.BAD_REQUEST, error);
       return;
     }
-    long held = reserved;
+    long prefixReservation = reserved;
     reserved = 0;
-    long length = HttpUtil.getContentLength(head, -1L);
-    upload = new StreamedRequestBody(this, server.budget, length, ttlNanos, body.take(), held);
+    long contentLength = HttpUtil.getContentLength(head, -1L);
+    streamedBody =
+        new StreamedRequestBody(
+            this, server.budget, contentLength, ttlNanos, body.takeBuffer(), prefixReservation);
     body = null;
-    HttpRequest taken = head;
+    HttpRequest accepted = head;
     head = null;
-    phase = Phase.UPLOAD;
-    dispatch(taken, Unpooled.EMPTY_BUFFER, ttlNanos + MOST_UPLOAD_NANOS, Form.HTTP1_STREAM);
+    phase = Phase.STREAMING_BODY;
+    dispatch(accepted, Unpooled.EMPTY_BUFFER, ttlNanos + MAX_UPLOAD_NANOS, Form.HTTP1_STREAM);
   }
 
-  private void uploaded(HttpContent content) {
+  private void readStreamedBody(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    pieceNanos = clock.nowNanos();
+    lastPieceNanos = clock.nowNanos();
     bodyBytes += content.content().readableBytes();
-    if (bodyBytes > MOST_BODY_BYTES) {
+    if (bodyBytes > MAX_BODY_BYTES) {
       channel.close(); // In chunks without end; nothing has run, as its last byte never came.
       return;
     }
     if (!last) {
-      upload.add(content.content().retain(), false);
+      streamedBody.append(content.content().retain(), false);
       return;
     }
-    phase = Phase.TAKEN;
-    sinceNanos = pieceNanos;
-    if (request != null) {
-      request.whole(ttlNanos);
+    phase = Phase.AWAITING_ANSWER;
+    timerStartNanos = lastPieceNanos;
+    if (ticket != null) {
+      ticket.whole(ttlNanos);
     }
-    uploadEnd = content.content().retain();
+    lastBodyPiece = content.content().retain();
   }
 
   /**
    * The last piece makes the request run. It goes on once what came behind it has been read too: a
    * client that had sent everything and left may lie behind a body whose reading was paused.
    */
-  private void passUploadEnd() {
-    ByteBuf end = uploadEnd;
-    uploadEnd = null;
-    if (stillWaits() && upload != null) {
-      upload.add(end, true);
+  private void forwardLastBodyPiece() {
+    ByteBuf piece = lastBodyPiece;
+    lastBodyPiece = null;
+    if (stillWaits() && streamedBody != null) {
+      streamedBody.append(piece, true);
     } else {
-      end.release();
+      piece.release();
     }
   }
 
   /** The upstream of a long body takes no more for now, or takes more again. */
-  void pauseReading(boolean pause) {
-    if (readingPaused != pause) {
-      readingPaused = pause;
-      pieceNanos = clock.nowNanos();
-      sinceNanos = pieceNanos - takenNanos(bodyBytes);
-      channel.config().setAutoRead(!pause);
+  void setReadingPaused(boolean paused) {
+    if (readingPaused != paused) {
+      readingPaused = paused;
+      lastPieceNanos = clock.nowNanos();
+      timerStartNanos = lastPieceNanos - slowestTransferNanos(bodyBytes);
+      channel.config().setAutoRead(!paused);
     }
   }
 
   /** Its upstream takes nothing. The last byte was never sent on, so a retry is harmless. */
-  private void giveUpUpload() {
-    Ticket live = request;
-    linger = LingeringClose.UPLOADING;
+  private void abortStalledUpload() {
+    Ticket openTicket = ticket;
+    lingeringClose = LingeringClose.DURING_UPLOAD;
     reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
-    if (live != null) {
-      request = null;
-      live.gone();
+    if (openTicket != null) {
+      ticket = null;
+      openTicket.gone();
     }
   }
 
   /** What the slowest permitted client takes for so many bytes. */
-  private static long takenNanos(long bytes) {
-    return bytes * 1_000_000_000L / LEAST_BYTES_PER_SECOND;
+  private static long slowestTransferNanos(long bytes) {
+    return bytes * 1_000_000_000L / MIN_BYTES_PER_SECOND;
   }
 
-  private void complete() {
-    if (waiting != null) {
-      server.budget.giveUp(waiting);
-      waiting = null;
+  private void onBodyComplete() {
+    if (pendingReservation != null) {
+      server.budget.giveUp(pendingReservation);
+      pendingReservation = null;
       channel.config().setAutoRead(true);
     } else if (reserved > bodyBytes) {
       server.budget.release(reserved - bodyBytes);
       reserved = bodyBytes;
     }
-    phase = Phase.COMPLETE;
+    phase = Phase.REQUEST_COMPLETE;
   }
 
   /** The request that has come whole is taken, unless a flood came behind it. */
-  private void take() {
-    if (pipelined.isFlood()) {
+  private void acceptRequest() {
+    if (pipelined.hasOverflowed()) {
       reject(HttpResponseStatus.BAD_REQUEST, "more than one request at a time");
       return;
     }
-    String fault = type == null ? null : faultSince();
-    if (fault != null) {
-      reject(HttpResponseStatus.BAD_REQUEST, fault);
+    String error = requestClass == null ? null : revalidateHead();
+    if (error != null) {
+      reject(HttpResponseStatus.BAD_REQUEST, error);
       return;
     }
-    ByteBuf whole = body.take();
+    ByteBuf completeBody = body.takeBuffer();
     body = null;
-    HttpRequest taken = head;
+    HttpRequest accepted = head;
     head = null;
-    phase = Phase.TAKEN;
-    sinceNanos = clock.nowNanos();
-    if (type == null) {
-      whole.release();
-      readiness(taken);
+    phase = Phase.AWAITING_ANSWER;
+    timerStartNanos = clock.nowNanos();
+    if (requestClass == null) {
+      completeBody.release();
+      answerReadinessProbe(accepted);
     } else {
-      dispatch(taken, whole, ttlNanos, Form.HTTP1);
+      dispatch(accepted, completeBody, ttlNanos, Form.HTTP1);
     }
   }
 
-  private void dispatch(HttpRequest taken, ByteBuf whole, long ttl, Form form) {
-    HttpHeaders headers = taken.headers();
+  private void dispatch(HttpRequest accepted, ByteBuf bufferedBody, long timeoutNanos, Form form) {
+    HttpHeaders headers = accepted.headers();
     HttpHeaders forwarded = new DefaultHttpHeaders(false);
     HeaderRules.copyEndToEndHeaders(headers, forwarded);
     dispatcher.onRequest(
         this,
-        type,
+        requestClass,
         headers.get(HeaderRules.REQUEST_ID),
         headers.get(HeaderRules.TENANT),
         "1".equals(headers.get(HeaderRules.RETRY)),
-        ttl,
+        timeoutNanos,
         form,
         new HttpPayload(
-            server.pool(), this, taken.method(), taken.uri(), forwarded, whole, upload));
+            server.pool(),
+            this,
+            accepted.method(),
+            accepted.uri(),
+            forwarded,
+            bufferedBody,
+            streamedBody));
   }
 
   /** The request is live; told before anything can answer it. */
   @Override
-  public void taken(Ticket live) {
-    request = live;
+  public void taken(Ticket accepted) {
+    ticket = accepted;
   }
 
-  private void readiness(HttpRequest probe) {
-    boolean get = probe.method().equals(HttpMethod.GET);
+  private void answerReadinessProbe(HttpRequest probe) {
+    boolean isGet = probe.method().equals(HttpMethod.GET);
     HttpResponseStatus status =
-        !get
+        !isGet
             ? HttpResponseStatus.METHOD_NOT_ALLOWED
             : server.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
-    answer(text(status, status.reasonPhrase()));
+    writeResponse(textResponse(status, status.reasonPhrase()));
   }
 
   // ---- answering ----
@@ -509,108 +517,111 @@
   /** Serves an upstream's whole answer. */
   @Override
   public void serve(Answer whole) {
-    HttpAnswer from = (HttpAnswer) whole; // The only kind that an HttpPayload brings.
-    FullHttpResponse answer =
-        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.body());
-    HeaderRules.copyEndToEndHeaders(from.head().headers(), answer.headers());
-    answer(answer);
+    HttpAnswer answer = (HttpAnswer) whole; // The only kind that an HttpPayload brings.
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, answer.body());
+    HeaderRules.copyEndToEndHeaders(answer.head().headers(), response.headers());
+    writeResponse(response);
   }
 
   /** Tells the client that a retry is harmless. */
   @Override
   public void refuse(long retryAfterNanos, Answer last) {
-    FullHttpResponse answer = text(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+    FullHttpResponse response = textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
     if (retryAfterNanos > 0) {
-      answer.headers().set(HttpHeaderNames.RETRY_AFTER, HeaderRules.formatSeconds(retryAfterNanos));
+      response
+          .headers()
+          .set(HttpHeaderNames.RETRY_AFTER, HeaderRules.formatSeconds(retryAfterNanos));
     }
-    answer(answer);
+    writeResponse(response);
   }
 
   /** Tells the client that the request failed, and may have had an effect. */
   @Override
   public void fail(Answer last) {
-    answer(text(HttpResponseStatus.BAD_GATEWAY, "failed"));
+    writeResponse(textResponse(HttpResponseStatus.BAD_GATEWAY, "failed"));
   }
 
   // ---- an answer that goes on as it comes ----
 
   @Override
   public void answerStarted(HttpResponse from, StreamedAnswerSource source) {
-    request = null;
-    passing = source;
-    HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    HeaderRules.copyEndToEndHeaders(from.headers(), answer.headers());
-    long length = HttpUtil.getContentLength(from, -1L);
-    passChunked = length < 0 && version.equals(HttpVersion.HTTP_1_1);
-    if (length >= 0) {
-      HttpUtil.setContentLength(answer, length);
-    } else if (passChunked) {
-      HttpUtil.setTransferEncodingChunked(answer, true);
+    ticket = null;
+    answerSource = source;
+    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+    HeaderRules.copyEndToEndHeaders(from.headers(), response.headers());
+    long contentLength = HttpUtil.getContentLength(from, -1L);
+    streamedAnswerChunked = contentLength < 0 && version.equals(HttpVersion.HTTP_1_1);
+    if (contentLength >= 0) {
+      HttpUtil.setContentLength(response, contentLength);
+    } else if (streamedAnswerChunked) {
+      HttpUtil.setTransferEncodingChunked(response, true);
     } else {
       keepAlive = false; // It ends with its connection: the client knows no chunks.
     }
-    passKeep = setKeepAlive(answer);
-    sinceNanos = clock.nowNanos();
-    channel.write(answer);
+    streamedAnswerKeepAlive = setKeepAlive(response);
+    timerStartNanos = clock.nowNanos();
+    channel.write(response);
   }
 
   @Override
   public void answerData(ByteBuf piece) {
-    channel.write(new DefaultHttpContent(piece)).addListener(progress);
+    channel.write(new DefaultHttpContent(piece)).addListener(writeListener);
   }
 
   @Override
   public void answerFlush() {
     channel.flush();
-    if (passing != null) {
-      passing.setPaused(!channel.isWritable());
+    if (answerSource != null) {
+      answerSource.setPaused(!channel.isWritable());
     }
   }
 
   @Override
   public void answerEnd() {
-    passing = null;
-    finish(passKeep, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+    answerSource = null;
+    finishAnswer(
+        streamedAnswerKeepAlive, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
   }
 
   @Override
   public void answerAborted() {
-    passing = null;
+    answerSource = null;
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
     channel.close();
   }
 
-  private void madeProgress() {
-    if (passing != null) {
-      sinceNanos = clock.nowNanos();
+  private void recordWriteProgress() {
+    if (answerSource != null) {
+      timerStartNanos = clock.nowNanos();
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (passing != null) {
-      passing.setPaused(!channel.isWritable());
+    if (answerSource != null) {
+      answerSource.setPaused(!channel.isWritable());
     }
   }
 
-  private static FullHttpResponse text(HttpResponseStatus status, String reason) {
-    FullHttpResponse answer =
+  private static FullHttpResponse textResponse(HttpResponseStatus status, String reason) {
+    FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(reason + "\n", US_ASCII));
-    answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-    return answer;
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
+    return response;
   }
 
-  private void answer(FullHttpResponse answer) {
-    HttpUtil.setContentLength(answer, answer.content().readableBytes());
-    boolean keep = setKeepAlive(answer);
-    ChannelFuture written = channel.writeAndFlush(answer);
-    finish(keep, written);
+  private void writeResponse(FullHttpResponse response) {
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    boolean keep = setKeepAlive(response);
+    ChannelFuture written = channel.writeAndFlush(response);
+    finishAnswer(keep, written);
   }
 
-  private boolean setKeepAlive(HttpResponse answer) {
-    boolean keep = keepAlive && !server.keepAliveDisabled() && phase != Phase.UPLOAD;
-    answer
+  private boolean setKeepAlive(HttpResponse response) {
+    boolean keep = keepAlive && !server.keepAliveDisabled() && phase != Phase.STREAMING_BODY;
+    response
         .headers()
         .set(
             HttpHeaderNames.CONNECTION,
@@ -618,41 +629,41 @@
     return keep;
   }
 
-  private void finish(boolean keep, ChannelFuture written) {
-    answering = written;
-    releaseReserved();
-    request = null;
-    sinceNanos = clock.nowNanos();
-    if (phase == Phase.UPLOAD) {
-      lingerOver(written);
+  private void finishAnswer(boolean keep, ChannelFuture written) {
+    answerWrite = written;
+    releaseReservation();
+    ticket = null;
+    timerStartNanos = clock.nowNanos();
+    if (phase == Phase.STREAMING_BODY) {
+      lingerDuringUpload(written);
       return;
     }
-    upload = null;
+    streamedBody = null;
     if (!keep) {
-      phase = Phase.LINGER;
+      phase = Phase.LINGERING;
       pipelined.release();
-      lingerAfter(written);
+      halfCloseAfter(written);
       return;
     }
     phase = Phase.IDLE;
-    readsBefore = decoder.reads();
+    readsAtIdle = decoder.readCount();
     server.becameIdle(this);
-    replay();
+    replayPipelined();
   }
 
   /** Answered in the middle of a long body: what still comes is read and thrown away. */
-  private void lingerOver(ChannelFuture written) {
-    phase = Phase.LINGER;
-    linger = LingeringClose.UPLOADING;
-    upload.release();
-    lingerAfter(written);
+  private void lingerDuringUpload(ChannelFuture written) {
+    phase = Phase.LINGERING;
+    lingeringClose = LingeringClose.DURING_UPLOAD;
+    streamedBody.release();
+    halfCloseAfter(written);
   }
 
   /**
    * The one way in which an answered connection ends: its sending is shut, and what still comes is
    * read until the client closes too, or as long as {@link LingeringClose} says.
    */
-  private void lingerAfter(ChannelFuture written) {
+  private void halfCloseAfter(ChannelFuture written) {
     written.addListener(
         done -> {
           if (channel instanceof SocketChannel socket) {
@@ -663,38 +674,38 @@
   }
 
   /** Takes up what came while the answer was on its way. */
-  private void replay() {
-    if (replaying) {
+  private void replayPipelined() {
+    if (replayingPipeline) {
       return;
     }
-    replaying = true;
+    replayingPipeline = true;
     while (!pipelined.isEmpty()
-        && (phase == Phase.IDLE || phase == Phase.BODY || phase == Phase.UPLOAD)) {
+        && (phase == Phase.IDLE || phase == Phase.READING_BODY || phase == Phase.STREAMING_BODY)) {
       read(pipelined.poll());
-      if (uploadEnd != null) {
-        passUploadEnd();
+      if (lastBodyPiece != null) {
+        forwardLastBodyPiece();
       }
-      if (phase == Phase.COMPLETE) {
-        take();
+      if (phase == Phase.REQUEST_COMPLETE) {
+        acceptRequest();
       }
     }
-    replaying = false;
-    if (pipelined.isEmpty() && waiting == null) {
+    replayingPipeline = false;
+    if (pipelined.isEmpty() && pendingReservation == null) {
       channel.config().setAutoRead(true);
     }
   }
 
   /** An answer to what is no request; what is left of it is read and thrown away. */
   private void reject(HttpResponseStatus status, String reason) {
-    FullHttpResponse answer = text(status, reason);
-    HttpUtil.setContentLength(answer, answer.content().readableBytes());
-    answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    phase = Phase.LINGER;
-    sinceNanos = clock.nowNanos();
+    FullHttpResponse response = textResponse(status, reason);
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    phase = Phase.LINGERING;
+    timerStartNanos = clock.nowNanos();
     server.becameBusy(this);
-    dropBody();
+    discardRequest();
     pipelined.release();
-    lingerAfter(channel.writeAndFlush(answer));
+    halfCloseAfter(channel.writeAndFlush(response));
   }
 
   // ---- the end ----
@@ -702,44 +713,44 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     decoding = false;
-    if (uploadEnd != null) {
-      passUploadEnd();
+    if (lastBodyPiece != null) {
+      forwardLastBodyPiece();
     }
-    if (phase == Phase.COMPLETE && !replaying) {
-      take();
+    if (phase == Phase.REQUEST_COMPLETE && !replayingPipeline) {
+      acceptRequest();
     }
     // Bytes came and made no message: a part of a head, which must not take for ever.
-    if (phase == Phase.IDLE && headSinceNanos == 0 && decoder.reads() != readsBefore) {
-      headSinceNanos = clock.nowNanos();
+    if (phase == Phase.IDLE && headStartedNanos == 0 && decoder.readCount() != readsAtIdle) {
+      headStartedNanos = clock.nowNanos();
       server.becameBusy(this);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    end();
+    onDisconnected();
   }
 
   /** The one place that says that the client has gone; may be told more than once. */
-  private void end() {
-    phase = Phase.LINGER;
-    dropBody();
+  private void onDisconnected() {
+    phase = Phase.LINGERING;
+    discardRequest();
     pipelined.release();
-    if (uploadEnd != null) {
-      uploadEnd.release();
-      uploadEnd = null;
+    if (lastBodyPiece != null) {
+      lastBodyPiece.release();
+      lastBodyPiece = null;
     }
-    if (passing != null) {
-      StreamedAnswerSource source = passing;
-      passing = null;
+    if (answerSource != null) {
+      StreamedAnswerSource source = answerSource;
+      answerSource = null;
       source.clientDisconnected();
     }
-    if (request != null) {
-      Ticket live = request;
-      request = null;
-      live.gone();
+    if (ticket != null) {
+      Ticket openTicket = ticket;
+      ticket = null;
+      openTicket.gone();
     }
-    releaseReserved();
+    releaseReservation();
   }
 
   @Override
@@ -750,20 +761,20 @@
     channel.close();
   }
 
-  private void dropBody() {
+  private void discardRequest() {
     head = null;
-    if (waiting != null) {
-      server.budget.giveUp(waiting);
-      waiting = null;
+    if (pendingReservation != null) {
+      server.budget.giveUp(pendingReservation);
+      pendingReservation = null;
     }
     if (body != null) {
       body.release();
       body = null;
     }
-    releaseReserved();
+    releaseReservation();
   }
 
-  private void releaseReserved() {
+  private void releaseReservation() {
     if (reserved > 0) {
       long bytes = reserved;
       reserved = 0;
@@ -777,7 +788,7 @@
    * with the connection.
    */
   public boolean evict() {
-    if (!atRest()) {
+    if (!isBetweenRequests()) {
       return false;
     }
     channel.close();
@@ -786,69 +797,70 @@
 
   /** Ends a connection between requests; what crosses the end is read, and never sent on. */
   public void closeIdle() {
-    if (phase == Phase.IDLE && atRest()) {
-      phase = Phase.LINGER;
-      sinceNanos = clock.nowNanos();
-      linger = LingeringClose.AT_REST;
-      server.leaves(this);
-      lingerAfter(channel.newSucceededFuture());
+    if (phase == Phase.IDLE && isBetweenRequests()) {
+      phase = Phase.LINGERING;
+      timerStartNanos = clock.nowNanos();
+      lingeringClose = LingeringClose.BETWEEN_REQUESTS;
+      server.lingerStarted(this);
+      halfCloseAfter(channel.newSucceededFuture());
     }
   }
 
-  private boolean atRest() {
+  private boolean isBetweenRequests() {
     if (phase == Phase.IDLE && channel.isActive()) {
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
-    return (phase == Phase.IDLE || phase == Phase.LINGER) && headSinceNanos == 0;
+    return (phase == Phase.IDLE || phase == Phase.LINGERING) && headStartedNanos == 0;
   }
 
   /** For how long a connection has been open on which no request has ever begun. */
-  long silentNanos(long now) {
-    return now - sinceNanos;
+  long unusedNanos(long now) {
+    return now - timerStartNanos;
   }
 
   /** Whether a request has ever begun on the connection. */
-  public boolean asked() {
-    return asked;
+  public boolean hadRequest() {
+    return hadRequest;
   }
 
-  private boolean tooSlow(long now) {
-    return now - pieceNanos > BODY_NANOS || now - sinceNanos > BODY_NANOS + takenNanos(bodyBytes);
+  private boolean isBodyTooSlow(long now) {
+    return now - lastPieceNanos > BODY_TIMEOUT_NANOS
+        || now - timerStartNanos > BODY_TIMEOUT_NANOS + slowestTransferNanos(bodyBytes);
   }
 
   /** Gives up what takes too long. */
   public void tick(long now) {
-    long age = now - sinceNanos;
+    long age = now - timerStartNanos;
     switch (phase) {
       case IDLE -> {
-        if (headSinceNanos > 0) {
-          if (now - (asked ? headSinceNanos : sinceNanos) > HEAD_NANOS) {
+        if (headStartedNanos > 0) {
+          if (now - (hadRequest ? headStartedNanos : timerStartNanos) > HEAD_TIMEOUT_NANOS) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "head too slow");
           }
-        } else if (age > (asked ? IDLE_NANOS : HEAD_NANOS)) {
+        } else if (age > (hadRequest ? IDLE_TIMEOUT_NANOS : HEAD_TIMEOUT_NANOS)) {
           closeIdle();
         }
       }
-      case BODY -> {
-        if (waiting == null && tooSlow(now)) {
+      case READING_BODY -> {
+        if (pendingReservation == null && isBodyTooSlow(now)) {
           reject(HttpResponseStatus.REQUEST_TIMEOUT, "body too slow");
         }
       }
-      case UPLOAD -> {
-        if (!readingPaused && tooSlow(now)) {
+      case STREAMING_BODY -> {
+        if (!readingPaused && isBodyTooSlow(now)) {
           channel.close(); // Nothing has run: its last byte never came.
-        } else if (readingPaused && now - pieceNanos > TAKE_NANOS) {
-          giveUpUpload();
+        } else if (readingPaused && now - lastPieceNanos > UPSTREAM_STALL_TIMEOUT_NANOS) {
+          abortStalledUpload();
         }
       }
-      case TAKEN -> {
-        if (passing != null && !channel.isWritable() && age > WRITE_NANOS) {
+      case AWAITING_ANSWER -> {
+        if (answerSource != null && !channel.isWritable() && age > WRITE_TIMEOUT_NANOS) {
           channel.close();
         }
       }
-      case LINGER -> {
-        boolean unwritten = answering != null && !answering.isDone();
-        if (age > (unwritten ? WRITE_NANOS : linger.nanos)) {
+      case LINGERING -> {
+        boolean unwritten = answerWrite != null && !answerWrite.isDone();
+        if (age > (unwritten ? WRITE_TIMEOUT_NANOS : lingeringClose.timeoutNanos)) {
           channel.close();
         }
       }
--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -23,7 +23,7 @@
 
 /** Listens for clients and keeps their connections within the budget. */
 public final class ClientListener {
-  private static final int BACKLOG = 4096;
+  private static final int ACCEPT_BACKLOG = 4096;
   private static final long TICK_MILLIS = 200;
 
   /**
@@ -31,27 +31,27 @@
    * crosses the end of a connection on which another was answered is sent again by its client; one
    * that crosses the end of a new connection is lost.
    */
-  private static final long FIRST_REQUEST_NANOS = 300_000_000L;
+  private static final long FIRST_REQUEST_GRACE_NANOS = 300_000_000L;
 
   private final EventLoop loop;
   private final Clock clock;
   final Budget budget;
-  private final Set<ClientConnection> clients = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** The client that has been idle longest first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   /** Ended between requests, but not closed by their clients yet. */
-  private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+  private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   /** Those that have not asked for anything yet, oldest first. */
-  private final Set<ClientConnection> silent = new LinkedHashSet<>();
+  private final Set<ClientConnection> unused = new LinkedHashSet<>();
 
   private Dispatcher dispatcher;
   private UpstreamConnectionPool pool;
   private Channel listener;
   private boolean draining;
-  private boolean closing;
+  private boolean keepAliveDisabled;
 
   /** Set on the loop; read by the thread that starts, too. */
   private volatile boolean stopped;
@@ -74,7 +74,10 @@
    *     the connections (SO_REUSEPORT)
    */
   public void start(
-      InetSocketAddress address, boolean shared, Dispatcher dispatcher, UpstreamConnectionPool pool)
+      InetSocketAddress address,
+      boolean reusePort,
+      Dispatcher dispatcher,
+      UpstreamConnectionPool pool)
       throws InterruptedException {
     this.dispatcher = dispatcher;
     this.pool = pool;
@@ -82,20 +85,20 @@
       return;
     }
     ServerBootstrap bootstrap =
-        Listeners.on(loop, this::accepted)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        Listeners.on(loop, this::onAccepted)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(16384, 65536));
-    if (shared) {
+    if (reusePort) {
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
     Channel bound = bootstrap.bind(address).sync().channel();
-    loop.submit(() -> listening(bound)).sync();
+    loop.submit(() -> onBound(bound)).sync();
     loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
   }
 
   /** Told to end while the address was bound: nobody is taken. */
-  private void listening(Channel bound) {
+  private void onBound(Channel bound) {
     listener = bound;
     if (stopped) {
       bound.close();
@@ -120,31 +123,31 @@
     return pool;
   }
 
-  private void accepted(Channel channel) {
+  private void onAccepted(Channel channel) {
     StrictRequestDecoder decoder = new StrictRequestDecoder();
     ClientConnection client = new ClientConnection(this, dispatcher, clock, channel, decoder);
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
     budget.opened();
-    clients.add(client);
-    channel.closeFuture().addListener(closed -> closed(client));
+    connections.add(client);
+    channel.closeFuture().addListener(closed -> onClosed(client));
     // Clients may hold half of the descriptors; the rest is for the attempts of their requests.
-    if (clients.size() > budget.mostConnections() / 2) {
+    if (connections.size() > budget.mostConnections() / 2) {
       evictIdle();
     }
     if (budget.connectionsLeft() <= 0) {
       pool.evictIdle();
     }
-    silent.add(client);
+    unused.add(client);
     if (budget.connectionsLeft() <= 0) {
       // The rest wait in the backlog until a descriptor is free.
       listener.config().setAutoRead(false);
     }
   }
 
-  private void closed(ClientConnection client) {
+  private void onClosed(ClientConnection client) {
     budget.closed();
-    clients.remove(client);
-    leaving.remove(client);
+    connections.remove(client);
+    lingering.remove(client);
     becameBusy(client);
     resumeAccepting();
   }
@@ -161,14 +164,14 @@
   }
 
   /** Its end has been told to its client; its descriptor may be had at once. */
-  void leaves(ClientConnection client) {
+  void lingerStarted(ClientConnection client) {
     becameBusy(client);
-    leaving.add(client);
+    lingering.add(client);
   }
 
   public void becameBusy(ClientConnection client) {
     if (!idle.remove(client)) {
-      silent.remove(client);
+      unused.remove(client);
     }
   }
 
@@ -178,9 +181,9 @@
    * clients that come back. Would do harm to a client that connects long before it asks.
    */
   public boolean evictIdle() {
-    boolean silentFirst = silent.size() > budget.mostConnections() / 16;
-    return evict(leaving)
-        || (silentFirst ? evict(silent) || evict(idle) : evict(idle) || evict(silent));
+    boolean unusedFirst = unused.size() > budget.mostConnections() / 16;
+    return evict(lingering)
+        || (unusedFirst ? evict(unused) || evict(idle) : evict(idle) || evict(unused));
   }
 
   private static boolean evict(Set<ClientConnection> from) {
@@ -195,7 +198,7 @@
   }
 
   public int clientCount() {
-    return clients.size();
+    return connections.size();
   }
 
   public boolean isDraining() {
@@ -208,18 +211,18 @@
   }
 
   public boolean keepAliveDisabled() {
-    return closing;
+    return keepAliveDisabled;
   }
 
   /** From now on answers ask for the connection to be closed. */
   public void disableKeepAlive() {
-    closing = true;
+    keepAliveDisabled = true;
   }
 
   /** Takes clients again after a drain. */
   public void endDraining() {
     draining = false;
-    closing = false;
+    keepAliveDisabled = false;
   }
 
   /** Takes no more connections, after those that have already come. */
@@ -238,16 +241,16 @@
 
   /**
    * Closes the connections on which no request is being read or answered. To be called again while
-   * there are {@link #clientCount}: one that has just come is left for as long as its first request may
-   * take.
+   * there are {@link #clientCount}: one that has just come is left for as long as its first request
+   * may take.
    */
   public void closeIdle() {
     for (ClientConnection client : new ArrayList<>(idle)) {
       client.closeIdle();
     }
     long now = clock.nowNanos();
-    for (ClientConnection client : new ArrayList<>(silent)) {
-      if (client.silentNanos(now) > FIRST_REQUEST_NANOS) {
+    for (ClientConnection client : new ArrayList<>(unused)) {
+      if (client.unusedNanos(now) > FIRST_REQUEST_GRACE_NANOS) {
         client.closeIdle();
       }
     }
@@ -256,11 +259,11 @@
   private void tick() {
     try {
       long now = clock.nowNanos();
-      List<ClientConnection> all = new ArrayList<>(clients);
+      List<ClientConnection> all = new ArrayList<>(connections);
       for (ClientConnection client : all) {
         client.tick(now);
       }
-      pool.sweep();
+      pool.closeExpired();
       resumeAccepting();
     } catch (RuntimeException e) {
       Log.error("tick", "failed", e); // Thrown on, it would end all later ticks.
--- a/src/main/java/heathswitch/proxy/http1/HeaderRules.java
+++ b/src/main/java/heathswitch/proxy/http1/HeaderRules.java
@@ -21,7 +21,7 @@
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   public static final String NOT_RUN = "X-Not-Run";
 
-  private static final long MOST_SECONDS = 3600;
+  private static final long MAX_SECONDS = 3600;
 
   /** These speak of one connection, or are written anew for the next one. */
   private static final Set<String> HOP_BY_HOP =
@@ -38,7 +38,7 @@
           "x-deadline");
 
   /** The protocol's own headers go on even where a Connection header names them. */
-  private static final Set<String> OWN =
+  private static final Set<String> PROTOCOL_HEADERS =
       Set.of(
           "x-request-id",
           "x-class",
@@ -69,18 +69,19 @@
   }
 
   /** Whether a method, with a key or without one, is that of a class's effect. */
-  public static boolean methodMatchesClass(RequestClass type, HttpMethod method, boolean key) {
-    return switch (type.effect()) {
+  public static boolean methodMatchesClass(
+      RequestClass requestClass, HttpMethod method, boolean hasKey) {
+    return switch (requestClass.effect()) {
       case SAFE -> method.equals(HttpMethod.GET);
-      case KEYED -> method.equals(HttpMethod.POST) && key;
-      case UNSAFE -> method.equals(HttpMethod.POST) && !key;
+      case KEYED -> method.equals(HttpMethod.POST) && hasKey;
+      case UNSAFE -> method.equals(HttpMethod.POST) && !hasKey;
     };
   }
 
   /** Whether a text is of visible ASCII characters, and not empty or longer than allowed. */
-  public static boolean isVisibleAscii(String text, int mostLength) {
+  public static boolean isVisibleAscii(String text, int maxLength) {
     return !text.isEmpty()
-        && text.length() <= mostLength
+        && text.length() <= maxLength
         && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 
@@ -89,7 +90,8 @@
     for (Map.Entry<String, String> header : from) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
       if (!HOP_BY_HOP.contains(name)
-          && (OWN.contains(name) || !from.containsValue(HttpHeaderNames.CONNECTION, name, true))) {
+          && (PROTOCOL_HEADERS.contains(name)
+              || !from.containsValue(HttpHeaderNames.CONNECTION, name, true))) {
         to.add(header.getKey(), header.getValue());
       }
     }
@@ -110,13 +112,13 @@
     if (!digits || text.length() > 64) {
       return -1;
     }
-    return (long) (Math.min(MOST_SECONDS, Double.parseDouble(text)) * 1e9);
+    return (long) (Math.min(MAX_SECONDS, Double.parseDouble(text)) * 1e9);
   }
 
   /** Seconds with three decimals, rounded down. */
   public static String formatSeconds(long nanos) {
     long millis = Math.max(0, nanos / 1_000_000);
-    long rest = millis % 1000;
-    return millis / 1000 + (rest < 10 ? ".00" : rest < 100 ? ".0" : ".") + rest;
+    long fraction = millis % 1000;
+    return millis / 1000 + (fraction < 10 ? ".00" : fraction < 100 ? ".0" : ".") + fraction;
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -18,7 +18,7 @@
 public final class HttpPayload implements Payload {
   private final UpstreamConnectionPool pool;
   private final StreamedAnswerSink sink;
-  private final StreamedRequestBody upload;
+  private final StreamedRequestBody streamedBody;
   private final HttpMethod method;
   private final String uri;
   private final HttpHeaders headers;
@@ -53,10 +53,10 @@
       String uri,
       HttpHeaders headers,
       ByteBuf body,
-      StreamedRequestBody upload) {
+      StreamedRequestBody streamedBody) {
     this.pool = pool;
     this.sink = sink;
-    this.upload = upload;
+    this.streamedBody = streamedBody;
     this.method = method;
     this.uri = uri;
     this.headers = headers;
@@ -75,7 +75,7 @@
 
   /** Whether its body has come, so that it can be sent anywhere as it stands. */
   public boolean isBodyComplete() {
-    return upload == null;
+    return streamedBody == null;
   }
 
   public HttpMethod method() {
@@ -97,42 +97,42 @@
   }
 
   /** What brings the body where it still comes, or null. */
-  StreamedRequestBody upload() {
-    return upload;
+  StreamedRequestBody streamedBody() {
+    return streamedBody;
   }
 
   @Override
   public boolean repeatable() {
-    return upload == null || upload.repeatable();
+    return streamedBody == null || streamedBody.canBeResent();
   }
 
   /** The head of a request whose body follows piece by piece. */
-  HttpRequest forwardHead(long leftNanos) {
-    HttpHeaders copy = headers.copy();
-    long toldNanos = Math.min(leftNanos, upload.callerNanos());
-    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(toldNanos));
-    if (upload.length() >= 0) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, upload.length());
+  HttpRequest toUpstreamHead(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
+    long deadlineNanos = Math.min(remainingNanos, streamedBody.clientWaitNanos());
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(deadlineNanos));
+    if (streamedBody.length() >= 0) {
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, streamedBody.length());
     } else {
-      copy.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      forwarded.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
-    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, copy);
+    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, forwarded);
   }
 
   /** The request as it goes to an upstream; the body is shared, not copied. */
-  FullHttpRequest forward(long leftNanos) {
-    HttpHeaders copy = headers.copy();
+  FullHttpRequest toUpstreamRequest(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             method,
             uri,
             body.retainedDuplicate(),
-            copy,
+            forwarded,
             EmptyHttpHeaders.INSTANCE);
-    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(leftNanos));
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(remainingNanos));
     if (body.isReadable() || !method.equals(HttpMethod.GET)) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
     return request;
   }
@@ -140,8 +140,8 @@
   @Override
   public void release() {
     body.release();
-    if (upload != null) {
-      upload.release();
+    if (streamedBody != null) {
+      streamedBody.release();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/LingeringClose.java
+++ b/src/main/java/heathswitch/proxy/http1/LingeringClose.java
@@ -10,30 +10,30 @@
  */
 enum LingeringClose {
   /** After an answer: time for the client to read it. */
-  ANSWERED(500_000_000L, 1L << 20),
+  AFTER_ANSWER(500_000_000L, 1L << 20),
   /** Between requests: nothing is owed on the connection. */
-  AT_REST(200_000_000L, 1L << 20),
+  BETWEEN_REQUESTS(200_000_000L, 1L << 20),
   /** For a client that still sends a long body, so that it gets to read its answer. */
-  UPLOADING(2_000_000_000L, ClientConnection.MOST_BODY_BYTES);
+  DURING_UPLOAD(2_000_000_000L, ClientConnection.MAX_BODY_BYTES);
 
   /** From the last answer to the close. */
-  final long nanos;
+  final long timeoutNanos;
 
   /** A client that sends more is cut off: a reset is all that it can notice. */
-  private final long mostBytes;
+  private final long maxBytes;
 
-  LingeringClose(long nanos, long mostBytes) {
-    this.nanos = nanos;
-    this.mostBytes = mostBytes;
+  LingeringClose(long timeoutNanos, long maxBytes) {
+    this.timeoutNanos = timeoutNanos;
+    this.maxBytes = maxBytes;
   }
 
   /** Whether so many bytes, or a part that is none, end it at once. */
-  boolean endsAt(long bytes, HttpObject part) {
-    return bytes > mostBytes || part.decoderResult().isFailure();
+  boolean mustCloseNow(long discardedBytes, HttpObject part) {
+    return discardedBytes > maxBytes || part.decoderResult().isFailure();
   }
 
   /** The bytes of a body in a part. */
-  static long bytes(HttpObject part) {
+  static long bodyBytes(HttpObject part) {
     return part instanceof HttpContent content ? content.content().readableBytes() : 0;
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
+++ b/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
@@ -11,51 +11,51 @@
  * and what follows is counted and thrown away.
  */
 final class PipelineQueue {
-  static final int MOST_PARTS = 8;
+  static final int MAX_PARTS = 8;
 
   /** What each part of a flood counts for beside its body. */
-  private static final int PART_BYTES = 64;
+  private static final int PART_OVERHEAD_BYTES = 64;
 
   /** Of a flood; no more is read, although only reading shows that the client has gone. */
-  private static final long MOST_FLOOD_BYTES = 1L << 20;
+  private static final long MAX_OVERFLOW_BYTES = 1L << 20;
 
   private final ArrayDeque<HttpObject> parts = new ArrayDeque<>();
-  private boolean flood;
-  private long floodBytes;
+  private boolean overflowed;
+  private long overflowBytes;
 
   boolean isEmpty() {
     return parts.isEmpty();
   }
 
   /** Whether too many have come, ever. */
-  boolean isFlood() {
-    return flood;
+  boolean hasOverflowed() {
+    return overflowed;
   }
 
   /** Whether a flood has gone on for so long that no more of it is to be read. */
-  boolean isEndless() {
-    return floodBytes > MOST_FLOOD_BYTES;
+  boolean overflowLimitExceeded() {
+    return overflowBytes > MAX_OVERFLOW_BYTES;
   }
 
   /** Takes over a part. */
   void add(HttpObject part) {
-    if (flood) {
-      count(part);
+    if (overflowed) {
+      countOverflow(part);
       ReferenceCountUtil.release(part);
       return;
     }
     parts.add(part);
-    if (parts.size() > MOST_PARTS) {
-      flood = true;
+    if (parts.size() > MAX_PARTS) {
+      overflowed = true;
       release();
     }
   }
 
-  private void count(HttpObject part) {
+  private void countOverflow(HttpObject part) {
     if (part instanceof HttpContent content) {
-      floodBytes += content.content().readableBytes();
+      overflowBytes += content.content().readableBytes();
     }
-    floodBytes += PART_BYTES;
+    overflowBytes += PART_OVERHEAD_BYTES;
   }
 
   /** The oldest, which belongs to the caller; null if there is none. */
--- a/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
@@ -11,11 +11,11 @@
  */
 final class RequestBodyBuffer {
   private static final int BLOCK_BYTES = 32 << 10;
-  private static final int LEAST_BLOCK_BYTES = 64;
-  private static final int MOST_BLOCKS = 2048;
+  private static final int MIN_BLOCK_BYTES = 64;
+  private static final int MAX_BLOCKS = 2048;
 
   private final ByteBufAllocator allocator;
-  private final long length;
+  private final long declaredLength;
   private final CompositeByteBuf blocks;
 
   /** The block that is being filled, or null. */
@@ -26,10 +26,10 @@
    *
    * @param length that its head states, or -1
    */
-  RequestBodyBuffer(ByteBufAllocator allocator, long length) {
+  RequestBodyBuffer(ByteBufAllocator allocator, long declaredLength) {
     this.allocator = allocator;
-    this.length = length;
-    this.blocks = allocator.compositeBuffer(MOST_BLOCKS);
+    this.declaredLength = declaredLength;
+    this.blocks = allocator.compositeBuffer(MAX_BLOCKS);
   }
 
   /** Copies a piece, which stays its owner's. */
@@ -46,8 +46,8 @@
   }
 
   private int nextBlockBytes() {
-    long expected = length < 0 ? BLOCK_BYTES : length - blocks.readableBytes();
-    return (int) Math.max(LEAST_BLOCK_BYTES, Math.min(expected, BLOCK_BYTES));
+    long remaining = declaredLength < 0 ? BLOCK_BYTES : declaredLength - blocks.readableBytes();
+    return (int) Math.max(MIN_BLOCK_BYTES, Math.min(remaining, BLOCK_BYTES));
   }
 
   private void closeBlock() {
@@ -58,13 +58,13 @@
   }
 
   /** Hands over all that has come; nothing may be done with this afterwards. */
-  ByteBuf take() {
+  ByteBuf takeBuffer() {
     closeBlock();
     return blocks;
   }
 
   /** Gives all of it back. */
   void release() {
-    take().release();
+    takeBuffer().release();
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/RequestHead.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestHead.java
@@ -12,8 +12,8 @@
  * @param ttlNanos how long its client waits for the answer
  * @param fault what is wrong with it, or null
  */
-record RequestHead(RequestClass type, long ttlNanos, String fault) {
-  private static final int MOST_ID_LENGTH = 128;
+record RequestHead(RequestClass requestClass, long timeoutNanos, String error) {
+  private static final int MAX_ID_LENGTH = 128;
 
   /**
    * Reads a head.
@@ -21,43 +21,47 @@
    * @param forbidden a header that no client may send, or null
    */
   static RequestHead read(HttpRequest head, Dispatcher dispatcher, String forbidden) {
-    String framing = HeaderRules.framingError(head);
-    if (framing != null) {
-      return faulty(framing);
+    String framingError = HeaderRules.framingError(head);
+    if (framingError != null) {
+      return invalid(framingError);
     }
     if (forbidden != null && head.headers().contains(forbidden)) {
-      return faulty(forbidden + " is not for clients");
+      return invalid(forbidden + " is not for clients");
     }
     List<String> ids = head.headers().getAll(HeaderRules.REQUEST_ID);
-    if (ids.size() != 1 || !HeaderRules.isVisibleAscii(ids.get(0), MOST_ID_LENGTH)) {
-      return faulty("one readable " + HeaderRules.REQUEST_ID + " expected");
+    if (ids.size() != 1 || !HeaderRules.isVisibleAscii(ids.get(0), MAX_ID_LENGTH)) {
+      return invalid("one readable " + HeaderRules.REQUEST_ID + " expected");
     }
     if (dispatcher.isOpen(ids.get(0))) {
-      return faulty(openTwice());
+      return invalid(duplicateIdError());
     }
-    RequestClass type = dispatcher.requestClass(head.headers().get(HeaderRules.CLASS));
-    return type == null ? faulty("unknown " + HeaderRules.CLASS) : read(head, type);
+    RequestClass requestClass = dispatcher.requestClass(head.headers().get(HeaderRules.CLASS));
+    return requestClass == null
+        ? invalid("unknown " + HeaderRules.CLASS)
+        : read(head, requestClass);
   }
 
-  private static RequestHead read(HttpRequest head, RequestClass type) {
+  private static RequestHead read(HttpRequest head, RequestClass requestClass) {
     String deadline = head.headers().get(HeaderRules.DEADLINE);
-    long ttl = deadline == null ? type.deadlineNanos() : HeaderRules.parseSeconds(deadline.trim());
-    if (ttl < 0) {
-      return faulty("malformed " + HeaderRules.DEADLINE);
+    long timeoutNanos =
+        deadline == null ? requestClass.deadlineNanos() : HeaderRules.parseSeconds(deadline.trim());
+    if (timeoutNanos < 0) {
+      return invalid("malformed " + HeaderRules.DEADLINE);
     }
-    boolean key = head.headers().contains(HeaderRules.IDEMPOTENCY_KEY);
-    if (!HeaderRules.methodMatchesClass(type, head.method(), key)) {
-      return faulty("method or key does not fit class " + type.name());
+    boolean hasKey = head.headers().contains(HeaderRules.IDEMPOTENCY_KEY);
+    if (!HeaderRules.methodMatchesClass(requestClass, head.method(), hasKey)) {
+      return invalid("method or key does not fit class " + requestClass.name());
     }
     // No client waits longer than its class allows, and nothing is held for it any longer.
-    return new RequestHead(type, Math.min(ttl, type.deadlineNanos()), null);
+    return new RequestHead(
+        requestClass, Math.min(timeoutNanos, requestClass.deadlineNanos()), null);
   }
 
-  static String openTwice() {
+  static String duplicateIdError() {
     return HeaderRules.REQUEST_ID + " of an open request";
   }
 
-  private static RequestHead faulty(String fault) {
-    return new RequestHead(null, 0, fault);
+  private static RequestHead invalid(String error) {
+    return new RequestHead(null, 0, error);
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
@@ -15,17 +15,17 @@
   private final ClientConnection client;
   private final Budget budget;
   private final long length;
-  private final long callerNanos;
+  private final long clientWaitNanos;
   private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
   /** What came before the request was taken, or null once more than that has gone on. */
-  private ByteBuf first;
+  private ByteBuf prefix;
 
-  private long reserved;
-  private UpstreamConnection to;
-  private boolean ended;
-  private boolean endPassed;
-  private boolean over;
+  private long prefixReservation;
+  private UpstreamConnection target;
+  private boolean complete;
+  private boolean lastPieceWritten;
+  private boolean released;
 
   /**
    * Takes over the first part and its place in the budget.
@@ -37,20 +37,20 @@
       ClientConnection client,
       Budget budget,
       long length,
-      long callerNanos,
-      ByteBuf first,
-      long reserved) {
+      long clientWaitNanos,
+      ByteBuf prefix,
+      long prefixReservation) {
     this.client = client;
     this.budget = budget;
     this.length = length;
-    this.callerNanos = callerNanos;
-    this.first = first;
-    this.reserved = reserved;
+    this.clientWaitNanos = clientWaitNanos;
+    this.prefix = prefix;
+    this.prefixReservation = prefixReservation;
   }
 
   /** The most that an upstream may be told: the body may take far longer than its client waits. */
-  long callerNanos() {
-    return callerNanos;
+  long clientWaitNanos() {
+    return clientWaitNanos;
   }
 
   long length() {
@@ -58,79 +58,79 @@
   }
 
   /** Whether another attempt could be given all of it. */
-  boolean repeatable() {
-    return first != null && !over;
+  boolean canBeResent() {
+    return prefix != null && !released;
   }
 
   /** A piece has come, which it takes over. */
-  void add(ByteBuf piece, boolean last) {
-    if (over) {
+  void append(ByteBuf piece, boolean last) {
+    if (released) {
       piece.release();
       return;
     }
-    ended |= last;
+    complete |= last;
     pending.add(piece);
-    passOn();
+    forward();
   }
 
   /** An attempt has its connection and gets all that there is. */
   void attach(UpstreamConnection connection) {
-    to = connection;
-    connection.more(first.retainedDuplicate(), false);
-    passOn();
+    target = connection;
+    connection.writeBody(prefix.retainedDuplicate(), false);
+    forward();
   }
 
-  private void passOn() {
-    boolean room = to != null;
-    while (room && !pending.isEmpty()) {
+  private void forward() {
+    boolean writable = target != null;
+    while (writable && !pending.isEmpty()) {
       ByteBuf piece = pending.poll();
-      forgetFirst();
-      endPassed = ended && pending.isEmpty();
-      room = to.more(piece, endPassed);
+      releasePrefix();
+      lastPieceWritten = complete && pending.isEmpty();
+      writable = target.writeBody(piece, lastPieceWritten);
     }
-    if (room && ended && !endPassed && pending.isEmpty()) {
-      endPassed = true;
-      to.more(Unpooled.EMPTY_BUFFER, true);
+    if (writable && complete && !lastPieceWritten && pending.isEmpty()) {
+      lastPieceWritten = true;
+      target.writeBody(Unpooled.EMPTY_BUFFER, true);
     }
-    client.pauseReading(!room && !ended);
+    client.setReadingPaused(!writable && !complete);
   }
 
   /** The connection takes more again. */
-  void writable(UpstreamConnection connection) {
-    if (connection == to) {
-      passOn();
+  void onWritable(UpstreamConnection connection) {
+    if (connection == target) {
+      forward();
     }
   }
 
   /** The attempt is over; the next one, if there can be one, gets it from the start. */
   void detach(UpstreamConnection connection) {
-    if (connection == to) {
-      to = null;
-      endPassed = false;
-      if (first == null) {
+    if (connection == target) {
+      target = null;
+      lastPieceWritten = false;
+      if (prefix == null) {
         release(); // Nobody can use the rest.
       }
     }
   }
 
-  private void forgetFirst() {
-    if (first != null) {
-      first.release();
-      first = null;
-      budget.release(reserved);
-      reserved = 0;
+  private void releasePrefix() {
+    if (prefix != null) {
+      prefix.release();
+      prefix = null;
+      budget.release(prefixReservation);
+      prefixReservation = 0;
     }
   }
 
   /** Nothing more is sent. */
   void release() {
-    if (!over) {
-      over = true;
-      forgetFirst();
+    if (!released) {
+      released = true;
+      releasePrefix();
       while (!pending.isEmpty()) {
         pending.poll().release();
       }
-      client.pauseReading(false);
+      client.setReadingPaused(false);
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/StrictRequestDecoder.java
+++ b/src/main/java/heathswitch/proxy/http1/StrictRequestDecoder.java
@@ -12,29 +12,29 @@
  * Could do harm only to a client that frames a body twice, which no sound one does.
  */
 public final class StrictRequestDecoder extends HttpRequestDecoder {
-  private static final int MOST_LINE_BYTES = 8 << 10;
-  private static final int MOST_HEAD_BYTES = 16 << 10;
-  private static final int MOST_CHUNK_BYTES = 16 << 10;
+  private static final int MAX_LINE_BYTES = 8 << 10;
+  private static final int MAX_HEAD_BYTES = 16 << 10;
+  private static final int MAX_CHUNK_BYTES = 16 << 10;
 
-  private int reads;
+  private int readCount;
 
   public StrictRequestDecoder() {
     super(
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(MOST_LINE_BYTES)
-            .setMaxHeaderSize(MOST_HEAD_BYTES)
-            .setMaxChunkSize(MOST_CHUNK_BYTES));
+            .setMaxInitialLineLength(MAX_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEAD_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES));
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    reads++;
+    readCount++;
     super.channelRead(ctx, message);
   }
 
   /** How often bytes have come; differs from an earlier figure if some came since. */
-  public int reads() {
-    return reads;
+  public int readCount() {
+    return readCount;
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/http1/StrictResponseDecoder.java
+++ b/src/main/java/heathswitch/proxy/http1/StrictResponseDecoder.java
@@ -13,33 +13,33 @@
  * upstream that puts a blank before the colon, which HTTP has forbidden for long.
  */
 public final class StrictResponseDecoder extends HttpResponseDecoder {
-  private static final int MOST_LINE_BYTES = 4 << 10;
-  private static final int MOST_HEAD_BYTES = 16 << 10;
-  private static final int MOST_CHUNK_BYTES = 16 << 10;
+  private static final int MAX_LINE_BYTES = 4 << 10;
+  private static final int MAX_HEAD_BYTES = 16 << 10;
+  private static final int MAX_CHUNK_BYTES = 16 << 10;
 
-  private int reads;
+  private int readCount;
 
   public StrictResponseDecoder() {
     super(
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(MOST_LINE_BYTES)
-            .setMaxHeaderSize(MOST_HEAD_BYTES)
-            .setMaxChunkSize(MOST_CHUNK_BYTES));
+            .setMaxInitialLineLength(MAX_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEAD_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES));
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    reads++;
+    readCount++;
     super.channelRead(ctx, message);
   }
 
   /** How often bytes have come; differs from an earlier figure if some came since. */
-  public int reads() {
-    return reads;
+  public int readCount() {
+    return readCount;
   }
 
   /** Whether bytes have come that belong to no message yet. */
-  public boolean leftovers() {
+  public boolean hasUnparsedBytes() {
     return actualReadableBytes() > 0;
   }
 
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -39,55 +39,55 @@
    * A longer answer is spoilt, or broken off where it does not say how long it is. Upstreams send
    * up to 32 MB.
    */
-  static final long MOST_BODY_BYTES = 48L << 20;
+  static final long MAX_BODY_BYTES = 48L << 20;
 
   /**
    * An answer is gathered up to this size, so that one that breaks can be tried again. A longer one
    * goes on as it comes: memory holds only a few of them.
    */
-  static final int GATHERED_BYTES = 64 << 10;
+  static final int MAX_BUFFERED_BYTES = 64 << 10;
 
   /**
    * So long after its first byte an answer that still comes goes on, however little there is: its
    * client is owed what the upstream gives. Until then it could be tried again.
    */
-  static final long HELD_BACK_MILLIS = 1000;
+  static final long MAX_BUFFERING_MILLIS = 1000;
 
   /**
    * An answer that has begun and of which nothing came for so long will never be complete. Guards
    * against heads and bodies that stop short on a connection that stays open, and ought to against
    * a machine that dies while it writes. Would do harm to an upstream that pauses while it sends.
    */
-  static final long ANSWER_MILLIS = 500;
+  static final long STALL_TIMEOUT_MILLIS = 500;
 
   /** The same for an answer that goes on, which cannot be had in any other way. */
-  static final long PASSED_MILLIS = 6000;
+  static final long STREAMED_STALL_TIMEOUT_MILLIS = 6000;
 
   /** A longer body of an answer that is not served is not worth reading for the connection. */
-  private static final int MOST_DISCARDED = 64 << 10;
+  private static final int MAX_DISCARDED_BYTES = 64 << 10;
 
-  private static final long MOST_DISCARD_MILLIS = 1000;
+  private static final long DISCARD_TIMEOUT_MILLIS = 1000;
 
   /** So many connections in a row that do not come up in time are a machine that is cut off. */
-  private static final int SILENT_DIALS = 2;
+  private static final int MAX_CONSECUTIVE_DIAL_TIMEOUTS = 2;
 
   private enum Phase {
     /** No exchange is on. */
     IDLE,
     /** The answer's head has not come. */
-    HEAD,
+    AWAITING_HEAD,
     /** Between an interim answer and the real one. */
     INTERIM,
     /** An answer that may be served is being gathered. */
-    GATHER,
+    BUFFERING,
     /** An answer to serve is complete; told once it is clear that nothing follows it. */
     COMPLETE,
     /** An answer goes on to the client as it comes; its outcome has been told. */
-    PASS,
+    STREAMING,
     /** All of such an answer has come. */
-    PASSED,
+    STREAMED,
     /** The outcome has been told; the rest is read so that the connection can be used again. */
-    DISCARD
+    DISCARDING
   }
 
   final Upstream upstream;
@@ -98,23 +98,23 @@
   private Attempt attempt;
   private HttpPayload payload;
   private Phase phase = Phase.IDLE;
-  private boolean dialing;
+  private boolean connecting;
   private Future<?> dialTimeout;
-  private boolean written;
+  private boolean requestWritten;
   private boolean reusable;
   private boolean closed;
   private HttpResponse head;
-  private CompositeByteBuf gathered;
-  private int discarded;
+  private CompositeByteBuf buffered;
+  private int discardedBytes;
   private long idleSinceNanos;
-  private int readsBefore;
+  private int readsAtStart;
   private int readsAtInterim;
-  private boolean interim;
-  private Future<?> stall;
-  private int readsAtStall;
-  private long begunNanos;
-  private long passed;
-  private StreamedAnswerSink client;
+  private boolean sawInterimAnswer;
+  private Future<?> stallTimer;
+  private int readsAtStallCheck;
+  private long answerStartedNanos;
+  private long streamedBytes;
+  private StreamedAnswerSink sink;
   private boolean paused;
 
   public UpstreamConnection(UpstreamConnectionPool pool, Clock clock, Upstream upstream) {
@@ -124,20 +124,21 @@
   }
 
   /** A new connection, with the attempt that it was opened for. */
-  public void dialing(ChannelFuture connecting, Attempt first, HttpPayload what) {
-    payload = what;
-    channel = connecting.channel();
+  public void startConnecting(
+      ChannelFuture connectFuture, Attempt first, HttpPayload requestPayload) {
+    payload = requestPayload;
+    channel = connectFuture.channel();
     attempt = first;
     first.carriedBy(this);
-    phase = Phase.HEAD;
-    written = false;
-    if (connecting.isDone()) {
-      dialed(connecting);
+    phase = Phase.AWAITING_HEAD;
+    requestWritten = false;
+    if (connectFuture.isDone()) {
+      onConnectDone(connectFuture);
     } else {
-      dialing = true;
+      connecting = true;
       dialTimeout =
-          channel.eventLoop().schedule(this::dialTimedOut, pool.dialMillis(), MILLISECONDS);
-      connecting.addListener(done -> dialed(connecting));
+          channel.eventLoop().schedule(this::onDialTimeout, pool.dialTimeoutMillis(), MILLISECONDS);
+      connectFuture.addListener(done -> onConnectDone(connectFuture));
     }
   }
 
@@ -145,85 +146,86 @@
    * The attempt is over; the connection is not. One that comes up late is as good as any, and where
    * many do, to open each anew would find most of them late again.
    */
-  private void dialTimedOut() {
+  private void onDialTimeout() {
     dialTimeout = null;
-    if (upstream.dialTimedOut() >= SILENT_DIALS) {
-      pool.closeSilent(upstream); // What is silent now is silent on those too.
+    if (upstream.dialTimedOut() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
+      pool.closeEstablished(upstream); // What is silent now is silent on those too.
     }
-    pool.comesLate(this);
-    end(Outcome.CONNECT_FAILED);
+    pool.addUnclaimed(this);
+    endAttempt(Outcome.CONNECT_FAILED);
   }
 
-  private void dialed(ChannelFuture connecting) {
-    dialing = false;
+  private void onConnectDone(ChannelFuture connectFuture) {
+    connecting = false;
     if (dialTimeout != null) {
       dialTimeout.cancel(false);
       dialTimeout = null;
     }
-    if (!connecting.isSuccess()) {
-      end(Outcome.CONNECT_FAILED);
+    if (!connectFuture.isSuccess()) {
+      endAttempt(Outcome.CONNECT_FAILED);
       close();
     } else if (attempt != null) {
-      write();
+      writeRequest();
     } else if (!closed) {
       upstream.heard(clock.nowNanos());
       reusable = true;
-      settle();
+      finishExchange();
     }
   }
 
   /** The next exchange on an idle connection. */
-  public void begin(Attempt next, HttpPayload what) {
-    payload = what;
-    attempt = next;
-    next.carriedBy(this);
-    phase = Phase.HEAD;
-    written = false;
-    write();
+  public void startExchange(Attempt nextAttempt, HttpPayload requestPayload) {
+    payload = requestPayload;
+    attempt = nextAttempt;
+    nextAttempt.carriedBy(this);
+    phase = Phase.AWAITING_HEAD;
+    requestWritten = false;
+    writeRequest();
   }
 
-  private void write() {
+  private void writeRequest() {
     reusable = false;
-    readsBefore = decoder.reads();
-    interim = false;
-    Attempt now = attempt;
-    if (!now.mayBegin()) {
-      end(Outcome.MOOT);
+    readsAtStart = decoder.readCount();
+    sawInterimAnswer = false;
+    Attempt current = attempt;
+    if (!current.mayBegin()) {
+      endAttempt(Outcome.MOOT);
       close();
       return;
     }
-    long left = now.deadlineNanos() - clock.nowNanos();
-    StreamedRequestBody upload = payload.upload();
-    if (upload == null) {
-      writtenWith(channel.writeAndFlush(payload.forward(left)), now);
+    long remainingNanos = current.deadlineNanos() - clock.nowNanos();
+    StreamedRequestBody streamedBody = payload.streamedBody();
+    if (streamedBody == null) {
+      trackRequestWritten(
+          channel.writeAndFlush(payload.toUpstreamRequest(remainingNanos)), current);
     } else {
-      channel.write(payload.forwardHead(left));
-      upload.attach(this);
+      channel.write(payload.toUpstreamHead(remainingNanos));
+      streamedBody.attach(this);
     }
   }
 
-  private void writtenWith(ChannelFuture last, Attempt now) {
-    last.addListener(
+  private void trackRequestWritten(ChannelFuture lastWrite, Attempt current) {
+    lastWrite.addListener(
         done -> {
-          if (attempt != now) {
+          if (attempt != current) {
             return;
           }
           if (done.isSuccess()) {
-            written = true;
+            requestWritten = true;
           } else {
-            broken();
+            onConnectionLost();
           }
         });
   }
 
   /** A piece of a long body, which it takes over; false where the upstream is to be given time. */
-  boolean more(ByteBuf piece, boolean last) {
+  boolean writeBody(ByteBuf piece, boolean last) {
     if (closed || attempt == null) {
       piece.release();
       return true;
     }
     if (last) {
-      writtenWith(channel.writeAndFlush(new DefaultLastHttpContent(piece)), attempt);
+      trackRequestWritten(channel.writeAndFlush(new DefaultLastHttpContent(piece)), attempt);
     } else {
       channel.writeAndFlush(new DefaultHttpContent(piece));
     }
@@ -232,16 +234,16 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (attempt != null && payload.upload() != null && channel.isWritable()) {
-      payload.upload().writable(this);
+    if (attempt != null && payload.streamedBody() != null && channel.isWritable()) {
+      payload.streamedBody().onWritable(this);
     }
   }
 
   @Override
   public void abandon() {
     attempt = null;
-    if (dialing && !closed) {
-      pool.comesLate(this);
+    if (connecting && !closed) {
+      pool.addUnclaimed(this);
     } else {
       close();
     }
@@ -251,7 +253,7 @@
 
   @Override
   public void setPaused(boolean pause) {
-    if (phase == Phase.PASS && paused != pause) {
+    if (phase == Phase.STREAMING && paused != pause) {
       paused = pause;
       channel.config().setAutoRead(!pause);
     }
@@ -259,70 +261,70 @@
 
   @Override
   public void clientDisconnected() {
-    if (phase == Phase.PASS || phase == Phase.PASSED) {
-      client = null;
+    if (phase == Phase.STREAMING || phase == Phase.STREAMED) {
+      sink = null;
       close();
     }
   }
 
   /** False if the answer has no client any more; the connection is closed then. */
-  private boolean startPassing() {
-    Attempt begun = attempt;
-    if (!begun.begun() || closed) {
+  private boolean startStreaming() {
+    Attempt current = attempt;
+    if (!current.begun() || closed) {
       attempt = null;
       close();
       return false;
     }
     attempt = null;
-    noStall();
-    phase = Phase.PASS;
-    passed = gathered.readableBytes();
-    client = payload.sink();
-    client.answerStarted(head, this);
-    if (gathered.isReadable()) {
-      client.answerData(gathered);
+    cancelStallTimer();
+    phase = Phase.STREAMING;
+    streamedBytes = buffered.readableBytes();
+    sink = payload.sink();
+    sink.answerStarted(head, this);
+    if (buffered.isReadable()) {
+      sink.answerData(buffered);
     } else {
-      gathered.release();
+      buffered.release();
     }
-    gathered = null;
+    buffered = null;
     // Its work is done and its place free; how long the rest takes is between it and the client.
-    begun.ended(Outcome.OK, null);
-    watchPassing();
+    current.ended(Outcome.OK, null);
+    watchStreamForStall();
     return !closed;
   }
 
-  private void passOn(HttpContent content, boolean last) {
-    passed += content.content().readableBytes();
-    if (passed > MOST_BODY_BYTES) {
-      spoilt("too long");
+  private void streamContent(HttpContent content, boolean last) {
+    streamedBytes += content.content().readableBytes();
+    if (streamedBytes > MAX_BODY_BYTES) {
+      failInvalidAnswer("too long");
       return;
     }
     if (content.content().isReadable()) {
-      client.answerData(compact(content.content()));
+      sink.answerData(retainOrCopy(content.content()));
     }
     if (last) {
-      phase = Phase.PASSED;
+      phase = Phase.STREAMED;
     }
   }
 
-  private void watchPassing() {
-    readsAtStall = decoder.reads();
-    stall =
+  private void watchStreamForStall() {
+    readsAtStallCheck = decoder.readCount();
+    stallTimer =
         channel
             .eventLoop()
             .schedule(
                 () -> {
-                  stall = null;
-                  if (phase != Phase.PASS) {
+                  stallTimer = null;
+                  if (phase != Phase.STREAMING) {
                     return;
                   }
-                  if (!paused && decoder.reads() == readsAtStall) {
-                    spoilt("it stopped short");
+                  if (!paused && decoder.readCount() == readsAtStallCheck) {
+                    failInvalidAnswer("it stopped short");
                   } else {
-                    watchPassing();
+                    watchStreamForStall();
                   }
                 },
-                PASSED_MILLIS,
+                STREAMED_STALL_TIMEOUT_MILLIS,
                 MILLISECONDS);
   }
 
@@ -334,20 +336,20 @@
         return;
       }
       HttpObject part = (HttpObject) message;
-      if (phase == Phase.COMPLETE || phase == Phase.PASSED) {
-        tooMuch(); // What is complete stays so.
+      if (phase == Phase.COMPLETE || phase == Phase.STREAMED) {
+        onExcessBytes(); // What is complete stays so.
       } else if (part.decoderResult().isFailure()) {
-        spoilt("malformed: " + part.decoderResult().cause());
+        failInvalidAnswer("malformed: " + part.decoderResult().cause());
       } else if (phase == Phase.IDLE) {
         Log.warn("unasked bytes", upstream.name + ": connection closed", "server", upstream.name);
-        tooMuch();
+        onExcessBytes();
         close();
       } else {
         if (part instanceof HttpResponse response) {
-          head(response);
+          onHead(response);
         }
         if (part instanceof HttpContent content && !closed) {
-          content(content);
+          onContent(content);
         }
       }
     } finally {
@@ -355,21 +357,25 @@
     }
   }
 
-  private void head(HttpResponse response) {
+  private void onHead(HttpResponse response) {
     int status = response.status().code();
-    if (phase == Phase.DISCARD) {
-      tooMuch(); // A second answer to one request.
+    if (phase == Phase.DISCARDING) {
+      onExcessBytes(); // A second answer to one request.
     } else if (status >= 100 && status < 200 && status != 101) {
       phase = Phase.INTERIM;
     } else if (status == HttpResponseStatus.OK.code()) {
-      answer(response);
+      startAnswer(response);
     } else {
-      reusable = written && status != 101 && HttpUtil.isKeepAlive(response) && framed(response);
-      phase = Phase.DISCARD;
-      discarded = 0;
-      end(refusedOrFailed(response));
+      reusable =
+          requestWritten
+              && status != 101
+              && HttpUtil.isKeepAlive(response)
+              && hasDefinedEnd(response);
+      phase = Phase.DISCARDING;
+      discardedBytes = 0;
+      endAttempt(errorOutcome(response));
       if (reusable) {
-        channel.eventLoop().schedule(this::stopDiscarding, MOST_DISCARD_MILLIS, MILLISECONDS);
+        channel.eventLoop().schedule(this::stopDiscarding, DISCARD_TIMEOUT_MILLIS, MILLISECONDS);
       } else {
         close();
       }
@@ -377,7 +383,7 @@
   }
 
   private void stopDiscarding() {
-    if (phase == Phase.DISCARD) {
+    if (phase == Phase.DISCARDING) {
       close();
     }
   }
@@ -385,7 +391,7 @@
   /**
    * Only the upstream's word that nothing ran makes a repeat safe; a bare 503 says no such thing.
    */
-  private static Outcome refusedOrFailed(HttpResponse response) {
+  private static Outcome errorOutcome(HttpResponse response) {
     int status = response.status().code();
     if ((status == 503 || status == 504)
         && "1".equals(response.headers().get(HeaderRules.NOT_RUN))) {
@@ -394,30 +400,30 @@
     return status >= 400 && status < 500 ? Outcome.BAD_REQUEST : Outcome.ERROR;
   }
 
-  private void answer(HttpResponse response) {
+  private void startAnswer(HttpResponse response) {
     // An upstream begins when it has the last byte: what comes before that answers something else.
-    if (!written || unclear(response)) {
-      spoilt(written ? "unclear framing" : "too early");
+    if (!requestWritten || hasUnknownFraming(response)) {
+      failInvalidAnswer(requestWritten ? "unclear framing" : "too early");
       return;
     }
-    if (HttpUtil.getContentLength(response, 0L) > MOST_BODY_BYTES) {
-      spoilt("too long: " + HttpUtil.getContentLength(response));
+    if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
+      failInvalidAnswer("too long: " + HttpUtil.getContentLength(response));
       return;
     }
     head = response;
     // One that ends with its connection is whole if the connection ends in order, and only then.
-    reusable = HttpUtil.isKeepAlive(response) && framed(response);
-    phase = Phase.GATHER;
-    begunNanos = clock.nowNanos();
-    gathered = channel.alloc().compositeBuffer(1024);
+    reusable = HttpUtil.isKeepAlive(response) && hasDefinedEnd(response);
+    phase = Phase.BUFFERING;
+    answerStartedNanos = clock.nowNanos();
+    buffered = channel.alloc().compositeBuffer(1024);
   }
 
-  private static boolean unclear(HttpResponse response) {
+  private static boolean hasUnknownFraming(HttpResponse response) {
     return response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
         && !HttpUtil.isTransferEncodingChunked(response);
   }
 
-  private static boolean framed(HttpResponse response) {
+  private static boolean hasDefinedEnd(HttpResponse response) {
     int status = response.status().code();
     return HttpUtil.isContentLengthSet(response)
         || HttpUtil.isTransferEncodingChunked(response)
@@ -425,47 +431,47 @@
         || status == 304;
   }
 
-  private void content(HttpContent content) {
+  private void onContent(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
     switch (phase) {
       case INTERIM -> {
         if (last) {
-          phase = Phase.HEAD;
-          interim = true;
-          readsAtInterim = decoder.reads();
+          phase = Phase.AWAITING_HEAD;
+          sawInterimAnswer = true;
+          readsAtInterim = decoder.readCount();
         }
       }
-      case GATHER -> gather(content, last);
-      case PASS -> passOn(content, last);
-      case DISCARD -> {
-        discarded += content.content().readableBytes();
-        if (discarded > MOST_DISCARDED) {
+      case BUFFERING -> buffer(content, last);
+      case STREAMING -> streamContent(content, last);
+      case DISCARDING -> {
+        discardedBytes += content.content().readableBytes();
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
           close();
         } else if (last) {
-          settle();
+          finishExchange();
         }
       }
-      default -> tooMuch(); // What is complete stays so.
+      default -> onExcessBytes(); // What is complete stays so.
     }
   }
 
-  private void gather(HttpContent content, boolean last) {
+  private void buffer(HttpContent content, boolean last) {
     if (content.content().isReadable()) {
-      gathered.addComponent(true, compact(content.content()));
+      buffered.addComponent(true, retainOrCopy(content.content()));
     }
-    boolean goesOn =
-        gathered.readableBytes() > GATHERED_BYTES
-            || HttpUtil.getContentLength(head, 0L) > GATHERED_BYTES && gathered.isReadable();
-    if (goesOn && !startPassing()) {
+    boolean mustStream =
+        buffered.readableBytes() > MAX_BUFFERED_BYTES
+            || HttpUtil.getContentLength(head, 0L) > MAX_BUFFERED_BYTES && buffered.isReadable();
+    if (mustStream && !startStreaming()) {
       return;
     }
     if (last) {
-      phase = phase == Phase.PASS ? Phase.PASSED : Phase.COMPLETE;
+      phase = phase == Phase.STREAMING ? Phase.STREAMED : Phase.COMPLETE;
     }
   }
 
   /** A short piece is copied: it would keep the whole buffer that it was read into. */
-  private ByteBuf compact(ByteBuf piece) {
+  private ByteBuf retainOrCopy(ByteBuf piece) {
     return piece.readableBytes() < 1024 ? Unpooled.copiedBuffer(piece) : piece.retain();
   }
 
@@ -478,96 +484,99 @@
     if (closed) {
       return;
     }
-    boolean came = decoder.reads() != readsBefore;
-    if (phase == Phase.IDLE && came) {
-      tooMuch();
+    boolean bytesRead = decoder.readCount() != readsAtStart;
+    if (phase == Phase.IDLE && bytesRead) {
+      onExcessBytes();
       close(); // Bytes that nobody asked for, even if they make no message yet.
-    } else if (phase == Phase.HEAD && betweenMessages()) {
-      noStall(); // Interim answers came whole; the real one may take its time.
-    } else if (came && attempt != null && phase != Phase.COMPLETE && stall == null) {
+    } else if (phase == Phase.AWAITING_HEAD && awaitsFinalAnswer()) {
+      cancelStallTimer(); // Interim answers came whole; the real one may take its time.
+    } else if (bytesRead && attempt != null && phase != Phase.COMPLETE && stallTimer == null) {
       watchForStall();
     }
-    if (phase == Phase.PASS) {
-      client.answerFlush();
-    } else if (phase == Phase.PASSED) {
-      checkLeftovers();
-      StreamedAnswerSink to = client;
-      client = null;
-      settle();
-      to.answerEnd();
+    if (phase == Phase.STREAMING) {
+      sink.answerFlush();
+    } else if (phase == Phase.STREAMED) {
+      checkUnparsedBytes();
+      StreamedAnswerSink currentSink = sink;
+      sink = null;
+      finishExchange();
+      currentSink.answerEnd();
       return;
     }
     if (phase == Phase.COMPLETE) {
-      checkLeftovers();
-      ByteBuf body = gathered;
-      gathered = null;
+      checkUnparsedBytes();
+      ByteBuf body = buffered;
+      buffered = null;
       Attempt served = attempt;
       attempt = null;
-      settle();
+      finishExchange();
       if (served != null) {
         served.ended(Outcome.OK, new HttpAnswer(head, body));
       }
     }
   }
 
-  private void checkLeftovers() {
-    if (decoder.leftovers()) {
-      tooMuch();
+  private void checkUnparsedBytes() {
+    if (decoder.hasUnparsedBytes()) {
+      onExcessBytes();
     }
   }
 
   /** More came than belongs to an answer. */
-  private void tooMuch() {
+  private void onExcessBytes() {
     reusable = false;
-    pool.sawMore();
+    pool.recordExcessBytes();
   }
 
   private void watchForStall() {
-    Attempt begun = attempt;
-    readsAtStall = decoder.reads();
-    stall = channel.eventLoop().schedule(() -> stalled(begun), ANSWER_MILLIS, MILLISECONDS);
+    Attempt watched = attempt;
+    readsAtStallCheck = decoder.readCount();
+    stallTimer =
+        channel
+            .eventLoop()
+            .schedule(() -> checkForStall(watched), STALL_TIMEOUT_MILLIS, MILLISECONDS);
   }
 
-  private void stalled(Attempt begun) {
-    stall = null;
-    if (attempt != begun || phase == Phase.COMPLETE) {
+  private void checkForStall(Attempt watched) {
+    stallTimer = null;
+    if (attempt != watched || phase == Phase.COMPLETE) {
       return;
     }
-    if (decoder.reads() == readsAtStall) {
-      spoilt("it stopped short");
-    } else if (phase == Phase.GATHER
-        && gathered.isReadable()
-        && clock.nowNanos() - begunNanos >= HELD_BACK_MILLIS * 1_000_000L) {
-      if (startPassing()) {
-        client.answerFlush();
+    if (decoder.readCount() == readsAtStallCheck) {
+      failInvalidAnswer("it stopped short");
+    } else if (phase == Phase.BUFFERING
+        && buffered.isReadable()
+        && clock.nowNanos() - answerStartedNanos >= MAX_BUFFERING_MILLIS * 1_000_000L) {
+      if (startStreaming()) {
+        sink.answerFlush();
       }
     } else {
       watchForStall();
     }
   }
 
-  private boolean betweenMessages() {
-    return interim && decoder.reads() == readsAtInterim && !decoder.leftovers();
+  private boolean awaitsFinalAnswer() {
+    return sawInterimAnswer && decoder.readCount() == readsAtInterim && !decoder.hasUnparsedBytes();
   }
 
-  private void noStall() {
-    if (stall != null) {
-      stall.cancel(false);
-      stall = null;
+  private void cancelStallTimer() {
+    if (stallTimer != null) {
+      stallTimer.cancel(false);
+      stallTimer = null;
     }
   }
 
   /** The connection goes back, unless one of the sides wants it closed. */
-  private void settle() {
-    noStall();
-    readsBefore = decoder.reads();
+  private void finishExchange() {
+    cancelStallTimer();
+    readsAtStart = decoder.readCount();
     if (reusable && channel.isActive()) {
       phase = Phase.IDLE;
       payload = null;
       paused = false;
       idleSinceNanos = clock.nowNanos();
       channel.config().setAutoRead(true);
-      pool.giveBack(this);
+      pool.release(this);
     } else {
       close();
     }
@@ -578,41 +587,42 @@
    * cut off: it answers, and what spoils one upstream's answers may spoil every one's. The module
    * counts it as an error, which is judged against the upstream's peers.
    */
-  private void spoilt(String why) {
-    Log.warn("spoilt answer", upstream.name + ": " + why, "server", upstream.name, "reason", why);
-    Attempt over = attempt;
+  private void failInvalidAnswer(String reason) {
+    Log.warn(
+        "spoilt answer", upstream.name + ": " + reason, "server", upstream.name, "reason", reason);
+    Attempt failed = attempt;
     attempt = null;
     close();
-    if (over != null) {
-      over.ended(Outcome.ERROR, null);
+    if (failed != null) {
+      failed.ended(Outcome.ERROR, null);
     }
   }
 
   /** The connection broke; before the last byte was written nothing can run. */
-  private void broken() {
-    if (phase == Phase.PASS && !closed) {
-      spoilt("it broke off");
+  private void onConnectionLost() {
+    if (phase == Phase.STREAMING && !closed) {
+      failInvalidAnswer("it broke off");
       return;
     }
-    Attempt over = attempt;
+    Attempt failed = attempt;
     attempt = null;
     close();
-    if (over != null) {
-      over.ended(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+    if (failed != null) {
+      failed.ended(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
   }
 
-  private void end(Outcome outcome) {
-    Attempt over = attempt;
+  private void endAttempt(Outcome outcome) {
+    Attempt ended = attempt;
     attempt = null;
-    if (over != null) {
-      over.ended(outcome, null);
+    if (ended != null) {
+      ended.ended(outcome, null);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    broken();
+    onConnectionLost();
   }
 
   @Override
@@ -620,7 +630,7 @@
     if (!(cause instanceof java.io.IOException)) {
       Log.error("upstream connection", upstream.name, cause, "server", upstream.name);
     }
-    broken();
+    onConnectionLost();
   }
 
   public void close() {
@@ -628,23 +638,23 @@
       return;
     }
     closed = true;
-    noStall();
+    cancelStallTimer();
     if (dialTimeout != null) {
       dialTimeout.cancel(false);
       dialTimeout = null;
     }
-    if (payload != null && payload.upload() != null) {
-      payload.upload().detach(this);
+    if (payload != null && payload.streamedBody() != null) {
+      payload.streamedBody().detach(this);
     }
-    if (client != null) {
-      StreamedAnswerSink cut = client;
-      client = null;
-      cut.answerAborted();
+    if (sink != null) {
+      StreamedAnswerSink openSink = sink;
+      sink = null;
+      openSink.answerAborted();
     }
-    pool.forget(this);
-    if (gathered != null) {
-      gathered.release();
-      gathered = null;
+    pool.remove(this);
+    if (buffered != null) {
+      buffered.release();
+      buffered = null;
     }
     Channels.close(channel);
   }
@@ -653,8 +663,8 @@
    * Whether an idle connection may carry another request. Its socket is read first: a connection
    * that the other side has closed, or on which unasked bytes wait, must not get one.
    */
-  public boolean stillGood(long idleBeforeNanos) {
-    if (idleSinceNanos < idleBeforeNanos || !channel.isActive()) {
+  public boolean canBeReused(long oldestIdleNanos) {
+    if (idleSinceNanos < oldestIdleNanos || !channel.isActive()) {
       return false;
     }
     ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -31,47 +31,47 @@
    * last byte and may close earlier; a request that crosses the closing ends as a reset, and an
    * unsafe one is then lost.
    */
-  static final double KEEP_SHARE = 0.6;
+  static final double KEEP_ALIVE_FRACTION = 0.6;
 
   /**
    * An upstream that owes an answer and has said nothing for so long may be cut off, which its idle
    * connections would never show. A new connection tells within the time allowed for connecting.
    */
-  static final long SUSPECT_NANOS = 1_000_000_000L;
+  static final long SILENCE_LIMIT_NANOS = 1_000_000_000L;
 
   /**
    * Where some answers bring more than belongs to them, the more may come a moment after its
    * answer, and would be taken for that of the next request on its connection. So for a while after
    * any was seen a connection rests before it is used again. Where none is seen nothing waits.
    */
-  static final long REST_NANOS = 20_000_000L;
+  static final long REUSE_DELAY_NANOS = 20_000_000L;
 
-  private static final long WARY_NANOS = 60_000_000_000L;
+  private static final long REUSE_DELAY_PERIOD_NANOS = 60_000_000_000L;
 
-  private static final int DEFAULT_DIAL_MILLIS = 1000;
+  private static final int DEFAULT_DIAL_TIMEOUT_MILLIS = 1000;
 
   /** A connection that has not come up after so long is given up, whether anybody waits or not. */
-  private static final int LATE_DIAL_MILLIS = 2000;
+  private static final int UNCLAIMED_DIAL_TIMEOUT_MILLIS = 2000;
 
-  private static final int MOST_DIAL_MILLIS = 60_000;
+  private static final int MAX_DIAL_TIMEOUT_MILLIS = 60_000;
 
   private final Clock clock;
   final Budget budget;
-  private long keepNanos;
+  private long keepAliveNanos;
   private final BooleanSupplier evictClient;
   private final Bootstrap bootstrap;
-  private int dialMillis;
+  private int dialTimeoutMillis;
 
   /** Those that nobody waits for and that may still come up, oldest first. */
-  private final Set<UpstreamConnection> late = new LinkedHashSet<>();
+  private final Set<UpstreamConnection> unclaimedDials = new LinkedHashSet<>();
 
-  private long moreSeenNanos = Long.MIN_VALUE / 2;
+  private long excessBytesSeenNanos = Long.MIN_VALUE / 2;
 
   /** Of all upstreams, the one that has been idle longest first. */
   private final Set<UpstreamConnection> idle = new LinkedHashSet<>();
 
   /** Newest last: the newest is the least likely to be closed by the other side. */
-  private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleOf = new HashMap<>();
+  private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleByUpstream = new HashMap<>();
 
   public UpstreamConnectionPool(
       EventLoop loop,
@@ -92,25 +92,28 @@
 
   /** Other limits, for idle connections and for those that are opened from now on. */
   public final void reload(Settings.Limits limits) {
-    keepNanos = (long) (limits.keepAliveNanos() * KEEP_SHARE);
-    long dialMillis = limits.dialTimeoutNanos() / 1_000_000;
-    this.dialMillis =
-        dialMillis > 0 ? (int) Math.min(dialMillis, MOST_DIAL_MILLIS) : DEFAULT_DIAL_MILLIS;
+    keepAliveNanos = (long) (limits.keepAliveNanos() * KEEP_ALIVE_FRACTION);
+    long configuredMillis = limits.dialTimeoutNanos() / 1_000_000;
+    this.dialTimeoutMillis =
+        configuredMillis > 0
+            ? (int) Math.min(configuredMillis, MAX_DIAL_TIMEOUT_MILLIS)
+            : DEFAULT_DIAL_TIMEOUT_MILLIS;
     bootstrap.option(
-        ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(this.dialMillis, LATE_DIAL_MILLIS));
+        ChannelOption.CONNECT_TIMEOUT_MILLIS,
+        Math.max(this.dialTimeoutMillis, UNCLAIMED_DIAL_TIMEOUT_MILLIS));
   }
 
   /** For which an attempt waits for its connection. */
-  int dialMillis() {
-    return dialMillis;
+  int dialTimeoutMillis() {
+    return dialTimeoutMillis;
   }
 
   /** Its attempt waits no longer, or has gone; it may still come up and be of use to another. */
-  void comesLate(UpstreamConnection connection) {
-    if (connection.upstream.unwanted || keepNanos <= 0) {
+  void addUnclaimed(UpstreamConnection connection) {
+    if (connection.upstream.unwanted || keepAliveNanos <= 0) {
       connection.close();
     } else {
-      late.add(connection);
+      unclaimedDials.add(connection);
     }
   }
 
@@ -122,12 +125,12 @@
     }
     if (upstream.attempts++ == 0) {
       upstream.silentSinceNanos = clock.nowNanos();
-    } else if (clock.nowNanos() - upstream.silentSinceNanos > SUSPECT_NANOS) {
-      closeSilent(upstream);
+    } else if (clock.nowNanos() - upstream.silentSinceNanos > SILENCE_LIMIT_NANOS) {
+      closeEstablished(upstream);
     }
-    UpstreamConnection reused = takeIdle(upstream);
+    UpstreamConnection reused = acquireIdle(upstream);
     if (reused != null) {
-      reused.begin(attempt, payload);
+      reused.startExchange(attempt, payload);
       return true;
     }
     if (budget.connectionsLeft() <= 0 && !evictIdle() && !evictClient.getAsBoolean()) {
@@ -141,7 +144,7 @@
   private void dial(Attempt attempt, HttpPayload payload) {
     UpstreamConnection connection = new UpstreamConnection(this, clock, attempt.upstream());
     budget.opened();
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         bootstrap
             .clone()
             .handler(
@@ -154,20 +157,20 @@
                   }
                 })
             .connect(attempt.upstream().address);
-    if (Channels.made(connecting.channel())) {
-      connecting.channel().closeFuture().addListener(closed -> budget.closed());
+    if (Channels.made(connectFuture.channel())) {
+      connectFuture.channel().closeFuture().addListener(closed -> budget.closed());
     } else {
       budget.closed(); // No socket could be made; the channel is a stand-in that never closes.
     }
-    connection.dialing(connecting, attempt, payload);
+    connection.startConnecting(connectFuture, attempt, payload);
   }
 
-  private UpstreamConnection takeIdle(Upstream upstream) {
-    for (UpstreamConnection next = newestAtRest(upstream);
+  private UpstreamConnection acquireIdle(Upstream upstream) {
+    for (UpstreamConnection next = newestReusable(upstream);
         next != null;
-        next = newestAtRest(upstream)) {
-      forget(next);
-      if (next.stillGood(clock.nowNanos() - keepNanos)) {
+        next = newestReusable(upstream)) {
+      remove(next);
+      if (next.canBeReused(clock.nowNanos() - keepAliveNanos)) {
         return next;
       }
       next.close();
@@ -175,23 +178,23 @@
     return null;
   }
 
-  private UpstreamConnection newest(Upstream upstream) {
-    ArrayDeque<UpstreamConnection> of = idleOf.get(upstream);
-    return of == null ? null : of.peekLast();
+  private UpstreamConnection newestIdle(Upstream upstream) {
+    ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(upstream);
+    return connections == null ? null : connections.peekLast();
   }
 
   /** The newest on which nothing more of its last answer is to be expected. */
-  private UpstreamConnection newestAtRest(Upstream upstream) {
-    ArrayDeque<UpstreamConnection> of = idleOf.get(upstream);
-    if (of == null) {
+  private UpstreamConnection newestReusable(Upstream upstream) {
+    ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(upstream);
+    if (connections == null) {
       return null;
     }
     long now = clock.nowNanos();
-    boolean wary = now - moreSeenNanos < WARY_NANOS;
-    Iterator<UpstreamConnection> newestFirst = of.descendingIterator();
+    boolean delayReuse = now - excessBytesSeenNanos < REUSE_DELAY_PERIOD_NANOS;
+    Iterator<UpstreamConnection> newestFirst = connections.descendingIterator();
     while (newestFirst.hasNext()) {
       UpstreamConnection next = newestFirst.next();
-      if (!wary || now - next.idleSinceNanos() >= REST_NANOS) {
+      if (!delayReuse || now - next.idleSinceNanos() >= REUSE_DELAY_NANOS) {
         return next;
       }
     }
@@ -199,40 +202,44 @@
   }
 
   /** An upstream has sent more than belongs to its answer. */
-  void sawMore() {
-    moreSeenNanos = clock.nowNanos();
+  void recordExcessBytes() {
+    excessBytesSeenNanos = clock.nowNanos();
   }
 
   /** An exchange has ended well and its connection can carry another. */
-  public void giveBack(UpstreamConnection connection) {
-    late.remove(connection);
-    if (connection.upstream.unwanted || keepNanos <= 0) {
+  public void release(UpstreamConnection connection) {
+    unclaimedDials.remove(connection);
+    if (connection.upstream.unwanted || keepAliveNanos <= 0) {
       connection.close();
     } else {
-      idleOf.computeIfAbsent(connection.upstream, any -> new ArrayDeque<>(4)).addLast(connection);
+      idleByUpstream
+          .computeIfAbsent(connection.upstream, any -> new ArrayDeque<>(4))
+          .addLast(connection);
       idle.add(connection);
     }
   }
 
-  public void forget(UpstreamConnection connection) {
-    late.remove(connection);
+  public void remove(UpstreamConnection connection) {
+    unclaimedDials.remove(connection);
     if (idle.remove(connection)) {
-      ArrayDeque<UpstreamConnection> of = idleOf.get(connection.upstream);
-      if (of.peekLast() == connection) {
-        of.pollLast();
+      ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(connection.upstream);
+      if (connections.peekLast() == connection) {
+        connections.pollLast();
       } else {
-        of.remove(connection);
+        connections.remove(connection);
       }
-      if (of.isEmpty() && connection.upstream.removed) {
-        idleOf.remove(connection.upstream);
+      if (connections.isEmpty() && connection.upstream.removed) {
+        idleByUpstream.remove(connection.upstream);
       }
     }
   }
 
   /** A connection that still comes up will tell by itself; an idle one would not. */
-  void closeSilent(Upstream upstream) {
-    for (UpstreamConnection next = newest(upstream); next != null; next = newest(upstream)) {
-      forget(next);
+  void closeEstablished(Upstream upstream) {
+    for (UpstreamConnection next = newestIdle(upstream);
+        next != null;
+        next = newestIdle(upstream)) {
+      remove(next);
       next.close();
     }
   }
@@ -240,35 +247,35 @@
   /** After a restart, a new address, a drain, or silence. */
   @Override
   public void closeIdle(Upstream upstream) {
-    closeSilent(upstream);
-    for (UpstreamConnection connection : new ArrayList<>(late)) {
+    closeEstablished(upstream);
+    for (UpstreamConnection connection : new ArrayList<>(unclaimedDials)) {
       if (connection.upstream == upstream) {
         connection.close();
       }
     }
     if (upstream.removed) {
-      idleOf.remove(upstream);
+      idleByUpstream.remove(upstream);
     }
   }
 
   @Override
   public boolean holds(Upstream upstream) {
-    return newest(upstream) != null;
+    return newestIdle(upstream) != null;
   }
 
   /** Closes the connections that have stood idle for long. */
-  public void sweep() {
-    long before = clock.nowNanos() - keepNanos;
+  public void closeExpired() {
+    long before = clock.nowNanos() - keepAliveNanos;
     while (!idle.isEmpty() && idle.iterator().next().idleSinceNanos() < before) {
       UpstreamConnection oldest = idle.iterator().next();
-      forget(oldest);
+      remove(oldest);
       oldest.close();
     }
   }
 
   /** Closes the connection that has been idle longest, for its descriptor; false if none is. */
   public boolean evictIdle() {
-    Set<UpstreamConnection> from = late.isEmpty() ? idle : late;
+    Set<UpstreamConnection> from = unclaimedDials.isEmpty() ? idle : unclaimedDials;
     if (from.isEmpty()) {
       return false;
     }
--- a/src/main/java/heathswitch/proxy/http2/InboundConnection.java
+++ b/src/main/java/heathswitch/proxy/http2/InboundConnection.java
@@ -14,15 +14,15 @@
   /** A call of the other side. */
   public interface Call extends StreamHandler {
     /** Whether it is the other side's turn, and has been since then. */
-    boolean stalledSince(long nanos);
+    boolean stalledSinceBefore(long beforeNanos);
 
     /** Gives the call up; its stream ends with it. */
     void abort();
   }
 
-  private int calls;
-  private boolean leaving;
-  private boolean left;
+  private int openCalls;
+  private boolean goAwayStarted;
+  private boolean goAwayDone;
 
   protected InboundConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
@@ -34,47 +34,48 @@
 
   @Override
   protected final StreamHandler onStreamOpened(int id) {
-    calls++;
+    openCalls++;
     return createCall(id);
   }
 
   /** To be called once for each call, when its stream is gone. */
   public void callClosed() {
-    calls--;
+    openCalls--;
     closeIfIdle();
   }
 
   protected final int openCalls() {
-    return calls;
+    return openCalls;
   }
 
   /** No new calls; those that are on end by themselves. */
   public final void closeGracefully() {
-    if (!leaving) {
-      leaving = true;
+    if (!goAwayStarted) {
+      goAwayStarted = true;
       sendGracefulGoAway(
           () -> {
-            left = true;
+            goAwayDone = true;
             closeIfIdle();
           });
     }
   }
 
   public final void closeIfIdle() {
-    if (left && calls == 0) {
+    if (goAwayDone && openCalls == 0) {
       context().channel().close();
     }
   }
 
   /** Cuts the calls that are stuck since before then. */
-  protected final void abortStalledCalls(long before) {
-    List<Call> stuck = new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
+  protected final void abortStalledCalls(long beforeNanos) {
+    List<Call> stalled =
+        new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
     forEachStreamHandler(
         handler -> {
-          if (handler instanceof Call call && call.stalledSince(before)) {
-            stuck.add(call);
+          if (handler instanceof Call call && call.stalledSinceBefore(beforeNanos)) {
+            stalled.add(call);
           }
         });
-    stuck.forEach(Call::abort);
+    stalled.forEach(Call::abort);
   }
 }
--- a/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
+++ b/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
@@ -41,18 +41,18 @@
   public static final int STREAM_WINDOW_BYTES = 256 << 10;
 
   /** Between the two steps of a GOAWAY: calls that cross the first are still taken. */
-  private static final long GOAWAY_MILLIS = 550;
+  private static final long GOAWAY_GRACE_MILLIS = 550;
 
-  private static final int MOST_EMPTY_FRAMES = 8;
-  private static final int MOST_SMALL_CONTINUATIONS = 16;
+  private static final int MAX_EMPTY_FRAMES = 8;
+  private static final int MAX_SMALL_CONTINUATIONS = 16;
 
   /**
    * Resets that a client may send within the window below: more is a rapid reset. A client that
    * gives up or hedges sends one for each call, and losing its connection would lose all others.
    */
-  private static final int MOST_RESETS = 2000;
+  private static final int MAX_RESETS_PER_WINDOW = 2000;
 
-  private static final int RESET_SECONDS = 10;
+  private static final int RESET_WINDOW_SECONDS = 10;
 
   /** What a stream is for. All calls come on the loop. */
   public interface StreamHandler {
@@ -79,21 +79,21 @@
         Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
   }
 
-  private final Http2Connection.PropertyKey key;
+  private final Http2Connection.PropertyKey handlerKey;
   private ChannelHandlerContext ctx;
-  private boolean flushing;
+  private boolean flushScheduled;
 
   protected MultiplexedConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
     super(decoder, encoder, settings);
-    key = connection().newKey();
-    decoder.frameListener(new Frames());
+    handlerKey = connection().newKey();
+    decoder.frameListener(new FrameListener());
     connection()
         .addListener(
             new Http2ConnectionAdapter() {
               @Override
               public void onStreamClosed(Http2Stream stream) {
-                StreamHandler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(handlerKey);
                 if (handler != null) {
                   handler.onClosed(stream);
                 }
@@ -111,32 +111,32 @@
    */
   public static <T extends MultiplexedConnection> T build(
       boolean server,
-      int mostStreams,
-      int mostHeaders,
-      Set<? extends CharSequence> changing,
-      Factory<T> maker) {
+      int maxStreams,
+      int maxHeaderListBytes,
+      Set<? extends CharSequence> neverIndexed,
+      Factory<T> factory) {
     Http2Settings settings =
         Http2Settings.defaultSettings()
             .initialWindowSize(STREAM_WINDOW_BYTES)
-            .maxHeaderListSize(mostHeaders);
+            .maxHeaderListSize(maxHeaderListBytes);
     if (server) {
-      settings.maxConcurrentStreams(mostStreams);
+      settings.maxConcurrentStreams(maxStreams);
     } else {
       settings.pushEnabled(false);
     }
-    return new Builder<>(server, settings, changing, maker).build();
+    return new Builder<>(server, settings, neverIndexed, factory).build();
   }
 
   private static final class Builder<T extends MultiplexedConnection>
       extends AbstractHttp2ConnectionHandlerBuilder<T, Builder<T>> {
-    private final Factory<T> maker;
+    private final Factory<T> factory;
 
     Builder(
         boolean server,
         Http2Settings settings,
-        Set<? extends CharSequence> changing,
-        Factory<T> maker) {
-      this.maker = maker;
+        Set<? extends CharSequence> neverIndexed,
+        Factory<T> factory) {
+      this.factory = factory;
       Http2Connection connection = new DefaultHttp2Connection(server);
       connection
           .local()
@@ -151,17 +151,17 @@
       connection(connection);
       initialSettings(settings);
       gracefulShutdownTimeoutMillis(0);
-      decoderEnforceMaxConsecutiveEmptyDataFrames(MOST_EMPTY_FRAMES);
-      decoderEnforceMaxSmallContinuationFrames(MOST_SMALL_CONTINUATIONS);
+      decoderEnforceMaxConsecutiveEmptyDataFrames(MAX_EMPTY_FRAMES);
+      decoderEnforceMaxSmallContinuationFrames(MAX_SMALL_CONTINUATIONS);
       // An upstream may refuse and be told to stop as many streams as it takes; a client may make
       // neither side send resets without end.
-      int resets = server ? MOST_RESETS : 0;
-      decoderEnforceMaxRstFramesPerWindow(resets, RESET_SECONDS);
-      encoderEnforceMaxRstFramesPerWindow(resets, RESET_SECONDS);
+      int resets = server ? MAX_RESETS_PER_WINDOW : 0;
+      decoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
+      encoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
       headerSensitivityDetector(
           (name, value) -> {
-            for (CharSequence each : changing) {
-              if (each == name) {
+            for (CharSequence header : neverIndexed) {
+              if (header == name) {
                 return true;
               }
             }
@@ -177,7 +177,7 @@
     @Override
     protected T build(
         Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
-      return maker.create(decoder, encoder, settings);
+      return factory.create(decoder, encoder, settings);
     }
   }
 
@@ -207,31 +207,31 @@
     if (stream == null) {
       return -1;
     }
-    stream.setProperty(key, handler);
-    flushSoon();
+    stream.setProperty(handlerKey, handler);
+    scheduleFlush();
     return id;
   }
 
   public final ChannelFuture writeHeaders(int id, Http2Headers headers, boolean last) {
-    flushSoon();
+    scheduleFlush();
     return encoder().writeHeaders(ctx, id, headers, 0, last, ctx.newPromise());
   }
 
   /** Takes over the data; done when it has been written to the socket. */
   public final ChannelFuture writeData(int id, ByteBuf data, boolean last) {
-    flushSoon();
+    scheduleFlush();
     return encoder().writeData(ctx, id, data, 0, last, ctx.newPromise());
   }
 
   public final void reset(int id, Http2Error error) {
     if (connection().stream(id) != null) {
-      flushSoon();
+      scheduleFlush();
       resetStream(ctx, id, error.code(), ctx.newPromise());
     }
   }
 
   public final void writePing(long content) {
-    flushSoon();
+    scheduleFlush();
     encoder().writePing(ctx, false, content, ctx.newPromise());
   }
 
@@ -243,7 +243,7 @@
     }
     try {
       if (connection().local().flowController().consumeBytes(stream, bytes)) {
-        flushSoon();
+        scheduleFlush();
       }
     } catch (Http2Exception e) {
       onError(ctx, true, e);
@@ -251,15 +251,15 @@
   }
 
   /** One flush for all that is written in a turn of the loop: each alone is a system call. */
-  private void flushSoon() {
-    if (!flushing) {
-      flushing = true;
+  private void scheduleFlush() {
+    if (!flushScheduled) {
+      flushScheduled = true;
       ctx.executor().execute(this::flushNow);
     }
   }
 
   private void flushNow() {
-    flushing = false;
+    flushScheduled = false;
     flush(ctx);
   }
 
@@ -281,28 +281,28 @@
    *
    * @param left called after the second step, unless the connection is closed by then
    */
-  public final void sendGracefulGoAway(Runnable left) {
+  public final void sendGracefulGoAway(Runnable onSecondGoAway) {
     sendGoAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
     ctx.executor()
         .schedule(
             () -> {
               if (ctx.channel().isActive()) {
                 sendGoAway(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR);
-                left.run();
+                onSecondGoAway.run();
               }
             },
-            GOAWAY_MILLIS,
+            GOAWAY_GRACE_MILLIS,
             MILLISECONDS);
   }
 
-  public final void forEachStreamHandler(Consumer<StreamHandler> each) {
+  public final void forEachStreamHandler(Consumer<StreamHandler> action) {
     try {
       connection()
           .forEachActiveStream(
               stream -> {
-                StreamHandler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(handlerKey);
                 if (handler != null) {
-                  each.accept(handler);
+                  action.accept(handler);
                 }
                 return true;
               });
@@ -349,11 +349,11 @@
    *
    * @param content what it carries; an answer brings back what was sent
    */
-  protected void onPing(boolean answer, long content) {}
+  protected void onPing(boolean ack, long content) {}
 
   protected void onGoAway() {}
 
-  private final class Frames extends Http2FrameAdapter {
+  private final class FrameListener extends Http2FrameAdapter {
     @Override
     public void onHeadersRead(
         ChannelHandlerContext context,
@@ -373,10 +373,10 @@
       onFrameRead();
       onHeadersOrDataRead();
       Http2Stream stream = connection().stream(id);
-      StreamHandler handler = stream.getProperty(key);
+      StreamHandler handler = stream.getProperty(handlerKey);
       if (handler == null) {
         handler = onStreamOpened(id);
-        stream.setProperty(key, handler);
+        stream.setProperty(handlerKey, handler);
       }
       if (handler != null) {
         handler.onHeaders(headers, last);
@@ -388,14 +388,14 @@
         ChannelHandlerContext context, int id, ByteBuf data, int padding, boolean last) {
       onFrameRead();
       onHeadersOrDataRead();
-      StreamHandler handler = connection().stream(id).getProperty(key);
+      StreamHandler handler = connection().stream(id).getProperty(handlerKey);
       return padding + (handler == null ? data.readableBytes() : handler.onData(data, last));
     }
 
     @Override
     public void onRstStreamRead(ChannelHandlerContext context, int id, long code) {
       onFrameRead();
-      StreamHandler handler = connection().stream(id).getProperty(key);
+      StreamHandler handler = connection().stream(id).getProperty(handlerKey);
       if (handler != null) {
         handler.onReset(code);
       }
--- a/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
+++ b/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
@@ -40,74 +40,74 @@
   /** The operators' calls; each answers once, on the loop. */
   interface Commands {
     /** Whether the balancer takes clients. */
-    boolean ready();
+    boolean isReady();
 
     /** Takes an upstream out, or puts it back; the status to answer. */
-    void mark(String id, boolean out, Consumer<HttpResponseStatus> done);
+    void setSuspended(String id, boolean suspended, Consumer<HttpResponseStatus> done);
 
     /** Empties the balancer, or takes it into use again. */
-    void empty(boolean empty);
+    void setDraining(boolean draining);
   }
 
   /** The oldest goes where there would be more. */
-  static final int MOST_CONNECTIONS = 24;
+  static final int MAX_CONNECTIONS = 24;
 
-  private static final int SILENCE_SECONDS = 8;
-  private static final int MOST_BODY_BYTES = 8192;
-  private static final String UPSTREAMS = "/v1/upstreams/";
+  private static final int CONNECTION_TIMEOUT_SECONDS = 8;
+  private static final int MAX_BODY_BYTES = 8192;
+  private static final String UPSTREAM_PATH_PREFIX = "/v1/upstreams/";
 
   private final EventLoop loop;
   private final Budget budget;
-  private final Commands calls;
-  private final Set<Channel> open = new LinkedHashSet<>();
+  private final Commands commands;
+  private final Set<Channel> openConnections = new LinkedHashSet<>();
   private Channel listener;
 
-  ConsoleServer(EventLoop loop, Budget budget, Commands calls) {
+  ConsoleServer(EventLoop loop, Budget budget, Commands commands) {
     this.loop = loop;
     this.budget = budget;
-    this.calls = calls;
+    this.commands = commands;
   }
 
   /** Listens; fails if the address cannot be had. Must not be called on the loop. */
   void start(InetSocketAddress address) throws InterruptedException {
-    listener = Listeners.on(loop, this::accepted).bind(address).sync().channel();
+    listener = Listeners.on(loop, this::onAccepted).bind(address).sync().channel();
   }
 
   InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void accepted(Channel channel) {
+  private void onAccepted(Channel channel) {
     budget.opened();
-    open.add(channel);
+    openConnections.add(channel);
     channel
         .closeFuture()
         .addListener(
             closed -> {
               budget.closed();
-              open.remove(channel);
+              openConnections.remove(channel);
             });
-    if (open.size() > MOST_CONNECTIONS) {
-      open.iterator().next().close();
+    if (openConnections.size() > MAX_CONNECTIONS) {
+      openConnections.iterator().next().close();
     }
     channel
         .pipeline()
         .addLast(
             new HttpServerCodec(4096, 8192, 8192),
-            new HttpObjectAggregator(MOST_BODY_BYTES),
-            new Handler());
-    Future<?> end = loop.schedule(() -> channel.close(), SILENCE_SECONDS, SECONDS);
-    channel.closeFuture().addListener(closed -> end.cancel(false));
+            new HttpObjectAggregator(MAX_BODY_BYTES),
+            new RequestHandler());
+    Future<?> timeout = loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_SECONDS, SECONDS);
+    channel.closeFuture().addListener(closed -> timeout.cancel(false));
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private boolean asked;
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private boolean requestRead;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      if (!asked) {
-        asked = true;
-        answer(request, status -> write(ctx, status));
+      if (!requestRead) {
+        requestRead = true;
+        route(request, status -> writeResponse(ctx, status));
       }
     }
 
@@ -120,7 +120,7 @@
     }
   }
 
-  private void answer(FullHttpRequest request, Consumer<HttpResponseStatus> reply) {
+  private void route(FullHttpRequest request, Consumer<HttpResponseStatus> reply) {
     String path;
     try {
       if (request.decoderResult().isFailure()) {
@@ -129,30 +129,34 @@
       path = new QueryStringDecoder(request.uri()).rawPath();
       switch (path) {
         case "/v1/readyz" ->
-            get(request, calls.ready() ? HttpResponseStatus.OK : unavailable(), reply);
-        case "/v1/balancer/drain" -> put(request, () -> empty(true, reply), reply);
-        case "/v1/balancer/activate" -> put(request, () -> empty(false, reply), reply);
-        default -> upstream(request, path, reply);
+            replyToGet(request, commands.isReady() ? HttpResponseStatus.OK : unavailable(), reply);
+        case "/v1/balancer/drain" -> runPut(request, () -> setDraining(true, reply), reply);
+        case "/v1/balancer/activate" -> runPut(request, () -> setDraining(false, reply), reply);
+        default -> routeUpstream(request, path, reply);
       }
     } catch (IllegalArgumentException e) {
       reply.accept(HttpResponseStatus.BAD_REQUEST); // Also an id that is wrongly escaped.
     }
   }
 
-  private void upstream(FullHttpRequest request, String path, Consumer<HttpResponseStatus> reply) {
+  private void routeUpstream(
+      FullHttpRequest request, String path, Consumer<HttpResponseStatus> reply) {
     int end = path.lastIndexOf('/');
-    String what = path.substring(end + 1);
-    boolean out = what.equals("suspend");
-    if (!path.startsWith(UPSTREAMS) || end < UPSTREAMS.length() || !out && !what.equals("resume")) {
+    String action = path.substring(end + 1);
+    boolean suspend = action.equals("suspend");
+    if (!path.startsWith(UPSTREAM_PATH_PREFIX)
+        || end < UPSTREAM_PATH_PREFIX.length()
+        || !suspend && !action.equals("resume")) {
       reply.accept(HttpResponseStatus.NOT_FOUND);
       return;
     }
-    String id = QueryStringDecoder.decodeComponent(path.substring(UPSTREAMS.length(), end));
-    put(request, () -> calls.mark(id, out, reply), reply);
+    String id =
+        QueryStringDecoder.decodeComponent(path.substring(UPSTREAM_PATH_PREFIX.length(), end));
+    runPut(request, () -> commands.setSuspended(id, suspend, reply), reply);
   }
 
-  private void empty(boolean empty, Consumer<HttpResponseStatus> reply) {
-    calls.empty(empty);
+  private void setDraining(boolean draining, Consumer<HttpResponseStatus> reply) {
+    commands.setDraining(draining);
     reply.accept(HttpResponseStatus.OK);
   }
 
@@ -160,22 +164,22 @@
     return HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
-  private static void get(
+  private static void replyToGet(
       FullHttpRequest request, HttpResponseStatus status, Consumer<HttpResponseStatus> reply) {
     reply.accept(
         request.method().equals(HttpMethod.GET) ? status : HttpResponseStatus.METHOD_NOT_ALLOWED);
   }
 
-  private static void put(
-      FullHttpRequest request, Runnable call, Consumer<HttpResponseStatus> reply) {
+  private static void runPut(
+      FullHttpRequest request, Runnable command, Consumer<HttpResponseStatus> reply) {
     if (request.method().equals(HttpMethod.PUT)) {
-      call.run();
+      command.run();
     } else {
       reply.accept(HttpResponseStatus.METHOD_NOT_ALLOWED);
     }
   }
 
-  private static void write(ChannelHandlerContext ctx, HttpResponseStatus status) {
+  private static void writeResponse(ChannelHandlerContext ctx, HttpResponseStatus status) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -32,19 +32,19 @@
       listed.clear();
     }
     long now = clockMillis.getAsLong();
-    List<Member> laidOver = new ArrayList<>(entries.size());
+    List<Member> result = new ArrayList<>(entries.size());
     for (Member entry : entries) {
       if (entry.health() == Health.GONE) {
         listed.remove(entry.id());
       } else {
         listed.put(entry.id(), entry);
       }
-      laidOver.add(standing(entry, now));
+      result.add(applyMark(entry, now));
     }
-    return laidOver;
+    return result;
   }
 
-  private Member standing(Member entry, long nowMillis) {
+  private Member applyMark(Member entry, long nowMillis) {
     Rotation.Standing standing =
         rotation.standing(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
     return entry.with(standing.health(), standing.startedMillis());
@@ -57,7 +57,7 @@
     for (String id : rotation.update(marks, now)) {
       Member entry = listed.get(id);
       if (entry != null) {
-        changed.add(standing(entry, now));
+        changed.add(applyMark(entry, now));
       }
     }
     if (!changed.isEmpty()) {
@@ -66,15 +66,15 @@
   }
 
   /** Whether an upstream is listed, or marked though it no longer is. */
-  boolean knows(String id) {
+  boolean isKnown(String id) {
     return Mark.markable(id) && (listed.containsKey(id) || rotation.mark(id) != null);
   }
 
-  int listed() {
+  int listedCount() {
     return listed.size();
   }
 
-  int out() {
+  int suspendedCount() {
     return rotation.out();
   }
 }
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkStore.java
@@ -21,7 +21,7 @@
  * Without a folder they are kept in memory alone. Used by one thread, never the loop's.
  */
 final class MarkStore {
-  private static final int MOST_FILE_BYTES = 1024;
+  private static final int MAX_FILE_BYTES = 1024;
 
   private final Path folder;
   private Map<String, Mark> marks = new HashMap<>();
@@ -34,33 +34,33 @@
   /** What stands now, in the folder of both processes. */
   Map<String, Mark> read(long nowMillis) {
     if (folder != null) {
-      Map<String, Mark> found = new HashMap<>();
+      Map<String, Mark> current = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
-          Mark mark = found.size() < Rotation.MOST_MARKS ? readFile(file, nowMillis) : null;
+          Mark mark = current.size() < Rotation.MOST_MARKS ? readFile(file, nowMillis) : null;
           if (mark != null) {
-            found.put(mark.id(), mark);
+            current.put(mark.id(), mark);
           }
         }
-        marks = found;
+        marks = current;
       } catch (NoSuchFileException e) {
-        marks = found;
+        marks = current;
       } catch (IOException | RuntimeException e) {
         Log.warn("marks", "left as they were: " + e);
       }
     }
-    dropSettled(nowMillis);
+    removeSettled(nowMillis);
     return Map.copyOf(marks);
   }
 
   /** A file that cannot be read now says what it said before, or that its upstream is out. */
   private Mark readFile(Path file, long nowMillis) {
     try {
-      if (Files.size(file) > MOST_FILE_BYTES) {
+      if (Files.size(file) > MAX_FILE_BYTES) {
         throw new IllegalArgumentException("too long");
       }
-      String[] words = Files.readString(file).split("\n");
-      return new Mark(words[2], Long.parseLong(words[0]), Long.parseLong(words[1]));
+      String[] lines = Files.readString(file).split("\n");
+      return new Mark(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
     } catch (NoSuchFileException e) {
       return null; // The other process has just taken it away.
     } catch (CharacterCodingException | RuntimeException e) {
@@ -68,22 +68,22 @@
       return null;
     } catch (IOException e) {
       Log.warn("marks", file.getFileName() + " cannot be read: " + e);
-      return unread(file, nowMillis);
+      return fallbackMark(file, nowMillis);
     }
   }
 
-  private Mark unread(Path file, long nowMillis) {
+  private Mark fallbackMark(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Mark before = marks.get(id);
-      return before != null ? before : Mark.suspend(null, id, nowMillis);
+      Mark lastRead = marks.get(id);
+      return lastRead != null ? lastRead : Mark.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
       return null; // Its name is none of ours.
     }
   }
 
-  private void dropSettled(long nowMillis) {
+  private void removeSettled(long nowMillis) {
     for (Mark mark : Map.copyOf(marks).values()) {
       if (mark.settled(nowMillis)) {
         marks.remove(mark.id());
@@ -100,18 +100,18 @@
 
   /** Takes an upstream out; returns only once every process of the balancer will know. */
   void suspend(String id, long nowMillis) throws IOException {
-    Map<String, Mark> now = read(nowMillis);
-    if (now.size() >= Rotation.MOST_MARKS && !now.containsKey(id)) {
+    Map<String, Mark> current = read(nowMillis);
+    if (current.size() >= Rotation.MOST_MARKS && !current.containsKey(id)) {
       throw new IOException("more than " + Rotation.MOST_MARKS + " are out");
     }
-    write(Mark.suspend(now.get(id), id, nowMillis));
+    write(Mark.suspend(current.get(id), id, nowMillis));
   }
 
   /** Puts an upstream back that may be out. */
   void resume(String id, long nowMillis) throws IOException {
-    Mark back = Mark.resume(read(nowMillis).get(id), nowMillis);
-    if (back != null) {
-      write(back);
+    Mark resumed = Mark.resume(read(nowMillis).get(id), nowMillis);
+    if (resumed != null) {
+      write(resumed);
     }
   }
 
--- a/src/main/java/heathswitch/proxy/operations/OperationsService.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -25,16 +25,16 @@
   static final long POLL_MILLIS = 200;
 
   /** Calls that may wait for their files; one more is told no. */
-  private static final int MOST_WAITING = 64;
+  private static final int MAX_QUEUED_COMMANDS = 64;
 
   private final Node node;
   private final ProcessGeneration generation;
-  private final MarkOverlay standings;
+  private final MarkOverlay overlay;
   private final MarkStore marks;
   private final ConsoleServer console;
-  private final ScheduledThreadPoolExecutor files;
+  private final ScheduledThreadPoolExecutor fileExecutor;
   private volatile boolean serving;
-  private volatile int holds = Budget.RESERVED_DESCRIPTORS;
+  private volatile int heldDescriptors = Budget.RESERVED_DESCRIPTORS;
 
   /**
    * Lays itself over the node's lists; before its start.
@@ -46,7 +46,7 @@
     generation = new ProcessGeneration(folder == null ? null : folder.resolve("processes"));
     marks = new MarkStore(folder == null ? null : folder.resolve("marks"));
     console = new ConsoleServer(node.loop(), node.budget(), this);
-    files =
+    fileExecutor =
         new ScheduledThreadPoolExecutor(
             1,
             task -> {
@@ -54,28 +54,28 @@
               thread.setDaemon(true);
               return thread;
             });
-    standings = new MarkOverlay(node::nowMillis);
-    node.dispatcher().overlay(standings);
-    node.shutdown().followed(generation::followed);
-    standings.update(marks.read(node.nowMillis()), node.dispatcher());
+    overlay = new MarkOverlay(node::nowMillis);
+    node.dispatcher().overlay(overlay);
+    node.shutdown().followed(generation::hasSuccessor);
+    overlay.update(marks.read(node.nowMillis()), node.dispatcher());
   }
 
   /** Whether another process serves this balancer when this one starts. */
   public boolean hasPredecessor() {
-    return generation.follows();
+    return generation.hasPredecessor();
   }
 
   /** Opens the console; fails if the address cannot be had. Must not be called on the loop. */
   public void start(InetSocketAddress address) throws InterruptedException {
-    int held = generation.heldElsewhere(System.nanoTime());
-    node.loop().execute(() -> node.budget().heldElsewhere(held));
+    int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
+    node.loop().execute(() -> node.budget().heldElsewhere(heldByOthers));
     console.start(address);
-    files.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, MILLISECONDS);
+    fileExecutor.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, MILLISECONDS);
   }
 
   /** Clients can connect: from now on the console says so, and a later process can tell. */
   public void announceServing() {
-    generation.serving(Budget.RESERVED_DESCRIPTORS);
+    generation.writeHeartbeat(Budget.RESERVED_DESCRIPTORS);
     node.loop().execute(() -> serving = true);
   }
 
@@ -85,37 +85,37 @@
 
   /** Ends the thread of files; the console ends with the loop. */
   public void stop() {
-    files.shutdownNow();
+    fileExecutor.shutdownNow();
   }
 
   // ---- the thread of files ----
 
   private void poll() {
     try {
-      Map<String, Mark> now = marks.read(node.nowMillis());
-      int held = generation.heldElsewhere(System.nanoTime());
+      Map<String, Mark> current = marks.read(node.nowMillis());
+      int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
       if (serving) {
-        generation.serving(holds);
+        generation.writeHeartbeat(heldDescriptors);
       }
       node.loop()
           .execute(
               () -> {
-                standings.update(now, node.dispatcher());
-                node.budget().heldElsewhere(held);
-                holds = node.budget().held();
+                overlay.update(current, node.dispatcher());
+                node.budget().heldElsewhere(heldByOthers);
+                heldDescriptors = node.budget().held();
               });
     } catch (RejectedExecutionException e) {
-      files.shutdown(); // The node has ended.
+      fileExecutor.shutdown(); // The node has ended.
     } catch (RuntimeException e) {
       Log.error("operations", "marks could not be read", e); // Thrown on, it would be the last.
     }
   }
 
-  private void write(String id, boolean out, Consumer<HttpResponseStatus> done) {
+  private void writeMark(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
     HttpResponseStatus status = HttpResponseStatus.OK;
     long now = node.nowMillis();
     try {
-      if (out) {
+      if (suspended) {
         marks.suspend(id, now);
       } else {
         marks.resume(id, now);
@@ -124,40 +124,40 @@
       Log.error("operations", "a mark could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
-    Map<String, Mark> marked = marks.read(now);
-    HttpResponseStatus said = status;
+    Map<String, Mark> current = marks.read(now);
+    HttpResponseStatus result = status;
     node.loop()
         .execute(
             () -> {
-              standings.update(marked, node.dispatcher());
-              done.accept(said);
+              overlay.update(current, node.dispatcher());
+              done.accept(result);
             });
   }
 
   // ---- the operators' calls, on the loop ----
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return serving && !node.emptying().on() && !node.shutdown().begun();
   }
 
   @Override
-  public void mark(String id, boolean out, Consumer<HttpResponseStatus> done) {
-    if (!standings.knows(id)) {
+  public void setSuspended(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
+    if (!overlay.isKnown(id)) {
       done.accept(HttpResponseStatus.NOT_FOUND);
       return;
     }
-    if (files.getQueue().size() >= MOST_WAITING) {
+    if (fileExecutor.getQueue().size() >= MAX_QUEUED_COMMANDS) {
       done.accept(HttpResponseStatus.SERVICE_UNAVAILABLE); // The disk does not keep up.
       return;
     }
-    Log.info("operations", (out ? "taken out: " : "put back: ") + id);
-    files.execute(() -> write(id, out, done));
+    Log.info("operations", (suspended ? "taken out: " : "put back: ") + id);
+    fileExecutor.execute(() -> writeMark(id, suspended, done));
   }
 
   @Override
-  public void empty(boolean empty) {
-    if (empty) {
+  public void setDraining(boolean draining) {
+    if (draining) {
       node.emptying().begin();
     } else {
       node.emptying().end();
--- a/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
+++ b/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
@@ -16,42 +16,42 @@
  * its folder was last empty. Without a folder there is none before and none after.
  */
 public final class ProcessGeneration {
-  private static final String PREFIX = "process-";
+  private static final String FILE_PREFIX = "process-";
 
   /** One that has said nothing for so long has ended. */
-  static final long SILENT_NANOS = 2_000_000_000L;
+  static final long HEARTBEAT_TIMEOUT_NANOS = 2_000_000_000L;
 
   /** What another process said last, and when this one saw that for the first time. */
-  private record Sign(FileTime written, long seenNanos, int held) {}
+  private record Heartbeat(FileTime modified, long firstSeenNanos, int heldDescriptors) {}
 
   private final Path folder;
   private final int number;
 
   /** The newest sign of each other process that has a file here. */
-  private final Map<Integer, Sign> signs = new HashMap<>();
+  private final Map<Integer, Heartbeat> heartbeats = new HashMap<>();
 
   /** Follows on whatever the folder shows; null for no folder. */
   public ProcessGeneration(Path folder) {
     this.folder = folder;
-    this.number = highest() + 1;
+    this.number = highestNumber() + 1;
   }
 
   /** Whether another process served before this one and may still do so. */
-  public boolean follows() {
+  public boolean hasPredecessor() {
     return number > 1;
   }
 
   /** Whether another process has begun to serve after this one. */
-  public boolean followed() {
-    return highest() > number;
+  public boolean hasSuccessor() {
+    return highestNumber() > number;
   }
 
   /** This process serves, and holds so many descriptors; to be said again and again. */
-  public void serving(int held) {
+  public void writeHeartbeat(int heldDescriptors) {
     if (folder != null) {
       try {
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve(PREFIX + number), Integer.toString(held));
+        Files.writeString(folder.resolve(FILE_PREFIX + number), Integer.toString(heldDescriptors));
       } catch (IOException e) {
         Log.warn("upgrade", "another process will not know of this one: " + e);
       }
@@ -65,36 +65,37 @@
    *
    * @param nowNanos of a clock that cannot be set
    */
-  public int heldElsewhere(long nowNanos) {
+  public int descriptorsHeldByOthers(long nowNanos) {
     int held = 0;
     Map<Integer, Path> processes = processes();
-    signs.keySet().retainAll(processes.keySet());
+    heartbeats.keySet().retainAll(processes.keySet());
     for (Map.Entry<Integer, Path> other : processes.entrySet()) {
       if (other.getKey() != number) {
-        held += held(other.getKey(), other.getValue(), nowNanos);
+        held += readHeldDescriptors(other.getKey(), other.getValue(), nowNanos);
       }
     }
     return held;
   }
 
-  private int held(int other, Path file, long nowNanos) {
-    Sign sign = signs.get(other);
+  private int readHeldDescriptors(int other, Path file, long nowNanos) {
+    Heartbeat heartbeat = heartbeats.get(other);
     try {
       FileTime written = Files.getLastModifiedTime(file);
-      String said = Files.readString(file); // Empty while it is being written.
-      boolean news = sign == null || !sign.written().equals(written);
-      int before = sign == null ? 0 : sign.held();
-      int held = said.matches("[0-9]{1,7}") ? Integer.parseInt(said) : before;
-      sign = new Sign(written, news ? nowNanos : sign.seenNanos(), held);
-      signs.put(other, sign);
+      String text = Files.readString(file); // Empty while it is being written.
+      boolean updated = heartbeat == null || !heartbeat.modified().equals(written);
+      int lastHeld = heartbeat == null ? 0 : heartbeat.heldDescriptors();
+      int held = text.matches("[0-9]{1,7}") ? Integer.parseInt(text) : lastHeld;
+      heartbeat = new Heartbeat(written, updated ? nowNanos : heartbeat.firstSeenNanos(), held);
+      heartbeats.put(other, heartbeat);
     } catch (IOException e) {
       Log.warn("upgrade", "what another process holds cannot be read: " + e);
     }
-    boolean lives = sign != null && nowNanos - sign.seenNanos() < SILENT_NANOS;
-    return lives ? sign.held() : 0;
+    boolean alive =
+        heartbeat != null && nowNanos - heartbeat.firstSeenNanos() < HEARTBEAT_TIMEOUT_NANOS;
+    return alive ? heartbeat.heldDescriptors() : 0;
   }
 
-  private int highest() {
+  private int highestNumber() {
     return processes().keySet().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
@@ -102,9 +103,9 @@
   private Map<Integer, Path> processes() {
     Map<Integer, Path> processes = new HashMap<>();
     if (folder != null) {
-      try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+      try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
         for (Path file : files) {
-          String digits = file.getFileName().toString().substring(PREFIX.length());
+          String digits = file.getFileName().toString().substring(FILE_PREFIX.length());
           if (digits.matches("[0-9]{1,8}")) {
             processes.put(Integer.parseInt(digits), file);
           }
--- a/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
@@ -25,10 +25,10 @@
 
   @Test
   void aFewAreServedInTurn() {
-    for (int i = 0; i < PipelineQueue.MOST_PARTS; i++) {
+    for (int i = 0; i < PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertFalse(parts.isFlood());
+    assertFalse(parts.hasOverflowed());
     for (HttpContent part : added) {
       assertSame(part, parts.poll());
       assertEquals(1, part.refCnt(), "it belongs to the caller");
@@ -39,25 +39,25 @@
 
   @Test
   void oneTooManyDropsAll() {
-    for (int i = 0; i <= PipelineQueue.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertTrue(parts.isFlood());
+    assertTrue(parts.hasOverflowed());
     assertTrue(parts.isEmpty());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
   @Test
   void whatFollowsIsReleasedAndCounted() {
-    for (int i = 0; i <= PipelineQueue.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
     for (int i = 0; i < 10; i++) {
       add(100_000);
-      assertFalse(parts.isEndless());
+      assertFalse(parts.overflowLimitExceeded());
     }
     add(100_000);
-    assertTrue(parts.isEndless());
+    assertTrue(parts.overflowLimitExceeded());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
--- a/src/test/java/heathswitch/proxy/operations/ProcessGenerationTest.java
+++ b/src/test/java/heathswitch/proxy/operations/ProcessGenerationTest.java
@@ -19,15 +19,15 @@
   @Test
   void eachKnowsOfTheOneBeforeAndAfter() {
     ProcessGeneration first = new ProcessGeneration(folder.resolve("p"));
-    assertFalse(first.follows());
-    first.serving(60);
-    assertFalse(first.followed());
+    assertFalse(first.hasPredecessor());
+    first.writeHeartbeat(60);
+    assertFalse(first.hasSuccessor());
     ProcessGeneration second = new ProcessGeneration(folder.resolve("p"));
-    assertTrue(second.follows());
-    assertFalse(first.followed(), "it does not serve yet");
-    second.serving(50);
-    assertTrue(first.followed());
-    assertFalse(second.followed());
+    assertTrue(second.hasPredecessor());
+    assertFalse(first.hasSuccessor(), "it does not serve yet");
+    second.writeHeartbeat(50);
+    assertTrue(first.hasSuccessor());
+    assertFalse(second.hasSuccessor());
   }
 
   /**
@@ -36,31 +36,31 @@
   @Test
   void descriptorsOfOthersCountWhileTheyLive() throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
-    first.serving(60);
+    first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
-    second.serving(50);
+    second.writeHeartbeat(50);
     Files.writeString(folder.resolve("process-x"), "none");
     Files.writeString(folder.resolve("process-9"), "");
-    assertEquals(60, second.heldElsewhere(0));
-    assertEquals(50, first.heldElsewhere(0));
-    assertEquals(60, second.heldElsewhere(ProcessGeneration.SILENT_NANOS - 1));
-    assertEquals(0, second.heldElsewhere(ProcessGeneration.SILENT_NANOS));
+    assertEquals(60, second.descriptorsHeldByOthers(0));
+    assertEquals(50, first.descriptorsHeldByOthers(0));
+    assertEquals(60, second.descriptorsHeldByOthers(ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS - 1));
+    assertEquals(0, second.descriptorsHeldByOthers(ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS));
   }
 
   /** A file that is being written, or cannot be read, says nothing new. */
   @Test
   void whatAnotherHoldsStandsWhileItsFileCannotBeRead() throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
-    first.serving(60);
+    first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
-    assertEquals(60, second.heldElsewhere(0));
+    assertEquals(60, second.descriptorsHeldByOthers(0));
     Path file = folder.resolve("process-1");
     Files.writeString(file, "");
-    assertEquals(60, second.heldElsewhere(1));
+    assertEquals(60, second.descriptorsHeldByOthers(1));
     Files.delete(file);
     Files.createDirectory(file);
-    assertEquals(60, second.heldElsewhere(2));
-    assertEquals(0, second.heldElsewhere(2 + ProcessGeneration.SILENT_NANOS));
+    assertEquals(60, second.descriptorsHeldByOthers(2));
+    assertEquals(0, second.descriptorsHeldByOthers(2 + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS));
   }
 
   /** The machine's clock is set by an hour, forward or back, while both live; then one ends. */
@@ -68,24 +68,29 @@
   @ValueSource(longs = {-3600, 3600})
   void aClockThatIsSetChangesNothing(long seconds) throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
-    first.serving(60);
+    first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
-    assertEquals(60, second.heldElsewhere(0));
+    assertEquals(60, second.descriptorsHeldByOthers(0));
     Path file = folder.resolve("process-1");
     long written = Files.getLastModifiedTime(file).toMillis();
-    long now = ProcessGeneration.SILENT_NANOS - 1;
+    long now = ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS - 1;
     Files.setLastModifiedTime(file, FileTime.fromMillis(written + seconds * 1000));
-    assertEquals(60, second.heldElsewhere(now), "it has written by the clock that was set");
-    assertEquals(60, second.heldElsewhere(now + ProcessGeneration.SILENT_NANOS - 1));
-    assertEquals(0, second.heldElsewhere(now + ProcessGeneration.SILENT_NANOS), "it has ended");
+    assertEquals(
+        60, second.descriptorsHeldByOthers(now), "it has written by the clock that was set");
+    assertEquals(
+        60, second.descriptorsHeldByOthers(now + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS - 1));
+    assertEquals(
+        0,
+        second.descriptorsHeldByOthers(now + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS),
+        "it has ended");
   }
 
   @Test
   void withoutAFolderThereIsNobodyElse() {
     ProcessGeneration alone = new ProcessGeneration(null);
-    alone.serving(60);
-    assertFalse(alone.follows());
-    assertFalse(alone.followed());
-    assertEquals(0, alone.heldElsewhere(0));
+    alone.writeHeartbeat(60);
+    assertFalse(alone.hasPredecessor());
+    assertFalse(alone.hasSuccessor());
+    assertEquals(0, alone.descriptorsHeldByOthers(0));
   }
 }
