--- a/src/main/java/heathswitch/policy/api/Actions.java
+++ b/src/main/java/heathswitch/policy/api/Actions.java
@@ -3,7 +3,7 @@
 /** What a balancer asks of its host. Calls are carried out in the order in which they are made. */
 public interface Actions {
   /** Starts an attempt of the request; attempts are numbered from 0 in this order. */
-  void send(long requestId, long serverId, long notPastNanos);
+  void send(long requestId, long serverId, long attemptDeadlineNanos);
 
   /** Stops waiting for one attempt. */
   void cancel(long requestId, int attempt);
@@ -15,7 +15,7 @@
   void fail(long requestId);
 
   /** Says why the refusal or failure that follows is the answer. */
-  default void givingUp(long requestId, GiveUp reason) {}
+  default void reportUnserved(long requestId, UnservedReason reason) {}
 
   /** Asks for a timer event with this token. */
   void setTimer(long delayNanos, long token);
--- a/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -3,14 +3,14 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.UnservedReason;
 import heathswitch.policy.core.Balancer;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
@@ -46,7 +46,7 @@
   /** Modifies the list entries from discovery before they are applied. */
   public interface Overlay {
     /** Returns the entries to use in place of the given ones. */
-    List<Member> apply(ListForm form, List<Member> entries);
+    List<Member> apply(ListUpdate form, List<Member> entries);
   }
 
   /** Blocks all sending while it is closed; checked right before the first byte of an attempt. */
@@ -128,7 +128,7 @@
   public void start(Discovery discovery, List<Member> knownMembers) {
     this.discovery = discovery;
     deliverEvent(null, () -> balancer.start(clock.nowNanos()));
-    onServers(ListForm.STALE, knownMembers);
+    onServers(ListUpdate.STALE_FULL, knownMembers);
   }
 
   /** Replaces the settings for new requests. Open requests keep the settings they started with. */
@@ -167,7 +167,7 @@
 
   /** The state of the decision module as text. */
   public String figures() {
-    return balancer.figures(clock.nowNanos());
+    return balancer.summary(clock.nowNanos());
   }
 
   /** The number of attempts in flight at the matching upstreams, listed or not. */
@@ -256,12 +256,12 @@
       String tenant,
       boolean isRetry,
       long ttlNanos,
-      Form form,
+      RequestProtocol form,
       Payload payload) {
     LiveRequest request =
         new LiveRequest(
             nextRequestId++, name, caller, type, payload, clock.nowNanos(), ttlNanos, this);
-    request.maxAttempts = settings.limits().mostTries();
+    request.maxAttempts = settings.limits().maxAttempts();
     request.retryAfterNanos =
         Math.min(DEFAULT_RETRY_AFTER_NANOS, settings.limits().maxRetryAfterNanos());
     requests.put(request.id, request);
@@ -372,7 +372,7 @@
   }
 
   private void cancelAllAttempts(LiveRequest request) {
-    deliverEvent(null, () -> balancer.onGone(clock.nowNanos(), request.id));
+    deliverEvent(null, () -> balancer.onClientGone(clock.nowNanos(), request.id));
     for (LiveRequest.Attempt attempt : List.copyOf(request.attempts)) {
       cancelAttempt(attempt);
     }
@@ -400,7 +400,7 @@
     }
     markCompleted(request);
     counters.served++;
-    deliverEvent(request, () -> balancer.onFirst(now, request.id, attempt.number, tookNanos));
+    deliverEvent(request, () -> balancer.onAnswerBegun(now, request.id, attempt.number, tookNanos));
     // The module has to be told first: if it learned of another attempt's end while it considers
     // the request open, it would cancel this attempt too.
     for (LiveRequest.Attempt other : List.copyOf(request.attempts)) {
@@ -468,7 +468,7 @@
   /** Forwards a request at once that the module holds back for lack of capacity. */
   private void overflowIfHeldBack(LiveRequest request) {
     if (!request.completed && request.openAttempts == 0 && sendOverflow(request)) {
-      balancer.onGone(clock.nowNanos(), request.id);
+      balancer.onClientGone(clock.nowNanos(), request.id);
     }
   }
 
@@ -552,7 +552,7 @@
 
   // ---- updates from discovery ----
 
-  public void onServers(ListForm form, List<Member> entries) {
+  public void onServers(ListUpdate form, List<Member> entries) {
     applyOverlays(0, form, entries);
   }
 
@@ -562,10 +562,10 @@
    * @param overlay the overlay that made the change; those after it are applied to the entries
    */
   public void onOverlayChanged(Overlay overlay, List<Member> entries) {
-    applyOverlays(overlays.indexOf(overlay) + 1, ListForm.UNASKED, entries);
+    applyOverlays(overlays.indexOf(overlay) + 1, ListUpdate.UNSOLICITED_DELTA, entries);
   }
 
-  private void applyOverlays(int firstOverlay, ListForm form, List<Member> entries) {
+  private void applyOverlays(int firstOverlay, ListUpdate form, List<Member> entries) {
     List<Member> members = entries;
     for (Overlay overlay : overlays.subList(firstOverlay, overlays.size())) {
       members = overlay.apply(form, members);
@@ -573,7 +573,7 @@
     applyList(form, members);
   }
 
-  private void applyList(ListForm form, List<Member> entries) {
+  private void applyList(ListUpdate form, List<Member> entries) {
     Set<Upstream> listed = new HashSet<>();
     List<ServerEntry> serverEntries = new ArrayList<>();
     for (Member entry : entries) {
@@ -582,7 +582,7 @@
       updateUpstream(upstream, entry);
       serverEntries.add(entry.toServerEntry(upstream.id));
     }
-    if (form.whole()) {
+    if (form.isFull()) {
       for (Upstream upstream : upstreams.values()) {
         if (!listed.contains(upstream)) {
           upstream.outOfService = true;
@@ -591,7 +591,7 @@
         }
       }
     }
-    deliverEvent(null, () -> balancer.onServers(clock.nowNanos(), form, serverEntries));
+    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), form, serverEntries));
     upstreams.values().removeIf(this::forgetIfUnused);
   }
 
@@ -636,8 +636,8 @@
    *
    * @param form the kind of failure
    */
-  public void onDiscoveryFailed(ListForm form) {
-    deliverEvent(null, () -> balancer.onServers(clock.nowNanos(), form, List.of()));
+  public void onDiscoveryFailed(ListUpdate form) {
+    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), form, List.of()));
   }
 
   /** Limits how long a list is valid without being confirmed. */
@@ -709,7 +709,7 @@
   }
 
   @Override
-  public void givingUp(long requestId, GiveUp reason) {
+  public void reportUnserved(long requestId, UnservedReason reason) {
     LiveRequest request = requests.get(requestId);
     if (request != null) {
       request.giveUpReason = reason;
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.dispatch;
 
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.UnservedReason;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
 import heathswitch.proxy.spi.Payload;
@@ -113,7 +113,7 @@
   int maxAttempts;
 
   /** Why the request was given up, or null if it was not. */
-  GiveUp giveUpReason;
+  UnservedReason giveUpReason;
 
   /** The retry-after interval that the caller is told if the request is refused. */
   long retryAfterNanos;
--- a/src/main/java/heathswitch/proxy/dispatch/Member.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Member.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.dispatch;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.SubsetRole;
 import java.net.InetSocketAddress;
 
 /**
@@ -25,7 +25,7 @@
     long cell,
     double weight,
     long startedMillis,
-    Part part) {
+    SubsetRole part) {
   /** Creates an entry that any balancer may use. */
   public Member(
       String id,
@@ -37,7 +37,7 @@
       long cell,
       double weight,
       long startedMillis) {
-    this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, Part.ANY);
+    this(id, address, grpcAddress, health, zone, kind, cell, weight, startedMillis, SubsetRole.ANY);
   }
 
   /** Returns this entry with the given health and start time. */
@@ -49,21 +49,21 @@
   }
 
   /** Returns this entry with the given part and weight. */
-  public Member withPart(Part newPart, double newWeight) {
+  public Member withPart(SubsetRole newPart, double newWeight) {
     return new Member(
         id, address, grpcAddress, health, zone, kind, cell, newWeight, startedMillis, newPart);
   }
 
   ServerEntry toServerEntry(long serverId) {
     // The value is irrelevant for a removed upstream.
-    int protocols = protocols() == 0 ? Form.HTTP1.protocol() : protocols();
+    int protocols = protocols() == 0 ? RequestProtocol.HTTP1.protocolBit() : protocols();
     return new ServerEntry(
         serverId, zone, kind, cell, health, weight, startedMillis * 1_000_000L, protocols, part);
   }
 
   /** Bit set of the protocols that the upstream has an address for. */
   int protocols() {
-    return (address == null ? 0 : Form.HTTP1.protocol())
-        | (grpcAddress == null ? 0 : Form.GRPC.protocol());
+    return (address == null ? 0 : RequestProtocol.HTTP1.protocolBit())
+        | (grpcAddress == null ? 0 : RequestProtocol.GRPC.protocolBit());
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.gateway.Gateway;
 import heathswitch.policy.gateway.Trail;
 import heathswitch.proxy.http1.HeaderRules;
@@ -202,7 +202,7 @@
             forwarded.get(HeaderRules.TENANT),
             "1".equals(forwarded.get(HeaderRules.RETRY)),
             Math.min(left, type.deadlineNanos()),
-            Form.HTTP1,
+            RequestProtocol.HTTP1,
             payload);
   }
 
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryTimeouts.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryTimeouts.java
@@ -35,7 +35,7 @@
 
   static DiscoveryTimeouts of(Settings settings) {
     long grace = settings.obligations().stopSendingWithinNanos() / NANOS_A_MILLI;
-    return new DiscoveryTimeouts(!settings.mustAsk(), grace);
+    return new DiscoveryTimeouts(!settings.subscribes(), grace);
   }
 
   /** From one whole line of a watch to the next. */
--- a/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
+++ b/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
@@ -45,7 +45,7 @@
   public record Config(
       RequestClass.Effect effectA,
       RequestClass.Effect effectB,
-      Form form,
+      RequestProtocol form,
       int servers,
       int tier,
       boolean cancelAttempts,
@@ -324,7 +324,7 @@
       if (attempt.number() >= MAX_ATTEMPTS) {
         violated.add(Invariant.ATTEMPT_LIMIT);
       }
-      if (!config.form().copies() && calls.stream().anyMatch(call -> !call.ended)) {
+      if (!config.form().hedgeable() && calls.stream().anyMatch(call -> !call.ended)) {
         violated.add(Invariant.STREAM_NOT_HEDGED);
       }
       ServerCall binding = firstPossiblyRun();
@@ -539,7 +539,7 @@
 
   private void updateFirstServer(Health newHealth) {
     health[0] = newHealth;
-    dispatcher.onServers(ListForm.CHANGES, members().subList(0, 1));
+    dispatcher.onServers(ListUpdate.DELTA, members().subList(0, 1));
   }
 
   // ---- at rest ----
--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -28,7 +28,7 @@
           + config
           + "\n"
           + steps.stream().map(step -> "  " + step).collect(Collectors.joining("\n"))
-          + "\n  assertEquals(Set.of(), Explorer.play(new World."
+          + "\n  assertEquals(Set.of(), Explorer.play(new DispatchHarness."
           + config.toString().replace('[', '(').replace(']', ')')
           + ", List.of("
           + names
@@ -55,14 +55,16 @@
       for (Effect b : Effect.values()) {
         for (int servers = 1; servers <= 2; servers++) {
           for (int tier = 0; tier <= 1; tier++) {
-            configs.add(new DispatchHarness.Config(a, b, Form.HTTP1, servers, tier, true, false));
+            configs.add(
+                new DispatchHarness.Config(
+                    a, b, RequestProtocol.HTTP1, servers, tier, true, false));
           }
         }
       }
-      configs.add(new DispatchHarness.Config(a, a, Form.HTTP1, 2, 0, false, false));
-      configs.add(new DispatchHarness.Config(a, a, Form.GRPC_STREAM, 2, 0, true, false));
+      configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 2, 0, false, false));
+      configs.add(new DispatchHarness.Config(a, a, RequestProtocol.GRPC_STREAM, 2, 0, true, false));
       for (int tier = 0; tier <= 1; tier++) {
-        configs.add(new DispatchHarness.Config(a, a, Form.HTTP1, 1, tier, true, true));
+        configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 1, tier, true, true));
       }
     }
     return configs;
--- a/src/test/java/heathswitch/policy/core/RuleSetTest.java
+++ b/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
@@ -1,6 +1,6 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,13 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RuleSetTest {
+class ActiveSettingsTest {
   private static final double[] DELAYS = {100, 400};
 
-  private static RuleSet worth(boolean byWork) {
-    Settings base = Harness.settings(0, type("light", 2), type("heavy", 4));
-    RuleSet rules =
-        new RuleSet(
+  private static ActiveSettings worth(boolean byWork) {
+    Settings base = BalancerHarness.settings(0, type("light", 2), type("heavy", 4));
+    ActiveSettings rules =
+        new ActiveSettings(
             new Settings(
                 base.classes(),
                 List.of(new Tenant("one", 0.5, 8)),
@@ -30,12 +30,12 @@
                 base.limits(),
                 base.obligations()),
             null);
-    System.arraycopy(DELAYS, 0, rules.classDelay, 0, DELAYS.length);
+    System.arraycopy(DELAYS, 0, rules.classDelayNanos, 0, DELAYS.length);
     return rules;
   }
 
   private static RequestClass type(String name, double worth) {
-    RequestClass safe = Harness.safe(name);
+    RequestClass safe = BalancerHarness.safe(name);
     return new RequestClass(
         name,
         safe.effect(),
@@ -50,39 +50,39 @@
 
   @Test
   void countsWorthForTheWorkWhereWorthIsByRequest() {
-    assertEquals(1, worth(false).relative(0, -1, SECOND), 1e-12);
-    assertEquals(0.5, worth(false).relative(1, -1, SECOND), 1e-12);
+    assertEquals(1, worth(false).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(0.5, worth(false).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
   void countsImportanceAloneWhereWorthIsByWork() {
-    assertEquals(0.5, worth(true).relative(0, -1, SECOND), 1e-12);
-    assertEquals(1, worth(true).relative(1, -1, SECOND), 1e-12);
+    assertEquals(0.5, worth(true).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(1, worth(true).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
   void aTenantOverItsPartOfTheQuotaCountsAsTheSettingsSay() {
-    RuleSet worth = worth(true);
-    int tenant = worth.tenant("one");
+    ActiveSettings worth = worth(true);
+    int tenant = worth.tenantIndexOf("one");
     for (int i = 0; i < 2; i++) { // Two a second is this instance's part of eight.
-      assertEquals(1, worth.relative(1, tenant, SECOND), 1e-12);
-      worth.take(tenant);
+      assertEquals(1, worth.relativeWorth(1, tenant, SECOND), 1e-12);
+      worth.takeQuotaToken(tenant);
     }
-    assertEquals(0.05, worth.relative(1, tenant, SECOND), 1e-12);
-    assertEquals(1, worth.relative(1, tenant, 2 * SECOND), 1e-12);
+    assertEquals(0.05, worth.relativeWorth(1, tenant, SECOND), 1e-12);
+    assertEquals(1, worth.relativeWorth(1, tenant, 2 * SECOND), 1e-12);
   }
 
   @Test
   void refusedTriesTakeNothingFromTheQuota() {
-    RuleSet worth = worth(true);
+    ActiveSettings worth = worth(true);
     for (int i = 0; i < 50; i++) {
-      assertEquals(1, worth.relative(1, 0, SECOND), 1e-12);
+      assertEquals(1, worth.relativeWorth(1, 0, SECOND), 1e-12);
     }
   }
 
   @Test
   void anUnknownTenantHasNoQuota() {
-    assertEquals(-1, worth(true).tenant("nobody"));
-    assertTrue(worth(true).relative(1, -1, SECOND) > 0.99);
+    assertEquals(-1, worth(true).tenantIndexOf("nobody"));
+    assertTrue(worth(true).relativeWorth(1, -1, SECOND) > 0.99);
   }
 }
--- a/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass.Effect;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.testbed.mutants.Mutant;
 import java.util.ArrayList;
 import java.util.List;
@@ -48,7 +48,8 @@
     assertEquals(
         Set.of(),
         Explorer.play(
-            new DispatchHarness.Config(Effect.UNSAFE, Effect.SAFE, Form.HTTP1, 2, 0, true, false),
+            new DispatchHarness.Config(
+                Effect.UNSAFE, Effect.SAFE, RequestProtocol.HTTP1, 2, 0, true, false),
             List.of(Step.REQUEST_A, Step.RESET, Step.REQUEST_B, Step.DEADLINE)));
   }
 
@@ -56,7 +57,8 @@
   @Test
   void oneRequestIsToldAsServedOnce() {
     DispatchHarness.Config setup =
-        new DispatchHarness.Config(Effect.SAFE, Effect.SAFE, Form.HTTP1, 2, 0, true, true);
+        new DispatchHarness.Config(
+            Effect.SAFE, Effect.SAFE, RequestProtocol.HTTP1, 2, 0, true, true);
     List<Step> order = List.of(Step.RELOAD, Step.REQUEST_B, Step.TIMER, Step.OK_NEWEST, Step.OK);
     assertEquals(Set.of(), Explorer.play(setup, order));
   }
