--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -28,7 +28,7 @@
           + config
           + "\n"
           + steps.stream().map(step -> " " + step).collect(Collectors.joining("\n"))
-          + "\n assertEquals(Set.of(), Explorer.play(new World."
+          + "\n assertEquals(Set.of(), Explorer.play(new DispatchHarness."
           + config.toString().replace('[', '(').replace(']', ')')
           + ", List.of("
           + names
