--- a/src/main/java/heathswitch/proxy/http1/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -42,67 +42,72 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 
-/** One client's connection: reads one request at a time and writes its one answer. */
+/** A client connection; processes one request at a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements Caller, StreamedAnswerSink {
-  /** A longer body is turned away by its length, before it is read. Clients send up to 32 MB. */
+  /** Requests that declare a longer body are rejected unread. Clients send up to 32 MB. */
   static final long MAX_BODY_BYTES = 40L << 20;
 
   /**
-   * A body is gathered up to this size, so that its request can be tried again. Of a longer one the
-   * rest goes on as it comes: memory holds only a few of them.
+   * Bodies up to this size are buffered, so that the request can be retried. Longer ones are
+   * streamed, because memory can hold only a few of them.
    */
   static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
 
-  /** So much of a long body is there before its request is taken. */
+  /** A request with a long body is dispatched once this much of the body has been received. */
   private static final int STREAMING_PREFIX_BYTES = 16 << 10;
 
-  /** A body up to this size is read without asking; connections are few enough to bear that. */
+  /**
+   * Bodies up to this size are read without a reservation in the budget; the number of connections
+   * is low enough for that.
+   */
   static final int UNRESERVED_BODY_BYTES = 64 << 10;
 
   /**
-   * For the head of a request, from its first byte or from the start of its connection. Guards the
-   * descriptor against clients that connect and say nothing, or half a head, and owes them an end
-   * within 3 s; slow ones need 2 s.
+   * Time limit for receiving the head of a request, counted from its first byte or, for the first
+   * request, from the start of the connection. Frees the descriptors of clients that connect and
+   * send nothing or half a head. Such connections must end within 3 s; slow clients need 2 s.
    */
   static final long HEAD_TIMEOUT_NANOS = 2_500_000_000L;
 
   /**
-   * Of a body something has to come so often, and from this long after its start on half of what
-   * the slowest clients send, 64 kB/s. Guards against half requests and trickles.
+   * Longest pause within a body. After this time, the average rate must also reach half of the rate
+   * of the slowest clients, which is 64 kB/s. Guards against incomplete requests and slow senders.
    */
   static final long BODY_TIMEOUT_NANOS = 1_500_000_000L;
 
   private static final long MIN_BYTES_PER_SECOND = 32 << 10;
 
-  /** For an upstream of a long body that takes nothing of it. */
+  /** How long an upstream may accept nothing of a streamed body. */
   static final long UPSTREAM_STALL_TIMEOUT_NANOS = 3_000_000_000L;
 
-  /** What a request may take to come whole, beside its own time, where it is taken before that. */
+  /** Added to the timeout of a request whose body is streamed, for receiving the body. */
   private static final long MAX_UPLOAD_NANOS = 600_000_000_000L;
 
-  /** Since the last answer; many clients ask once and never close. */
+  /** Counted from the last answer; many clients send one request and never close. */
   static final long IDLE_TIMEOUT_NANOS = 10_000_000_000L;
 
-  /** Without any progress for so long the writing of an answer is given up. */
+  /** The connection is closed if writing an answer makes no progress for this long. */
   private static final long WRITE_TIMEOUT_NANOS = 10_000_000_000L;
 
   private enum Phase {
-    /** No request, or only a part of its head. */
+    /** No request, or only a part of its head has been received. */
     IDLE,
-    /** The head has come, the body has not. */
+    /** The head has been received; the body is being buffered. */
     READING_BODY,
-    /** Taken while its body still comes. */
+    /** Dispatched; the body is being streamed to the upstream. */
     STREAMING_BODY,
-    /** Come whole; taken once it is clear what came along with it. */
+    /**
+     * Received completely; dispatched at the end of the read, after a check for pipelined input.
+     */
     REQUEST_COMPLETE,
-    /** Taken; the answer is owed. */
+    /** Dispatched and received completely; the answer is outstanding. */
     AWAITING_ANSWER,
-    /** The last answer has been given; what still comes is thrown away. */
+    /** The last answer has been written; further input is discarded. */
     LINGERING
   }
 
-  private final ClientListener server;
+  private final ClientListener listener;
   private final Dispatcher dispatcher;
   private final Clock clock;
   private final Channel channel;
@@ -113,25 +118,23 @@
   private long headStartedNanos;
   private HttpRequest head;
 
-  /** The settings that the head was read by, as {@link Dispatcher#reloads} counts them. */
+  /** The value of {@link Dispatcher#reloads} when the head was validated. */
   private int settingsReloads;
 
   private boolean keepAlive;
   private RequestClass requestClass;
-  private long ttlNanos;
+  private long clientTimeoutNanos;
   private RequestBodyBuffer body;
   private long bodyBytes;
-  private long reserved;
+  private long reservedBytes;
   private Object pendingReservation;
   private Ticket ticket;
   private boolean replayingPipeline;
 
-  /**
-   * Whether bytes of this very connection are being decoded, in the middle of which none are read.
-   */
+  /** Whether this connection is inside a read, when the socket must not be read again. */
   private boolean decoding;
 
-  /** The end of a long body, kept until it is known that its client has stayed. */
+  /** Last piece of a streamed body, kept until the client is known to be still connected. */
   private ByteBuf lastBodyPiece;
 
   private boolean hadRequest;
@@ -144,7 +147,7 @@
   private StreamedRequestBody streamedBody;
   private boolean readingPaused;
 
-  /** Brings an answer that goes on as it comes. */
+  /** The source of the answer while an answer is being streamed, otherwise null. */
   private StreamedAnswerSource answerSource;
 
   private boolean streamedAnswerKeepAlive;
@@ -152,13 +155,13 @@
   private final ChannelFutureListener writeListener = done -> recordWriteProgress();
 
   public ClientConnection(
-      ClientListener server,
+      ClientListener listener,
       Dispatcher dispatcher,
       Clock clock,
       Channel channel,
       StrictRequestDecoder decoder) {
     this.decoder = decoder;
-    this.server = server;
+    this.listener = listener;
     this.dispatcher = dispatcher;
     this.clock = clock;
     this.channel = channel;
@@ -179,7 +182,7 @@
     }
   }
 
-  /** Reading goes on while a request is answered, as only that shows that a client has gone. */
+  /** Reading continues while a request is processed, because only reading detects a disconnect. */
   private void queuePipelined(HttpObject part) {
     pipelined.add(part);
     if (pipelined.hasOverflowed()) {
@@ -191,8 +194,9 @@
   }
 
   /**
-   * Reads what has come, unless that is going on: only reading shows that a client has closed its
-   * connection, and while the loop was held up or reading paused that may have been long ago.
+   * Reads pending input first, unless a read is in progress. Only reading detects that the client
+   * has closed the connection, which may have happened long ago if the event loop was delayed or
+   * reading was paused.
    */
   @Override
   public boolean stillWaits() {
@@ -200,7 +204,7 @@
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
     if (!channel.isActive()) {
-      onDisconnected(); // The channel tells of its end on a later turn of the loop only.
+      onDisconnected(); // channelInactive is only called on a later turn of the event loop.
       return false;
     }
     return true;
@@ -250,7 +254,7 @@
   }
 
   private void beginRequest(HttpRequest request) {
-    server.becameBusy(this);
+    listener.becameBusy(this);
     hadRequest = true;
     head = request;
     settingsReloads = dispatcher.reloads();
@@ -281,17 +285,18 @@
     }
   }
 
-  /** Reads what a head says; what is wrong with it, or null. */
+  /** Validates a head and stores its class and timeout; returns the error or null. */
   private String validateHead(HttpRequest request) {
-    RequestHead read = RequestHead.read(request, dispatcher, server.forbiddenHeader());
+    RequestHead read = RequestHead.read(request, dispatcher, listener.forbiddenHeader());
     requestClass = read.requestClass();
-    ttlNanos = read.timeoutNanos();
+    clientTimeoutNanos = read.timeoutNanos();
     return read.error();
   }
 
   /**
-   * What has become wrong with the request since its head was read, or null. Its id may have been
-   * taken by another meanwhile; and it is taken wholly under the settings that hold now.
+   * Repeats the validation when the request is dispatched; returns the error or null. Another
+   * request may have taken its id in the meantime, and after a reload of the settings the whole
+   * head is validated against the new ones.
    */
   private String revalidateHead() {
     if (settingsReloads != dispatcher.reloads()) {
@@ -303,20 +308,20 @@
   }
 
   private void reserveBuffer(long bytes) {
-    long additional = bytes - reserved;
+    long additional = bytes - reservedBytes;
     pendingReservation =
-        server.budget.reserve(
+        listener.budget.reserve(
             additional,
             () -> {
               pendingReservation = null;
-              reserved += additional;
+              reservedBytes += additional;
               timerStartNanos = clock.nowNanos() - slowestTransferNanos(bodyBytes);
               lastPieceNanos = clock.nowNanos();
               sendContinueIfExpected();
               channel.config().setAutoRead(true);
             });
     if (pendingReservation == null) {
-      reserved += additional;
+      reservedBytes += additional;
       sendContinueIfExpected();
     } else {
       channel.config().setAutoRead(false);
@@ -345,37 +350,46 @@
       onBodyComplete();
     } else if (requestClass != null && pendingReservation == null && shouldStreamBody()) {
       startStreaming();
-    } else if (bodyBytes > UNRESERVED_BODY_BYTES && reserved == 0 && pendingReservation == null) {
-      // In chunks, so of unknown length: all that it may come to, or two could wait for each other.
+    } else if (bodyBytes > UNRESERVED_BODY_BYTES
+        && reservedBytes == 0
+        && pendingReservation == null) {
+      // The length of a chunked body is unknown. Reserving the maximum at once avoids a deadlock
+      // between two bodies that wait for more.
       reserveBuffer(MAX_BUFFERED_BODY_BYTES);
     }
   }
 
-  /** Whether a body that has not ended is too long to be gathered. */
+  /** Whether an incomplete body is too long to be buffered and can be streamed now. */
   private boolean shouldStreamBody() {
     return HttpUtil.getContentLength(head, -1L) > MAX_BUFFERED_BODY_BYTES
         ? bodyBytes >= STREAMING_PREFIX_BYTES
         : bodyBytes >= MAX_BUFFERED_BODY_BYTES;
   }
 
-  /** A long one is taken now, and the rest of its body goes on as it comes. */
+  /** Dispatches the request and streams the rest of its body. */
   private void startStreaming() {
     String error = revalidateHead();
     if (error != null) {
       reject(HttpResponseStatus.BAD_REQUEST, error);
       return;
     }
-    long prefixReservation = reserved;
-    reserved = 0;
+    long prefixReservation = reservedBytes;
+    reservedBytes = 0;
     long contentLength = HttpUtil.getContentLength(head, -1L);
     streamedBody =
         new StreamedRequestBody(
-            this, server.budget, contentLength, ttlNanos, body.takeBuffer(), prefixReservation);
+            this,
+            listener.budget,
+            contentLength,
+            clientTimeoutNanos,
+            body.takeBuffer(),
+            prefixReservation);
     body = null;
     HttpRequest accepted = head;
     head = null;
     phase = Phase.STREAMING_BODY;
-    dispatch(accepted, Unpooled.EMPTY_BUFFER, ttlNanos + MAX_UPLOAD_NANOS, Form.HTTP1_STREAM);
+    dispatch(
+        accepted, Unpooled.EMPTY_BUFFER, clientTimeoutNanos + MAX_UPLOAD_NANOS, Form.HTTP1_STREAM);
   }
 
   private void readStreamedBody(HttpContent content) {
@@ -383,7 +397,7 @@
     lastPieceNanos = clock.nowNanos();
     bodyBytes += content.content().readableBytes();
     if (bodyBytes > MAX_BODY_BYTES) {
-      channel.close(); // In chunks without end; nothing has run, as its last byte never came.
+      channel.close(); // Endless chunked body. Without its last byte the request never runs.
       return;
     }
     if (!last) {
@@ -393,14 +407,15 @@
     phase = Phase.AWAITING_ANSWER;
     timerStartNanos = lastPieceNanos;
     if (ticket != null) {
-      ticket.whole(ttlNanos);
+      ticket.whole(clientTimeoutNanos);
     }
     lastBodyPiece = content.content().retain();
   }
 
   /**
-   * The last piece makes the request run. It goes on once what came behind it has been read too: a
-   * client that had sent everything and left may lie behind a body whose reading was paused.
+   * Forwards the last piece, after which the upstream runs the request. Before that, the input
+   * behind the body is read: while reading was paused, the client may have sent the rest of the
+   * body and disconnected.
    */
   private void forwardLastBodyPiece() {
     ByteBuf piece = lastBodyPiece;
@@ -412,7 +427,7 @@
     }
   }
 
-  /** The upstream of a long body takes no more for now, or takes more again. */
+  /** Backpressure from the upstream of a streamed body. */
   void setReadingPaused(boolean paused) {
     if (readingPaused != paused) {
       readingPaused = paused;
@@ -422,7 +437,10 @@
     }
   }
 
-  /** Its upstream takes nothing. The last byte was never sent on, so a retry is harmless. */
+  /**
+   * The upstream accepts nothing of the body. Its last byte was never forwarded, so the request is
+   * answered as refused and can safely be retried.
+   */
   private void abortStalledUpload() {
     Ticket openTicket = ticket;
     lingeringClose = LingeringClose.DURING_UPLOAD;
@@ -433,24 +451,24 @@
     }
   }
 
-  /** What the slowest permitted client takes for so many bytes. */
+  /** The time that the slowest permitted client needs to send this many bytes. */
   private static long slowestTransferNanos(long bytes) {
     return bytes * 1_000_000_000L / MIN_BYTES_PER_SECOND;
   }
 
   private void onBodyComplete() {
     if (pendingReservation != null) {
-      server.budget.giveUp(pendingReservation);
+      listener.budget.giveUp(pendingReservation);
       pendingReservation = null;
       channel.config().setAutoRead(true);
-    } else if (reserved > bodyBytes) {
-      server.budget.release(reserved - bodyBytes);
-      reserved = bodyBytes;
+    } else if (reservedBytes > bodyBytes) {
+      listener.budget.release(reservedBytes - bodyBytes);
+      reservedBytes = bodyBytes;
     }
     phase = Phase.REQUEST_COMPLETE;
   }
 
-  /** The request that has come whole is taken, unless a flood came behind it. */
+  /** Dispatches a completely received request, unless too much was pipelined behind it. */
   private void acceptRequest() {
     if (pipelined.hasOverflowed()) {
       reject(HttpResponseStatus.BAD_REQUEST, "more than one request at a time");
@@ -471,7 +489,7 @@
       completeBody.release();
       answerReadinessProbe(accepted);
     } else {
-      dispatch(accepted, completeBody, ttlNanos, Form.HTTP1);
+      dispatch(accepted, completeBody, clientTimeoutNanos, Form.HTTP1);
     }
   }
 
@@ -488,7 +506,7 @@
         timeoutNanos,
         form,
         new HttpPayload(
-            server.pool(),
+            listener.pool(),
             this,
             accepted.method(),
             accepted.uri(),
@@ -497,7 +515,7 @@
             streamedBody));
   }
 
-  /** The request is live; told before anything can answer it. */
+  /** Called when the request is open, before it can be answered. */
   @Override
   public void taken(Ticket accepted) {
     ticket = accepted;
@@ -508,23 +526,25 @@
     HttpResponseStatus status =
         !isGet
             ? HttpResponseStatus.METHOD_NOT_ALLOWED
-            : server.isDraining() ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK;
+            : listener.isDraining()
+                ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                : HttpResponseStatus.OK;
     writeResponse(textResponse(status, status.reasonPhrase()));
   }
 
   // ---- answering ----
 
-  /** Serves an upstream's whole answer. */
+  /** Writes the complete answer of an upstream. */
   @Override
   public void serve(Answer whole) {
-    HttpAnswer answer = (HttpAnswer) whole; // The only kind that an HttpPayload brings.
+    HttpAnswer answer = (HttpAnswer) whole; // HttpPayload produces no other type.
     FullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, answer.body());
     HeaderRules.copyEndToEndHeaders(answer.head().headers(), response.headers());
     writeResponse(response);
   }
 
-  /** Tells the client that a retry is harmless. */
+  /** Tells the client that a retry is safe. */
   @Override
   public void refuse(long retryAfterNanos, Answer last) {
     FullHttpResponse response = textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
@@ -536,28 +556,28 @@
     writeResponse(response);
   }
 
-  /** Tells the client that the request failed, and may have had an effect. */
+  /** Tells the client that the request failed and may have had an effect. */
   @Override
   public void fail(Answer last) {
     writeResponse(textResponse(HttpResponseStatus.BAD_GATEWAY, "failed"));
   }
 
-  // ---- an answer that goes on as it comes ----
+  // ---- streamed answers ----
 
   @Override
-  public void answerStarted(HttpResponse from, StreamedAnswerSource source) {
+  public void answerStarted(HttpResponse upstreamHead, StreamedAnswerSource source) {
     ticket = null;
     answerSource = source;
     HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    HeaderRules.copyEndToEndHeaders(from.headers(), response.headers());
-    long contentLength = HttpUtil.getContentLength(from, -1L);
+    HeaderRules.copyEndToEndHeaders(upstreamHead.headers(), response.headers());
+    long contentLength = HttpUtil.getContentLength(upstreamHead, -1L);
     streamedAnswerChunked = contentLength < 0 && version.equals(HttpVersion.HTTP_1_1);
     if (contentLength >= 0) {
       HttpUtil.setContentLength(response, contentLength);
     } else if (streamedAnswerChunked) {
       HttpUtil.setTransferEncodingChunked(response, true);
     } else {
-      keepAlive = false; // It ends with its connection: the client knows no chunks.
+      keepAlive = false; // HTTP/1.0 has no chunked encoding: closing marks the end.
     }
     streamedAnswerKeepAlive = setKeepAlive(response);
     timerStartNanos = clock.nowNanos();
@@ -620,7 +640,7 @@
   }
 
   private boolean setKeepAlive(HttpResponse response) {
-    boolean keep = keepAlive && !server.keepAliveDisabled() && phase != Phase.STREAMING_BODY;
+    boolean keep = keepAlive && !listener.keepAliveDisabled() && phase != Phase.STREAMING_BODY;
     response
         .headers()
         .set(
@@ -647,11 +667,11 @@
     }
     phase = Phase.IDLE;
     readsAtIdle = decoder.readCount();
-    server.becameIdle(this);
+    listener.becameIdle(this);
     replayPipelined();
   }
 
-  /** Answered in the middle of a long body: what still comes is read and thrown away. */
+  /** Answered before the body was complete: the rest of the body is read and discarded. */
   private void lingerDuringUpload(ChannelFuture written) {
     phase = Phase.LINGERING;
     lingeringClose = LingeringClose.DURING_UPLOAD;
@@ -660,8 +680,9 @@
   }
 
   /**
-   * The one way in which an answered connection ends: its sending is shut, and what still comes is
-   * read until the client closes too, or as long as {@link LingeringClose} says.
+   * Starts the lingering close: shuts down the output and reads further input until the client
+   * closes too or a limit of {@link LingeringClose} is reached. All answered connections end this
+   * way.
    */
   private void halfCloseAfter(ChannelFuture written) {
     written.addListener(
@@ -673,7 +694,7 @@
         });
   }
 
-  /** Takes up what came while the answer was on its way. */
+  /** Processes the input that was queued while the previous request was being answered. */
   private void replayPipelined() {
     if (replayingPipeline) {
       return;
@@ -695,20 +716,20 @@
     }
   }
 
-  /** An answer to what is no request; what is left of it is read and thrown away. */
+  /** Answers an invalid request; the rest of its input is read and discarded. */
   private void reject(HttpResponseStatus status, String reason) {
     FullHttpResponse response = textResponse(status, reason);
     HttpUtil.setContentLength(response, response.content().readableBytes());
     response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     phase = Phase.LINGERING;
     timerStartNanos = clock.nowNanos();
-    server.becameBusy(this);
+    listener.becameBusy(this);
     discardRequest();
     pipelined.release();
     halfCloseAfter(channel.writeAndFlush(response));
   }
 
-  // ---- the end ----
+  // ---- end of input, timeouts and closing ----
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -719,10 +740,10 @@
     if (phase == Phase.REQUEST_COMPLETE && !replayingPipeline) {
       acceptRequest();
     }
-    // Bytes came and made no message: a part of a head, which must not take for ever.
+    // Bytes without a message are an incomplete head, whose time is limited.
     if (phase == Phase.IDLE && headStartedNanos == 0 && decoder.readCount() != readsAtIdle) {
       headStartedNanos = clock.nowNanos();
-      server.becameBusy(this);
+      listener.becameBusy(this);
     }
   }
 
@@ -731,7 +752,7 @@
     onDisconnected();
   }
 
-  /** The one place that says that the client has gone; may be told more than once. */
+  /** The only place that reports the disconnect of the client; may be called repeatedly. */
   private void onDisconnected() {
     phase = Phase.LINGERING;
     discardRequest();
@@ -764,7 +785,7 @@
   private void discardRequest() {
     head = null;
     if (pendingReservation != null) {
-      server.budget.giveUp(pendingReservation);
+      listener.budget.giveUp(pendingReservation);
       pendingReservation = null;
     }
     if (body != null) {
@@ -775,17 +796,17 @@
   }
 
   private void releaseReservation() {
-    if (reserved > 0) {
-      long bytes = reserved;
-      reserved = 0;
-      server.budget.release(bytes);
+    if (reservedBytes > 0) {
+      long bytes = reservedBytes;
+      reservedBytes = 0;
+      listener.budget.release(bytes);
     }
   }
 
   /**
-   * Closes a connection between requests at once, for its descriptor; false if a request turns out
-   * to be on it. The socket is read first: one that has come but has not been read would be lost
-   * with the connection.
+   * Closes a connection between requests at once, to free its descriptor; false if it carries a
+   * request. The socket is read first, because a request that has arrived but has not been read
+   * would be lost.
    */
   public boolean evict() {
     if (!isBetweenRequests()) {
@@ -795,13 +816,13 @@
     return true;
   }
 
-  /** Ends a connection between requests; what crosses the end is read, and never sent on. */
+  /** Starts a lingering close between requests. Requests that arrive later are not forwarded. */
   public void closeIdle() {
     if (phase == Phase.IDLE && isBetweenRequests()) {
       phase = Phase.LINGERING;
       timerStartNanos = clock.nowNanos();
       lingeringClose = LingeringClose.BETWEEN_REQUESTS;
-      server.lingerStarted(this);
+      listener.lingerStarted(this);
       halfCloseAfter(channel.newSucceededFuture());
     }
   }
@@ -813,12 +834,12 @@
     return (phase == Phase.IDLE || phase == Phase.LINGERING) && headStartedNanos == 0;
   }
 
-  /** For how long a connection has been open on which no request has ever begun. */
+  /** How long the connection has been open; only valid before its first request. */
   long unusedNanos(long now) {
     return now - timerStartNanos;
   }
 
-  /** Whether a request has ever begun on the connection. */
+  /** Whether a request has ever been received on the connection. */
   public boolean hadRequest() {
     return hadRequest;
   }
@@ -828,7 +849,7 @@
         || now - timerStartNanos > BODY_TIMEOUT_NANOS + slowestTransferNanos(bodyBytes);
   }
 
-  /** Gives up what takes too long. */
+  /** Enforces the time limits; called periodically. */
   public void tick(long now) {
     long age = now - timerStartNanos;
     switch (phase) {
@@ -848,7 +869,7 @@
       }
       case STREAMING_BODY -> {
         if (!readingPaused && isBodyTooSlow(now)) {
-          channel.close(); // Nothing has run: its last byte never came.
+          channel.close(); // Without its last byte the request never runs.
         } else if (readingPaused && now - lastPieceNanos > UPSTREAM_STALL_TIMEOUT_NANOS) {
           abortStalledUpload();
         }
--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -21,15 +21,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Listens for clients and keeps their connections within the budget. */
+/** Accepts client connections and keeps their number within the budget. */
 public final class ClientListener {
   private static final int ACCEPT_BACKLOG = 4096;
   private static final long TICK_MILLIS = 200;
 
   /**
-   * The first request on a new connection may come so long after the connection. A request that
-   * crosses the end of a connection on which another was answered is sent again by its client; one
-   * that crosses the end of a new connection is lost.
+   * How long a shutdown waits for the first request on a new connection. If a connection that
+   * already carried an answer is closed while a request is in flight, the client sends that request
+   * again; on a new connection the request would be lost.
    */
   private static final long FIRST_REQUEST_GRACE_NANOS = 300_000_000L;
 
@@ -38,13 +38,13 @@
   final Budget budget;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** The client that has been idle longest first. */
+  /** Longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Ended between requests, but not closed by their clients yet. */
+  /** Half-closed between requests and not closed by the client yet. */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-  /** Those that have not asked for anything yet, oldest first. */
+  /** Without any request so far, oldest first. */
   private final Set<ClientConnection> unused = new LinkedHashSet<>();
 
   private Dispatcher dispatcher;
@@ -53,10 +53,10 @@
   private boolean draining;
   private boolean keepAliveDisabled;
 
-  /** Set on the loop; read by the thread that starts, too. */
+  /** Written on the event loop, also read by the starting thread. */
   private volatile boolean stopped;
 
-  /** A header that no client may send, or null. */
+  /** Name of a header that clients must not send, or null. */
   private String forbiddenHeader;
 
   public ClientListener(EventLoop loop, Clock clock, Budget budget) {
@@ -66,12 +66,12 @@
   }
 
   /**
-   * Listens; fails if the address cannot be had. A server that was stopped before does not listen
-   * at all: a connection that is made to a listener while it closes would be reset. Must not be
-   * called on the loop.
+   * Binds the address and starts accepting; fails if the address is not available. After {@link
+   * #stopListening} it does not bind at all, because connections made to a listener that is closing
+   * are reset. Must not be called on the event loop.
    *
-   * @param shared whether another process may listen at the same address, and each gets a part of
-   *     the connections (SO_REUSEPORT)
+   * @param reusePort whether other processes may listen on the same address, each receiving a share
+   *     of the connections (SO_REUSEPORT)
    */
   public void start(
       InetSocketAddress address,
@@ -97,7 +97,7 @@
     loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
   }
 
-  /** Told to end while the address was bound: nobody is taken. */
+  /** Closes the listener again if it was stopped while binding. */
   private void onBound(Channel bound) {
     listener = bound;
     if (stopped) {
@@ -105,12 +105,12 @@
     }
   }
 
-  /** Where clients connect; null where the process was told to end before it listened. */
+  /** The bound address; null if the process was told to stop before it listened. */
   public InetSocketAddress address() {
     return listener == null ? null : (InetSocketAddress) listener.localAddress();
   }
 
-  /** A header that no client may send; before the start. */
+  /** Sets a header that clients must not send. To be called before the start. */
   public void forbidHeader(String header) {
     forbiddenHeader = header;
   }
@@ -130,7 +130,7 @@
     budget.opened();
     connections.add(client);
     channel.closeFuture().addListener(closed -> onClosed(client));
-    // Clients may hold half of the descriptors; the rest is for the attempts of their requests.
+    // Clients may hold half of the descriptors; the rest is left for attempts at upstreams.
     if (connections.size() > budget.mostConnections() / 2) {
       evictIdle();
     }
@@ -139,7 +139,7 @@
     }
     unused.add(client);
     if (budget.connectionsLeft() <= 0) {
-      // The rest wait in the backlog until a descriptor is free.
+      // Further connections wait in the accept backlog until a descriptor is free.
       listener.config().setAutoRead(false);
     }
   }
@@ -163,7 +163,7 @@
     idle.add(client);
   }
 
-  /** Its end has been told to its client; its descriptor may be had at once. */
+  /** The connection is in a lingering close; it can be evicted at any time. */
   void lingerStarted(ClientConnection client) {
     becameBusy(client);
     lingering.add(client);
@@ -176,9 +176,10 @@
   }
 
   /**
-   * Closes a client connection on which nothing is asked; false if there is none. Those that never
-   * asked go first while they are many: hundreds that connect and say nothing must not push out the
-   * clients that come back. Would do harm to a client that connects long before it asks.
+   * Closes one client connection without an open request; false if there is none. If many
+   * connections have never carried a request, these are closed first, so that hundreds of silent
+   * connections do not displace returning clients. This penalizes a client that connects long
+   * before its first request.
    */
   public boolean evictIdle() {
     boolean unusedFirst = unused.size() > budget.mostConnections() / 16;
@@ -186,10 +187,10 @@
         || (unusedFirst ? evict(unused) || evict(idle) : evict(idle) || evict(unused));
   }
 
-  private static boolean evict(Set<ClientConnection> from) {
-    while (!from.isEmpty()) {
-      ClientConnection client = from.iterator().next();
-      from.remove(client); // One that proves busy is told of again when it has been answered.
+  private static boolean evict(Set<ClientConnection> candidates) {
+    while (!candidates.isEmpty()) {
+      ClientConnection client = candidates.iterator().next();
+      candidates.remove(client); // A busy one is added again when it becomes idle.
       if (client.evict()) {
         return true;
       }
@@ -205,7 +206,7 @@
     return draining;
   }
 
-  /** Not ready for new clients any more; those that are here are served. */
+  /** Reports not ready to health checks; existing clients are still served. */
   public void startDraining() {
     draining = true;
   }
@@ -214,18 +215,18 @@
     return keepAliveDisabled;
   }
 
-  /** From now on answers ask for the connection to be closed. */
+  /** From now on answers carry Connection: close. */
   public void disableKeepAlive() {
     keepAliveDisabled = true;
   }
 
-  /** Takes clients again after a drain. */
+  /** Accepts clients again after a drain. */
   public void endDraining() {
     draining = false;
     keepAliveDisabled = false;
   }
 
-  /** Takes no more connections, after those that have already come. */
+  /** Stops accepting, after the connections that are already in the backlog. */
   public void stopListening() {
     stopped = true;
     if (listener == null) {
@@ -234,15 +235,15 @@
     Listeners.end(listener, () -> budget.connectionsLeft() > 0);
   }
 
-  /** Whether connections may still come. */
+  /** Whether new connections can still be accepted. */
   public boolean isListening() {
     return listener != null && listener.isOpen();
   }
 
   /**
-   * Closes the connections on which no request is being read or answered. To be called again while
-   * there are {@link #clientCount}: one that has just come is left for as long as its first request
-   * may take.
+   * Closes the connections on which no request is being read or answered. To be called repeatedly
+   * while {@link #clientCount} is not zero, because new connections are kept until the time allowed
+   * for their first request is over.
    */
   public void closeIdle() {
     for (ClientConnection client : new ArrayList<>(idle)) {
@@ -266,7 +267,7 @@
       pool.closeExpired();
       resumeAccepting();
     } catch (RuntimeException e) {
-      Log.error("tick", "failed", e); // Thrown on, it would end all later ticks.
+      Log.error("tick", "failed", e); // An exception would cancel the periodic task.
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/HeaderRules.java
+++ b/src/main/java/heathswitch/proxy/http1/HeaderRules.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The headers that the balancer itself reads or writes, and which ones go on. */
+/** The headers that the balancer reads or writes itself, and the rules for forwarding headers. */
 public final class HeaderRules {
   public static final String REQUEST_ID = "X-Request-Id";
   public static final String CLASS = "X-Class";
@@ -23,7 +23,7 @@
 
   private static final long MAX_SECONDS = 3600;
 
-  /** These speak of one connection, or are written anew for the next one. */
+  /** Headers that apply to a single connection or are rewritten for the next one. */
   private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
@@ -37,7 +37,7 @@
           "content-length",
           "x-deadline");
 
-  /** The protocol's own headers go on even where a Connection header names them. */
+  /** Headers of the balancer's own protocol; forwarded even if a Connection header names them. */
   private static final Set<String> PROTOCOL_HEADERS =
       Set.of(
           "x-request-id",
@@ -51,8 +51,9 @@
   private HeaderRules() {}
 
   /**
-   * What is unclear about where a request ends, or null. Only a plain length or plain chunks are
-   * read the same way by all; anything else could hide a second request from one of two readers.
+   * Why the framing of a request is ambiguous, or null if it is not. Only a plain Content-Length or
+   * plain chunked encoding is interpreted identically everywhere; anything else would allow request
+   * smuggling.
    */
   public static String framingError(HttpRequest request) {
     List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -68,7 +69,7 @@
     return null;
   }
 
-  /** Whether a method, with a key or without one, is that of a class's effect. */
+  /** Whether the method and the presence of an idempotency key match the effect of the class. */
   public static boolean methodMatchesClass(
       RequestClass requestClass, HttpMethod method, boolean hasKey) {
     return switch (requestClass.effect()) {
@@ -78,14 +79,14 @@
     };
   }
 
-  /** Whether a text is of visible ASCII characters, and not empty or longer than allowed. */
+  /** Whether a text consists of visible ASCII characters and is neither empty nor too long. */
   public static boolean isVisibleAscii(String text, int maxLength) {
     return !text.isEmpty()
         && text.length() <= maxLength
         && text.chars().allMatch(c -> c > ' ' && c < 127);
   }
 
-  /** Copies what is meant for the other end. */
+  /** Copies the end-to-end headers and omits the hop-by-hop headers. */
   public static void copyEndToEndHeaders(HttpHeaders from, HttpHeaders to) {
     for (Map.Entry<String, String> header : from) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
@@ -97,7 +98,7 @@
     }
   }
 
-  /** Nanoseconds from a number of seconds, or -1 for what is no such number. */
+  /** Parses a decimal number of seconds into nanoseconds; -1 if the text is not such a number. */
   public static long parseSeconds(String text) {
     boolean digits = false;
     for (int i = 0; i < text.length(); i++) {
@@ -108,14 +109,14 @@
         return -1;
       }
     }
-    // Longer than any sensible figure, but still parsed in a bounded time.
+    // Far longer than any useful number; bounds the time spent on parsing.
     if (!digits || text.length() > 64) {
       return -1;
     }
     return (long) (Math.min(MAX_SECONDS, Double.parseDouble(text)) * 1e9);
   }
 
-  /** Seconds with three decimals, rounded down. */
+  /** Formats nanoseconds as seconds with three decimals, rounded down. */
   public static String formatSeconds(long nanos) {
     long millis = Math.max(0, nanos / 1_000_000);
     long fraction = millis % 1000;
--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -14,7 +14,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** A request over HTTP/1.1, whole or with a body that still comes. */
+/** An HTTP/1.1 request whose body is either complete or still being received. */
 public final class HttpPayload implements Payload {
   private final UpstreamConnectionPool pool;
   private final StreamedAnswerSink sink;
@@ -25,10 +25,11 @@
   private final ByteBuf body;
 
   /**
-   * One that is whole; takes over the body.
+   * Creates a request with a complete body.
    *
-   * @param sink whoever gets an answer that goes on as it comes
-   * @param headers that go on to an upstream, which the time left and the length are added to
+   * @param sink receives the answer if it is streamed
+   * @param headers forwarded to the upstream, together with the remaining time and the body length
+   * @param body ownership passes to this object
    */
   public HttpPayload(
       UpstreamConnectionPool pool,
@@ -41,10 +42,11 @@
   }
 
   /**
-   * Takes over the body.
+   * Creates a request with a complete or a streamed body.
    *
-   * @param sink whoever gets an answer that goes on as it comes
-   * @param upload brings the body where it still comes, and the body is then empty; else null
+   * @param sink receives the answer if it is streamed
+   * @param body the complete body, empty if it is streamed; ownership passes to this object
+   * @param streamedBody the body if it is still being received, otherwise null
    */
   HttpPayload(
       UpstreamConnectionPool pool,
@@ -68,12 +70,12 @@
     return pool.start(attempt, this);
   }
 
-  /** Whoever gets an answer that goes on as it comes. */
+  /** Receives the answer if it is streamed. */
   public StreamedAnswerSink sink() {
     return sink;
   }
 
-  /** Whether its body has come, so that it can be sent anywhere as it stands. */
+  /** Whether the whole body has been received, so that the request can go to any destination. */
   public boolean isBodyComplete() {
     return streamedBody == null;
   }
@@ -86,17 +88,17 @@
     return uri;
   }
 
-  /** What goes on to whoever serves it; not to be changed. */
+  /** The headers to forward; callers must not modify them. */
   public HttpHeaders headers() {
     return headers;
   }
 
-  /** A copy of the body that shares its bytes; whoever gets it releases it. */
+  /** A duplicate that shares the bytes of the body; the caller must release it. */
   public ByteBuf retainedBody() {
     return body.retainedDuplicate();
   }
 
-  /** What brings the body where it still comes, or null. */
+  /** The body if it is still being received, otherwise null. */
   StreamedRequestBody streamedBody() {
     return streamedBody;
   }
@@ -106,7 +108,7 @@
     return streamedBody == null || streamedBody.canBeResent();
   }
 
-  /** The head of a request whose body follows piece by piece. */
+  /** The request head to send to an upstream when the body is streamed after it. */
   HttpRequest toUpstreamHead(long remainingNanos) {
     HttpHeaders forwarded = headers.copy();
     long deadlineNanos = Math.min(remainingNanos, streamedBody.clientWaitNanos());
@@ -119,7 +121,7 @@
     return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, forwarded);
   }
 
-  /** The request as it goes to an upstream; the body is shared, not copied. */
+  /** The complete request to send to an upstream; the body is shared, not copied. */
   FullHttpRequest toUpstreamRequest(long remainingNanos) {
     HttpHeaders forwarded = headers.copy();
     FullHttpRequest request =
--- a/src/main/java/heathswitch/proxy/http1/LingeringClose.java
+++ b/src/main/java/heathswitch/proxy/http1/LingeringClose.java
@@ -4,22 +4,22 @@
 import io.netty.handler.codec.http.HttpObject;
 
 /**
- * How a connection that has been answered for the last time ends: what still comes on it is read
- * and thrown away, for some time and up to some bytes. A close over unread bytes is a reset, which
- * takes along what the client has not read of its answer.
+ * Limits of a lingering close. After the last answer on a connection, further input is read and
+ * discarded for a limited time and up to a limited number of bytes. Closing a socket with unread
+ * input sends a TCP reset, which can destroy the part of the answer that the client has not read.
  */
 enum LingeringClose {
-  /** After an answer: time for the client to read it. */
+  /** After an answer: gives the client time to read it. */
   AFTER_ANSWER(500_000_000L, 1L << 20),
-  /** Between requests: nothing is owed on the connection. */
+  /** Between requests: no answer is outstanding on the connection. */
   BETWEEN_REQUESTS(200_000_000L, 1L << 20),
-  /** For a client that still sends a long body, so that it gets to read its answer. */
+  /** While the client still sends a long body, so that it gets to read its answer. */
   DURING_UPLOAD(2_000_000_000L, ClientConnection.MAX_BODY_BYTES);
 
-  /** From the last answer to the close. */
+  /** Longest time from the last answer to the close. */
   final long timeoutNanos;
 
-  /** A client that sends more is cut off: a reset is all that it can notice. */
+  /** A client that sends more is disconnected; it will notice nothing but the reset. */
   private final long maxBytes;
 
   LingeringClose(long timeoutNanos, long maxBytes) {
@@ -27,12 +27,12 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Whether so many bytes, or a part that is none, end it at once. */
+  /** Whether the byte limit is exceeded or the part cannot be decoded. */
   boolean mustCloseNow(long discardedBytes, HttpObject part) {
     return discardedBytes > maxBytes || part.decoderResult().isFailure();
   }
 
-  /** The bytes of a body in a part. */
+  /** The number of body bytes in a decoded part. */
   static long bodyBytes(HttpObject part) {
     return part instanceof HttpContent content ? content.content().readableBytes() : 0;
   }
--- a/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
+++ b/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
@@ -6,17 +6,21 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client has sent behind a request that is not answered yet. A client sends one request at a
- * time; a few parts ahead are kept and served in turn, more are a flood: all of them are dropped,
- * and what follows is counted and thrown away.
+ * Decoded parts that a client pipelined behind a request that has not been answered yet. Clients
+ * are expected to send one request at a time. A few parts are queued and served in order; if there
+ * are more, the queue overflows: all queued parts are dropped, and later ones are counted and
+ * discarded.
  */
 final class PipelineQueue {
   static final int MAX_PARTS = 8;
 
-  /** What each part of a flood counts for beside its body. */
+  /** Counted for each part after an overflow, in addition to its body. */
   private static final int PART_OVERHEAD_BYTES = 64;
 
-  /** Of a flood; no more is read, although only reading shows that the client has gone. */
+  /**
+   * After an overflow of this size reading stops, although a disconnect of the client is only
+   * detected by reading.
+   */
   private static final long MAX_OVERFLOW_BYTES = 1L << 20;
 
   private final ArrayDeque<HttpObject> parts = new ArrayDeque<>();
@@ -27,17 +31,17 @@
     return parts.isEmpty();
   }
 
-  /** Whether too many have come, ever. */
+  /** Whether the queue has ever overflowed. */
   boolean hasOverflowed() {
     return overflowed;
   }
 
-  /** Whether a flood has gone on for so long that no more of it is to be read. */
+  /** Whether so much has arrived after the overflow that reading must stop. */
   boolean overflowLimitExceeded() {
     return overflowBytes > MAX_OVERFLOW_BYTES;
   }
 
-  /** Takes over a part. */
+  /** Adds a part and takes ownership of it. */
   void add(HttpObject part) {
     if (overflowed) {
       countOverflow(part);
@@ -58,12 +62,12 @@
     overflowBytes += PART_OVERHEAD_BYTES;
   }
 
-  /** The oldest, which belongs to the caller; null if there is none. */
+  /** Removes the oldest part and passes its ownership to the caller; null if the queue is empty. */
   HttpObject poll() {
     return parts.poll();
   }
 
-  /** Drops what is kept. */
+  /** Releases all queued parts. */
   void release() {
     while (!parts.isEmpty()) {
       ReferenceCountUtil.release(parts.poll());
--- a/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
@@ -5,9 +5,9 @@
 import io.netty.buffer.CompositeByteBuf;
 
 /**
- * The body of a request as it comes in. Pieces are copied into blocks: a short piece would keep the
- * whole buffer it was read into, and a body of many pieces would be copied together again and
- * again.
+ * Accumulates the body of a request. Pieces are copied into blocks, because a retained short piece
+ * would keep alive the whole buffer that it was read into, and a body of many pieces would have to
+ * be consolidated repeatedly.
  */
 final class RequestBodyBuffer {
   private static final int BLOCK_BYTES = 32 << 10;
@@ -18,13 +18,13 @@
   private final long declaredLength;
   private final CompositeByteBuf blocks;
 
-  /** The block that is being filled, or null. */
+  /** The block that is currently being filled, or null. */
   private ByteBuf tail;
 
   /**
-   * An empty one.
+   * Creates an empty buffer.
    *
-   * @param length that its head states, or -1
+   * @param declaredLength Content-Length of the request, or -1 if it has none
    */
   RequestBodyBuffer(ByteBufAllocator allocator, long declaredLength) {
     this.allocator = allocator;
@@ -32,7 +32,7 @@
     this.blocks = allocator.compositeBuffer(MAX_BLOCKS);
   }
 
-  /** Copies a piece, which stays its owner's. */
+  /** Copies a piece; the caller keeps its ownership. */
   void append(ByteBuf piece) {
     while (piece.isReadable()) {
       if (tail == null) {
@@ -57,13 +57,13 @@
     }
   }
 
-  /** Hands over all that has come; nothing may be done with this afterwards. */
+  /** Passes the accumulated bytes to the caller. This object must not be used afterwards. */
   ByteBuf takeBuffer() {
     closeBlock();
     return blocks;
   }
 
-  /** Gives all of it back. */
+  /** Releases all blocks. */
   void release() {
     takeBuffer().release();
   }
--- a/src/main/java/heathswitch/proxy/http1/RequestHead.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestHead.java
@@ -6,19 +6,19 @@
 import java.util.List;
 
 /**
- * What the head of a request says of how it is to be served, under the settings that hold now.
+ * The result of validating the head of a request against the current settings.
  *
- * @param type its class, or null where it was not found
- * @param ttlNanos how long its client waits for the answer
- * @param fault what is wrong with it, or null
+ * @param requestClass the class of the request, or null if the head is invalid
+ * @param timeoutNanos how long the client waits for the answer
+ * @param error why the head is invalid, or null if it is valid
  */
 record RequestHead(RequestClass requestClass, long timeoutNanos, String error) {
   private static final int MAX_ID_LENGTH = 128;
 
   /**
-   * Reads a head.
+   * Validates a head.
    *
-   * @param forbidden a header that no client may send, or null
+   * @param forbidden name of a header that clients must not send, or null
    */
   static RequestHead read(HttpRequest head, Dispatcher dispatcher, String forbidden) {
     String framingError = HeaderRules.framingError(head);
@@ -52,7 +52,7 @@
     if (!HeaderRules.methodMatchesClass(requestClass, head.method(), hasKey)) {
       return invalid("method or key does not fit class " + requestClass.name());
     }
-    // No client waits longer than its class allows, and nothing is held for it any longer.
+    // The class limits the time that a client may wait and that its request occupies resources.
     return new RequestHead(
         requestClass, Math.min(timeoutNanos, requestClass.deadlineNanos()), null);
   }
--- a/src/main/java/heathswitch/proxy/http1/StreamedAnswerSink.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedAnswerSink.java
@@ -4,22 +4,22 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Whoever gets an answer that is too long or too slow to be gathered, piece by piece: first its
- * head, then pieces with a flush after those that came together, then its end or that it broke off.
+ * Receives an answer that is too long or too slow to be buffered. It gets the head first, then the
+ * data, with a flush after all data that was read together, and last either the end or an abort.
  */
 public interface StreamedAnswerSink {
-  /** The head; the source hears from now on when it is to pause. */
-  void answerStarted(HttpResponse from, StreamedAnswerSource source);
+  /** The head of the answer. From now on the sink tells the source when to pause. */
+  void answerStarted(HttpResponse head, StreamedAnswerSource source);
 
-  /** A piece of it, which it takes over. */
+  /** A piece of the body; ownership passes to the sink. */
   void answerData(ByteBuf piece);
 
-  /** Nothing more has come for now. */
+  /** No more data is available for now. */
   void answerFlush();
 
-  /** All of it has come. */
+  /** The answer is complete. */
   void answerEnd();
 
-  /** The rest will not come, and whoever waits for it must be able to tell. */
+  /** The rest of the answer is lost, and the client must be able to detect that. */
   void answerAborted();
 }
--- a/src/main/java/heathswitch/proxy/http1/StreamedAnswerSource.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedAnswerSource.java
@@ -1,10 +1,10 @@
 package heathswitch.proxy.http1;
 
-/** What brings an answer that goes on as it comes. */
+/** The producer of a streamed answer: an exchange with an upstream or with another site. */
 public interface StreamedAnswerSource {
-  /** Whoever gets it takes no more for now, or takes more again. */
+  /** Backpressure from the receiver: stops or resumes the delivery of data. */
   void setPaused(boolean pause);
 
-  /** Whoever gets it has gone; nobody wants the rest. */
+  /** The receiver is gone; the rest of the answer is not needed. */
   void clientDisconnected();
 }
--- a/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
@@ -6,10 +6,10 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body on its way from its client to the one attempt that gets it. What came first is kept
- * until more than that has gone on, so that an attempt that never got a connection is no loss. The
- * client is read only as fast as the upstream takes it; what is held is what one read of the client
- * brings, at most.
+ * A long request body that is streamed from the client to a single attempt. The prefix is kept
+ * until more than the prefix has been sent, so that an attempt that never got a connection can be
+ * replaced by another one. The client is read only as fast as the upstream accepts the data; at
+ * most the data of one read from the client is held.
  */
 final class StreamedRequestBody {
   private final ClientConnection client;
@@ -18,7 +18,7 @@
   private final long clientWaitNanos;
   private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
-  /** What came before the request was taken, or null once more than that has gone on. */
+  /** Received before the request was accepted; null once more than the prefix has been sent. */
   private ByteBuf prefix;
 
   private long prefixReservation;
@@ -28,10 +28,10 @@
   private boolean released;
 
   /**
-   * Takes over the first part and its place in the budget.
+   * Takes ownership of the prefix and of its reservation in the budget.
    *
-   * @param length of the whole body, or -1 where its client did not say
-   * @param callerNanos how long the client waits once all of it has come
+   * @param length length of the whole body, or -1 if the client did not declare it
+   * @param clientWaitNanos how long the client waits after it has sent the whole body
    */
   StreamedRequestBody(
       ClientConnection client,
@@ -48,7 +48,7 @@
     this.prefixReservation = prefixReservation;
   }
 
-  /** The most that an upstream may be told: the body may take far longer than its client waits. */
+  /** Upper bound of the time announced to an upstream; sending the body may take far longer. */
   long clientWaitNanos() {
     return clientWaitNanos;
   }
@@ -57,12 +57,12 @@
     return length;
   }
 
-  /** Whether another attempt could be given all of it. */
+  /** Whether the whole body is still available for another attempt. */
   boolean canBeResent() {
     return prefix != null && !released;
   }
 
-  /** A piece has come, which it takes over. */
+  /** Adds a received piece and takes ownership of it. */
   void append(ByteBuf piece, boolean last) {
     if (released) {
       piece.release();
@@ -73,7 +73,7 @@
     forward();
   }
 
-  /** An attempt has its connection and gets all that there is. */
+  /** An attempt has got its connection; sends everything received so far. */
   void attach(UpstreamConnection connection) {
     target = connection;
     connection.writeBody(prefix.retainedDuplicate(), false);
@@ -95,20 +95,20 @@
     client.setReadingPaused(!writable && !complete);
   }
 
-  /** The connection takes more again. */
+  /** The connection accepts data again. */
   void onWritable(UpstreamConnection connection) {
     if (connection == target) {
       forward();
     }
   }
 
-  /** The attempt is over; the next one, if there can be one, gets it from the start. */
+  /** The attempt is over. If another one is possible, it gets the body from the beginning. */
   void detach(UpstreamConnection connection) {
     if (connection == target) {
       target = null;
       lastPieceWritten = false;
       if (prefix == null) {
-        release(); // Nobody can use the rest.
+        release(); // Part of the body is gone, so no other attempt can use the rest.
       }
     }
   }
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Nothing more is sent. */
+  /** Releases everything that is held; later pieces are discarded. */
   void release() {
     if (!released) {
       released = true;
--- a/src/main/java/heathswitch/proxy/http1/StrictRequestDecoder.java
+++ b/src/main/java/heathswitch/proxy/http1/StrictRequestDecoder.java
@@ -6,10 +6,11 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Netty's decoder, less forgiving. A request with both a length and chunks means one thing here and
- * may mean another at the upstream, and what the two read differently hides a second request; the
- * decoder would drop the length and go on. It also counts reads, so that a started head shows.
- * Could do harm only to a client that frames a body twice, which no sound one does.
+ * Netty's request decoder, but rejecting requests that have both Content-Length and chunked
+ * encoding. The upstream might frame such a request differently, which allows request smuggling;
+ * Netty would drop the length and accept the request. Only a client that declares the framing of a
+ * body twice is affected, which no correct client does. The decoder also counts reads, so that the
+ * beginning of an incomplete head can be detected.
  */
 public final class StrictRequestDecoder extends HttpRequestDecoder {
   private static final int MAX_LINE_BYTES = 8 << 10;
@@ -32,7 +33,7 @@
     super.channelRead(ctx, message);
   }
 
-  /** How often bytes have come; differs from an earlier figure if some came since. */
+  /** Number of reads so far; a change since an earlier call means that bytes have arrived. */
   public int readCount() {
     return readCount;
   }
--- a/src/main/java/heathswitch/proxy/http1/StrictResponseDecoder.java
+++ b/src/main/java/heathswitch/proxy/http1/StrictResponseDecoder.java
@@ -7,10 +7,11 @@
 import io.netty.util.AsciiString;
 
 /**
- * Netty's decoder, less forgiving. In answers it takes a line without a colon for a header whose
- * name ends at the blank, so a spoilt head was served as a good one; it also drops a length that
- * stands beside chunks. What cannot be read in one way only is no answer. It would do harm to an
- * upstream that puts a blank before the colon, which HTTP has forbidden for long.
+ * Netty's response decoder, but rejecting ambiguous heads. Netty accepts a header line without a
+ * colon as a header whose name ends at the first blank, so corrupted heads were served as valid
+ * ones; it also drops a Content-Length next to chunked encoding. Answers with such heads are
+ * rejected. This affects upstreams that put a blank before the colon, which HTTP has long
+ * forbidden.
  */
 public final class StrictResponseDecoder extends HttpResponseDecoder {
   private static final int MAX_LINE_BYTES = 4 << 10;
@@ -33,12 +34,12 @@
     super.channelRead(ctx, message);
   }
 
-  /** How often bytes have come; differs from an earlier figure if some came since. */
+  /** Number of reads so far; a change since an earlier call means that bytes have arrived. */
   public int readCount() {
     return readCount;
   }
 
-  /** Whether bytes have come that belong to no message yet. */
+  /** Whether bytes have arrived that do not form a message yet. */
   public boolean hasUnparsedBytes() {
     return actualReadableBytes() > 0;
   }
@@ -47,7 +48,7 @@
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     int end = start + length;
     if (end >= line.length || line[end] != ':') {
-      throw new IllegalArgumentException("a header line without a colon behind its name");
+      throw new IllegalArgumentException("header line without a colon after the name");
     }
     return super.splitHeaderName(line, start, length);
   }
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -29,64 +29,64 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * One connection to an upstream, with one exchange at a time. It says how each attempt ended, by
- * the protocol's table: whether the request may have run depends on whether its last byte was
- * written, and only an answer that is whole is ever passed on as one.
+ * A connection to an upstream that carries one exchange at a time and reports the outcome of each
+ * attempt. Whether a request may have run depends on whether its last byte was written; an answer
+ * counts as complete only if all of it was received.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
     implements Attempt.Carrier, StreamedAnswerSource {
   /**
-   * A longer answer is spoilt, or broken off where it does not say how long it is. Upstreams send
-   * up to 32 MB.
+   * A longer answer is treated as invalid, or aborted if it was already being streamed without a
+   * declared length. Upstreams send up to 32 MB.
    */
   static final long MAX_BODY_BYTES = 48L << 20;
 
   /**
-   * An answer is gathered up to this size, so that one that breaks can be tried again. A longer one
-   * goes on as it comes: memory holds only a few of them.
+   * Answers up to this size are buffered, so that the request can be retried if the answer breaks
+   * off. Longer ones are streamed, because memory can hold only a few of them.
    */
   static final int MAX_BUFFERED_BYTES = 64 << 10;
 
   /**
-   * So long after its first byte an answer that still comes goes on, however little there is: its
-   * client is owed what the upstream gives. Until then it could be tried again.
+   * An incomplete answer is streamed from this long after its first byte, however short it is, so
+   * that the client gets what the upstream sends. Until then the request can be retried.
    */
   static final long MAX_BUFFERING_MILLIS = 1000;
 
   /**
-   * An answer that has begun and of which nothing came for so long will never be complete. Guards
-   * against heads and bodies that stop short on a connection that stays open, and ought to against
-   * a machine that dies while it writes. Would do harm to an upstream that pauses while it sends.
+   * An answer that has begun and makes no progress for this long is considered lost. Guards against
+   * heads and bodies that stop short on a connection that stays open, and should also cover a
+   * machine that dies while writing. This fails upstreams that pause in the middle of an answer.
    */
   static final long STALL_TIMEOUT_MILLIS = 500;
 
-  /** The same for an answer that goes on, which cannot be had in any other way. */
+  /** The same for a streamed answer. It is longer because such an answer cannot be retried. */
   static final long STREAMED_STALL_TIMEOUT_MILLIS = 6000;
 
-  /** A longer body of an answer that is not served is not worth reading for the connection. */
+  /** For a longer body of an error answer, closing is cheaper than reusing the connection. */
   private static final int MAX_DISCARDED_BYTES = 64 << 10;
 
   private static final long DISCARD_TIMEOUT_MILLIS = 1000;
 
-  /** So many connections in a row that do not come up in time are a machine that is cut off. */
+  /** After this many consecutive dial timeouts the machine is considered unreachable. */
   private static final int MAX_CONSECUTIVE_DIAL_TIMEOUTS = 2;
 
   private enum Phase {
-    /** No exchange is on. */
+    /** No exchange is in progress. */
     IDLE,
-    /** The answer's head has not come. */
+    /** The head of the answer has not been received. */
     AWAITING_HEAD,
-    /** Between an interim answer and the real one. */
+    /** Inside an interim (1xx) answer. */
     INTERIM,
-    /** An answer that may be served is being gathered. */
+    /** A 200 answer is being buffered. */
     BUFFERING,
-    /** An answer to serve is complete; told once it is clear that nothing follows it. */
+    /** A buffered answer is complete; reported at the end of the read, with no excess bytes. */
     COMPLETE,
-    /** An answer goes on to the client as it comes; its outcome has been told. */
+    /** The answer is being streamed to the client; its outcome has been reported. */
     STREAMING,
-    /** All of such an answer has come. */
+    /** A streamed answer is complete. */
     STREAMED,
-    /** The outcome has been told; the rest is read so that the connection can be used again. */
+    /** The outcome has been reported; the rest is read so that the connection can be reused. */
     DISCARDING
   }
 
@@ -123,13 +123,13 @@
     this.upstream = upstream;
   }
 
-  /** A new connection, with the attempt that it was opened for. */
+  /** Called once for a new connection, with the attempt that it was opened for. */
   public void startConnecting(
-      ChannelFuture connectFuture, Attempt first, HttpPayload requestPayload) {
+      ChannelFuture connectFuture, Attempt firstAttempt, HttpPayload requestPayload) {
     payload = requestPayload;
     channel = connectFuture.channel();
-    attempt = first;
-    first.carriedBy(this);
+    attempt = firstAttempt;
+    firstAttempt.carriedBy(this);
     phase = Phase.AWAITING_HEAD;
     requestWritten = false;
     if (connectFuture.isDone()) {
@@ -143,13 +143,13 @@
   }
 
   /**
-   * The attempt is over; the connection is not. One that comes up late is as good as any, and where
-   * many do, to open each anew would find most of them late again.
+   * Ends the attempt, but not the connection. A connection that is established late is still
+   * usable, and if many are late, most of their replacements would be late again.
    */
   private void onDialTimeout() {
     dialTimeout = null;
     if (upstream.dialTimedOut() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
-      pool.closeEstablished(upstream); // What is silent now is silent on those too.
+      pool.closeEstablished(upstream); // An unreachable machine is silent on these too.
     }
     pool.addUnclaimed(this);
     endAttempt(Outcome.CONNECT_FAILED);
@@ -173,7 +173,7 @@
     }
   }
 
-  /** The next exchange on an idle connection. */
+  /** Starts the next exchange on an idle connection. */
   public void startExchange(Attempt nextAttempt, HttpPayload requestPayload) {
     payload = requestPayload;
     attempt = nextAttempt;
@@ -218,7 +218,7 @@
         });
   }
 
-  /** A piece of a long body, which it takes over; false where the upstream is to be given time. */
+  /** Writes a piece of a streamed body and takes ownership; false asks for backpressure. */
   boolean writeBody(ByteBuf piece, boolean last) {
     if (closed || attempt == null) {
       piece.release();
@@ -249,7 +249,7 @@
     }
   }
 
-  // ---- an answer that goes on as it comes ----
+  // ---- streamed answers ----
 
   @Override
   public void setPaused(boolean pause) {
@@ -267,7 +267,7 @@
     }
   }
 
-  /** False if the answer has no client any more; the connection is closed then. */
+  /** Returns false, with the connection closed, if no client waits for the answer any more. */
   private boolean startStreaming() {
     Attempt current = attempt;
     if (!current.begun() || closed) {
@@ -287,7 +287,7 @@
       buffered.release();
     }
     buffered = null;
-    // Its work is done and its place free; how long the rest takes is between it and the client.
+    // The upstream has done its work and its slot is free; the rest depends on the transfer only.
     current.ended(Outcome.OK, null);
     watchStreamForStall();
     return !closed;
@@ -296,7 +296,7 @@
   private void streamContent(HttpContent content, boolean last) {
     streamedBytes += content.content().readableBytes();
     if (streamedBytes > MAX_BODY_BYTES) {
-      failInvalidAnswer("too long");
+      failInvalidAnswer("answer too long");
       return;
     }
     if (content.content().isReadable()) {
@@ -319,7 +319,7 @@
                     return;
                   }
                   if (!paused && decoder.readCount() == readsAtStallCheck) {
-                    failInvalidAnswer("it stopped short");
+                    failInvalidAnswer("answer stalled");
                   } else {
                     watchStreamForStall();
                   }
@@ -337,7 +337,7 @@
       }
       HttpObject part = (HttpObject) message;
       if (phase == Phase.COMPLETE || phase == Phase.STREAMED) {
-        onExcessBytes(); // What is complete stays so.
+        onExcessBytes(); // The complete answer stays valid.
       } else if (part.decoderResult().isFailure()) {
         failInvalidAnswer("malformed: " + part.decoderResult().cause());
       } else if (phase == Phase.IDLE) {
@@ -389,7 +389,7 @@
   }
 
   /**
-   * Only the upstream's word that nothing ran makes a repeat safe; a bare 503 says no such thing.
+   * A retry is safe only if the upstream states that the request did not run; a plain 503 does not.
    */
   private static Outcome errorOutcome(HttpResponse response) {
     int status = response.status().code();
@@ -401,17 +401,20 @@
   }
 
   private void startAnswer(HttpResponse response) {
-    // An upstream begins when it has the last byte: what comes before that answers something else.
+    // Upstreams start after the last byte of a request; an earlier answer belongs to another one.
     if (!requestWritten || hasUnknownFraming(response)) {
-      failInvalidAnswer(requestWritten ? "unclear framing" : "too early");
+      failInvalidAnswer(
+          requestWritten
+              ? "unsupported Transfer-Encoding"
+              : "answer before the end of the request");
       return;
     }
     if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
-      failInvalidAnswer("too long: " + HttpUtil.getContentLength(response));
+      failInvalidAnswer("answer too long: " + HttpUtil.getContentLength(response));
       return;
     }
     head = response;
-    // One that ends with its connection is whole if the connection ends in order, and only then.
+    // An answer without a defined end is complete only if the connection is closed in order.
     reusable = HttpUtil.isKeepAlive(response) && hasDefinedEnd(response);
     phase = Phase.BUFFERING;
     answerStartedNanos = clock.nowNanos();
@@ -451,7 +454,7 @@
           finishExchange();
         }
       }
-      default -> onExcessBytes(); // What is complete stays so.
+      default -> onExcessBytes(); // The complete answer stays valid.
     }
   }
 
@@ -470,14 +473,15 @@
     }
   }
 
-  /** A short piece is copied: it would keep the whole buffer that it was read into. */
+  /** Copies a short piece, because retaining it would keep the whole read buffer alive. */
   private ByteBuf retainOrCopy(ByteBuf piece) {
     return piece.readableBytes() < 1024 ? Unpooled.copiedBuffer(piece) : piece.retain();
   }
 
   /**
-   * Only here is an answer told and its connection given back: a second answer in the same read
-   * would otherwise be taken for that of the next request.
+   * Reports a complete answer and releases the connection. This waits for the end of the read,
+   * because a second answer in the same read would otherwise be taken for the answer to the next
+   * request.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -487,9 +491,9 @@
     boolean bytesRead = decoder.readCount() != readsAtStart;
     if (phase == Phase.IDLE && bytesRead) {
       onExcessBytes();
-      close(); // Bytes that nobody asked for, even if they make no message yet.
+      close(); // Unsolicited bytes, even if they do not form a message yet.
     } else if (phase == Phase.AWAITING_HEAD && awaitsFinalAnswer()) {
-      cancelStallTimer(); // Interim answers came whole; the real one may take its time.
+      cancelStallTimer(); // The interim answers are complete; the final one may take longer.
     } else if (bytesRead && attempt != null && phase != Phase.COMPLETE && stallTimer == null) {
       watchForStall();
     }
@@ -522,7 +526,7 @@
     }
   }
 
-  /** More came than belongs to an answer. */
+  /** The upstream has sent more than belongs to the answer. */
   private void onExcessBytes() {
     reusable = false;
     pool.recordExcessBytes();
@@ -543,7 +547,7 @@
       return;
     }
     if (decoder.readCount() == readsAtStallCheck) {
-      failInvalidAnswer("it stopped short");
+      failInvalidAnswer("answer stalled");
     } else if (phase == Phase.BUFFERING
         && buffered.isReadable()
         && clock.nowNanos() - answerStartedNanos >= MAX_BUFFERING_MILLIS * 1_000_000L) {
@@ -566,7 +570,7 @@
     }
   }
 
-  /** The connection goes back, unless one of the sides wants it closed. */
+  /** Returns the connection to the pool, unless one of the sides wants it closed. */
   private void finishExchange() {
     cancelStallTimer();
     readsAtStart = decoder.readCount();
@@ -583,9 +587,9 @@
   }
 
   /**
-   * An answer came that is none. The request has run for all that is known, and its upstream is not
-   * cut off: it answers, and what spoils one upstream's answers may spoil every one's. The module
-   * counts it as an error, which is judged against the upstream's peers.
+   * Ends the attempt with an error after an invalid answer. The request may have run, and the
+   * upstream is reachable. Whatever corrupts the answers of one upstream may corrupt those of all,
+   * so the outcome is an error, which the policy compares with the other upstreams.
    */
   private void failInvalidAnswer(String reason) {
     Log.warn(
@@ -598,10 +602,10 @@
     }
   }
 
-  /** The connection broke; before the last byte was written nothing can run. */
+  /** The connection broke. Until its last byte was written, the request cannot have run. */
   private void onConnectionLost() {
     if (phase == Phase.STREAMING && !closed) {
-      failInvalidAnswer("it broke off");
+      failInvalidAnswer("connection lost before the end of the answer");
       return;
     }
     Attempt failed = attempt;
@@ -660,8 +664,11 @@
   }
 
   /**
-   * Whether an idle connection may carry another request. Its socket is read first: a connection
-   * that the other side has closed, or on which unasked bytes wait, must not get one.
+   * Whether an idle connection may carry another request. The socket is read first, because a
+   * connection that the upstream has closed, or on which unsolicited bytes are pending, must not be
+   * reused.
+   *
+   * @param oldestIdleNanos a connection that has been idle since before then is too old
    */
   public boolean canBeReused(long oldestIdleNanos) {
     if (idleSinceNanos < oldestIdleNanos || !channel.isActive()) {
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -24,33 +24,37 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Connections to upstreams: opens them, keeps idle ones for a while, and closes them in time. */
+/** Pool of HTTP/1.1 connections to upstreams, with limits on idle time and descriptors. */
 public final class UpstreamConnectionPool implements Transport {
   /**
-   * Part of the stated idle time for which a connection is kept. An upstream counts from its own
-   * last byte and may close earlier; a request that crosses the closing ends as a reset, and an
-   * unsafe one is then lost.
+   * Fraction of the configured keep-alive time for which an idle connection is kept. The upstream
+   * counts from its own last byte and may close earlier than the balancer expects. A request that
+   * is in flight during the close ends as a reset, and an unsafe one is then lost.
    */
   static final double KEEP_ALIVE_FRACTION = 0.6;
 
   /**
-   * An upstream that owes an answer and has said nothing for so long may be cut off, which its idle
-   * connections would never show. A new connection tells within the time allowed for connecting.
+   * An upstream that has open attempts and has sent nothing for this long may be unreachable, which
+   * idle connections never reveal. A new connection does so within the dial timeout.
    */
   static final long SILENCE_LIMIT_NANOS = 1_000_000_000L;
 
   /**
-   * Where some answers bring more than belongs to them, the more may come a moment after its
-   * answer, and would be taken for that of the next request on its connection. So for a while after
-   * any was seen a connection rests before it is used again. Where none is seen nothing waits.
+   * Delay before a connection is reused, applied only for a while after an upstream has sent excess
+   * bytes. Such bytes may arrive shortly after the answer that they follow and would be taken for
+   * the answer to the next request on the connection.
    */
   static final long REUSE_DELAY_NANOS = 20_000_000L;
 
+  /** How long reuse is delayed after excess bytes were seen. */
   private static final long REUSE_DELAY_PERIOD_NANOS = 60_000_000_000L;
 
   private static final int DEFAULT_DIAL_TIMEOUT_MILLIS = 1000;
 
-  /** A connection that has not come up after so long is given up, whether anybody waits or not. */
+  /**
+   * A connection that is not established after this long, or after a longer dial timeout, is given
+   * up whether or not an attempt waits for it.
+   */
   private static final int UNCLAIMED_DIAL_TIMEOUT_MILLIS = 2000;
 
   private static final int MAX_DIAL_TIMEOUT_MILLIS = 60_000;
@@ -62,15 +66,15 @@
   private final Bootstrap bootstrap;
   private int dialTimeoutMillis;
 
-  /** Those that nobody waits for and that may still come up, oldest first. */
+  /** Still dialing after their attempt has ended, oldest first. */
   private final Set<UpstreamConnection> unclaimedDials = new LinkedHashSet<>();
 
   private long excessBytesSeenNanos = Long.MIN_VALUE / 2;
 
-  /** Of all upstreams, the one that has been idle longest first. */
+  /** Idle connections to all upstreams, longest idle first. */
   private final Set<UpstreamConnection> idle = new LinkedHashSet<>();
 
-  /** Newest last: the newest is the least likely to be closed by the other side. */
+  /** Newest last; the newest is the least likely to be closed by the upstream. */
   private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleByUpstream = new HashMap<>();
 
   public UpstreamConnectionPool(
@@ -90,7 +94,7 @@
     reload(limits);
   }
 
-  /** Other limits, for idle connections and for those that are opened from now on. */
+  /** Applies new limits to idle connections and to connections opened from now on. */
   public final void reload(Settings.Limits limits) {
     keepAliveNanos = (long) (limits.keepAliveNanos() * KEEP_ALIVE_FRACTION);
     long configuredMillis = limits.dialTimeoutNanos() / 1_000_000;
@@ -103,12 +107,12 @@
         Math.max(this.dialTimeoutMillis, UNCLAIMED_DIAL_TIMEOUT_MILLIS));
   }
 
-  /** For which an attempt waits for its connection. */
+  /** How long an attempt waits for its connection. */
   int dialTimeoutMillis() {
     return dialTimeoutMillis;
   }
 
-  /** Its attempt waits no longer, or has gone; it may still come up and be of use to another. */
+  /** Keeps a dialing connection whose attempt has ended, for use by another attempt. */
   void addUnclaimed(UpstreamConnection connection) {
     if (connection.upstream.unwanted || keepAliveNanos <= 0) {
       connection.close();
@@ -117,7 +121,7 @@
     }
   }
 
-  /** Starts an attempt on an idle connection or a new one; false if no descriptor can be had. */
+  /** Starts an attempt on an idle or a new connection; false if no descriptor is available. */
   boolean start(Attempt attempt, HttpPayload payload) {
     Upstream upstream = attempt.upstream();
     if (upstream.address == null) {
@@ -160,20 +164,20 @@
     if (Channels.made(connectFuture.channel())) {
       connectFuture.channel().closeFuture().addListener(closed -> budget.closed());
     } else {
-      budget.closed(); // No socket could be made; the channel is a stand-in that never closes.
+      budget.closed(); // Without a socket, Netty returns a failed channel that never closes.
     }
     connection.startConnecting(connectFuture, attempt, payload);
   }
 
   private UpstreamConnection acquireIdle(Upstream upstream) {
-    for (UpstreamConnection next = newestReusable(upstream);
-        next != null;
-        next = newestReusable(upstream)) {
-      remove(next);
-      if (next.canBeReused(clock.nowNanos() - keepAliveNanos)) {
-        return next;
+    for (UpstreamConnection candidate = newestReusable(upstream);
+        candidate != null;
+        candidate = newestReusable(upstream)) {
+      remove(candidate);
+      if (candidate.canBeReused(clock.nowNanos() - keepAliveNanos)) {
+        return candidate;
       }
-      next.close();
+      candidate.close();
     }
     return null;
   }
@@ -183,7 +187,7 @@
     return connections == null ? null : connections.peekLast();
   }
 
-  /** The newest on which nothing more of its last answer is to be expected. */
+  /** The newest idle connection on which no excess bytes are expected, or null. */
   private UpstreamConnection newestReusable(Upstream upstream) {
     ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(upstream);
     if (connections == null) {
@@ -193,20 +197,20 @@
     boolean delayReuse = now - excessBytesSeenNanos < REUSE_DELAY_PERIOD_NANOS;
     Iterator<UpstreamConnection> newestFirst = connections.descendingIterator();
     while (newestFirst.hasNext()) {
-      UpstreamConnection next = newestFirst.next();
-      if (!delayReuse || now - next.idleSinceNanos() >= REUSE_DELAY_NANOS) {
-        return next;
+      UpstreamConnection candidate = newestFirst.next();
+      if (!delayReuse || now - candidate.idleSinceNanos() >= REUSE_DELAY_NANOS) {
+        return candidate;
       }
     }
     return null;
   }
 
-  /** An upstream has sent more than belongs to its answer. */
+  /** An upstream has sent more than belongs to an answer. */
   void recordExcessBytes() {
     excessBytesSeenNanos = clock.nowNanos();
   }
 
-  /** An exchange has ended well and its connection can carry another. */
+  /** Takes back a connection that can carry another exchange. */
   public void release(UpstreamConnection connection) {
     unclaimedDials.remove(connection);
     if (connection.upstream.unwanted || keepAliveNanos <= 0) {
@@ -219,6 +223,7 @@
     }
   }
 
+  /** Removes a connection from all collections, without closing it. */
   public void remove(UpstreamConnection connection) {
     unclaimedDials.remove(connection);
     if (idle.remove(connection)) {
@@ -234,7 +239,7 @@
     }
   }
 
-  /** A connection that still comes up will tell by itself; an idle one would not. */
+  /** Closes the idle connections only: a dialing connection detects an unreachable machine. */
   void closeEstablished(Upstream upstream) {
     for (UpstreamConnection next = newestIdle(upstream);
         next != null;
@@ -244,7 +249,7 @@
     }
   }
 
-  /** After a restart, a new address, a drain, or silence. */
+  /** Called after a restart, a new address, a drain, or silence of the upstream. */
   @Override
   public void closeIdle(Upstream upstream) {
     closeEstablished(upstream);
@@ -263,23 +268,26 @@
     return newestIdle(upstream) != null;
   }
 
-  /** Closes the connections that have stood idle for long. */
+  /** Closes the connections whose keep-alive time is over. */
   public void closeExpired() {
-    long before = clock.nowNanos() - keepAliveNanos;
-    while (!idle.isEmpty() && idle.iterator().next().idleSinceNanos() < before) {
+    long oldestIdleNanos = clock.nowNanos() - keepAliveNanos;
+    while (!idle.isEmpty() && idle.iterator().next().idleSinceNanos() < oldestIdleNanos) {
       UpstreamConnection oldest = idle.iterator().next();
       remove(oldest);
       oldest.close();
     }
   }
 
-  /** Closes the connection that has been idle longest, for its descriptor; false if none is. */
+  /**
+   * Closes a dialing connection without an attempt, or else the longest idle one, to free its
+   * descriptor; false if there is none.
+   */
   public boolean evictIdle() {
-    Set<UpstreamConnection> from = unclaimedDials.isEmpty() ? idle : unclaimedDials;
-    if (from.isEmpty()) {
+    Set<UpstreamConnection> candidates = unclaimedDials.isEmpty() ? idle : unclaimedDials;
+    if (candidates.isEmpty()) {
       return false;
     }
-    from.iterator().next().close();
+    candidates.iterator().next().close();
     return true;
   }
 
