--- a/src/main/java/heathswitch/proxy/platform/CdsTrainingRun.java
+++ b/src/main/java/heathswitch/proxy/platform/CdsTrainingRun.java
@@ -17,10 +17,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One exchange of each kind on loopback, played once by the build, which keeps the classes that it
- * loads in an archive for {@code serve}. Loading them anew took half of the CPU time of a start,
- * and a start under load is time in which a whole tier has one balancer fewer. An archive that does
- * not fit the JVM or the jar is left out by the JVM, and the start takes as long as without.
+ * The training run for the class data sharing (CDS) archive. The build runs one exchange of each
+ * kind on loopback and archives the loaded classes for {@code serve}. Without the archive, class
+ * loading took half of the CPU time of a start, and while a balancer starts under load its whole
+ * tier has one balancer fewer. The JVM ignores an archive that doesn't match the JVM or the jar;
+ * the start then takes as long as without one.
  */
 public final class CdsTrainingRun {
   private static final String CONFIG =
@@ -40,25 +41,25 @@
       """
       {"id":"s","host_port":"127.0.0.1:%1$d","locality":"a","phase":"in_service"}""";
 
-  private static final int WAIT_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
   private CdsTrainingRun() {}
 
-  /** Fails if any of the exchanges does. */
+  /** Runs the exchanges; throws if one of them fails. */
   public static void run() throws Exception {
-    CountDownLatch watched = new CountDownLatch(1);
-    HttpServer peer =
+    CountDownLatch watchOpened = new CountDownLatch(1);
+    HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-    int port = peer.getAddress().getPort();
+    int port = server.getAddress().getPort();
     String member = MEMBER.formatted(port);
-    peer.createContext(
+    server.createContext(
         "/discovery/hosts",
         exchange -> {
           answer(exchange, "{\"revision\":2,\"members\":[" + member + "]}\n");
-          watched.countDown();
+          watchOpened.countDown();
         });
-    peer.createContext("/api", exchange -> answer(exchange, "ok"));
-    peer.start();
+    server.createContext("/api", exchange -> answer(exchange, "ok"));
+    server.start();
     NodeConfig config =
         NodeConfig.parse(JSON.std.mapFrom(CONFIG.formatted(port, member)), Map.of());
     PlatformNode balancer = new PlatformNode(config, Map.of());
@@ -66,23 +67,29 @@
     try {
       balancer.start();
       require(call(node.address(), "/up", "GET", null) == 200, "readiness");
-      require(call(node.address(), "/api/a", "GET", "ask") == 200, "a call that may be repeated");
-      require(call(node.address(), "/api/a", "POST", "act") == 200, "a call that may not");
-      require(call(node.address(), "/api/a", "GET", "act") == 400, "a call that is none");
-      require(watched.await(WAIT_MILLIS, TimeUnit.MILLISECONDS), "the watch");
-      InetSocketAddress console = balancer.operations().address();
-      require(call(console, "/v1/readyz", "GET", null) == 200, "the console");
-      require(call(console, "/v1/upstreams/s/suspend", "PUT", null) == 200, "an upstream out");
-      require(call(console, "/v1/upstreams/s/resume", "PUT", null) == 200, "an upstream back");
+      require(call(node.address(), "/api/a", "GET", "ask") == 200, "a repeatable request");
+      require(
+          call(node.address(), "/api/a", "POST", "act") == 200,
+          "a request that must not be repeated");
+      require(call(node.address(), "/api/a", "GET", "act") == 400, "rejecting an invalid request");
+      require(watchOpened.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "the watch");
+      InetSocketAddress operations = balancer.operations().address();
+      require(
+          call(operations, "/v1/readyz", "GET", null) == 200, "readiness on the operations API");
+      require(
+          call(operations, "/v1/upstreams/s/suspend", "PUT", null) == 200,
+          "suspending an upstream");
+      require(
+          call(operations, "/v1/upstreams/s/resume", "PUT", null) == 200, "resuming an upstream");
     } finally {
       balancer.stop();
-      peer.stop(0);
+      server.stop(0);
     }
   }
 
-  private static void require(boolean holds, String what) {
-    if (!holds) {
-      throw new IllegalStateException("rehearsal: " + what + " went wrong");
+  private static void require(boolean condition, String exchange) {
+    if (!condition) {
+      throw new IllegalStateException("rehearsal: " + exchange + " failed");
     }
   }
 
@@ -93,15 +100,16 @@
     exchange.close();
   }
 
-  private static int call(InetSocketAddress to, String path, String method, String type)
+  private static int call(
+      InetSocketAddress address, String path, String method, String requestClass)
       throws IOException {
-    URL url = new URL("http", "127.0.0.1", to.getPort(), path);
+    URL url = new URL("http", "127.0.0.1", address.getPort(), path);
     HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-    connection.setReadTimeout(WAIT_MILLIS);
+    connection.setReadTimeout(TIMEOUT_MILLIS);
     connection.setRequestMethod(method);
-    if (type != null) {
+    if (requestClass != null) {
       connection.setRequestProperty(HeaderRules.REQUEST_ID, "r");
-      connection.setRequestProperty(HeaderRules.CLASS, type);
+      connection.setRequestProperty(HeaderRules.CLASS, requestClass);
       connection.setRequestProperty(HeaderRules.TENANT, "t");
       connection.setRequestProperty(HeaderRules.DEADLINE, "9");
     }
--- a/src/main/java/heathswitch/proxy/platform/ConfigReload.java
+++ b/src/main/java/heathswitch/proxy/platform/ConfigReload.java
@@ -7,32 +7,35 @@
 import java.util.Map;
 
 /**
- * SIGHUP: the configuration is read again. Requests that are taken from then on go by its settings,
- * those that are open keep theirs, and discovery is asked at the address that it names now. Without
- * this the JVM takes the signal for one to end on. A file whose text is no configuration changes
- * nothing, since a balancer that runs on its old settings is better than none.
+ * Reloads the configuration at SIGHUP. Requests accepted after the reload use the new settings,
+ * open requests keep theirs, and discovery is asked at the address in the new file. Without a
+ * handler, SIGHUP would end the JVM. An invalid file changes nothing, since a balancer with its old
+ * settings is better than none.
  */
 public final class ConfigReload {
   private final Node node;
-  private final NodeConfig started;
+  private final NodeConfig startupConfig;
   private final Map<String, String> environment;
   private final DiscoveryClient discovery;
   private final SignalledRead file = new SignalledRead(this::read);
 
   ConfigReload(
-      Node node, NodeConfig started, Map<String, String> environment, DiscoveryClient discovery) {
+      Node node,
+      NodeConfig startupConfig,
+      Map<String, String> environment,
+      DiscoveryClient discovery) {
     this.node = node;
-    this.started = started;
+    this.startupConfig = startupConfig;
     this.environment = environment;
     this.discovery = discovery;
   }
 
-  /** Reloads at SIGHUP. */
+  /** Installs the handler of SIGHUP. */
   public void install() {
     Signals.onHangUp(this::reload);
   }
 
-  /** Reads the file on the calling thread and leaves the rest to the loop. */
+  /** Reads the file on the calling thread and applies it on the event loop. */
   public void reload() {
     file.signalled();
   }
@@ -41,25 +44,26 @@
     try {
       NodeConfig config = NodeConfig.load(environment);
       Log.info("reload", "file of signal " + signal + ": discovery is at " + config.discovery());
-      if (!config.sameProcess(started)) {
+      if (!config.isReloadableFrom(startupConfig)) {
         Log.warn(
-            "reload", "other addresses, limits of sockets or ways of discovery need a restart");
+            "reload",
+            "a change of the listen address, socket limit or membership mode needs a restart");
       }
-      node.loop().execute(() -> take(signal, config));
+      node.loop().execute(() -> apply(signal, config));
       return true;
     } catch (NodeConfig.UnreadableConfigException e) {
-      Log.warn("reload", "signal " + signal + ": " + e.getMessage() + "; it is read again");
+      Log.warn("reload", "signal " + signal + ": " + e.getMessage() + "; retrying");
       return false;
     } catch (NodeConfig.InvalidConfigException | RuntimeException e) {
-      Log.warn("reload", "signal " + signal + ": configuration left as it was: " + e.getMessage());
+      Log.warn("reload", "signal " + signal + ": configuration unchanged: " + e.getMessage());
       return true;
     }
   }
 
-  private void take(int signal, NodeConfig config) {
+  private void apply(int signal, NodeConfig config) {
     Log.info("reload in force", "file of signal " + signal);
     node.reload(config.settings());
     discovery.reload(config.settings());
-    discovery.moveTo(config.discovery());
+    discovery.changeAddress(config.discovery());
   }
 }
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryCall.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryCall.java
@@ -33,100 +33,109 @@
 import java.net.NoRouteToHostException;
 
 /**
- * One call to discovery on a connection of its own, a watch or the whole list once: its framing,
- * its silence and its end.
+ * One HTTP call to discovery on a connection of its own: a watch, or a single fetch of the whole
+ * list. Reads the response line by line and ends the call when it is silent for too long.
  */
 final class DiscoveryCall extends ChannelInboundHandlerAdapter {
-  /** Whom a call tells what becomes of it, on the loop. */
+  /** Receives the lists and the end of a call, on the event loop. */
   interface Listener {
-    /** When a call is given up, as the settings have it now. */
-    DiscoveryTimeouts clock();
+    /** The timeouts of calls by the current settings. */
+    DiscoveryTimeouts timeouts();
 
-    /** The revision of the list that is known. */
+    /** The revision of the current list. */
     long revision();
 
-    /** The call has brought its first whole line. */
-    void spoke(DiscoveryCall call);
+    /** The call has received its first complete line. */
+    void onFirstLine(DiscoveryCall call);
 
-    /** The list, or what has changed of it. */
-    void news(DiscoveryCall call, DiscoveryList list);
+    /** The call has received a list or its changes. */
+    void onList(DiscoveryCall call, DiscoveryList list);
 
-    /** Nothing has changed since the line before. */
-    void confirmed(DiscoveryCall call);
+    /** Nothing has changed since the previous line. */
+    void onConfirmed(DiscoveryCall call);
 
     /**
-     * The call has ended and will tell nothing more.
+     * The call has ended; nothing follows.
      *
-     * @param how what its end shows of discovery
+     * @param how what its end shows about discovery
      */
-    void ended(DiscoveryCall call, String why, ListForm how);
+    void onEnd(DiscoveryCall call, String reason, ListForm how);
   }
 
-  private static final int MOST_LINE_BYTES = 4 << 20;
-  private static final int MOST_STATUS_LINE_BYTES = 4096;
-  private static final int MOST_HEADER_BYTES = 16_384;
-  private static final int MOST_CHUNK_BYTES = 65_536;
+  private static final int MAX_LINE_BYTES = 4 << 20;
+  private static final int MAX_STATUS_LINE_BYTES = 4096;
+  private static final int MAX_HEADER_BYTES = 16_384;
+  private static final int MAX_CHUNK_BYTES = 65_536;
 
   private final String uri;
-  private final boolean stream;
+  private final boolean watch;
 
-  /** Whether what is wanted is what has changed since a revision, which may be nothing. */
-  private final boolean indexed;
+  /** Whether the call asks for the changes since a revision, of which there may be none. */
+  private final boolean incremental;
 
-  private final InetSocketAddress to;
+  private final InetSocketAddress address;
   private final EventLoop loop;
   private final DiscoveryCallLog log;
-  private final DiscoveryCallLog.Entry entry;
+  private final DiscoveryCallLog.Entry logEntry;
   private final Listener listener;
-  private final JsonFramer framer = new JsonFramer(MOST_LINE_BYTES);
+  private final JsonFramer framer = new JsonFramer(MAX_LINE_BYTES);
   private Channel channel;
-  private Future<?> silence;
+  private Future<?> silenceTimeout;
   private boolean connected;
-  private boolean begun;
-  private boolean told;
+  private boolean responseStarted;
+  private boolean lineReceived;
   private boolean closed;
 
-  /** The newest revision that this call has brought: an older one may not undo what it told. */
-  private long spokenRevision;
+  /** The newest revision that this call has received; lists with an older one are ignored. */
+  private long newestRevision;
 
   private DiscoveryCall(
       String uri,
-      boolean stream,
-      InetSocketAddress to,
+      boolean watch,
+      InetSocketAddress address,
       String cause,
       EventLoop loop,
       DiscoveryCallLog log,
       Listener listener) {
     this.uri = uri;
-    this.stream = stream;
-    this.indexed = listener.revision() >= 0;
-    this.to = to;
+    this.watch = watch;
+    this.incremental = listener.revision() >= 0;
+    this.address = address;
     this.loop = loop;
     this.log = log;
-    this.entry = log.planned(cause, to, listener.revision());
+    this.logEntry = log.start(cause, address, listener.revision());
     this.listener = listener;
   }
 
   /**
-   * A watch: the list or what has changed since a revision, and all that changes later.
+   * Creates a watch: it receives the whole list, or the changes since the current revision, and
+   * then every later change.
    *
-   * @param cause why it is made, for the log
+   * @param cause why the call is made, for the log
    */
   static DiscoveryCall watch(
-      InetSocketAddress to, String cause, EventLoop loop, DiscoveryCallLog log, Listener listener) {
+      InetSocketAddress address,
+      String cause,
+      EventLoop loop,
+      DiscoveryCallLog log,
+      Listener listener) {
     String index = listener.revision() >= 0 ? "&index=" + listener.revision() : "";
     return new DiscoveryCall(
-        "/discovery/hosts?stream=1" + index, true, to, cause, loop, log, listener);
+        "/discovery/hosts?stream=1" + index, true, address, cause, loop, log, listener);
   }
 
-  /** The whole list, once. */
+  /** Creates a call that fetches the whole list once. */
   static DiscoveryCall fetch(
-      InetSocketAddress to, String cause, EventLoop loop, DiscoveryCallLog log, Listener listener) {
-    return new DiscoveryCall("/discovery/hosts", false, to, cause, loop, log, listener);
+      InetSocketAddress address,
+      String cause,
+      EventLoop loop,
+      DiscoveryCallLog log,
+      Listener listener) {
+    return new DiscoveryCall("/discovery/hosts", false, address, cause, loop, log, listener);
   }
 
-  /** Connects and asks. */
-  void open(Bootstrap bootstrap) {
+  /** Connects and sends the request. */
+  void start(Bootstrap bootstrap) {
     DiscoveryCall call = this;
     ChannelFuture connecting =
         bootstrap
@@ -139,53 +148,57 @@
                         .pipeline()
                         .addLast(
                             new HttpClientCodec(
-                                MOST_STATUS_LINE_BYTES, MOST_HEADER_BYTES, MOST_CHUNK_BYTES),
+                                MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
                             call);
                   }
                 })
-            .connect(to);
+            .connect(address);
     channel = connecting.channel();
-    heard();
-    // Always later: a connect that fails at once must not be told inside the module's call.
-    connecting.addListener(done -> loop.execute(() -> connected(connecting)));
+    restartSilenceTimeout();
+    // Always in a later task: a connect that fails at once must not be reported to the module
+    // while the module is still asking for the call.
+    connecting.addListener(done -> loop.execute(() -> onConnect(connecting)));
   }
 
-  private void connected(ChannelFuture connecting) {
+  private void onConnect(ChannelFuture connecting) {
     if (!connecting.isSuccess()) {
       Throwable cause = connecting.cause();
-      end("cannot connect: " + cause, notReached(cause) ? ListForm.BROKEN : ListForm.NOT_MADE);
+      end("cannot connect: " + cause, isUnreachable(cause) ? ListForm.BROKEN : ListForm.NOT_MADE);
       return;
     }
     connected = true;
     FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-    request.headers().set(HttpHeaderNames.HOST, to.getHostString() + ":" + to.getPort());
-    if (!stream) {
+    request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+    if (!watch) {
       request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
     channel.writeAndFlush(request);
   }
 
-  /** Whether a connect failed for want of an answer; else it failed on this machine. */
-  private static boolean notReached(Throwable cause) {
+  /** Whether discovery could not be reached; otherwise the connect failed on this machine. */
+  private static boolean isUnreachable(Throwable cause) {
     return cause instanceof ConnectException || cause instanceof NoRouteToHostException;
   }
 
   boolean isWatch() {
-    return stream;
+    return watch;
   }
 
-  /** Whether it was made to this address. */
-  boolean uses(InetSocketAddress address) {
-    return to.equals(address);
+  /** Whether the call was made to this address. */
+  boolean isTo(InetSocketAddress other) {
+    return address.equals(other);
   }
 
-  /** Only whole lines count: half a line, however it drips, tells nothing. */
-  private void heard() {
-    if (silence != null) {
-      silence.cancel(false);
+  /** Only complete lines restart the timeout: a line that drips in byte by byte does not. */
+  private void restartSilenceTimeout() {
+    if (silenceTimeout != null) {
+      silenceTimeout.cancel(false);
     }
-    long millis = told ? listener.clock().lineMillis() : listener.clock().firstLineMillis();
-    silence = loop.schedule(() -> silent(millis), millis, MILLISECONDS);
+    long millis =
+        lineReceived
+            ? listener.timeouts().lineTimeoutMillis()
+            : listener.timeouts().firstLineTimeoutMillis();
+    silenceTimeout = loop.schedule(() -> onSilence(millis), millis, MILLISECONDS);
   }
 
   @Override
@@ -195,7 +208,7 @@
         read((HttpObject) message);
       }
     } catch (IOException | RuntimeException e) {
-      fail("unreadable: " + DiscoveryList.clip(String.valueOf(e.getMessage())));
+      fail("unreadable: " + DiscoveryList.truncate(String.valueOf(e.getMessage())));
     } finally {
       ReferenceCountUtil.release(message);
     }
@@ -212,60 +225,61 @@
       }
       return;
     }
-    begun |= part instanceof HttpResponse;
+    responseStarted |= part instanceof HttpResponse;
     if (part instanceof HttpContent content) {
-      take(content.content());
+      readBody(content.content());
       if (part instanceof LastHttpContent && !closed) {
-        ended();
+        onResponseEnd();
       }
     }
   }
 
-  private void take(ByteBuf bytes) throws IOException {
+  private void readBody(ByteBuf bytes) throws IOException {
     while (bytes.isReadable() && !closed) {
       boolean complete = framer.add(bytes.readByte());
-      if (complete && stream) {
-        line(framer.take());
+      if (complete && watch) {
+        onLine(framer.take());
       }
     }
   }
 
-  private void line(String text) throws IOException {
-    boolean first = !told;
-    if (text.isEmpty() && first && !indexed) {
-      return; // It owes the whole list, and an empty line tells none.
+  private void onLine(String line) throws IOException {
+    boolean first = !lineReceived;
+    if (line.isEmpty() && first && !incremental) {
+      return; // The whole list was asked for, and an empty line does not carry it.
     }
-    told = true;
-    heard();
-    log.heard();
-    if (text.isEmpty() && !first) {
-      listener.confirmed(this);
+    lineReceived = true;
+    restartSilenceTimeout();
+    log.onLine();
+    if (line.isEmpty() && !first) {
+      listener.onConfirmed(this);
       return;
     }
-    // Empty at first: nothing has changed, but the module waits to hear that its call went
-    // through.
+    // An empty first line means that nothing has changed; it is passed on as an empty list of
+    // changes because the module waits for the answer to its call.
     DiscoveryList list =
-        text.isEmpty()
+        line.isEmpty()
             ? DiscoveryList.unchanged(listener.revision())
-            : DiscoveryList.parse(JSON.std.mapFrom(text));
-    if (!first && list.revision() < spokenRevision) {
-      Log.warn("discovery", "left out: revision " + list.revision() + " after " + spokenRevision);
+            : DiscoveryList.parse(JSON.std.mapFrom(line));
+    if (!first && list.revision() < newestRevision) {
+      Log.warn(
+          "discovery", "ignored revision " + list.revision() + ", older than " + newestRevision);
       return;
     }
-    spokenRevision = list.revision();
+    newestRevision = list.revision();
     if (first) {
-      log.answered(entry, list);
+      log.onAnswer(logEntry, list);
     }
-    listener.spoke(this);
-    listener.news(this, list);
+    listener.onFirstLine(this);
+    listener.onList(this, list);
   }
 
-  private void ended() throws IOException {
-    if (!stream) {
+  private void onResponseEnd() throws IOException {
+    if (!watch) {
       DiscoveryList list = DiscoveryList.parse(JSON.std.mapFrom(framer.take()));
       close();
-      log.answered(entry, list);
-      listener.news(this, list);
+      log.onAnswer(logEntry, list);
+      listener.onList(this, list);
     } else {
       fail("ended");
     }
@@ -281,43 +295,43 @@
     fail(String.valueOf(cause.getMessage()));
   }
 
-  private void silent(long millis) {
-    // An agent says nothing while discovery is down, whatever it has begun to say.
-    boolean cut = begun && !told && !listener.clock().pushed();
-    end("silent for " + millis + " ms", form(cut));
+  private void onSilence(long millis) {
+    // An agent is silent while discovery is down, even after the start of a response.
+    boolean cutShort = responseStarted && !lineReceived && !listener.timeouts().pushed();
+    end("silent for " + millis + " ms", silenceForm(cutShort));
   }
 
-  private ListForm form(boolean cut) {
-    if (cut) {
+  private ListForm silenceForm(boolean cutShort) {
+    if (cutShort) {
       return ListForm.CUT_SHORT;
     }
     return connected ? ListForm.SILENT : ListForm.BROKEN;
   }
 
-  private void fail(String why) {
-    end(why, begun ? ListForm.CUT_SHORT : ListForm.BROKEN);
+  private void fail(String reason) {
+    end(reason, responseStarted ? ListForm.CUT_SHORT : ListForm.BROKEN);
   }
 
-  private void end(String why, ListForm how) {
+  private void end(String reason, ListForm how) {
     if (!closed) {
       close();
-      log.failed(entry, why, told);
-      listener.ended(this, why, how);
+      log.onFailure(logEntry, reason, lineReceived);
+      listener.onEnd(this, reason, how);
     }
   }
 
-  /** Gives it up; nothing is told of it any more. */
-  void giveUp(String why) {
+  /** Ends the call; the listener is not called any more. */
+  void cancel(String reason) {
     if (!closed) {
       close();
-      log.givenUp(entry, why);
+      log.onCancel(logEntry, reason);
     }
   }
 
   private void close() {
     closed = true;
-    if (silence != null) {
-      silence.cancel(false);
+    if (silenceTimeout != null) {
+      silenceTimeout.cancel(false);
     }
     Channels.close(channel);
   }
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryCallLog.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryCallLog.java
@@ -4,111 +4,113 @@
 import java.net.InetSocketAddress;
 
 /**
- * The log of calls to discovery: each has a number, and its end says why it was made, how long it
- * was out and how old the list is by then. Calls that fail in a row are counted, and the count is
- * written when one is answered, as the limit on lines would swallow most of them. On the loop.
+ * Logs and counts the calls to discovery. Each call has a number; the line logged at its end says
+ * why the call was made, how long it took and how old the list was by then. The log's rate limit
+ * would drop most of a series of failures, so consecutive failures are counted and the count is
+ * logged with the next answer. Used on the event loop only.
  */
 final class DiscoveryCallLog {
   private static final String KIND = "discovery call";
-  private static final long NANOS_A_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** One call. */
+  /** A logged call: its number, its cause, its address and the time at which it started. */
   static final class Entry {
     private final int number;
     private final String cause;
-    private final InetSocketAddress to;
+    private final InetSocketAddress address;
     private final long revision;
-    private final long beganNanos = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
-    private Entry(int number, String cause, InetSocketAddress to, long revision) {
+    private Entry(int number, String cause, InetSocketAddress address, long revision) {
       this.number = number;
       this.cause = cause;
-      this.to = to;
+      this.address = address;
       this.revision = revision;
     }
 
-    private String took() {
-      return millis(System.nanoTime() - beganNanos);
+    private String elapsed() {
+      return millis(System.nanoTime() - startNanos);
     }
 
     @Override
     public String toString() {
-      return "call " + number + " (" + cause + ", after revision " + revision + ") to " + to;
+      return "call " + number + " (" + cause + ", after revision " + revision + ") to " + address;
     }
   }
 
-  private int made;
+  private int started;
   private int answered;
   private int failed;
-  private int failedInRow;
-  private int givenUp;
+  private int consecutiveFailures;
+  private int cancelled;
   private long revision = -1;
 
-  /** When the last whole line was read; at first when the balancer started. */
-  private long heardNanos = System.nanoTime();
+  /** When the last complete line was received; until then, when the balancer started. */
+  private long lastLineNanos = System.nanoTime();
 
-  Entry planned(String cause, InetSocketAddress to, long after) {
-    return new Entry(++made, cause, to, after);
+  /** Counts a new call and returns its entry. */
+  Entry start(String cause, InetSocketAddress address, long afterRevision) {
+    return new Entry(++started, cause, address, afterRevision);
   }
 
-  /** A whole line has come. */
-  void heard() {
-    heardNanos = System.nanoTime();
+  /** Records that a complete line was received. */
+  void onLine() {
+    lastLineNanos = System.nanoTime();
   }
 
-  /** The first line of a call, or its whole list. */
-  void answered(Entry entry, DiscoveryList list) {
+  /** Logs the answer to a call: the first line of a watch, or a fetched list. */
+  void onAnswer(Entry entry, DiscoveryList list) {
     answered++;
     revision = list.revision();
     Log.info(
         KIND,
         entry
             + " answered after "
-            + entry.took()
+            + entry.elapsed()
             + ": revision "
             + list.revision()
             + (list.whole() ? ", whole, " : ", changes, ")
             + list.entries().size()
             + " entries; failed before it "
-            + failedInRow);
-    failedInRow = 0;
+            + consecutiveFailures);
+    consecutiveFailures = 0;
   }
 
   /**
-   * A call has ended without its answer, or a watch that had spoken has broken.
+   * Logs a call that ended without an answer, or a watch that broke after its first line.
    *
-   * @param spoken whether it had brought a line
+   * @param lineReceived whether the call had received a complete line
    */
-  void failed(Entry entry, String why, boolean spoken) {
+  void onFailure(Entry entry, String reason, boolean lineReceived) {
     failed++;
-    failedInRow++;
+    consecutiveFailures++;
     Log.info(
         KIND,
         entry
-            + (spoken ? " broke after " : " failed after ")
-            + entry.took()
+            + (lineReceived ? " broke after " : " failed after ")
+            + entry.elapsed()
             + ": "
-            + why
+            + reason
             + "; list confirmed "
-            + millis(System.nanoTime() - heardNanos)
+            + millis(System.nanoTime() - lastLineNanos)
             + " ago, failed in a row "
-            + failedInRow);
+            + consecutiveFailures);
   }
 
-  /** The balancer has ended it. */
-  void givenUp(Entry entry, String why) {
-    givenUp++;
-    Log.info(KIND, entry + " given up after " + entry.took() + ": " + why);
+  /** Logs a call that the balancer itself ended. */
+  void onCancel(Entry entry, String reason) {
+    cancelled++;
+    Log.info(KIND, entry + " given up after " + entry.elapsed() + ": " + reason);
   }
 
-  /** Counts since the start. */
+  /** The revision, the age of the list and the counts since the start, for the figures line. */
   String figures(long nowNanos) {
     return String.format(
         "discovery revision %d, confirmed %s ago, calls %d, answered %d, failed %d, given up %d",
-        revision, millis(nowNanos - heardNanos), made, answered, failed, givenUp);
+        revision, millis(nowNanos - lastLineNanos), started, answered, failed, cancelled);
   }
 
   private static String millis(long nanos) {
-    return nanos / NANOS_A_MILLI + " ms";
+    return nanos / NANOS_PER_MILLI + " ms";
   }
 }
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -18,94 +18,101 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Asks discovery for the list and for its changes, when the module wants it. Where lists are pushed
- * nobody asks, so the watch is kept up here.
+ * Gets the list of upstreams and its changes from discovery. Calls are made when the policy module
+ * asks for them. Where lists are pushed the module never asks, so this client keeps a watch open by
+ * itself.
  */
 final class DiscoveryClient implements MemberSource, Dispatcher.Discovery, DiscoveryCall.Listener {
-  /** A process that follows another is to serve within 6 s; most of them are kept in hand. */
-  private static final long FIRST_NEWS_MILLIS = 2500;
+  /**
+   * A process that replaces another has to serve within 6 s; this wait leaves most of that unused.
+   */
+  private static final long FIRST_LIST_WAIT_MILLIS = 2500;
 
-  private static final int CONNECT_MILLIS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   private final EventLoop loop;
   private InetSocketAddress address;
-  private DiscoveryTimeouts clock;
-  private final boolean keepWatch;
-  private final Map<String, Object> known;
+  private DiscoveryTimeouts timeouts;
+
+  /** Whether this client reopens its watch without being asked, because lists are pushed. */
+  private final boolean keepsWatch;
+
+  private final Map<String, Object> knownList;
   private final Bootstrap bootstrap;
   private Dispatcher dispatcher;
   private long revision = -1;
 
-  /** The watch that has spoken; it is heard until a newer one has. */
+  /** The watch that has received its first line; used until a newer watch receives one. */
   private DiscoveryCall watch;
 
-  /** The call for a watch that has not spoken yet: one at a time. */
-  private DiscoveryCall pending;
+  /** The watch that has not received a line yet; at most one exists at a time. */
+  private DiscoveryCall pendingWatch;
 
   private DiscoveryCall fetch;
   private boolean stopped;
 
-  /** Opened with the first news, for a process that follows another. */
-  private final CountDownLatch firstNews = new CountDownLatch(1);
+  /** Released by the first list; a process that replaces another waits for it. */
+  private final CountDownLatch firstList = new CountDownLatch(1);
 
-  private boolean atOnce;
-  private final DiscoveryCallLog calls = new DiscoveryCallLog();
+  private boolean queryAtStartup;
+  private final DiscoveryCallLog callLog = new DiscoveryCallLog();
 
   /**
-   * Asks at an address.
+   * Creates a client of the discovery at {@code address}.
    *
-   * @param clock when a call is given up; of pushed lists it keeps the watch up by itself
-   * @param known the list as this balancer last had it, in discovery's form
+   * @param timeouts when calls time out, and whether lists are pushed
+   * @param knownList the last list that this balancer had, in discovery's JSON form
    */
   public DiscoveryClient(
       EventLoop loop,
       InetSocketAddress address,
-      DiscoveryTimeouts clock,
-      Map<String, Object> known) {
+      DiscoveryTimeouts timeouts,
+      Map<String, Object> knownList) {
     this.loop = loop;
     this.address = address;
-    this.clock = clock;
-    this.keepWatch = clock.pushed();
-    this.known = known;
+    this.timeouts = timeouts;
+    this.keepsWatch = timeouts.pushed();
+    this.knownList = knownList;
     this.bootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
   /**
-   * Asks at the start and not when the module's turn comes, and has clients wait for the answer.
-   * Guards against a process that takes over from another, which was told more than the list that
-   * it is given at its start. Where all balancers start at once it would be a herd.
+   * Opens a watch at startup instead of waiting until the module asks, and delays serving until the
+   * answer is received. Meant for a process that replaces another: the old process may have
+   * received newer lists than the one that the new process was started with. When all balancers
+   * start at once this would be a thundering herd on discovery.
    */
-  void askAtOnce() {
-    atOnce = true;
+  void queryAtStartup() {
+    queryAtStartup = true;
   }
 
   @Override
   public void awaitList() throws InterruptedException {
-    if (atOnce && !firstNews.await(FIRST_NEWS_MILLIS, MILLISECONDS)) {
+    if (queryAtStartup && !firstList.await(FIRST_LIST_WAIT_MILLIS, MILLISECONDS)) {
       Log.warn("discovery", "no news yet; serving by the known list");
     }
   }
 
-  /** Starts from the list that this balancer last had. */
+  /** Starts the dispatcher with the last list that this balancer had. */
   @Override
   public void start(Dispatcher dispatcher) {
     this.dispatcher = dispatcher;
     List<Member> entries = List.of();
     try {
-      DiscoveryList list = DiscoveryList.parse(known);
+      DiscoveryList list = DiscoveryList.parse(knownList);
       entries = list.entries();
       revision = list.revision();
     } catch (IllegalArgumentException e) {
-      Log.warn("known list", "left out: " + e.getMessage());
+      Log.warn("known list", "ignored: " + e.getMessage());
     }
     dispatcher.start(this, entries);
-    dispatcher.limitListAge(MILLISECONDS.toNanos(DiscoveryTimeouts.TOLD_MILLIS));
-    if (keepWatch || atOnce) {
+    dispatcher.limitListAge(MILLISECONDS.toNanos(DiscoveryTimeouts.PROPAGATION_MILLIS));
+    if (keepsWatch || queryAtStartup) {
       watch(true);
     }
   }
@@ -113,45 +120,46 @@
   @Override
   public void stop() {
     stopped = true;
-    close(watch, "the balancer ends");
-    close(fetch, "the balancer ends");
-    close(pending, "the balancer ends");
+    cancel(watch, "the balancer is stopping");
+    cancel(fetch, "the balancer is stopping");
+    cancel(pendingWatch, "the balancer is stopping");
   }
 
   @Override
   public String figures() {
-    return calls.figures(System.nanoTime());
+    return callLog.figures(System.nanoTime());
   }
 
-  /** Other settings; whether lists are pushed or asked for stays as it was at the start. */
+  /** Applies new settings, except whether lists are pushed, which is fixed at startup. */
   void reload(Settings settings) {
-    clock = new DiscoveryTimeouts(clock.pushed(), DiscoveryTimeouts.of(settings).graceMillis());
+    timeouts =
+        new DiscoveryTimeouts(timeouts.pushed(), DiscoveryTimeouts.of(settings).graceMillis());
   }
 
   /**
-   * From now on asks at another address. The old watch is heard until the new one has spoken, so
-   * that no news falls between the two. The versions of one discovery need not be those of another:
-   * the new one is asked for the whole list, as a version that it has not reached yet would have it
-   * stay silent.
+   * Uses the discovery at another address. The old watch stays in use until the new one has
+   * received its first line, so that no change is lost in between. Revisions of one discovery are
+   * not comparable with those of another, so the new one is asked for the whole list: asked for
+   * changes since a revision that it has not reached yet, it would send nothing.
    */
-  public void moveTo(InetSocketAddress to) {
-    if (stopped || to.equals(address)) {
+  public void changeAddress(InetSocketAddress newAddress) {
+    if (stopped || newAddress.equals(address)) {
       return;
     }
-    Log.info("discovery", "asked at " + to + " from now on, before it at " + address);
-    address = to;
+    Log.info("discovery", "address changed from " + address + " to " + newAddress);
+    address = newAddress;
     revision = -1;
-    close(pending, "another address");
-    pending = null;
+    cancel(pendingWatch, "the address has changed");
+    pendingWatch = null;
     dispatcher.onDiscoveryMoved();
-    if (keepWatch) {
+    if (keepsWatch) {
       watch(true);
     }
   }
 
   @Override
-  public DiscoveryTimeouts clock() {
-    return clock;
+  public DiscoveryTimeouts timeouts() {
+    return timeouts;
   }
 
   @Override
@@ -160,10 +168,10 @@
   }
 
   @Override
-  public void spoke(DiscoveryCall call) {
-    if (call == pending) {
-      pending = null;
-      close(watch, "a newer one has spoken");
+  public void onFirstLine(DiscoveryCall call) {
+    if (call == pendingWatch) {
+      pendingWatch = null;
+      cancel(watch, "replaced by a newer watch");
       watch = call;
     }
   }
@@ -171,98 +179,98 @@
   @Override
   public void watch(boolean enable) {
     if (!enable) {
-      close(watch, "not wanted");
+      cancel(watch, "no longer wanted");
       watch = null;
-      close(pending, "not wanted");
-      pending = null;
+      cancel(pendingWatch, "no longer wanted");
+      pendingWatch = null;
       return;
     }
-    if (pending != null && pending.uses(address)) {
-      return; // It keeps its turn.
+    if (pendingWatch != null && pendingWatch.isTo(address)) {
+      return; // A second call would lose the pending one's place in discovery's queue.
     }
-    if (watch != null && watch.uses(address)) {
-      // It goes on telling, and has said nothing just now that would confirm the list.
+    if (watch != null && watch.isTo(address)) {
+      // The open watch goes on. It has received nothing just now that would confirm the list.
       dispatcher.onServers(ListForm.CHANGES, List.of());
       return;
     }
-    String cause = keepWatch ? "kept up" : "asked";
-    pending = DiscoveryCall.watch(address, cause, loop, calls, this);
-    pending.open(bootstrap);
+    String cause = keepsWatch ? "kept up" : "asked";
+    pendingWatch = DiscoveryCall.watch(address, cause, loop, callLog, this);
+    pendingWatch.start(bootstrap);
   }
 
   @Override
   public void fetch() {
-    close(fetch, "another call is made");
-    fetch = DiscoveryCall.fetch(address, "asked", loop, calls, this);
-    fetch.open(bootstrap);
+    cancel(fetch, "replaced by another fetch");
+    fetch = DiscoveryCall.fetch(address, "asked", loop, callLog, this);
+    fetch.start(bootstrap);
   }
 
-  private static void close(DiscoveryCall call, String why) {
+  private static void cancel(DiscoveryCall call, String reason) {
     if (call != null) {
-      call.giveUp(why);
+      call.cancel(reason);
     }
   }
 
   @Override
-  public void ended(DiscoveryCall call, String why, ListForm how) {
-    if (stopped || (call != watch && call != pending && call != fetch)) {
+  public void onEnd(DiscoveryCall call, String reason, ListForm how) {
+    if (stopped || (call != watch && call != pendingWatch && call != fetch)) {
       return;
     }
-    boolean fellSilent = call == watch && how == ListForm.SILENT;
+    boolean watchTimedOut = call == watch && how == ListForm.SILENT;
     if (call == fetch) {
       fetch = null;
     } else if (call == watch) {
       watch = null;
-      Log.warn("discovery", "watch broken: " + why);
-      if (pending != null && !keepWatch) {
-        return; // Its end is told instead.
+      Log.warn("discovery", "watch broken: " + reason);
+      if (pendingWatch != null && !keepsWatch) {
+        return; // The end of the pending watch is reported instead.
       }
     } else {
-      pending = null;
+      pendingWatch = null;
     }
-    if (call.isWatch() && keepWatch) {
-      loop.schedule(() -> watchAgain(), clock.againMillis(), MILLISECONDS);
-      if (fellSilent) {
-        return; // The list ages from its last line; the next call shows what it was.
+    if (call.isWatch() && keepsWatch) {
+      loop.schedule(() -> reopenWatch(), timeouts.reopenDelayMillis(), MILLISECONDS);
+      if (watchTimedOut) {
+        return; // The list ages from its last line; the next call shows why the watch was silent.
       }
     }
     dispatcher.onDiscoveryFailed(how);
   }
 
-  private void watchAgain() {
+  private void reopenWatch() {
     if (!stopped) {
-      boolean spoken = watch != null && watch.uses(address);
-      if (!spoken) {
+      boolean open = watch != null && watch.isTo(address);
+      if (!open) {
         watch(true);
       }
     }
   }
 
   @Override
-  public void news(DiscoveryCall call, DiscoveryList list) {
+  public void onList(DiscoveryCall call, DiscoveryList list) {
     if (call == fetch) {
       fetch = null;
     }
-    if (call.uses(address)) {
+    if (call.isTo(address)) {
       revision = list.revision();
     }
     dispatcher.onServers(form(call, list), list.entries());
-    confirmed(call);
-    firstNews.countDown();
+    onConfirmed(call);
+    firstList.countDown();
   }
 
-  /** Changes that an address tells which is no longer asked answer no call. */
+  /** Changes from an address that is no longer in use answer no call of the module. */
   private ListForm form(DiscoveryCall call, DiscoveryList list) {
     if (list.whole()) {
       return ListForm.WHOLE;
     }
-    return call.uses(address) ? ListForm.CHANGES : ListForm.UNASKED;
+    return call.isTo(address) ? ListForm.CHANGES : ListForm.UNASKED;
   }
 
-  /** What an address that is no longer asked says does not confirm the list. */
+  /** A line from an address that is no longer in use does not confirm the list. */
   @Override
-  public void confirmed(DiscoveryCall call) {
-    if (call.uses(address)) {
+  public void onConfirmed(DiscoveryCall call) {
+    if (call.isTo(address)) {
       dispatcher.onListConfirmed();
     }
   }
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryList.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryList.java
@@ -10,31 +10,37 @@
 import java.util.Map;
 
 /**
- * A list of upstreams as discovery tells it.
+ * A list of upstreams as received from discovery.
  *
- * @param revision of discovery's list; grows with each change
- * @param whole whether an upstream that it leaves out is gone; else it names changes only
+ * @param revision the revision of discovery's list; grows with each change
+ * @param whole whether this is the complete list, so that an upstream missing from it is gone;
+ *     otherwise it has only the changed entries
+ * @param entries the upstreams
  */
 record DiscoveryList(long revision, boolean whole, List<Member> entries) {
-  /** Later starts would overflow the module's nanoseconds. */
-  private static final long MOST_STARTED_MILLIS = 9_000_000_000_000L;
+  /** Later start times would overflow a long in the nanoseconds of the policy module. */
+  private static final long MAX_START_TIME_MILLIS = 9_000_000_000_000L;
 
-  /** Nothing has changed since a revision. */
+  /** A list without changes since a revision. */
   static DiscoveryList unchanged(long revision) {
     return new DiscoveryList(revision, false, List.of());
   }
 
-  /** An entry that cannot be read is skipped; a list that is none is an error. */
+  /**
+   * Reads a list. An entry that cannot be read is logged and skipped.
+   *
+   * @throws IllegalArgumentException if the JSON object is not a list
+   */
   static DiscoveryList parse(Map<String, Object> json) {
     if (!(json.get("revision") instanceof Number revision)
         || !(json.get("members") instanceof List<?> members)) {
-      throw new IllegalArgumentException("an object with revision and members expected");
+      throw new IllegalArgumentException("expected an object with \"revision\" and \"members\"");
     }
     List<Member> entries = new ArrayList<>();
     for (Object member : members) {
       Member entry = member instanceof Map<?, ?> map ? entry(map) : null;
       if (entry == null) {
-        Log.warn("discovery entry", "skipped: " + clip(String.valueOf(member)));
+        Log.warn("discovery entry", "skipped: " + truncate(String.valueOf(member)));
       } else {
         entries.add(entry);
       }
@@ -61,8 +67,8 @@
         map.get("flavor") instanceof String kind ? kind : "",
         map.get("cell") instanceof Number cell ? cell.longValue() : 0,
         map.get("size") instanceof Number size ? size.doubleValue() : 1,
-        map.get("up_since_ms") instanceof Number since
-            ? Math.max(0, Math.min(since.longValue(), MOST_STARTED_MILLIS))
+        map.get("up_since_ms") instanceof Number startTime
+            ? Math.max(0, Math.min(startTime.longValue(), MAX_START_TIME_MILLIS))
             : 0);
   }
 
@@ -75,7 +81,8 @@
     };
   }
 
-  static String clip(String text) {
+  /** Cuts a text to 200 characters for the log. */
+  static String truncate(String text) {
     return text.length() <= 200 ? text : text.substring(0, 200) + "...";
   }
 }
--- a/src/main/java/heathswitch/proxy/platform/JsonFramer.java
+++ b/src/main/java/heathswitch/proxy/platform/JsonFramer.java
@@ -5,38 +5,39 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds where one list ends and the next begins in what a watch brings: lists are JSON objects,
- * each closed by the end of a line, and may be indented over several lines.
+ * Splits the byte stream of a watch into its JSON objects. Each object ends at a line feed outside
+ * of it and may itself be indented over several lines; an empty line is returned as an empty text.
  */
 final class JsonFramer {
-  private final int mostBytes;
+  private final int maxBytes;
   private final ByteArrayOutputStream text = new ByteArrayOutputStream();
   private int depth;
   private boolean inString;
   private boolean escaped;
 
-  JsonFramer(int mostBytes) {
-    this.mostBytes = mostBytes;
+  JsonFramer(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
   /**
-   * Takes one byte; true if it completes a list or an empty line, which {@link #take} then gives.
+   * Adds one byte. Returns true if it completes an object or an empty line, which {@link #take}
+   * then returns.
    *
-   * @throws IOException if a list grows too long
+   * @throws IOException if an object is longer than the limit
    */
   boolean add(byte next) throws IOException {
     if (next == '\n' && depth <= 0 && !inString) {
       return true;
     }
-    if (text.size() >= mostBytes) {
-      throw new IOException("a list of over " + mostBytes + " bytes");
+    if (text.size() >= maxBytes) {
+      throw new IOException("a list of over " + maxBytes + " bytes");
     }
     text.write(next);
-    follow(next);
+    trackNesting(next);
     return false;
   }
 
-  private void follow(byte next) {
+  private void trackNesting(byte next) {
     if (inString) {
       inString = escaped || next != '"';
       escaped = !escaped && next == '\\';
@@ -50,7 +51,7 @@
     }
   }
 
-  /** What has come since the last list, without the blanks around it. */
+  /** Returns the text since the last call, stripped of white space at both ends, and resets. */
   String take() {
     String whole = text.toString(StandardCharsets.UTF_8).strip();
     text.reset();
--- a/src/main/java/heathswitch/proxy/platform/NodeConfig.java
+++ b/src/main/java/heathswitch/proxy/platform/NodeConfig.java
@@ -16,29 +16,36 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What the platform tells one balancer at its start.
+ * The configuration file of one balancer on the platform.
  *
- * @param console the second address, or null where there is none
+ * @param name the name of the balancer
+ * @param listen the address at which clients connect
+ * @param operationsAddress the address of the operations API, or null if there is none
+ * @param discovery the address of discovery
+ * @param seed the seed of the random decisions
+ * @param maxSockets how many descriptors the process may have open
+ * @param knownList the last known list of upstreams, in discovery's JSON form
+ * @param settings the settings of the policy module
  */
 public record NodeConfig(
     String name,
     InetSocketAddress listen,
-    InetSocketAddress console,
+    InetSocketAddress operationsAddress,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
-    Map<String, Object> known,
+    int maxSockets,
+    Map<String, Object> knownList,
     Settings settings) {
 
-  /** Fewer would not leave room for the JVM's own files, discovery and a handful of requests. */
-  static final int LEAST_SOCKETS = 64;
+  /** Fewer would not be enough for the JVM's own files, discovery and a handful of requests. */
+  static final int MIN_SOCKETS = 64;
 
-  /** Five seconds in all: most processes are to be ready within ten. */
-  private static final int MOST_START_TRIES = 100;
+  /** Five seconds in total: most processes have to be ready within ten. */
+  private static final int MAX_STARTUP_READS = 100;
 
-  private static final long START_WAIT_NANOS = 50_000_000L;
+  private static final long STARTUP_RETRY_NANOS = 50_000_000L;
 
-  /** A configuration that cannot be used; the message names the field. */
+  /** Thrown for an invalid configuration; the message names the field. */
   public static class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -47,7 +54,7 @@
     }
   }
 
-  /** A file that could not be read, which may go better in a moment. */
+  /** Thrown if the file could not be read; a later attempt may succeed. */
   public static final class UnreadableConfigException extends InvalidConfigException {
     private static final long serialVersionUID = 1L;
 
@@ -56,20 +63,23 @@
     }
   }
 
-  NodeSettings node() {
-    return new NodeSettings(name, listen, console != null, seed, sockets, settings);
+  NodeSettings nodeSettings() {
+    return new NodeSettings(name, listen, operationsAddress != null, seed, maxSockets, settings);
   }
 
-  /** Whether a process that was started by the other one can go by this one's settings. */
-  boolean sameProcess(NodeConfig other) {
-    return listen.equals(other.listen)
-        && sockets == other.sockets
-        && settings.mustAsk() == other.settings.mustAsk();
+  /**
+   * Whether a process that was started with another configuration can apply all of this one without
+   * a restart.
+   */
+  boolean isReloadableFrom(NodeConfig startupConfig) {
+    return listen.equals(startupConfig.listen)
+        && maxSockets == startupConfig.maxSockets
+        && settings.mustAsk() == startupConfig.settings.mustAsk();
   }
 
   /**
-   * Reads the file for a process that starts: one that is there and cannot be read for a moment is
-   * read again for a while, as there is nothing to go on with without it.
+   * Reads the file at startup. Reading is retried for a while if the file exists but cannot be
+   * read, as the process cannot start without it.
    */
   public static NodeConfig loadAtStartup(Map<String, String> environment)
       throws InvalidConfigException {
@@ -77,16 +87,16 @@
       try {
         return load(environment);
       } catch (UnreadableConfigException e) {
-        if (i == MOST_START_TRIES || Files.notExists(Path.of(environment.get("EDGE_CONFIG")))) {
+        if (i == MAX_STARTUP_READS || Files.notExists(Path.of(environment.get("EDGE_CONFIG")))) {
           throw e;
         }
-        Log.warn("start", e.getMessage() + "; it is read again");
-        LockSupport.parkNanos(START_WAIT_NANOS);
+        Log.warn("start", e.getMessage() + "; retrying");
+        LockSupport.parkNanos(STARTUP_RETRY_NANOS);
       }
     }
   }
 
-  /** Reads the file that {@code EDGE_CONFIG} names. */
+  /** Reads the file named by the environment variable {@code EDGE_CONFIG}. */
   public static NodeConfig load(Map<String, String> environment) throws InvalidConfigException {
     String path = environment.get("EDGE_CONFIG");
     if (path == null || path.isEmpty()) {
@@ -109,15 +119,18 @@
     return parse(json, environment);
   }
 
-  /** Reads what {@link #load} found in the file; the environment may name the second address. */
+  /**
+   * Reads the parsed JSON of the file. {@code EDGE_CONSOLE} in the environment overrides the
+   * address of the operations API.
+   */
   public static NodeConfig parse(Map<String, Object> json, Map<String, String> environment)
       throws InvalidConfigException {
     if (json == null) {
-      throw new InvalidConfigException("EDGE_CONFIG: an object expected");
+      throw new InvalidConfigException("EDGE_CONFIG: expected a JSON object");
     }
     Object name = json.get("name");
     if (!(name instanceof String) || ((String) name).isEmpty()) {
-      throw new InvalidConfigException("name: text expected");
+      throw new InvalidConfigException("name: expected a non-empty string");
     }
     Settings settings;
     try {
@@ -125,25 +138,28 @@
     } catch (RuntimeException e) {
       throw new InvalidConfigException("settings: " + firstLine(e));
     }
-    Object known = json.get("known");
+    Object knownList = json.get("known");
     return new NodeConfig(
         (String) name,
         address(json, "listen"),
-        console(json, environment.get("EDGE_CONSOLE")),
+        operationsAddress(json, environment.get("EDGE_CONSOLE")),
         address(json, "discovery"),
         seed(json.get("seed")),
         sockets(json.get("limits")),
-        known == null ? Map.of() : map(json, "known"),
+        knownList == null ? Map.of() : map(json, "known"),
         settings);
   }
 
-  /** That of the environment is of this very process, should the two differ. */
-  private static InetSocketAddress console(Map<String, Object> json, String named)
+  /**
+   * The address in the environment takes precedence over the one in the file, because it was set
+   * for this process alone.
+   */
+  private static InetSocketAddress operationsAddress(Map<String, Object> json, String override)
       throws InvalidConfigException {
-    if (named != null && !named.isEmpty()) {
-      InetSocketAddress address = Addresses.parse(named);
+    if (override != null && !override.isEmpty()) {
+      InetSocketAddress address = Addresses.parse(override);
       if (address == null) {
-        throw new InvalidConfigException("EDGE_CONSOLE: ADDRESS:PORT expected, not " + named);
+        throw new InvalidConfigException("EDGE_CONSOLE: expected ADDRESS:PORT, not " + override);
       }
       return address;
     }
@@ -155,7 +171,7 @@
     InetSocketAddress address =
         json.get(field) instanceof String text ? Addresses.parse(text) : null;
     if (address == null) {
-      throw new InvalidConfigException(field + ": ADDRESS:PORT expected, not " + json.get(field));
+      throw new InvalidConfigException(field + ": expected ADDRESS:PORT, not " + json.get(field));
     }
     return address;
   }
@@ -168,7 +184,7 @@
       try {
         return Long.parseUnsignedLong(text, 16);
       } catch (NumberFormatException e) {
-        throw new InvalidConfigException("seed: 16 hexadecimal digits expected, not " + text);
+        throw new InvalidConfigException("seed: expected 16 hexadecimal digits, not " + text);
       }
     }
     throw new InvalidConfigException("seed: missing");
@@ -176,9 +192,9 @@
 
   private static int sockets(Object limits) throws InvalidConfigException {
     Object sockets = limits instanceof Map<?, ?> map ? map.get("sockets") : null;
-    if (!(sockets instanceof Number number) || number.longValue() < LEAST_SOCKETS) {
+    if (!(sockets instanceof Number number) || number.longValue() < MIN_SOCKETS) {
       throw new InvalidConfigException(
-          "limits.sockets: a number of at least " + LEAST_SOCKETS + " expected, not " + sockets);
+          "limits.sockets: expected a number of at least " + MIN_SOCKETS + ", not " + sockets);
     }
     return (int) Math.min(Integer.MAX_VALUE, number.longValue());
   }
@@ -189,12 +205,12 @@
     if (json.get(field) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new InvalidConfigException(field + ": an object expected");
+    throw new InvalidConfigException(field + ": expected a JSON object");
   }
 
   private static String firstLine(Exception e) {
     if (e instanceof NoSuchFileException) {
-      return "it is not there"; // Its message is the path alone.
+      return "no such file"; // The message of the exception is only the path.
     }
     return String.valueOf(e.getMessage()).lines().findFirst().orElse(e.toString());
   }
--- a/src/main/java/heathswitch/proxy/platform/PlatformNode.java
+++ b/src/main/java/heathswitch/proxy/platform/PlatformNode.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * A balancer on the platform: its list comes from discovery, SIGHUP moves to another one, and
- * operators reach it at its second address where it has one.
+ * A balancer on the platform. It gets its list from discovery, reloads its configuration at SIGHUP
+ * and serves the operations API at a second address if one is configured.
  */
 public final class PlatformNode {
-  private static final long WATCH_NANOS = 100_000_000L;
+  private static final long LOOP_WATCH_NANOS = 100_000_000L;
 
   private final NodeConfig config;
   private final Node node;
@@ -22,33 +22,42 @@
     this.config = config;
     node =
         new Node(
-            config.node(),
+            config.nodeSettings(),
             loop -> {
-              DiscoveryTimeouts clock = DiscoveryTimeouts.of(config.settings());
-              discovery = new DiscoveryClient(loop, config.discovery(), clock, config.known());
+              DiscoveryTimeouts timeouts = DiscoveryTimeouts.of(config.settings());
+              discovery =
+                  new DiscoveryClient(loop, config.discovery(), timeouts, config.knownList());
               return discovery;
             },
-            WATCH_NANOS);
+            LOOP_WATCH_NANOS);
     reload = new ConfigReload(node, config, environment, discovery);
-    operations = config.console() == null ? null : new Operations(node, folder(environment));
+    operations =
+        config.operationsAddress() == null
+            ? null
+            : new Operations(node, sharedDirectory(environment));
   }
 
-  /** Shared by the processes of one balancer, and empty when the first of them starts. */
-  private static Path folder(Map<String, String> environment) {
-    String folder = environment.get("TMPDIR");
-    return folder == null || folder.isEmpty() ? null : Path.of(folder, "heathswitch");
+  /**
+   * The directory that all processes of one balancer share; empty when the first of them starts.
+   * Null if the environment names no {@code TMPDIR}.
+   */
+  private static Path sharedDirectory(Map<String, String> environment) {
+    String tempDirectory = environment.get("TMPDIR");
+    return tempDirectory == null || tempDirectory.isEmpty()
+        ? null
+        : Path.of(tempDirectory, "heathswitch");
   }
 
-  /** Returns once clients can connect; fails if an address is taken. */
+  /** Returns once clients can connect; fails if an address is in use. */
   public void start() throws InterruptedException {
     if (operations == null) {
       node.start();
       return;
     }
     if (operations.follows()) {
-      discovery.askAtOnce();
+      discovery.queryAtStartup();
     }
-    operations.start(config.console());
+    operations.start(config.operationsAddress());
     node.start();
     operations.serving();
   }
@@ -61,12 +70,12 @@
     return reload;
   }
 
-  /** What operators can do with it, or null where it has no second address. */
+  /** The operations API, or null if no address is configured for it. */
   public Operations operations() {
     return operations;
   }
 
-  /** Ends at once, without a drain. */
+  /** Stops at once, without a drain. */
   public void stop() {
     if (operations != null) {
       operations.stop();
--- a/src/test/java/heathswitch/proxy/platform/BalancerFixture.java
+++ b/src/test/java/heathswitch/proxy/platform/BalancerFixture.java
@@ -11,7 +11,10 @@
 import java.util.Map;
 import testing.Await;
 
-/** A node in this process, on a free port, with upstreams that it knows from the start. */
+/**
+ * A balancer inside the test process, on a free port, with a list of upstreams known from the
+ * start.
+ */
 final class BalancerFixture implements AutoCloseable {
   static final long MS = 1_000_000L;
 
@@ -19,17 +22,19 @@
   private final Map<String, String> classes = new LinkedHashMap<>();
   private final List<Object> members = new ArrayList<>();
   private String discovery = "127.0.0.1:1";
-  private boolean ask;
+  private boolean subscribe;
   private int tier;
-  private long sockets = 1024;
-  private long longestNanos = 20_000 * MS;
+  private long maxSockets = 1024;
+  private long deadlineNanos = 20_000 * MS;
   private long mustAskNanos = 1_000_000_000L;
 
-  /** Lists are known from the start, and most tests have no discovery to confirm them. */
+  /**
+   * Long, because most tests have no discovery that would confirm the list known from the start.
+   */
   private long graceNanos = 3_600_000 * MS;
 
   private String listen = "127.0.0.1:0";
-  private boolean console;
+  private boolean operationsApi;
   private Map<String, String> environment = Map.of();
   private PlatformNode balancer;
   private Node node;
@@ -68,14 +73,14 @@
         + "\",\"size\":1.0,\"up_since_ms\":0}";
   }
 
-  BalancerFixture upstream(StubServer... peers) {
-    for (StubServer peer : peers) {
-      address(peer.address());
+  BalancerFixture upstream(StubServer... servers) {
+    for (StubServer server : servers) {
+      upstreamAddress(server.address());
     }
     return this;
   }
 
-  BalancerFixture address(String address) {
+  BalancerFixture upstreamAddress(String address) {
     members.add(member("s-" + members.size(), address, "in_service", 0));
     return this;
   }
@@ -95,59 +100,62 @@
     return this;
   }
 
-  BalancerFixture sockets(long count) {
-    sockets = count;
+  BalancerFixture maxSockets(long count) {
+    maxSockets = count;
     return this;
   }
 
-  /** The deadline of every class. */
-  BalancerFixture longest(long millis) {
-    longestNanos = millis * MS;
+  /** Sets the deadline of every request class. */
+  BalancerFixture deadline(long millis) {
+    deadlineNanos = millis * MS;
     return this;
   }
 
-  /** Behind another tier: what has no room waits for a while. */
+  /**
+   * Sets the tier of the balancer. Above 0 it is behind another tier, and queues requests for a
+   * while if its upstreams have no room.
+   */
   BalancerFixture tier(int number) {
     tier = number;
     return this;
   }
 
-  BalancerFixture asking(StubServer peer) {
-    discovery = peer.address();
-    ask = true;
+  BalancerFixture subscribedTo(StubServer server) {
+    discovery = server.address();
+    subscribe = true;
     return this;
   }
 
-  BalancerFixture pushed(StubServer peer) {
-    return pushedAt(peer.address());
+  BalancerFixture pushedBy(StubServer server) {
+    return pushedFrom(server.address());
   }
 
-  BalancerFixture pushedAt(String address) {
+  BalancerFixture pushedFrom(String address) {
     discovery = address;
     return this;
   }
 
-  /** With a second address, and a folder that it shares with the other processes of a balancer. */
-  BalancerFixture console(Path folder) {
-    console = true;
-    environment = Map.of("TMPDIR", folder.toString());
+  /** Enables the operations API, with a directory that all processes of the balancer share. */
+  BalancerFixture operationsApi(Path directory) {
+    operationsApi = true;
+    environment = Map.of("TMPDIR", directory.toString());
     return this;
   }
 
-  /** Where another one listens already. */
-  BalancerFixture beside(BalancerFixture other) {
+  /** Listens at the address of another, running balancer. */
+  BalancerFixture sharingAddressOf(BalancerFixture other) {
     listen = "127.0.0.1:" + other.address().getPort();
     return this;
   }
 
-  /** Writes the configuration to the file from which a reload reads it again. */
-  BalancerFixture file(Path path) throws Exception {
+  /** Writes the configuration to a file, which a reload reads. */
+  BalancerFixture writeConfig(Path path) throws Exception {
     Files.writeString(path, JSON.std.asString(config()));
     environment = Map.of("EDGE_CONFIG", path.toString());
     return this;
   }
 
-  /** Classes of these names and effects in place of the usual three. */
+  /** Replaces the three default request classes by these names and effects. */
   BalancerFixture classes(String... namesAndEffects) {
     classes.clear();
     for (int i = 0; i < namesAndEffects.length; i += 2) {
@@ -156,7 +164,7 @@
     return this;
   }
 
-  private Map<String, Object> type(String name, String effect) {
+  private Map<String, Object> requestClass(String name, String effect) {
     return Map.of(
         "name",
         name,
@@ -165,9 +173,9 @@
         "group",
         "all",
         "aim_ns",
-        longestNanos / 4,
+        deadlineNanos / 4,
         "hard_limit_ns",
-        longestNanos,
+        deadlineNanos,
         "window_ns",
         5_000 * MS,
         "importance",
@@ -178,9 +186,11 @@
     Map<String, Object> settings = new LinkedHashMap<>();
     settings.put(
         "classes",
-        classes.entrySet().stream().map(each -> type(each.getKey(), each.getValue())).toList());
+        classes.entrySet().stream()
+            .map(each -> requestClass(each.getKey(), each.getValue()))
+            .toList());
     settings.put("limits", limits);
-    settings.put("membership_mode", ask ? "subscribe" : "automatic");
+    settings.put("membership_mode", subscribe ? "subscribe" : "automatic");
     settings.put("zone", "a");
     settings.put("tier", tier);
     settings.put(
@@ -197,12 +207,12 @@
     Map<String, Object> config = new LinkedHashMap<>();
     config.put("name", "n1");
     config.put("listen", listen);
-    if (console) {
+    if (operationsApi) {
       config.put("console", "127.0.0.1:0");
     }
     config.put("discovery", discovery);
     config.put("seed", "8c1f30d27a5be964");
-    config.put("limits", Map.of("sockets", sockets, "memory_mb", 192));
+    config.put("limits", Map.of("sockets", maxSockets, "memory_mb", 192));
     config.put("known", Map.of("revision", 41, "complete", true, "members", members));
     config.put("settings", settings);
     return config;
@@ -214,7 +224,7 @@
     return this;
   }
 
-  /** Puts the balancer together and leaves it unstarted. */
+  /** Creates the balancer without starting it. */
   BalancerFixture build() throws Exception {
     NodeConfig config = NodeConfig.parse(config(), environment);
     balancer = new PlatformNode(config, environment);
@@ -238,13 +248,16 @@
     return node.address();
   }
 
-  /** Stops the loop until what is returned is closed: what comes meanwhile comes in one turn. */
-  EventLoopBlocker holdLoop() throws InterruptedException {
+  /**
+   * Blocks the event loop until the returned blocker is closed; events that arrive meanwhile are
+   * then handled in one turn of the loop.
+   */
+  EventLoopBlocker blockLoop() throws InterruptedException {
     return new EventLoopBlocker(node.loop());
   }
 
-  /** Returns once so many requests wait for their answer. */
-  void awaitLive(int requests) throws InterruptedException {
+  /** Waits until this many requests are open. */
+  void awaitLiveRequests(int requests) throws InterruptedException {
     Await.until(
         "live requests: " + requests,
         () ->
@@ -252,27 +265,27 @@
                 == requests);
   }
 
-  /** Whether the upstream of this name is on the list that the balancer goes by. */
-  boolean knows(String name) {
+  /** Whether the upstream of this name is on the balancer's list. */
+  boolean hasUpstream(String name) {
     return node.loop()
         .submit(() -> node.dispatcher().loads(Integer.MAX_VALUE).containsKey(name))
         .syncUninterruptibly()
         .getNow();
   }
 
-  /** Connections of clients and to upstreams that the balancer counts. */
+  /** The number of client and upstream connections that the balancer counts. */
   int connections() {
     return node.loop().submit(() -> node.budget().connections()).syncUninterruptibly().getNow();
   }
 
-  /** One call to the second address: the status. */
-  int call(String method, String path) throws Exception {
+  /** Makes one call to the operations API and returns its status. */
+  int callOperations(String method, String path) throws Exception {
     try (TestClient client = new TestClient(balancer.operations().address())) {
       return client.call(method + " " + path + " HTTP/1.1\r\nHost: console\r\n\r\n").status();
     }
   }
 
-  InetSocketAddress console() {
+  InetSocketAddress operationsAddress() {
     return balancer.operations().address();
   }
 
--- a/src/test/java/heathswitch/proxy/platform/CdsTrainingRunTest.java
+++ b/src/test/java/heathswitch/proxy/platform/CdsTrainingRunTest.java
@@ -5,11 +5,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A rehearsal that fails would fail the build, with no word of which exchange it was. */
+/**
+ * Runs the exchanges as a test: a failed training run fails the build without naming the exchange.
+ */
 @Timeout(60)
 class CdsTrainingRunTest {
   @Test
-  void playsItsExchangesToTheEnd() {
+  void completesAllExchanges() {
     assertDoesNotThrow(CdsTrainingRun::run);
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/ClientDisconnectTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ClientDisconnectTest.java
@@ -14,143 +14,151 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * No attempt begins for a client that has closed its connection, wherever its request is then. Each
- * test puts the close before the event that would begin the attempt, and ends with a request of
- * another client: what an upstream has got by then is all that it will get.
+ * No attempt is started for a client that has closed its connection, whatever the state of its
+ * request. Each test closes the connection before the event that would start the attempt, and ends
+ * with a request of another client: the upstream must get that one next.
  */
 @Timeout(60)
 class ClientDisconnectTest {
-  private static final int FLOOD = 300;
+  private static final int FLOOD_REQUESTS = 300;
   private static final int UPLOAD_BYTES = 3 << 20;
 
-  /** Calls that an upstream gets at once before it has answered any. */
+  /** How many calls at once an upstream gets before it has answered any. */
   private static final int WINDOW = 32;
 
-  /** The next request that the upstream gets is that of a client which came later. */
-  private static void assertNothingBefore(BalancerFixture fixture, StubServer upstream)
+  /** Asserts that the next request that the upstream gets is one of a later client. */
+  private static void assertLaterRequestIsNext(BalancerFixture fixture, StubServer upstream)
       throws Exception {
     try (TestClient later = fixture.client()) {
       later.send(TestClient.get("/later", "").replace("r1", "later"));
-      assertEquals("GET /later HTTP/1.1", upstream.request().start());
+      assertEquals("GET /later HTTP/1.1", upstream.awaitRequest().startLine());
     }
   }
 
-  private final PendingCalls held = new PendingCalls();
+  private final PendingCalls calls = new PendingCalls();
 
-  /** So many calls that are out at once, each from a client of its own. */
-  private List<TestClient> callsOut(BalancerFixture fixture, StubServer upstream, int count)
+  /** Sends {@code count} calls, each from a client of its own, and leaves them unanswered. */
+  private List<TestClient> sendCalls(BalancerFixture fixture, StubServer upstream, int count)
       throws Exception {
     List<TestClient> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       TestClient client = fixture.client();
       clients.add(client);
       client.send(TestClient.get("/warm", "").replace("r1", "warm" + i));
-      upstream.request();
+      upstream.awaitRequest();
     }
     return clients;
   }
 
-  /** So that a retry needs no new connection, which would give the close time to be seen. */
-  private void keepTwoConnections(BalancerFixture fixture, StubServer upstream) throws Exception {
-    for (TestClient warm : callsOut(fixture, upstream, 2)) {
-      held.next().answer(200, "", "ok");
+  /**
+   * Leaves two idle connections to the upstream, so that a retry needs no new connection.
+   * Connecting would give the balancer time to see the close.
+   */
+  private void openTwoIdleConnections(BalancerFixture fixture, StubServer upstream)
+      throws Exception {
+    for (TestClient warm : sendCalls(fixture, upstream, 2)) {
+      calls.next().answer(200, "", "ok");
       warm.read();
       warm.close();
     }
   }
 
   @Test
-  void aRetryIsNotSent() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void retryIsNotSentAfterDisconnect() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
-      keepTwoConnections(fixture, upstream);
+      openTwoIdleConnections(fixture, upstream);
       client.send(TestClient.get("/api/x", ""));
-      upstream.request();
-      StubServer.Connection attempt = held.next();
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
-        attempt.answer(500, "", "an error"); // The loop finds this first,
-        client.close(); // and only then that there is nobody to try again for.
+      upstream.awaitRequest();
+      StubServer.Connection attempt = calls.next();
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
+        attempt.answer(500, "", "an error"); // The event loop reads this first,
+        client.close(); // and sees the close only after it.
       }
-      assertNothingBefore(fixture, upstream);
+      assertLaterRequestIsNext(fixture, upstream);
     }
   }
 
   @Test
-  void aRequestThatWaitsForRoomIsNotSent() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void queuedRequestIsNotSentAfterDisconnect() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().tier(1).upstream(upstream).start();
         TestClient client = fixture.client()) {
-      List<TestClient> full = callsOut(fixture, upstream, WINDOW);
+      List<TestClient> windowFillers = sendCalls(fixture, upstream, WINDOW);
       client.send(TestClient.get("/api/x", ""));
-      fixture.awaitLive(WINDOW + 1);
-      StubServer.Connection room = held.next();
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
-        room.answer(200, "", "ok");
+      fixture.awaitLiveRequests(WINDOW + 1);
+      StubServer.Connection answered = calls.next();
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
+        answered.answer(200, "", "ok");
         client.close();
       }
-      assertNothingBefore(fixture, upstream);
-      for (TestClient each : full) {
+      assertLaterRequestIsNext(fixture, upstream);
+      for (TestClient each : windowFillers) {
         each.close();
       }
     }
   }
 
   @Test
-  void aRetryBehindAFloodIsNotSent() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void retryIsNotSentWhenCloseFollowsPipelinedFlood() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
-      keepTwoConnections(fixture, upstream);
+      openTwoIdleConnections(fixture, upstream);
       client.send(TestClient.get("/api/x", ""));
-      upstream.request();
+      upstream.awaitRequest();
       StringBuilder flood = new StringBuilder();
-      for (int i = 0; i < FLOOD; i++) {
+      for (int i = 0; i < FLOOD_REQUESTS; i++) {
         flood.append(TestClient.get("/api/x", "").replace("r1", "flood" + i));
       }
       client.send(flood.toString());
       client.close();
-      held.next().answer(500, "", "an error");
-      assertNothingBefore(fixture, upstream);
+      calls.next().answer(500, "", "an error");
+      assertLaterRequestIsNext(fixture, upstream);
     }
   }
 
-  /** Its body lies in the buffers of the machine while the upstream takes nothing of it. */
+  /**
+   * The upstream reads nothing until the client has closed its connection, so that the body is
+   * still in the buffers of the machine.
+   */
   @Test
-  void aLongBodyWhoseClientLeftIsNotEnded() throws Exception {
-    CountDownLatch left = new CountDownLatch(1);
-    BlockingQueue<Integer> got = new LinkedBlockingQueue<>();
-    StubServer.Script takesItLate =
+  void largeBodyIsNotCompletedAfterDisconnect() throws Exception {
+    CountDownLatch disconnected = new CountDownLatch(1);
+    BlockingQueue<Integer> bodyBytes = new LinkedBlockingQueue<>();
+    StubServer.ConnectionHandler readsAfterDisconnect =
         connection -> {
           RawHttp.Message head = RawHttp.readHead(connection.in());
           assertNotNull(head);
-          left.await();
-          got.add(connection.in().readNBytes(UPLOAD_BYTES).length);
+          disconnected.await();
+          bodyBytes.add(connection.in().readNBytes(UPLOAD_BYTES).length);
         };
-    try (StubServer upstream = new StubServer(takesItLate);
+    try (StubServer upstream = new StubServer(readsAfterDisconnect);
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.post("publish", "", "x".repeat(UPLOAD_BYTES)));
       client.close();
-      left.countDown();
-      Integer bytes = got.poll(30, TimeUnit.SECONDS);
+      disconnected.countDown();
+      Integer bytes = bodyBytes.poll(30, TimeUnit.SECONDS);
       assertNotNull(bytes);
-      assertTrue(bytes < UPLOAD_BYTES, "all of it came, and so it runs for nobody");
+      assertTrue(
+          bytes < UPLOAD_BYTES, "the whole body arrived, so the request runs without a client");
     }
   }
 
-  /** What has begun is called off at once, and leaves nothing behind. */
+  /** An attempt in progress is cancelled at once, and nothing of the request remains. */
   @Test
-  void whatIsOutIsCalledOff() throws Exception {
+  void openAttemptIsCancelledOnDisconnect() throws Exception {
     try (StubServer upstream =
             StubServer.replying((connection, request) -> connection.in().read());
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.post("publish", "", "x"));
-      upstream.request();
+      upstream.awaitRequest();
       client.close();
-      assertNotNull(upstream.ended.poll(30, TimeUnit.SECONDS), "its connection is closed");
-      fixture.awaitLive(0);
+      assertNotNull(upstream.ended.poll(30, TimeUnit.SECONDS), "the upstream connection is closed");
+      fixture.awaitLiveRequests(0);
     }
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/DiscoveryReloadTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryReloadTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import testing.Await;
 
-/** SIGHUP moves the balancer to another discovery, and a file that is no good changes nothing. */
+/** A reload switches the balancer to another discovery; an invalid file changes nothing. */
 @Timeout(60)
 class DiscoveryReloadTest {
   @TempDir Path folder;
@@ -29,7 +29,7 @@
         });
   }
 
-  private static void line(StubServer.Connection watch, String text) throws Exception {
+  private static void sendLine(StubServer.Connection watch, String text) throws Exception {
     watch.send(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
   }
 
@@ -46,59 +46,63 @@
   }
 
   @Test
-  void listensToTheNewDiscoveryAndThenLeavesTheOld() throws Exception {
+  void oldWatchIsUsedUntilNewDiscoverySendsItsList() throws Exception {
     BlockingQueue<StubServer.Connection> oldWatches = new LinkedBlockingQueue<>();
     BlockingQueue<StubServer.Connection> newWatches = new LinkedBlockingQueue<>();
     Path file = folder.resolve("config.json");
     try (StubServer before = discovery(oldWatches);
         StubServer after = discovery(newWatches);
-        StubServer first = StubServer.serving("first");
-        StubServer second = StubServer.serving("second");
-        StubServer third = StubServer.serving("third");
+        StubServer first = StubServer.answering("first");
+        StubServer second = StubServer.answering("second");
+        StubServer third = StubServer.answering("third");
         BalancerFixture fixture =
-            new BalancerFixture().upstream(first).pushed(before).file(file).start();
+            new BalancerFixture().upstream(first).pushedBy(before).writeConfig(file).start();
         TestClient client = fixture.client()) {
       StubServer.Connection old = oldWatches.poll(30, TimeUnit.SECONDS);
-      line(old, "");
+      sendLine(old, "");
       Files.writeString(file, "{ no configuration");
       fixture.reload().reload();
       assertEquals("first", client.call(TestClient.get("/api/x", "")).text());
 
-      fixture.pushed(after).file(file);
+      fixture.pushedBy(after).writeConfig(file);
       fixture.reload().reload();
       StubServer.Connection watch = newWatches.poll(30, TimeUnit.SECONDS);
-      assertEquals("GET /discovery/hosts?stream=1 HTTP/1.1", after.request().start());
+      assertEquals("GET /discovery/hosts?stream=1 HTTP/1.1", after.awaitRequest().startLine());
       String member = BalancerFixture.json("s-9", second.address(), "in_service");
-      line(watch, ""); // Asked for the whole list, it has told nothing yet.
-      line(old, "{\"revision\":1000,\"complete\":false,\"members\":[" + json(third) + "]}");
-      Await.until("the old watch is heard", () -> "third".equals(text(client)));
-      line(watch, "{\"revision\":1,\"complete\":true,\"members\":[" + member + "]}");
+      sendLine(watch, ""); // An empty line does not answer a request for the whole list.
+      sendLine(old, "{\"revision\":1000,\"complete\":false,\"members\":[" + json(third) + "]}");
+      Await.until("the old watch is still in use", () -> "third".equals(text(client)));
+      sendLine(watch, "{\"revision\":1,\"complete\":true,\"members\":[" + member + "]}");
       assertTrue(before.ended.poll(30, TimeUnit.SECONDS) != null, "the old watch ends");
       assertEquals("second", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
-  /** The watch at the address to which it comes back has been silent: it has confirmed nothing. */
+  /**
+   * The watch at the first address has been silent meanwhile, so switching back to it must not
+   * confirm the list.
+   */
   @Test
-  void aMoveAwayAndBackConfirmsNothing() throws Exception {
+  void switchingAwayAndBackDoesNotConfirmList() throws Exception {
     BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
     Path file = folder.resolve("config.json");
     try (StubServer discovery = discovery(watches);
-        StubServer server = StubServer.serving("served");
+        StubServer server = StubServer.answering("served");
         BalancerFixture fixture =
             new BalancerFixture()
                 .upstream(server)
-                .asking(discovery)
+                .subscribedTo(discovery)
                 .mustAskWithin(10_000)
                 .grace(500)
-                .file(file)
+                .writeConfig(file)
                 .start()) {
-      line(watches.poll(30, TimeUnit.SECONDS), "");
-      fixture.pushedAt("127.0.0.1:1").file(file);
+      sendLine(watches.poll(30, TimeUnit.SECONDS), "");
+      fixture.pushedFrom("127.0.0.1:1").writeConfig(file);
       fixture.reload().reload();
-      fixture.asking(discovery).file(file);
+      fixture.subscribedTo(discovery).writeConfig(file);
       fixture.reload().reload();
-      // Past 4 s and the grace after the move, and before 6 s and the grace after the way back.
+      // After 4 s plus the grace from the first switch, and before 6 s plus the grace from the
+      // second.
       Thread.sleep(6200);
       try (TestClient client = fixture.client()) {
         assertEquals(503, client.call(TestClient.get("/api/x", "")).status());
--- a/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A watch that goes wrong, in every way that it can, is opened anew within the clock's time. */
+/** A watch that fails, in whatever way, is reopened within the {@link DiscoveryTimeouts}. */
 @Timeout(60)
 class DiscoveryWatchTest {
   private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** A pace, not an order: far shorter than any time of the clock. */
+  /** Only sets the pace of the bytes: far shorter than any timeout. */
   private static final long DRIP_MILLIS = 20;
 
-  /** Empty lines for longer than a watch may say nothing. */
-  private static final long BEAT_MILLIS = 500;
+  /** All heartbeats together take longer than a watch may be silent. */
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
-  private static final int BEATS = 8;
+  private static final int HEARTBEATS = 8;
 
   private final BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
 
@@ -37,12 +37,12 @@
     return watch;
   }
 
-  private StubServer.Connection open(StubServer.Connection watch) throws Exception {
+  private StubServer.Connection sendHead(StubServer.Connection watch) throws Exception {
     watch.send(CHUNKED);
     return watch;
   }
 
-  private static void chunk(StubServer.Connection watch, String text) throws Exception {
+  private static void sendChunk(StubServer.Connection watch, String text) throws Exception {
     watch.send(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
@@ -56,59 +56,64 @@
         + "]}\n";
   }
 
-  private static String ready(StubServer upstream, String id) {
+  private static String inService(StubServer upstream, String id) {
     return BalancerFixture.json(id, upstream.address(), "in_service");
   }
 
-  private static void assertServedBy(BalancerFixture fixture, String name) throws Exception {
+  private static void assertServedBy(BalancerFixture fixture, String answer) throws Exception {
     try (TestClient client = fixture.client()) {
-      assertEquals(name, client.call(TestClient.get("/api/x", "")).text());
+      assertEquals(answer, client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void oneThatNeverSpeaksIsReplaced(boolean pushed) throws Exception {
+  void watchWithoutFirstLineIsReplaced(boolean pushed) throws Exception {
     try (StubServer discovery = discovery();
-        StubServer upstream = StubServer.serving("found");
-        BalancerFixture fixture = fixture(discovery, pushed).start()) {
-      open(nextWatch());
-      chunk(open(nextWatch()), list(50, true, ready(upstream, "s-9")));
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = newFixture(discovery, pushed).start()) {
+      sendHead(nextWatch());
+      sendChunk(sendHead(nextWatch()), list(50, true, inService(upstream, "s-9")));
       awaitServed(fixture);
     }
   }
 
-  /** As long as it brings empty lines it is kept; what it then misses is told within 6 s. */
+  /**
+   * A watch is kept as long as it sends empty lines; a change that it misses after that is
+   * delivered within 6 s.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void oneThatFallsSilentAfterAWhileIsReplacedInTime(boolean pushed) throws Exception {
+  void silentWatchIsReplacedInTime(boolean pushed) throws Exception {
     try (StubServer discovery = discovery();
-        StubServer upstream = StubServer.serving("found");
-        BalancerFixture fixture = fixture(discovery, pushed).start()) {
-      StubServer.Connection silent = open(nextWatch());
-      chunk(silent, list(50, true));
-      for (int i = 0; i < BEATS; i++) {
-        Thread.sleep(BEAT_MILLIS);
-        chunk(silent, "\n");
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = newFixture(discovery, pushed).start()) {
+      StubServer.Connection silent = sendHead(nextWatch());
+      sendChunk(silent, list(50, true));
+      for (int i = 0; i < HEARTBEATS; i++) {
+        Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
+        sendChunk(silent, "\n");
       }
-      assertTrue(watches.isEmpty(), "one that beats is kept");
+      assertTrue(watches.isEmpty(), "a watch with heartbeats is kept");
       long since = System.nanoTime();
-      chunk(open(nextWatch()), list(51, true, ready(upstream, "s-9")));
+      sendChunk(sendHead(nextWatch()), list(51, true, inService(upstream, "s-9")));
       awaitServed(fixture);
       long tookMillis = (System.nanoTime() - since) / 1_000_000;
-      assertTrue(tookMillis < DiscoveryTimeouts.TOLD_MILLIS, "told after " + tookMillis + " ms");
+      assertTrue(
+          tookMillis < DiscoveryTimeouts.PROPAGATION_MILLIS,
+          "delivered after " + tookMillis + " ms");
     }
   }
 
-  private static BalancerFixture fixture(StubServer discovery, boolean pushed) {
+  private static BalancerFixture newFixture(StubServer discovery, boolean pushed) {
     return pushed
-        ? new BalancerFixture().pushed(discovery)
-        : new BalancerFixture().asking(discovery);
+        ? new BalancerFixture().pushedBy(discovery)
+        : new BalancerFixture().subscribedTo(discovery);
   }
 
   private static void awaitServed(BalancerFixture fixture) throws Exception {
     testing.Await.until(
-        "served by the upstream of the list",
+        "served by the upstream on the list",
         () -> {
           try (TestClient client = fixture.client()) {
             return client.call(TestClient.get("/api/x", "")).status() == 200;
@@ -118,20 +123,20 @@
         });
   }
 
-  /** Its bytes keep the connection alive, and tell nothing. */
+  /** Its bytes keep the connection alive but never complete a line. */
   @Test
-  void oneThatBringsNothingButHalfALineIsReplaced() throws Exception {
+  void watchDrippingPartialLineIsReplaced() throws Exception {
     try (StubServer discovery = discovery();
-        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
-      StubServer.Connection dripping = open(nextWatch());
-      chunk(dripping, "\n");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection dripping = sendHead(nextWatch());
+      sendChunk(dripping, "\n");
       Thread drip =
           new Thread(
               () -> {
                 try {
-                  chunk(dripping, "{\"revision\":5");
+                  sendChunk(dripping, "{\"revision\":5");
                   while (true) {
-                    chunk(dripping, " ");
+                    sendChunk(dripping, " ");
                     Thread.sleep(DRIP_MILLIS);
                   }
                 } catch (Exception e) {
@@ -145,32 +150,33 @@
   }
 
   @Test
-  void aListMayComeIndentedAndByteByByte() throws Exception {
+  void indentedListInSingleByteChunksIsRead() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer upstream = StubServer.serving("found");
-        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
-      StubServer.Connection watch = open(nextWatch());
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
       String indented =
-          list(50, true, ready(upstream, "s-9")).replace(",", ",\n  ").replace("{", "{\n ");
+          list(50, true, inService(upstream, "s-9")).replace(",", ",\n  ").replace("{", "{\n ");
       for (char c : indented.toCharArray()) {
-        chunk(watch, String.valueOf(c));
+        sendChunk(watch, String.valueOf(c));
       }
       awaitServed(fixture);
     }
   }
 
-  /** An old answer may not undo what a newer one has told. */
+  /** An older list must not undo the changes of a newer one. */
   @Test
-  void anOlderListAfterANewerOneIsLeftOut() throws Exception {
+  void olderListAfterNewerOneIsIgnored() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer first = StubServer.serving("first");
-        StubServer second = StubServer.serving("second");
-        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
-      StubServer.Connection watch = open(nextWatch());
-      chunk(watch, list(50, true, ready(first, "s-1"), ready(second, "s-2")));
-      chunk(watch, list(52, false, BalancerFixture.json("s-1", first.address(), "terminating")));
-      chunk(watch, list(51, false, ready(first, "s-1")));
-      chunk(watch, list(53, false)); // When this has been taken, the others have.
+        StubServer first = StubServer.answering("first");
+        StubServer second = StubServer.answering("second");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, list(50, true, inService(first, "s-1"), inService(second, "s-2")));
+      sendChunk(
+          watch, list(52, false, BalancerFixture.json("s-1", first.address(), "terminating")));
+      sendChunk(watch, list(51, false, inService(first, "s-1")));
+      sendChunk(watch, list(53, false)); // Once this is applied, so are the others.
       awaitServed(fixture);
       for (int i = 0; i < 20; i++) {
         assertServedBy(fixture, "second");
@@ -179,67 +185,72 @@
   }
 
   @Test
-  void whatAWholeListLeavesOutIsGoneThoughItStillAnswers() throws Exception {
+  void upstreamMissingFromWholeListGetsNoRequest() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer left = StubServer.serving("left out");
-        StubServer listed = StubServer.serving("listed");
-        BalancerFixture fixture = new BalancerFixture().upstream(left).pushed(discovery).start()) {
+        StubServer left = StubServer.answering("left out");
+        StubServer listed = StubServer.answering("listed");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(left).pushedBy(discovery).start()) {
       assertServedBy(fixture, "left out");
-      StubServer.Connection watch = open(nextWatch());
-      try (EventLoopBlocker gate = fixture.holdLoop();
+      StubServer.Connection watch = sendHead(nextWatch());
+      try (EventLoopBlocker blocker = fixture.blockLoop();
           TestClient client = fixture.client()) {
-        chunk(watch, list(50, true, ready(listed, "s-9"))); // Told first, in the same turn
-        client.send(TestClient.get("/api/x", "")); // as the choice is made.
-        gate.close();
+        sendChunk(watch, list(50, true, inService(listed, "s-9"))); // Read first, in the same turn
+        client.send(TestClient.get("/api/x", "")); // of the loop as the request.
+        blocker.close();
         assertEquals("listed", client.read().text());
       }
     }
   }
 
   @Test
-  void oneThatIsResetJustAfterAWholeListLeavesTheListInForce() throws Exception {
+  void listStaysInForceWhenItsWatchIsReset() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer upstream = StubServer.serving("found");
-        BalancerFixture fixture = new BalancerFixture().pushed(discovery).start()) {
-      StubServer.Connection watch = open(nextWatch());
-      chunk(watch, list(50, true, ready(upstream, "s-9")));
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, list(50, true, inService(upstream, "s-9")));
       awaitServed(fixture);
       watch.reset();
-      open(nextWatch());
+      sendHead(nextWatch());
       assertServedBy(fixture, "found");
-      assertEquals("GET /discovery/hosts?stream=1&index=41 HTTP/1.1", discovery.request().start());
-      assertEquals("GET /discovery/hosts?stream=1&index=50 HTTP/1.1", discovery.request().start());
+      assertEquals(
+          "GET /discovery/hosts?stream=1&index=41 HTTP/1.1", discovery.awaitRequest().startLine());
+      assertEquals(
+          "GET /discovery/hosts?stream=1&index=50 HTTP/1.1", discovery.awaitRequest().startLine());
     }
   }
 
-  /** In order, in the middle of a line: what had begun is not told. */
+  /** The response ends properly but inside a line; the partial line is not applied. */
   @Test
-  void oneThatEndsInsideALineIsReplacedAndTellsNothing() throws Exception {
+  void watchEndingInsideLineIsReplacedAndLineIgnored() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer kept = StubServer.serving("kept");
-        BalancerFixture fixture = new BalancerFixture().upstream(kept).pushed(discovery).start()) {
-      StubServer.Connection watch = open(nextWatch());
-      chunk(watch, "\n");
+        StubServer kept = StubServer.answering("kept");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(kept).pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, "\n");
       String line = list(50, true);
-      chunk(watch, line.substring(0, line.length() - 2));
+      sendChunk(watch, line.substring(0, line.length() - 2));
       watch.send("0\r\n\r\n");
-      open(nextWatch());
+      sendHead(nextWatch());
       assertServedBy(fixture, "kept");
     }
   }
 
-  /** The times of the clock leave room for the next call, whatever grace the settings give. */
+  /** The timeouts leave enough time for the next call, whatever grace is configured. */
   @ParameterizedTest
   @ValueSource(longs = {500, 1000, 2000, 10_000})
-  void theClockLeavesTimeForTheNextCall(long grace) {
+  void timeoutsLeaveTimeForNextCall(long grace) {
     long slowestCall = 3000;
-    long latestRetry = 750; // Of the module, after a first failure.
-    DiscoveryTimeouts asked = new DiscoveryTimeouts(false, grace);
+    long latestRetry = 750; // The longest delay of the policy module after a first failure.
+    DiscoveryTimeouts notPushed = new DiscoveryTimeouts(false, grace);
     DiscoveryTimeouts pushed = new DiscoveryTimeouts(true, grace);
-    assertTrue(asked.lineMillis() > DiscoveryTimeouts.HEARTBEAT_MILLIS);
+    assertTrue(notPushed.lineTimeoutMillis() > DiscoveryTimeouts.HEARTBEAT_MILLIS);
     assertTrue(
-        asked.lineMillis() + latestRetry + slowestCall < DiscoveryTimeouts.TOLD_MILLIS + grace);
-    assertTrue(asked.firstLineMillis() > slowestCall);
-    assertTrue(pushed.firstLineMillis() + pushed.againMillis() < grace);
+        notPushed.lineTimeoutMillis() + latestRetry + slowestCall
+            < DiscoveryTimeouts.PROPAGATION_MILLIS + grace);
+    assertTrue(notPushed.firstLineTimeoutMillis() > slowestCall);
+    assertTrue(pushed.firstLineTimeoutMillis() + pushed.reopenDelayMillis() < grace);
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/EventLoopBlocker.java
+++ b/src/test/java/heathswitch/proxy/platform/EventLoopBlocker.java
@@ -3,26 +3,29 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds an event loop still, so that a test decides what it finds when it goes on. */
+/**
+ * Blocks an event loop until closed, so that a test decides which events are due when the loop
+ * continues.
+ */
 final class EventLoopBlocker implements AutoCloseable {
-  private final CountDownLatch open = new CountDownLatch(1);
+  private final CountDownLatch released = new CountDownLatch(1);
 
   EventLoopBlocker(EventLoop loop) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     loop.execute(
         () -> {
-          held.countDown();
+          blocked.countDown();
           try {
-            open.await();
+            released.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    held.await();
+    blocked.await();
   }
 
   @Override
   public void close() {
-    open.countDown();
+    released.countDown();
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/GracefulShutdownTest.java
+++ b/src/test/java/heathswitch/proxy/platform/GracefulShutdownTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drain goes on serving for a while, and owes nothing when it ends. */
+/** A drain continues to serve for a while, and every request is answered when it ends. */
 @Timeout(60)
 class GracefulShutdownTest {
   private static final int MOST_ATTEMPTS = 5;
   private static final long BETWEEN_MILLIS = 10;
 
-  /** A client that asks so soon after it has connected has to be answered. */
+  /** A client that sends its request within this time of connecting has to be answered. */
   private static final long PROMPT_MILLIS = 200;
 
   @Test
   void servesOpenConnectionsAndThenClosesThem() throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
       CountDownLatch drained = fixture.node().shutdown().drain();
       while (client.call(TestClient.get("/up", "")).status() != 503) {
-        Thread.onSpinWait(); // The drain begins on the loop, a moment later.
+        Thread.onSpinWait(); // The drain starts a moment later, on the event loop.
       }
       RawHttp.Message answer = client.call(TestClient.get("/api/x", ""));
       assertEquals(200, answer.status());
@@ -40,25 +40,25 @@
   }
 
   @Test
-  void failsWhatCannotBeAnsweredBeforeTheKill() throws Exception {
+  void failsRequestsThatCannotBeAnsweredBeforeTheKill() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    try (StubServer peer = StubServer.replying((connection, request) -> never.await());
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+    try (StubServer upstream = StubServer.replying((connection, request) -> never.await());
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.post("publish", "X-Deadline: 19\r\n", "x"));
-      peer.request();
+      upstream.awaitRequest();
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertEquals(502, client.read().status());
       assertTrue(drained.await(10, TimeUnit.SECONDS));
     }
   }
 
-  /** SIGKILL comes the sooner, the shorter the deadlines: what is taken late would be lost. */
+  /** With shorter deadlines SIGKILL comes sooner, and a request accepted late would be lost. */
   @Test
-  void endsTheSoonerTheShorterTheDeadlinesAre() throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture slow = new BalancerFixture().upstream(peer).start();
-        BalancerFixture quick = new BalancerFixture().upstream(peer).longest(300).start();
+  void endsSoonerWithShorterDeadlines() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture slow = new BalancerFixture().upstream(upstream).start();
+        BalancerFixture quick = new BalancerFixture().upstream(upstream).deadline(300).start();
         TestClient patient = slow.client();
         TestClient brief = quick.client()) {
       assertEquals(200, patient.call(TestClient.get("/api/x", "")).status());
@@ -66,27 +66,29 @@
       CountDownLatch later = slow.node().shutdown().drain();
       CountDownLatch sooner = quick.node().shutdown().drain();
       assertTrue(sooner.await(30, TimeUnit.SECONDS));
-      assertTrue(later.getCount() > 0, "begun first, and yet it takes longer");
+      assertTrue(later.getCount() > 0, "the first drain takes longer");
       assertEquals(200, patient.call(TestClient.get("/api/x", "")).status());
       assertTrue(later.await(30, TimeUnit.SECONDS));
     }
   }
 
   /**
-   * A client that has just connected has not had the time to ask: with short deadlines the balancer
-   * stops listening and taking in the same moment, and must not end that connection under the first
-   * request, which a client sends nowhere else.
+   * A client that has just connected has not had time to send its request. With short deadlines the
+   * balancer stops listening and accepting requests at the same moment; it must not close such a
+   * connection while its first request is on the way, because the client does not send it
+   * elsewhere.
    */
   @Test
-  void aClientThatConnectsAtTheEndOfTheListeningIsAnswered() throws Exception {
+  void clientConnectingJustBeforeListenerClosesIsAnswered() throws Exception {
     for (int attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
-      try (StubServer peer = StubServer.serving("ok");
-          BalancerFixture fixture = new BalancerFixture().upstream(peer).longest(300).start()) {
+      try (StubServer upstream = StubServer.answering("ok");
+          BalancerFixture fixture =
+              new BalancerFixture().upstream(upstream).deadline(300).start()) {
         CountDownLatch drained = fixture.node().shutdown().drain();
         try (LastClient last = LastClient.of(fixture)) {
           RawHttp.Message answer = last.client.call(TestClient.get("/api/late", ""));
           if (last.ageMillis() > PROMPT_MILLIS) {
-            continue; // This machine was held up, and the balancer need not have waited.
+            continue; // The test machine was slow, so the balancer need not have waited.
           }
           assertEquals(200, answer == null ? 0 : answer.status());
         }
@@ -97,11 +99,11 @@
     fail("no attempt was prompt enough to judge");
   }
 
-  /** One that asks for nothing does not hold up the end until the kill. */
+  /** A client that sends nothing must not keep the drain open until the kill. */
   @Test
-  void aClientThatConnectsAndIsSilentDoesNotHoldUpTheEnd() throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start()) {
+  void silentClientDoesNotDelayTheEnd() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start()) {
       CountDownLatch drained = fixture.node().shutdown().drain();
       try (LastClient last = LastClient.of(fixture)) {
         assertNull(last.client.read());
--- a/src/test/java/heathswitch/proxy/platform/LargeMessageTest.java
+++ b/src/test/java/heathswitch/proxy/platform/LargeMessageTest.java
@@ -16,12 +16,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Messages that are longer than is held, from peers and clients that take their time. */
+/**
+ * Messages that are larger than what the balancer buffers, with slow or failing upstreams and
+ * clients.
+ */
 @Timeout(60)
 class LargeMessageTest {
-  private static final int LONG = 3 << 20;
+  private static final int LARGE_BYTES = 3 << 20;
 
-  /** How an answer says where it ends. */
+  /** How the end of a body is marked. */
   enum Framing {
     LENGTH,
     CHUNKS,
@@ -36,18 +39,19 @@
           };
     }
 
-    void piece(StubServer.Connection to, byte[] bytes, int from, int until) throws IOException {
+    void sendPart(StubServer.Connection connection, byte[] bytes, int from, int until)
+        throws IOException {
       if (this == CHUNKS) {
-        to.send(Integer.toHexString(until - from) + "\r\n");
+        connection.send(Integer.toHexString(until - from) + "\r\n");
       }
-      to.out().write(bytes, from, until - from);
-      to.send(this == CHUNKS ? "\r\n" : "");
+      connection.out().write(bytes, from, until - from);
+      connection.send(this == CHUNKS ? "\r\n" : "");
     }
 
-    void end(StubServer.Connection to) throws IOException {
-      to.send(this == CHUNKS ? "0\r\n\r\n" : "");
+    void sendEnd(StubServer.Connection connection) throws IOException {
+      connection.send(this == CHUNKS ? "0\r\n\r\n" : "");
       if (this == CLOSE) {
-        to.socket().close();
+        connection.socket().close();
       }
     }
   }
@@ -58,101 +62,102 @@
     return bytes;
   }
 
-  private static StubServer answering(Framing framing, byte[] body, Pieces pieces)
+  private static StubServer answering(Framing framing, byte[] body, FirstPart firstPart)
       throws IOException {
     return StubServer.replying(
         (connection, request) -> {
           connection.send(framing.head(body.length));
-          framing.piece(connection, body, pieces.first(connection), body.length);
-          framing.end(connection);
+          framing.sendPart(connection, body, firstPart.send(connection), body.length);
+          framing.sendEnd(connection);
         });
   }
 
-  /** Sends the first of an answer; how many bytes that were. */
-  private interface Pieces {
-    int first(StubServer.Connection connection) throws Exception;
+  /** Sends the first part of an answer. */
+  private interface FirstPart {
+    /** Sends the first part and returns its length in bytes. */
+    int send(StubServer.Connection connection) throws Exception;
   }
 
-  /** The first of it is with the client before the upstream has sent the last. */
+  /** The client gets the first part before the upstream has sent the rest. */
   @ParameterizedTest
   @EnumSource(Framing.class)
-  void aLongAnswerGoesOnAsItComes(Framing framing) throws Exception {
-    byte[] body = body(LONG);
-    CountDownLatch begun = new CountDownLatch(1);
-    try (StubServer peer =
+  void largeAnswerIsStreamed(Framing framing) throws Exception {
+    byte[] body = body(LARGE_BYTES);
+    CountDownLatch headReceived = new CountDownLatch(1);
+    try (StubServer upstream =
             answering(
                 framing,
                 body,
                 connection -> {
-                  framing.piece(connection, body, 0, 200_000);
-                  begun.await();
+                  framing.sendPart(connection, body, 0, 200_000);
+                  headReceived.await();
                   return 200_000;
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
       RawHttp.Message head = RawHttp.readHead(client.in);
       assertEquals(200, head.status());
-      begun.countDown();
+      headReceived.countDown();
       assertArrayEquals(body, RawHttp.body(client.in, head));
       assertEquals(200, client.call(TestClient.get("/up", "")).status());
     }
   }
 
-  /** Short, and so slow that its client is owed what there is. */
+  /** A short answer that is so slow that the client has to get what has arrived so far. */
   @ParameterizedTest
   @EnumSource(Framing.class)
-  void aSlowAnswerGoesOnToo(Framing framing) throws Exception {
+  void slowAnswerIsStreamed(Framing framing) throws Exception {
     byte[] body = body(40);
-    CountDownLatch begun = new CountDownLatch(1);
-    try (StubServer peer =
+    CountDownLatch headReceived = new CountDownLatch(1);
+    try (StubServer upstream =
             answering(
                 framing,
                 body,
                 connection -> {
                   int sent = 0;
-                  while (sent < 30 && begun.getCount() > 0) {
-                    framing.piece(connection, body, sent, ++sent);
-                    Thread.sleep(100); // The pace of the play; nothing is judged by it.
+                  while (sent < 30 && headReceived.getCount() > 0) {
+                    framing.sendPart(connection, body, sent, ++sent);
+                    Thread.sleep(100); // Only sets the pace; no assertion depends on it.
                   }
-                  begun.await();
+                  headReceived.await();
                   return sent;
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
       RawHttp.Message head = RawHttp.readHead(client.in);
       assertEquals(200, head.status());
-      begun.countDown();
+      headReceived.countDown();
       assertArrayEquals(body, RawHttp.body(client.in, head));
     }
   }
 
   @Test
-  void aShortAnswerThatEndsWithItsConnectionIsServed() throws Exception {
-    try (StubServer peer =
+  void shortAnswerEndedByCloseIsServed() throws Exception {
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   connection.send("HTTP/1.0 200 OK\r\n\r\nwhole");
                   connection.socket().close();
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
       assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
-  /** Cut off, it must not pass for whole. */
+  /** A truncated answer must not be taken for a complete one. */
   @Test
-  void anAnswerWithoutLengthThatIsResetIsNoAnswer() throws Exception {
-    try (StubServer peer =
+  void answerWithoutLengthEndedByResetFails() throws Exception {
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   connection.send("HTTP/1.1 200 OK\r\n\r\nhal");
                   connection.reset();
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       assertEquals(502, client.call(TestClient.post("publish", "", "x")).status());
     }
@@ -160,35 +165,38 @@
 
   @ParameterizedTest
   @EnumSource(Framing.class)
-  void aLongAnswerThatBreaksOffIsSeenToBeCut(Framing framing) throws Exception {
-    byte[] body = body(LONG);
-    try (StubServer peer =
+  void truncatedLargeAnswerIsDetectableByClient(Framing framing) throws Exception {
+    byte[] body = body(LARGE_BYTES);
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   connection.send(framing.head(body.length));
-                  framing.piece(connection, body, 0, 200_000);
+                  framing.sendPart(connection, body, 0, 200_000);
                   connection.reset();
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
       assertThrows(IOException.class, () -> RawHttp.body(client.in, RawHttp.readHead(client.in)));
-      assertEquals(1, peer.requests.size(), "begun, it is not tried again");
+      assertEquals(1, upstream.requests.size(), "no retry once the answer has started");
     }
   }
 
-  /** A client that knows no chunks gets an end of the connection, and a reset where it is cut. */
+  /**
+   * HTTP/1.0 has no chunked encoding: the end of the answer is the close of the connection, and a
+   * reset if the answer was truncated.
+   */
   @Test
-  void anOldClientGetsALongAnswerToTheEndOfItsConnection() throws Exception {
-    byte[] body = body(LONG);
-    try (StubServer peer =
+  void http10ClientGetsLargeAnswerEndedByClose() throws Exception {
+    byte[] body = body(LARGE_BYTES);
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   connection.send(Framing.CHUNKS.head(0));
-                  Framing.CHUNKS.piece(connection, body, 0, body.length);
-                  Framing.CHUNKS.end(connection);
+                  Framing.CHUNKS.sendPart(connection, body, 0, body.length);
+                  Framing.CHUNKS.sendEnd(connection);
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", "").replace("HTTP/1.1", "HTTP/1.0"));
       RawHttp.Message head = RawHttp.readHead(client.in);
@@ -197,12 +205,15 @@
     }
   }
 
-  /** Nothing is read that the client does not take: it would have to be held. */
+  /**
+   * The balancer reads no more from the upstream than the client takes; it would have to buffer the
+   * rest.
+   */
   @Test
-  void aClientThatDoesNotReadHoldsUpItsUpstream() throws Exception {
+  void clientThatDoesNotReadCausesBackpressureOnUpstream() throws Exception {
     byte[] body = body(40 << 20);
     AtomicLong sent = new AtomicLong();
-    try (StubServer peer =
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   connection.socket().setSendBufferSize(64 << 10);
@@ -212,39 +223,39 @@
                     sent.addAndGet(65536);
                   }
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = new TestClient(fixture.address(), 64 << 10)) {
       client.send(TestClient.get("/api/x", ""));
       RawHttp.Message head = RawHttp.readHead(client.in);
       long before = -1;
-      while (sent.get() != before) { // Until nothing goes on any more.
+      while (sent.get() != before) { // Until the upstream makes no more progress.
         before = sent.get();
         Thread.sleep(500);
       }
       assertTrue(
-          before < body.length / 2, before + " bytes were taken for a client that reads none");
+          before < body.length / 2, before + " bytes were read for a client that reads none");
       assertArrayEquals(body, RawHttp.body(client.in, head));
     }
   }
 
   @Test
-  void aClientThatGoesEndsTheAnswerOfItsUpstream() throws Exception {
+  void clientDisconnectEndsUpstreamAnswer() throws Exception {
     byte[] body = body(1 << 20);
-    try (StubServer peer =
+    try (StubServer upstream =
             new StubServer(
                 connection -> {
                   RawHttp.read(connection.in());
                   connection.send(Framing.CHUNKS.head(0));
                   while (true) {
-                    Framing.CHUNKS.piece(connection, body, 0, body.length);
+                    Framing.CHUNKS.sendPart(connection, body, 0, body.length);
                   }
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start()) {
       try (TestClient client = fixture.client()) {
         client.send(TestClient.get("/api/x", ""));
         RawHttp.readHead(client.in);
       }
-      assertEquals(0, peer.ended.take());
+      assertEquals(0, upstream.ended.take());
     }
   }
 
@@ -255,26 +266,26 @@
         .replace("Content-Length: 0", framing);
   }
 
-  /** The upstream has the first of it before the client has sent the last. */
+  /** The upstream gets the first part before the client has sent the rest. */
   @ParameterizedTest
   @EnumSource(
       value = Framing.class,
       names = {"LENGTH", "CHUNKS"})
-  void aLongBodyGoesOnAsItComes(Framing framing) throws Exception {
-    byte[] body = body(LONG);
-    CountDownLatch seen = new CountDownLatch(1);
-    byte[][] got = new byte[1][];
-    double[] told = new double[1];
-    try (StubServer peer =
+  void largeBodyIsStreamed(Framing framing) throws Exception {
+    byte[] body = body(LARGE_BYTES);
+    CountDownLatch headSeen = new CountDownLatch(1);
+    byte[][] received = new byte[1][];
+    double[] deadlineSeconds = new double[1];
+    try (StubServer upstream =
             new StubServer(
                 connection -> {
                   RawHttp.Message head = RawHttp.readHead(connection.in());
-                  told[0] = Double.parseDouble(head.headers().get("x-deadline"));
-                  seen.countDown();
-                  got[0] = RawHttp.body(connection.in(), head);
+                  deadlineSeconds[0] = Double.parseDouble(head.headers().get("x-deadline"));
+                  headSeen.countDown();
+                  received[0] = RawHttp.body(connection.in(), head);
                   connection.answer(200, "", "done");
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       StubServer.Connection out =
           new StubServer.Connection(0, client.socket, client.in, client.out);
@@ -284,29 +295,32 @@
                   ? "Content-Length: " + body.length
                   : "Transfer-Encoding: chunked"));
       int first = 2 << 20;
-      framing.piece(out, body, 0, first);
-      seen.await();
-      framing.piece(out, body, first, body.length);
-      framing.end(out);
+      framing.sendPart(out, body, 0, first);
+      headSeen.await();
+      framing.sendPart(out, body, first, body.length);
+      framing.sendEnd(out);
       assertEquals("done", client.read().text());
-      assertArrayEquals(body, got[0]);
-      assertTrue(told[0] <= 9, "told more than its client waits: " + told[0]);
+      assertArrayEquals(body, received[0]);
+      assertTrue(deadlineSeconds[0] <= 9, "longer than the client waits: " + deadlineSeconds[0]);
       assertEquals(200, client.call(TestClient.get("/up", "")).status());
     }
   }
 
-  /** Its last byte never came, so nothing ran: a retry is harmless, and the client learns so. */
+  /**
+   * The last byte was never sent, so the request did not run; the status tells the client that it
+   * may retry.
+   */
   @Test
-  void aLongBodyWhoseUpstreamBreaksIsRefused() throws Exception {
-    byte[] body = body(LONG);
-    try (StubServer peer =
+  void largeBodyIsRefusedWhenUpstreamResets() throws Exception {
+    byte[] body = body(LARGE_BYTES);
+    try (StubServer upstream =
             new StubServer(
                 connection -> {
                   RawHttp.readHead(connection.in());
                   connection.in().readNBytes(1 << 20);
                   connection.reset();
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(postHead("Content-Length: " + body.length));
       client.out.write(body, 0, body.length - 1);
@@ -316,18 +330,19 @@
     }
   }
 
-  /** Held up by its upstream, a client is told so in good time and not at its deadline. */
+  /** A client whose upstream reads nothing is refused early, and not only at its deadline. */
   @Test
-  void aLongBodyWhoseUpstreamTakesNothingIsRefused() throws Exception {
+  void largeBodyIsRefusedWhenUpstreamReadsNothing() throws Exception {
     byte[] body = body(30 << 20);
     CountDownLatch end = new CountDownLatch(1);
-    try (StubServer peer =
+    try (StubServer upstream =
             new StubServer(
                 connection -> {
                   RawHttp.readHead(connection.in());
                   end.await();
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).longest(600_000).start();
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(upstream).deadline(600_000).start();
         TestClient client = fixture.client()) {
       client.send(
           postHead("Content-Length: " + body.length).replace("Deadline: 9", "Deadline: 600"));
@@ -337,7 +352,7 @@
                 try {
                   client.out.write(body);
                 } catch (IOException e) {
-                  // The connection ends before all of it is taken.
+                  // The connection is closed before the whole body is read.
                 }
               });
       sender.start();
@@ -346,12 +361,12 @@
     }
   }
 
-  /** The time of a request counts from its last byte. */
+  /** The deadline counts from the last byte of the request. */
   @Test
-  void aBodyThatTakesLongerThanTheDeadlineIsInTime() throws Exception {
+  void slowBodyDoesNotUseUpDeadline() throws Exception {
     byte[] body = body(1 << 18);
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(
           postHead("Content-Length: " + body.length).replace("X-Deadline: 9", "X-Deadline: 2"));
@@ -365,13 +380,13 @@
   }
 
   @Test
-  void aBodyThatStopsShortIsNotWaitedFor() throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+  void incompleteBodyTimesOut() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient shortOne = fixture.client();
         TestClient longOne = fixture.client()) {
       shortOne.send(postHead("Content-Length: 9") + "half");
-      longOne.send(postHead("Content-Length: " + LONG));
+      longOne.send(postHead("Content-Length: " + LARGE_BYTES));
       longOne.out.write(body(1 << 20));
       longOne.out.flush();
       assertEquals(408, shortOne.read().status());
--- a/src/test/java/heathswitch/proxy/platform/LifecycleRaceTest.java
+++ b/src/test/java/heathswitch/proxy/platform/LifecycleRaceTest.java
@@ -20,69 +20,79 @@
 import org.junit.jupiter.api.io.TempDir;
 import testing.Await;
 
-/** What crosses a close, a drain or a reload: each test forces the order in which things come. */
+/**
+ * Events that race with a closing connection, a drain or a reload. Each test forces the order of
+ * the events.
+ */
 @Timeout(60)
 class LifecycleRaceTest {
   private static final int ANSWER_BYTES = 12_000;
   private static final int SMALL_WINDOW = 2048;
 
-  /** Past the time for which connections are taken, where deadlines are of 1.5 s. */
-  private static final long TAKING_ENDS_NANOS = 800_000_000L;
+  /** Longer than a drain accepts requests when deadlines are 1.5 s. */
+  private static final long ACCEPTING_ENDS_NANOS = 800_000_000L;
 
   @TempDir Path folder;
 
-  private final PendingCalls held = new PendingCalls();
+  private final PendingCalls calls = new PendingCalls();
 
-  /** A close over unread bytes would be a reset, and cut off what the client has not read yet. */
+  /**
+   * Closing a socket with unread bytes sends a reset, which would cut off the part of the answer
+   * that the client has not read yet.
+   */
   @Test
-  void anAnswerArrivesWholeThoughBytesWaitBehindItsRequest() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void answerArrivesCompleteDespiteUnreadPipelinedBytes() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = new TestClient(fixture.address(), SMALL_WINDOW)) {
       client.send(TestClient.get("/api/x", "Connection: close\r\n"));
-      StubServer.Connection call = held.next();
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
+      StubServer.Connection call = calls.next();
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
         call.answer(200, "", "x".repeat(ANSWER_BYTES));
         client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
       }
-      // Nothing is read before the balancer has let go of it: only the one to the upstream is left.
-      Await.until("the connection is closed", () -> fixture.connections() <= 1);
+      // The client reads only after the balancer has closed its connection; the one to the upstream
+      // remains.
+      Await.until("the client connection is closed", () -> fixture.connections() <= 1);
       assertEquals(ANSWER_BYTES, client.read().body().length);
-      assertNull(client.read(), "and then it ends in order");
+      assertNull(client.read(), "then the connection ends without a reset");
     }
   }
 
-  /** It crosses the close, so its client sends it once more on another connection. */
+  /** The request crosses the close, so its client sends it again on another connection. */
   @Test
-  void aRequestThatComesAfterTheCloseIsNeverSentOn() throws Exception {
-    try (StubServer upstream = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(300).start();
+  void requestAfterCloseIsNotForwarded() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).deadline(300).start();
         TestClient client = fixture.client()) {
       assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
-      upstream.request();
+      upstream.awaitRequest();
       CountDownLatch drained = fixture.node().shutdown().drain();
-      assertNull(client.read(), "the resting connection is ended");
+      assertNull(client.read(), "the idle connection is closed");
       client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
       assertNull(client.read(), "without a reset");
       assertTrue(drained.await(30, TimeUnit.SECONDS));
-      assertTrue(upstream.requests.isEmpty(), "nothing was sent on");
+      assertTrue(upstream.requests.isEmpty(), "nothing was forwarded");
     }
   }
 
-  /** The end of the taking and the request wait for the same turn, and the end comes first. */
+  /**
+   * The timer that ends the accepting of requests and the request are both due in the same turn of
+   * the event loop, and the timer runs first.
+   */
   @Test
-  void bytesThatCameBeforeTheCloseAreARequestLikeAnyOther() throws Exception {
-    try (StubServer upstream = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(1500).start();
+  void requestReceivedBeforeCloseIsServed() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).deadline(1500).start();
         TestClient client = fixture.client()) {
       assertEquals(200, client.call(TestClient.get("/api/x", "")).status());
       CountDownLatch drained = fixture.node().shutdown().drain();
-      long begunNanos = System.nanoTime();
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
+      long startNanos = System.nanoTime();
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
         client.send(TestClient.get("/api/y", "").replace("r1", "r2"));
         Await.until(
-            "the end of the taking is due",
-            () -> System.nanoTime() - begunNanos > TAKING_ENDS_NANOS);
+            "the end of accepting requests is due",
+            () -> System.nanoTime() - startNanos > ACCEPTING_ENDS_NANOS);
       }
       assertEquals(200, client.read().status());
       assertTrue(drained.await(30, TimeUnit.SECONDS));
@@ -90,8 +100,8 @@
   }
 
   @Test
-  void aBodyThatComesWholeWhenNothingCanBeAnsweredAnyMoreIsRefusedAtOnce() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void bodyCompletedAfterAllRequestsWereFailedIsRefusedAtOnce() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       String request = TestClient.post("publish", "", "body");
@@ -99,31 +109,31 @@
       fixture.node().loop().submit(() -> fixture.node().dispatcher().failAll()).sync();
       client.send(request.substring(request.length() - 2));
       assertEquals(503, client.read().status());
-      fixture.awaitLive(0);
-      assertTrue(upstream.requests.isEmpty(), "nothing was sent on");
+      fixture.awaitLiveRequests(0);
+      assertTrue(upstream.requests.isEmpty(), "nothing was forwarded");
     }
   }
 
   @Test
-  void aRetryThatIsDueDuringTheDrainIsMade() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void retryIsSentDuringDrain() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
-      StubServer.Connection first = held.next();
+      StubServer.Connection first = calls.next();
       CountDownLatch drained = fixture.node().shutdown().drain();
       first.answer(500, "", "an error");
-      held.next().answer(200, "", "second");
+      calls.next().answer(200, "", "second");
       assertEquals("second", client.read().text());
       assertTrue(drained.await(30, TimeUnit.SECONDS));
     }
   }
 
-  /** SIGTERM may come while the process still starts: nobody is taken, and it ends. */
+  /** SIGTERM may come while the process is still starting: it then accepts no client and ends. */
   @Test
-  void aDrainBeforeTheStartTakesNobody() throws Exception {
-    try (StubServer upstream = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(upstream).longest(300).build()) {
+  void drainBeforeStartPreventsListening() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).deadline(300).build()) {
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertTrue(drained.await(30, TimeUnit.SECONDS));
       fixture.balancer().start();
@@ -131,10 +141,10 @@
     }
   }
 
-  /** The drain comes between the look whether it has begun and the bound address. */
+  /** The drain begins after the start has checked for a drain and before the address is bound. */
   @Test
-  void aDrainWhileTheAddressIsBoundTakesNobody() throws Exception {
-    try (StubServer upstream = StubServer.serving("ok");
+  void drainDuringBindClosesListener() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).build()) {
       Node node = fixture.node();
       ClientServer server = new ClientServer(node.loop(), new Clock(), node.budget());
@@ -145,14 +155,15 @@
                 return null;
               });
       Thread starting = new Thread(start);
-      try (EventLoopBlocker gate = new EventLoopBlocker(node.loop())) {
+      try (EventLoopBlocker blocker = new EventLoopBlocker(node.loop())) {
         starting.start();
-        Await.until("it binds", () -> starting.getState() == Thread.State.WAITING);
+        Await.until(
+            "the server waits for the bind", () -> starting.getState() == Thread.State.WAITING);
         node.loop().execute(server::stopListening);
       }
       start.get(30, TimeUnit.SECONDS);
-      assertNotNull(server.address(), "it was bound");
-      Await.until("closed", () -> refuses(server.address()));
+      assertNotNull(server.address(), "the address was bound");
+      Await.until("the listener is closed", () -> refuses(server.address()));
     }
   }
 
@@ -167,12 +178,12 @@
   }
 
   @Test
-  void aSecondSignalChangesNothing() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void secondDrainReturnsTheFirst() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
-      StubServer.Connection call = held.next();
+      StubServer.Connection call = calls.next();
       CountDownLatch drained = fixture.node().shutdown().drain();
       assertEquals(drained, fixture.node().shutdown().drain());
       call.answer(200, "", "ok");
@@ -182,15 +193,16 @@
   }
 
   @Test
-  void aReloadJustBeforeOrAfterTheSignalLosesNothing() throws Exception {
+  void reloadsAroundDrainLoseNoRequest() throws Exception {
     Path file = folder.resolve("config.json");
-    try (StubServer upstream = held.upstream();
+    try (StubServer upstream = calls.startUpstream();
         StubServer discovery = StubServer.replying((connection, request) -> {});
-        BalancerFixture fixture = new BalancerFixture().upstream(upstream).file(file).start();
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(upstream).writeConfig(file).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
-      StubServer.Connection call = held.next();
-      fixture.pushed(discovery).file(file);
+      StubServer.Connection call = calls.next();
+      fixture.pushedBy(discovery).writeConfig(file);
       fixture.reload().reload();
       CountDownLatch drained = fixture.node().shutdown().drain();
       Files.writeString(file, "{ cut off");
@@ -201,27 +213,27 @@
     }
   }
 
-  /** The second copy comes when the next request is already out on the same connection. */
+  /** The duplicate arrives when the next request was already sent on the same connection. */
   @Test
-  void aSecondAnswerThatComesLateIsNotTheNextOne() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void lateDuplicateAnswerIsNotServedToNextRequest() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient first = fixture.client();
         TestClient second = fixture.client()) {
       first.send(TestClient.get("/api/x", ""));
-      StubServer.Connection spoilt = held.next();
-      spoilt.answer(200, "", "one");
-      spoilt.answer(200, "", "one"); // From here on such answers are to be expected.
+      StubServer.Connection duplicated = calls.next();
+      duplicated.answer(200, "", "one");
+      duplicated.answer(200, "", "one"); // From now on the balancer has to expect duplicates.
       assertEquals("one", first.read().text());
 
       first.send(TestClient.get("/api/x", "").replace("r1", "r2"));
-      StubServer.Connection late = held.next();
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
+      StubServer.Connection late = calls.next();
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
         late.answer(200, "", "two");
         second.send(TestClient.get("/api/x", "").replace("r1", "r3"));
       }
       assertEquals("two", first.read().text());
-      StubServer.Connection next = held.next();
+      StubServer.Connection next = calls.next();
       late.answer(200, "", "two");
       next.answer(200, "", "three");
       assertEquals("three", second.read().text());
--- a/src/test/java/heathswitch/proxy/platform/MalformedResponseTest.java
+++ b/src/test/java/heathswitch/proxy/platform/MalformedResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Only the answer that was made for a request is served, and a spoilt one does not hold it up. */
+/** Only the answer that belongs to a request is served, and a malformed one does not delay it. */
 @Timeout(60)
 class MalformedResponseTest {
   @ParameterizedTest
@@ -24,24 +24,25 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\na body that stops",
         "\u0001\u0002noise"
       })
-  void fails(String answer) throws Exception {
-    try (StubServer peer = StubServer.replying((connection, request) -> connection.send(answer));
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+  void malformedAnswerToUnsafeRequestFails(String answer) throws Exception {
+    try (StubServer upstream =
+            StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       assertEquals(
           502, client.call(TestClient.post("publish", "X-Deadline: 19\r\n", "x")).status());
-      assertEquals(1, peer.requests.size(), "it may have run and must not run again");
+      assertEquals(1, upstream.requests.size(), "it may have run and must not run again");
     }
   }
 
   @Test
-  void isTriedAgainElsewhereWhereThatIsAllowed() throws Exception {
-    int[] asked = new int[1];
-    StubServer.Reply reply =
+  void truncatedAnswerToSafeRequestIsRetriedElsewhere() throws Exception {
+    int[] received = new int[1];
+    StubServer.RequestHandler handler =
         (connection, request) -> {
           boolean first;
-          synchronized (asked) {
-            first = asked[0]++ == 0;
+          synchronized (received) {
+            first = received[0]++ == 0;
           }
           if (first) {
             connection.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal");
@@ -49,8 +50,8 @@
             connection.answer(200, "", "whole");
           }
         };
-    try (StubServer one = StubServer.replying(reply);
-        StubServer other = StubServer.replying(reply);
+    try (StubServer one = StubServer.replying(handler);
+        StubServer other = StubServer.replying(handler);
         BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
         TestClient client = fixture.client()) {
       assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
@@ -59,8 +60,8 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "noise", "\n"})
-  void moreThanBelongsToAnAnswerIsNotTheNextOne(String more) throws Exception {
-    try (StubServer peer =
+  void extraBytesAfterAnswerAreNotTheNextAnswer(String extra) throws Exception {
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   String id = request.headers().get("x-request-id");
@@ -70,9 +71,9 @@
                           + id.length()
                           + "\r\n\r\n"
                           + id
-                          + more);
+                          + extra);
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         String id = "id" + i;
@@ -83,10 +84,10 @@
   }
 
   @Test
-  void aRequestThatTheUpstreamCallsBadIsNotSentToTheNext() throws Exception {
-    StubServer.Reply reply = (connection, request) -> connection.answer(400, "", "");
-    try (StubServer one = StubServer.replying(reply);
-        StubServer other = StubServer.replying(reply);
+  void badRequestAnswerIsNotRetriedElsewhere() throws Exception {
+    StubServer.RequestHandler handler = (connection, request) -> connection.answer(400, "", "");
+    try (StubServer one = StubServer.replying(handler);
+        StubServer other = StubServer.replying(handler);
         BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
         TestClient client = fixture.client()) {
       RawHttp.Message answer = client.call(TestClient.get("/api/x", ""));
@@ -97,18 +98,18 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLongOneIsServedWhole(boolean chunked) throws Exception {
+  void largeAnswerIsServedCompletely(boolean chunked) throws Exception {
     String body = "0123456789abcdef".repeat(20_000);
     String head =
         chunked
             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n"
             : "Content-Length: " + body.length() + "\r\n\r\n";
     String answer = "HTTP/1.1 200 OK\r\n" + head + body + (chunked ? "\r\n0\r\n\r\n" : "");
-    try (StubServer peer = StubServer.replying((connection, request) -> connection.send(answer));
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+    try (StubServer upstream =
+            StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
-      // More than memory holds, if any were kept, and enough for second copies to go out beside
-      // some.
+      // Exceeds the memory if answers leak, and is enough for some of the calls to be hedged.
       for (int i = 0; i < 400; i++) {
         assertEquals(body, client.call(TestClient.get("/api/x", "")).text());
       }
--- a/src/test/java/heathswitch/proxy/platform/MisbehavingClientTest.java
+++ b/src/test/java/heathswitch/proxy/platform/MisbehavingClientTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is no sound request gets an error or a close, and no upstream hears of it. */
+/**
+ * Malformed, incomplete and abusive requests get an error or a closed connection and are not sent
+ * to an upstream.
+ */
 @Timeout(60)
 class MisbehavingClientTest {
   private static final String HEAD =
@@ -33,19 +36,19 @@
         "X-Deadline: soon\r\nContent-Length: 0\r\n\r\n",
         "Content-Length: 100\r\n\r\nhalf a body, and then nothing"
       })
-  void isTurnedAway(String rest) throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+  void malformedRequestIsRejected(String malformedPart) throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
-      int status = client.call(HEAD + rest).status();
+      int status = client.call(HEAD + malformedPart).status();
       assertTrue(status >= 400 && status < 500, "status " + status);
-      assertEquals(0, peer.requests.size());
+      assertEquals(0, upstream.requests.size());
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /api/x HT", "GET /api/x HTTP/1.1\r\nX-Pad: a\r\n"})
-  void isNotWaitedForLong(String start) throws Exception {
+  void incompleteHeadTimesOut(String start) throws Exception {
     try (BalancerFixture fixture = new BalancerFixture().start();
         TestClient client = fixture.client()) {
       client.send(start);
@@ -59,30 +62,30 @@
   }
 
   @Test
-  void mayNotTakeTheIdOfAnOpenRequest() throws Exception {
+  void idOfOpenRequestIsRejectedForAnotherRequest() throws Exception {
     CountDownLatch answer = new CountDownLatch(1);
-    try (StubServer peer =
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> {
                   answer.await();
                   connection.answer(200, "", "mine");
                 });
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient owner = fixture.client();
         TestClient other = fixture.client()) {
       owner.send(TestClient.get("/api/x", "X-Deadline: 19\r\n"));
-      peer.request();
+      upstream.awaitRequest();
       assertEquals(400, other.call(TestClient.get("/api/x", "")).status());
       answer.countDown();
       assertEquals("mine", owner.read().text());
-      assertEquals(0, peer.requests.size());
+      assertEquals(0, upstream.requests.size());
     }
   }
 
   @Test
-  void floodsAreNotPassedOn() throws Exception {
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+  void pipelinedFloodIsNotForwarded() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       StringBuilder flood = new StringBuilder();
       for (int i = 0; i < 400; i++) {
@@ -97,15 +100,15 @@
       } catch (IOException e) {
         // A reset ends the connection as well.
       }
-      assertTrue(answers < 10 && peer.requests.size() < 10, answers + " answers");
+      assertTrue(answers < 10 && upstream.requests.size() < 10, answers + " answers");
     }
   }
 
   @Test
-  void silentOnesDoNotKeepOthersOut() throws Exception {
+  void idleConnectionsDoNotBlockNewClients() throws Exception {
     List<TestClient> silent = new ArrayList<>();
-    try (StubServer peer = StubServer.serving("ok");
-        BalancerFixture fixture = new BalancerFixture().sockets(96).upstream(peer).start()) {
+    try (StubServer upstream = StubServer.answering("ok");
+        BalancerFixture fixture = new BalancerFixture().maxSockets(96).upstream(upstream).start()) {
       TestClient regular = fixture.client();
       assertEquals(200, regular.call(TestClient.get("/api/x", "")).status());
       for (int i = 0; i < 200; i++) {
@@ -115,7 +118,9 @@
         assertEquals(200, late.call(TestClient.get("/api/x", "")).status());
       }
       assertEquals(
-          200, regular.call(TestClient.get("/api/x", "")).status(), "its connection is kept");
+          200,
+          regular.call(TestClient.get("/api/x", "")).status(),
+          "the connection of the active client is kept");
       regular.close();
     } finally {
       for (TestClient client : silent) {
@@ -125,14 +130,14 @@
   }
 
   @Test
-  void aLongBodyIsNoFault() throws Exception {
+  void largeBodiesAreServed() throws Exception {
     String body = "0123456789abcdef".repeat(20_000);
-    try (StubServer peer =
+    try (StubServer upstream =
             StubServer.replying(
                 (connection, request) -> connection.answer(200, "", "" + request.body().length));
-        BalancerFixture fixture = new BalancerFixture().upstream(peer).start();
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
-      for (int i = 0; i < 40; i++) { // More than the budget holds, if any of it were kept.
+      for (int i = 0; i < 40; i++) { // Exceeds the memory budget if bodies leak.
         assertEquals("" + body.length(), client.call(TestClient.post("publish", "", body)).text());
       }
     }
--- a/src/test/java/heathswitch/proxy/platform/PendingCalls.java
+++ b/src/test/java/heathswitch/proxy/platform/PendingCalls.java
@@ -6,28 +6,28 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Calls that have reached an upstream and whose answers a test gives when it wants to. */
+/** Calls that have reached a stub upstream and that the test answers when it chooses to. */
 final class PendingCalls {
   private final BlockingQueue<StubServer.Connection> calls = new LinkedBlockingQueue<>();
 
-  /** An upstream that reads each request and leaves its answer to the test. */
-  StubServer upstream() throws Exception {
+  /** Starts an upstream that reads each request and leaves the answer to the test. */
+  StubServer startUpstream() throws Exception {
     return StubServer.replying((connection, request) -> calls.add(connection));
   }
 
-  /** A call has come on a connection. */
+  /** Adds the connection on which a call was received. */
   void add(StubServer.Connection connection) {
     calls.add(connection);
   }
 
-  /** The next call, which may still be on its way. */
+  /** Waits for the next call and returns its connection. */
   StubServer.Connection next() throws InterruptedException {
     StubServer.Connection connection = calls.poll(30, TimeUnit.SECONDS);
-    assertNotNull(connection, "the call does not reach the upstream");
+    assertNotNull(connection, "no call reached the upstream");
     return connection;
   }
 
-  /** Whether no call has come that the test has not taken. */
+  /** Whether the test has taken all calls received so far. */
   boolean isEmpty() {
     return calls.isEmpty();
   }
--- a/src/test/java/heathswitch/proxy/platform/RawHttp.java
+++ b/src/test/java/heathswitch/proxy/platform/RawHttp.java
@@ -8,12 +8,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Just enough of HTTP to play the other side of a socket byte by byte. */
+/** A minimal HTTP/1.1 parser for tests that read and write sockets byte by byte. */
 final class RawHttp {
-  /** A message as it came: its first line, its headers with lower-case names, its body. */
-  record Message(String start, Map<String, String> headers, byte[] body) {
+  /** A message as received: its first line, its headers with lower-case names, and its body. */
+  record Message(String startLine, Map<String, String> headers, byte[] body) {
     int status() {
-      return Integer.parseInt(start.split(" ")[1]);
+      return Integer.parseInt(startLine.split(" ")[1]);
     }
 
     String text() {
@@ -27,57 +27,60 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The first line and the headers, or null at the end of the connection. */
+  /** Reads the first line and the headers; null at the end of the connection. */
   static Message readHead(InputStream in) throws IOException {
-    String start = line(in);
-    if (start == null) {
+    String startLine = readLine(in);
+    if (startLine == null) {
       return null;
     }
     Map<String, String> headers = new LinkedHashMap<>();
-    for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
+    for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
       int colon = line.indexOf(':');
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
     }
-    return new Message(start, headers, new byte[0]);
+    return new Message(startLine, headers, new byte[0]);
   }
 
-  /** A whole message, or null at the end of the connection; a cut one is an EOFException. */
+  /**
+   * Reads a complete message; null at the end of the connection. A truncated message throws an
+   * EOFException.
+   */
   static Message read(InputStream in) throws IOException {
     Message head = readHead(in);
     if (head == null) {
       return null;
     }
-    return new Message(head.start(), head.headers(), body(in, head));
+    return new Message(head.startLine(), head.headers(), body(in, head));
   }
 
-  /** What follows a head, as the head says where it ends. */
+  /** Reads the body, whose length or encoding the headers give. */
   static byte[] body(InputStream in, Message head) throws IOException {
     if ("chunked".equals(head.headers().get("transfer-encoding"))) {
-      return chunks(in);
+      return readChunks(in);
     } else if (head.headers().containsKey("content-length")) {
-      return exactly(in, Integer.parseInt(head.headers().get("content-length")));
+      return readExactly(in, Integer.parseInt(head.headers().get("content-length")));
     }
     return new byte[0];
   }
 
-  private static byte[] chunks(InputStream in) throws IOException {
+  private static byte[] readChunks(InputStream in) throws IOException {
     java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
     while (true) {
-      String size = line(in);
+      String size = readLine(in);
       if (size == null) {
-        throw new EOFException("chunk expected");
+        throw new EOFException("expected a chunk");
       }
       int length = Integer.parseInt(size, 16);
-      body.write(exactly(in, length));
-      line(in);
+      body.write(readExactly(in, length));
+      readLine(in);
       if (length == 0) {
         return body.toByteArray();
       }
     }
   }
 
-  private static byte[] exactly(InputStream in, int length) throws IOException {
+  private static byte[] readExactly(InputStream in, int length) throws IOException {
     byte[] body = in.readNBytes(length);
     if (body.length < length) {
       throw new EOFException(body.length + " bytes of " + length);
@@ -85,7 +88,7 @@
     return body;
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c >= 0; c = in.read()) {
       if (c == '\n') {
@@ -96,7 +99,7 @@
       }
     }
     if (line.length() > 0) {
-      throw new EOFException("cut inside a line");
+      throw new EOFException("connection ended inside a line");
     }
     return null;
   }
--- a/src/test/java/heathswitch/proxy/platform/ReloadSettingsTest.java
+++ b/src/test/java/heathswitch/proxy/platform/ReloadSettingsTest.java
@@ -14,26 +14,27 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A reload under requests: each is decided wholly by the settings that it was taken under. Before
- * the reload "view" may be repeated, after it it must never run twice, and the other way round.
+ * Reloads while requests are open: each request is handled entirely by the settings under which it
+ * was accepted. Before the reload the class "view" may be repeated and after it must not run twice;
+ * for the class "publish" it is the other way round.
  */
 @Timeout(60)
 class ReloadSettingsTest {
-  /** Calls that an upstream gets at once before it has answered any. */
+  /** How many calls at once an upstream gets before it has answered any. */
   private static final int WINDOW = 32;
 
   @TempDir Path folder;
 
-  private final PendingCalls held = new PendingCalls();
+  private final PendingCalls calls = new PendingCalls();
   private final List<TestClient> clients = new ArrayList<>();
   private Path file;
   private StubServer upstream;
   private BalancerFixture fixture;
 
   @BeforeEach
-  void put() throws Exception {
+  void setUp() throws Exception {
     file = folder.resolve("config.json");
-    upstream = held.upstream();
+    upstream = calls.startUpstream();
     fixture = new BalancerFixture().upstream(upstream);
   }
 
@@ -47,7 +48,7 @@
   }
 
   private void start() throws Exception {
-    fixture.file(file).start();
+    fixture.writeConfig(file).start();
   }
 
   private TestClient client() throws Exception {
@@ -56,112 +57,112 @@
     return client;
   }
 
-  /** The other way round, and in force when this returns. */
+  /** Swaps the effects of the two classes; the new settings are in force when this returns. */
   private void reload() throws Exception {
-    fixture.classes("view", "non_idempotent", "publish", "read_like").file(file);
+    fixture.classes("view", "non_idempotent", "publish", "read_like").writeConfig(file);
     fixture.reload().reload();
     fixture.node().loop().submit(() -> {}).sync();
   }
 
-  private static String get(String type, String id) {
-    return TestClient.get("/api/x", "").replace("r1", id).replace("view", type);
+  private static String get(String requestClass, String id) {
+    return TestClient.get("/api/x", "").replace("r1", id).replace("view", requestClass);
   }
 
-  private static String post(String type, String id) {
-    return TestClient.post(type, "", "x").replace("r1", id);
+  private static String post(String requestClass, String id) {
+    return TestClient.post(requestClass, "", "x").replace("r1", id);
   }
 
   @Test
-  void anAttemptThatIsOutIsRepeatedAsItCouldBeWhenItWasTaken() throws Exception {
+  void openRequestIsRetriedByItsOldSettings() throws Exception {
     start();
     TestClient before = client();
     before.send(get("view", "r1"));
-    StubServer.Connection attempt = held.next();
+    StubServer.Connection attempt = calls.next();
     reload();
     attempt.reset();
-    held.next().answer(200, "", "second");
+    calls.next().answer(200, "", "second");
     assertEquals("second", before.read().text());
   }
 
   @Test
-  void whatMustNotRunTwiceStaysSoThoughItsClassMayNow() throws Exception {
+  void openUnsafeRequestIsNotRetriedThoughItsClassIsNowSafe() throws Exception {
     start();
     TestClient before = client();
     before.send(post("publish", "r1"));
-    StubServer.Connection attempt = held.next();
+    StubServer.Connection attempt = calls.next();
     reload();
     attempt.reset();
     assertEquals(502, before.read().status(), "failed: it may have run");
     TestClient after = client();
     after.send(get("publish", "r2"));
-    held.next().reset();
-    held.next().answer(200, "", "second");
+    calls.next().reset();
+    calls.next().answer(200, "", "second");
     assertEquals("second", after.read().text());
-    assertTrue(held.isEmpty());
+    assertTrue(calls.isEmpty());
   }
 
   @Test
-  void oneBetweenTwoAttemptsGoesOnAsItBegan() throws Exception {
+  void requestBetweenTwoAttemptsKeepsItsOldSettings() throws Exception {
     start();
     TestClient before = client();
     before.send(get("view", "r1"));
-    StubServer.Connection attempt = held.next();
-    try (EventLoopBlocker gate = fixture.holdLoop()) {
-      attempt.reset(); // The end of the first attempt and the reload come in one turn.
-      fixture.classes("view", "non_idempotent", "publish", "read_like").file(file);
+    StubServer.Connection attempt = calls.next();
+    try (EventLoopBlocker blocker = fixture.blockLoop()) {
+      attempt.reset(); // The loop handles the reset and the reload in one turn.
+      fixture.classes("view", "non_idempotent", "publish", "read_like").writeConfig(file);
       fixture.reload().reload();
     }
-    held.next().answer(200, "", "second");
+    calls.next().answer(200, "", "second");
     assertEquals("second", before.read().text());
   }
 
   @Test
-  void oneThatWaitsIsSentAndRepeatedAsItWasTaken() throws Exception {
+  void queuedRequestIsSentAndRetriedByItsOldSettings() throws Exception {
     fixture.tier(1);
     start();
-    List<StubServer.Connection> full = new ArrayList<>();
+    List<StubServer.Connection> windowFillers = new ArrayList<>();
     for (int i = 0; i < WINDOW; i++) {
       client().send(get("view", "full" + i));
-      full.add(held.next());
+      windowFillers.add(calls.next());
     }
-    TestClient waits = client();
-    waits.send(get("view", "r1"));
-    fixture.awaitLive(WINDOW + 1);
+    TestClient queued = client();
+    queued.send(get("view", "r1"));
+    fixture.awaitLiveRequests(WINDOW + 1);
     reload();
-    full.get(0).answer(200, "", "room");
-    held.next().reset();
-    held.next().answer(200, "", "served");
-    assertEquals("served", waits.read().text());
+    windowFillers.get(0).answer(200, "", "room");
+    calls.next().reset();
+    calls.next().answer(200, "", "served");
+    assertEquals("served", queued.read().text());
   }
 
   @Test
-  void aRequestThatWasHalfReadIsTakenWhollyUnderTheNewSettings() throws Exception {
+  void partiallyReadRequestIsAcceptedByNewSettings() throws Exception {
     start();
     TestClient half = client();
     String request = post("publish", "r1");
     half.send(request.substring(0, request.length() - 1));
-    TestClient probe = client(); // Its answer shows that the loop has read what came before.
+    TestClient probe = client(); // Its answer shows that the loop has read the bytes before it.
     assertEquals(200, probe.call(TestClient.get("/up", "")).status());
     reload();
     half.send(request.substring(request.length() - 1));
-    assertEquals(400, half.read().status(), "its method is not that of its class any more");
-    assertTrue(held.isEmpty());
+    assertEquals(400, half.read().status(), "its class no longer allows the method");
+    assertTrue(calls.isEmpty());
   }
 
   @Test
-  void aNewRequestIsTakenUnderTheNewSettings() throws Exception {
+  void newRequestUsesNewSettings() throws Exception {
     start();
     reload();
     assertEquals(400, client().call(get("view", "r1")).status());
     TestClient after = client();
     after.send(post("view", "r2"));
-    held.next().reset();
+    calls.next().reset();
     assertEquals(502, after.read().status(), "failed: it may have run");
   }
 
   @Test
-  void aBrokenFileChangesNothing() throws Exception {
-    // An answer that comes late would draw a second copy, whose call would be held for the next.
+  void invalidFileChangesNothing() throws Exception {
+    // A late answer would cause a hedge, which the next round would take for its own call.
     fixture.limit("may_duplicate", false);
     start();
     for (String broken :
@@ -176,7 +177,7 @@
       fixture.node().loop().submit(() -> {}).sync();
       TestClient client = client();
       client.send(get("view", "r1"));
-      held.next().answer(200, "", "ok");
+      calls.next().answer(200, "", "ok");
       assertEquals("ok", client.read().text());
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/SiteSettingsTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SiteSettingsTest.java
@@ -27,8 +27,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * The deployments of our own: what they say of classes, limits, rules and tenants is put into the
- * platform's words and read by the program's own reader, which must find it again.
+ * The example deployments below {@code deploy/sites}: their classes, limits, rules and tenants are
+ * translated to the platform's settings, from which {@link SettingsReader} must read the same
+ * values.
  */
 class SiteSettingsTest {
   private static final Path SITES =
@@ -57,28 +58,28 @@
     return tables;
   }
 
-  private static String effect(String word) {
-    return switch (word) {
+  private static String idempotency(String effect) {
+    return switch (effect) {
       case "safe" -> "read_like";
       case "keyed" -> "idempotency_key";
       case "unsafe" -> "non_idempotent";
-      default -> throw new AssertionError("no effect: " + word);
+      default -> throw new AssertionError("unknown effect: " + effect);
     };
   }
 
   private static Map<String, Object> settings(TomlTable site) {
     List<Object> classes = new ArrayList<>();
     for (TomlTable type : tables(site, "class")) {
-      Map<String, Object> told = new LinkedHashMap<>();
-      told.put("name", type.getString("name"));
-      told.put("idempotency", effect(type.getString("effect")));
-      told.put("group", type.getString("group", () -> "all"));
-      told.put("aim_ns", type.getLong("aim_ms") * MS);
-      told.put("hard_limit_ns", type.getLong("deadline_ms") * MS);
-      told.put("window_ns", type.getLong("window_ms", () -> 5000) * MS);
-      told.put("importance", type.get("worth"));
-      told.put("late_worth", type.get("late_worth"));
-      classes.add(told);
+      Map<String, Object> requestClass = new LinkedHashMap<>();
+      requestClass.put("name", type.getString("name"));
+      requestClass.put("idempotency", idempotency(type.getString("effect")));
+      requestClass.put("group", type.getString("group", () -> "all"));
+      requestClass.put("aim_ns", type.getLong("aim_ms") * MS);
+      requestClass.put("hard_limit_ns", type.getLong("deadline_ms") * MS);
+      requestClass.put("window_ns", type.getLong("window_ms", () -> 5000) * MS);
+      requestClass.put("importance", type.get("worth"));
+      requestClass.put("late_worth", type.get("late_worth"));
+      classes.add(requestClass);
     }
     List<Object> tenants = new ArrayList<>();
     for (TomlTable tenant : tables(site, "tenant")) {
@@ -112,7 +113,7 @@
 
   @ParameterizedTest
   @MethodSource("sites")
-  void theProgramsOwnReaderFindsWhatTheSiteSays(Path path) throws Exception {
+  void settingsReaderReadsTheValuesOfTheSite(Path path) throws Exception {
     TomlParseResult site = parse(path);
     Settings settings = SettingsReader.read(settings(site));
     List<TomlTable> classes = tables(site, "class");
@@ -127,13 +128,13 @@
     }
     assertEquals(tables(site, "tenant").size(), settings.tenants().size());
     assertEquals(!pushed(site), settings.mustAsk());
-    new Balancer(settings, 1, null); // Takes them as they are.
+    new Balancer(settings, 1, null); // Must accept the settings.
   }
 
-  /** The bench finds its words and keys beside the site. */
+  /** The bench reads its wire names and keys from files beside the site. */
   @ParameterizedTest
   @MethodSource("sites")
-  void whatTheBenchNeedsStandsBesideTheSite(Path path) throws Exception {
+  void filesOfTheBenchAreBesideTheSite(Path path) throws Exception {
     Path folder = path.getParent();
     assertTrue(Files.exists(folder.resolve(parse(path).getString("wire"))));
     assertFalse(JSON.std.mapFrom(Files.readString(folder.resolve("wire.json"))).isEmpty());
@@ -141,9 +142,12 @@
     assertFalse(Files.readString(folder.resolve("unlock.txt")).isBlank());
   }
 
-  /** One is quick and pushed, the other slow and asked; no name stands in both. */
+  /**
+   * One site is fast and has its lists pushed, the other is slow and asks for them; no class name
+   * is in both. The program cannot be fitted to either alone.
+   */
   @Test
-  void theSitesDifferInWhatTheProgramCouldBeFittedTo() throws Exception {
+  void sitesDifferInMembershipModeAndClassNames() throws Exception {
     List<Path> sites = sites().toList();
     assertEquals(2, sites.size());
     Set<Boolean> modes = new HashSet<>();
--- a/src/test/java/heathswitch/proxy/platform/SocketExhaustionTest.java
+++ b/src/test/java/heathswitch/proxy/platform/SocketExhaustionTest.java
@@ -15,11 +15,14 @@
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
 
-/** Idle clients fill the descriptors while discovery is down; it serves again by itself. */
+/**
+ * Idle clients use up the descriptors while discovery is down. The balancer must reach discovery
+ * and serve again without a restart.
+ */
 @Timeout(60)
 class SocketExhaustionTest {
-  private static final int SOCKETS = 100;
-  private static final int CROWD = 300;
+  private static final int MAX_SOCKETS = 100;
+  private static final int IDLE_CLIENTS = 300;
 
   private static int freePort() throws Exception {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -27,22 +30,22 @@
     }
   }
 
-  private static Socket idle(BalancerFixture fixture) throws Exception {
+  private static Socket connectIdle(BalancerFixture fixture) throws Exception {
     Socket socket = new Socket();
     socket.connect(fixture.address(), 30_000);
     return socket;
   }
 
   @Test
-  void discoveryAndUpstreamsStillGetTheirs() throws Exception {
+  void discoveryAndUpstreamsAreReachedDespiteIdleClients() throws Exception {
     int port = freePort();
     BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
-    List<Socket> crowd = new ArrayList<>();
-    try (StubServer upstream = StubServer.serving("found");
+    List<Socket> idleClients = new ArrayList<>();
+    try (StubServer upstream = StubServer.answering("found");
         BalancerFixture fixture =
-            new BalancerFixture().sockets(SOCKETS).pushedAt("127.0.0.1:" + port).start()) {
-      for (int i = 0; i < CROWD; i++) {
-        crowd.add(idle(fixture));
+            new BalancerFixture().maxSockets(MAX_SOCKETS).pushedFrom("127.0.0.1:" + port).start()) {
+      for (int i = 0; i < IDLE_CLIENTS; i++) {
+        idleClients.add(connectIdle(fixture));
       }
       try (StubServer discovery =
           new StubServer(
@@ -54,42 +57,42 @@
                 connection.in().read();
               })) {
         StubServer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
-        assertNotNull(watch, "discovery is not asked again");
+        assertNotNull(watch, "discovery was not called again");
         String member = BalancerFixture.json("s-9", upstream.address(), "in_service");
         String line = "{\"revision\":50,\"complete\":true,\"members\":[" + member + "]}\n";
         watch.send(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-        Await.until("the list is known", () -> fixture.knows("s-9"));
+        Await.until("the list is applied", () -> fixture.hasUpstream("s-9"));
         try (TestClient client = fixture.client()) {
           assertEquals("found", client.call(TestClient.get("/api/x", "")).text());
         }
       }
     } finally {
-      for (Socket each : crowd) {
+      for (Socket each : idleClients) {
         each.close();
       }
     }
   }
 
-  /** They leave nothing behind: not a descriptor is counted that is not held. */
+  /** Closed connections must no longer count towards the socket limit. */
   @Test
-  void nothingIsLeftOfThem() throws Exception {
-    try (StubServer upstream = StubServer.serving("ok");
+  void closedIdleClientsReleaseTheirSockets() throws Exception {
+    try (StubServer upstream = StubServer.answering("ok");
         BalancerFixture fixture =
-            new BalancerFixture().sockets(SOCKETS).upstream(upstream).start()) {
+            new BalancerFixture().maxSockets(MAX_SOCKETS).upstream(upstream).start()) {
       for (int round = 0; round < 3; round++) {
-        List<Socket> crowd = new ArrayList<>();
-        for (int i = 0; i < CROWD; i++) {
-          crowd.add(idle(fixture));
+        List<Socket> idleClients = new ArrayList<>();
+        for (int i = 0; i < IDLE_CLIENTS; i++) {
+          idleClients.add(connectIdle(fixture));
         }
-        for (Socket each : crowd) {
+        for (Socket each : idleClients) {
           each.close();
         }
       }
       try (TestClient client = fixture.client()) {
         assertEquals("ok", client.call(TestClient.get("/api/x", "")).text());
       }
-      // One is kept to the upstream.
-      Await.until("no connection is left", () -> fixture.connections() <= 1);
+      // One connection to the upstream stays open.
+      Await.until("no client connection is left", () -> fixture.connections() <= 1);
     }
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/StubServer.java
+++ b/src/test/java/heathswitch/proxy/platform/StubServer.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted server on a loopback port: an upstream, or discovery. */
+/** A scripted server on a loopback port that acts as an upstream or as discovery. */
 final class StubServer implements AutoCloseable {
-  /** One connection, as the script sees it. */
+  /** An accepted connection, as passed to the handlers. */
   record Connection(int number, Socket socket, InputStream in, OutputStream out) {
     void send(String text) throws IOException {
       out.write(RawHttp.bytes(text));
@@ -34,44 +34,51 @@
               + body);
     }
 
-    /** Ends the connection as a dying process does. */
+    /** Resets the connection, as a killed process does. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
   }
 
-  interface Script {
-    /** Plays one connection to its end. */
-    void play(Connection connection) throws Exception;
+  /** Handles a connection. */
+  interface ConnectionHandler {
+    /** Handles one connection until its end. */
+    void handle(Connection connection) throws Exception;
   }
 
-  interface Reply {
-    void to(Connection connection, RawHttp.Message request) throws Exception;
+  /** Handles a request on a connection. */
+  interface RequestHandler {
+    /** Answers the request, or leaves that to the test. */
+    void handle(Connection connection, RawHttp.Message request) throws Exception;
   }
 
   private final ServerSocket listener;
-  private final Script script;
+  private final ConnectionHandler handler;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+
+  /** The requests received by {@link #replying}, in their order. */
   final BlockingQueue<RawHttp.Message> requests = new LinkedBlockingQueue<>();
+
+  /** The numbers of the connections that have ended. */
   final BlockingQueue<Integer> ended = new LinkedBlockingQueue<>();
 
-  StubServer(Script script) throws IOException {
-    this(0, script);
+  StubServer(ConnectionHandler handler) throws IOException {
+    this(0, handler);
   }
 
-  StubServer(int port, Script script) throws IOException {
-    this.script = script;
+  StubServer(int port, ConnectionHandler handler) throws IOException {
+    this.handler = handler;
     listener = new ServerSocket(port, 500, InetAddress.getByName("127.0.0.1"));
     Thread thread = new Thread(this::accept);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Replies to each request on each connection in turn. */
-  static StubServer replying(Reply reply) throws IOException {
+  /** Starts a server that passes each request, in turn, to the handler. */
+  static StubServer replying(RequestHandler handler) throws IOException {
     StubServer[] self = new StubServer[1];
-    StubServer peer =
+    StubServer server =
         new StubServer(
             connection -> {
               while (true) {
@@ -82,16 +89,17 @@
                 synchronized (self) {
                   self[0].requests.add(request);
                 }
-                reply.to(connection, request);
+                handler.handle(connection, request);
               }
             });
     synchronized (self) {
-      self[0] = peer;
+      self[0] = server;
     }
-    return peer;
+    return server;
   }
 
-  static StubServer serving(String body) throws IOException {
+  /** Starts a server that answers each request with status 200 and this body. */
+  static StubServer answering(String body) throws IOException {
     return replying((connection, request) -> connection.answer(200, "", body));
   }
 
@@ -101,7 +109,7 @@
         Socket socket = listener.accept();
         sockets.add(socket);
         int current = number;
-        Thread thread = new Thread(() -> play(current, socket));
+        Thread thread = new Thread(() -> handle(current, socket));
         thread.setDaemon(true);
         thread.start();
       } catch (IOException e) {
@@ -110,9 +118,9 @@
     }
   }
 
-  private void play(int number, Socket socket) {
+  private void handle(int number, Socket socket) {
     try (socket) {
-      script.play(
+      handler.handle(
           new Connection(
               number,
               socket,
@@ -133,10 +141,11 @@
     return sockets.size();
   }
 
-  RawHttp.Message request() throws InterruptedException {
+  /** Waits for the next request and returns it. */
+  RawHttp.Message awaitRequest() throws InterruptedException {
     RawHttp.Message request = requests.poll(30, TimeUnit.SECONDS);
     if (request == null) {
-      throw new AssertionError("no request came");
+      throw new AssertionError("no request was received");
     }
     return request;
   }
--- a/src/test/java/heathswitch/proxy/platform/TestClient.java
+++ b/src/test/java/heathswitch/proxy/platform/TestClient.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** One client connection, written and read byte by byte. */
+/** A client connection on which a test writes and reads raw HTTP. */
 final class TestClient implements AutoCloseable {
   final Socket socket = new Socket();
   final InputStream in;
@@ -35,9 +35,9 @@
         + "\r\n";
   }
 
-  static String post(String type, String headers, String body) {
+  static String post(String requestClass, String headers, String body) {
     return "POST /api/x HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r1\r\nX-Class: "
-        + type
+        + requestClass
         + "\r\n"
         + headers
         + "Content-Length: "
--- a/src/test/java/heathswitch/proxy/platform/UpstreamConnectionRaceTest.java
+++ b/src/test/java/heathswitch/proxy/platform/UpstreamConnectionRaceTest.java
@@ -17,161 +17,164 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import testing.Await;
 
-/**
- * A connection to an upstream that ends, or brings something, in the moment in which it is used.
- */
+/** An upstream connection that ends or receives bytes at the moment at which it is used. */
 @Timeout(60)
 class UpstreamConnectionRaceTest {
-  /** What the upstream does on an idle connection. */
-  enum Ending {
+  /** What the upstream does to an idle connection. */
+  enum IdleEvent {
     CLOSED {
       @Override
-      void on(StubServer.Connection connection) throws Exception {
+      void apply(StubServer.Connection connection) throws Exception {
         connection.socket().close();
       }
     },
     RESET {
       @Override
-      void on(StubServer.Connection connection) throws Exception {
+      void apply(StubServer.Connection connection) throws Exception {
         connection.reset();
       }
     },
-    UNASKED_BYTES {
+    UNSOLICITED_ANSWER {
       @Override
-      void on(StubServer.Connection connection) throws Exception {
+      void apply(StubServer.Connection connection) throws Exception {
         connection.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged");
       }
     },
-    HALF_A_LINE {
+    PARTIAL_LINE {
       @Override
-      void on(StubServer.Connection connection) throws Exception {
+      void apply(StubServer.Connection connection) throws Exception {
         connection.send("HTTP/1.");
       }
     };
 
-    abstract void on(StubServer.Connection connection) throws Exception;
+    abstract void apply(StubServer.Connection connection) throws Exception;
   }
 
-  private final PendingCalls held = new PendingCalls();
-  private final CountDownLatch over = new CountDownLatch(1);
+  private final PendingCalls calls = new PendingCalls();
+  private final CountDownLatch testEnded = new CountDownLatch(1);
 
-  /** Takes one request and reads no more: a thread inside a read would put off the close. */
-  private void takeOne(StubServer.Connection connection) throws Exception {
+  /** Reads one request and no more: a thread blocked in a read would delay the close. */
+  private void readOneRequest(StubServer.Connection connection) throws Exception {
     RawHttp.read(connection.in());
-    held.add(connection);
-    over.await();
+    calls.add(connection);
+    testEnded.await();
   }
 
   @AfterEach
   void stop() {
-    over.countDown();
+    testEnded.countDown();
   }
 
-  /** A request that must not run twice would be lost on it. */
+  /** An unsafe request sent on the connection would be lost, as it must not be repeated. */
   @ParameterizedTest
-  @EnumSource(Ending.class)
-  void anIdleConnectionThatEndsAsItIsTakenGetsNoRequest(Ending ending) throws Exception {
-    try (StubServer upstream = new StubServer(this::takeOne);
+  @EnumSource(IdleEvent.class)
+  void idleConnectionThatFailsOnReuseGetsNoRequest(IdleEvent event) throws Exception {
+    try (StubServer upstream = new StubServer(this::readOneRequest);
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.get("/api/x", ""));
-      StubServer.Connection idle = held.next();
+      StubServer.Connection idle = calls.next();
       idle.answer(200, "", "first");
       assertEquals("first", client.read().text());
-      try (EventLoopBlocker gate = fixture.holdLoop()) {
+      try (EventLoopBlocker blocker = fixture.blockLoop()) {
         client.send(
-            TestClient.post("publish", "", "x").replace("r1", "r2")); // The loop finds this first.
-        ending.on(idle);
+            TestClient.post("publish", "", "x")
+                .replace("r1", "r2")); // The event loop reads this first.
+        event.apply(idle);
       }
-      StubServer.Connection other = held.next();
-      assertTrue(other.number() != idle.number(), "on a connection of its own");
+      StubServer.Connection other = calls.next();
+      assertTrue(other.number() != idle.number(), "sent on another connection");
       other.answer(200, "", "second");
       assertEquals("second", client.read().text());
     }
   }
 
-  /** It may have run, whatever came of it. */
+  /** The request may have run. */
   @Test
-  void aResetAfterTheLastByteOfAnUnsafeRequestIsAFailure() throws Exception {
-    try (StubServer upstream = held.upstream();
+  void resetAfterLastByteOfUnsafeRequestFails() throws Exception {
+    try (StubServer upstream = calls.startUpstream();
         BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
         TestClient client = fixture.client()) {
       client.send(TestClient.post("publish", "", "x"));
-      held.next().reset();
+      calls.next().reset();
       assertEquals(502, client.read().status());
-      assertTrue(held.isEmpty(), "and it is not sent again");
+      assertTrue(calls.isEmpty(), "the request is not sent again");
     }
   }
 
   /**
-   * Its attempt has failed by then, but the connection is as good as any: the next call takes it.
+   * The attempt that opened the connection has failed by then, but the connection itself is usable:
+   * the next call takes it.
    */
   @Test
-  void aConnectionThatComesUpAfterItsAttemptFailedIsUsedByTheNext() throws Exception {
-    List<Socket> full = new ArrayList<>();
+  void connectionEstablishedAfterFailedAttemptIsUsedByNextCall() throws Exception {
+    List<Socket> backlog = new ArrayList<>();
     try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       upstream.setSoTimeout(20_000);
       InetSocketAddress address = (InetSocketAddress) upstream.getLocalSocketAddress();
       for (int i = 0; i < 2; i++) {
         Socket socket = new Socket();
         socket.connect(address, 30_000);
-        full.add(socket);
+        backlog.add(socket);
       }
       try (BalancerFixture fixture =
               new BalancerFixture()
                   .limit("dial_timeout_ns", 100 * BalancerFixture.MS)
                   .limit("most_tries", 1)
-                  .address("127.0.0.1:" + address.getPort())
+                  .upstreamAddress("127.0.0.1:" + address.getPort())
                   .start();
           TestClient first = fixture.client();
           TestClient second = fixture.client()) {
-        assertEquals(503, first.call(TestClient.post("publish", "", "x")).status(), "it never ran");
-        for (int i = 0; i < full.size(); i++) {
+        assertEquals(
+            503, first.call(TestClient.post("publish", "", "x")).status(), "the request never ran");
+        for (int i = 0; i < backlog.size(); i++) {
           upstream.accept().close();
         }
         try (Socket late = upstream.accept()) {
-          Await.until("it is kept", () -> fixture.connections() == 3);
+          Await.until("the connection is kept", () -> fixture.connections() == 3);
           second.send(TestClient.post("publish", "", "x").replace("r1", "r2"));
           assertEquals("r2", RawHttp.read(late.getInputStream()).headers().get("x-request-id"));
         }
       }
     } finally {
-      for (Socket socket : full) {
+      for (Socket socket : backlog) {
         socket.close();
       }
     }
   }
 
-  /** Its attempt has been given up by then: not a byte goes out on it. */
+  /** The attempt was cancelled by then, so none of its bytes may be sent on the connection. */
   @Test
-  void aConnectionThatComesUpAfterItsClientLeftCarriesNothing() throws Exception {
-    List<Socket> full = new ArrayList<>();
+  void connectionEstablishedAfterClientDisconnectGetsNoRequest() throws Exception {
+    List<Socket> backlog = new ArrayList<>();
     try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       InetSocketAddress address = (InetSocketAddress) upstream.getLocalSocketAddress();
-      for (int i = 0; i < 2; i++) { // So many wait for an accept; the next one gets no answer.
+      for (int i = 0;
+          i < 2;
+          i++) { // They fill the accept backlog; the next connect gets no answer.
         Socket socket = new Socket();
         socket.connect(address, 30_000);
-        full.add(socket);
+        backlog.add(socket);
       }
       try (BalancerFixture fixture =
-              new BalancerFixture().address("127.0.0.1:" + address.getPort()).start();
+              new BalancerFixture().upstreamAddress("127.0.0.1:" + address.getPort()).start();
           TestClient client = fixture.client()) {
         client.send(TestClient.post("publish", "", "x"));
-        fixture.awaitLive(1);
+        fixture.awaitLiveRequests(1);
         client.close();
-        fixture.awaitLive(0);
-        for (int i = 0; i < full.size(); i++) {
+        fixture.awaitLiveRequests(0);
+        for (int i = 0; i < backlog.size(); i++) {
           upstream.accept().close();
         }
         try (TestClient later = fixture.client()) {
           later.send(TestClient.get("/later", ""));
           try (Socket next = upstream.accept()) {
-            assertEquals("GET /later HTTP/1.1", RawHttp.read(next.getInputStream()).start());
+            assertEquals("GET /later HTTP/1.1", RawHttp.read(next.getInputStream()).startLine());
           }
         }
       }
     } finally {
-      for (Socket socket : full) {
+      for (Socket socket : backlog) {
         socket.close();
       }
     }
--- a/src/test/java/heathswitch/proxy/platform/UpstreamRolloutTest.java
+++ b/src/test/java/heathswitch/proxy/platform/UpstreamRolloutTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** While upstreams are released, the few that serve take what the whole fleet did. */
+/** During a rollout of the upstreams, the few in service get the load of the whole fleet. */
 @Timeout(60)
 class UpstreamRolloutTest {
-  private static final int FLIGHT = 20;
+  private static final int CONCURRENT_CALLS = 20;
 
-  private final PendingCalls held = new PendingCalls();
+  private final PendingCalls calls = new PendingCalls();
   private final List<TestClient> clients = new ArrayList<>();
-  private StubServer peer;
+  private StubServer upstream;
   private BalancerFixture fixture;
 
   @BeforeEach
   void start() throws Exception {
-    peer = held.upstream();
-    fixture = new BalancerFixture().upstream(peer).start();
+    upstream = calls.startUpstream();
+    fixture = new BalancerFixture().upstream(upstream).start();
   }
 
   @AfterEach
@@ -31,7 +31,7 @@
       client.close();
     }
     fixture.close();
-    peer.close();
+    upstream.close();
   }
 
   private TestClient send() throws Exception {
@@ -42,12 +42,12 @@
   }
 
   @Test
-  void anUpstreamThatIsNewTakesAFullFlightAtOnce() throws Exception {
-    for (int i = 0; i < FLIGHT; i++) {
+  void newUpstreamGetsManyConcurrentCallsAtOnce() throws Exception {
+    for (int i = 0; i < CONCURRENT_CALLS; i++) {
       send();
     }
-    for (int i = 0; i < FLIGHT; i++) {
-      held.next().answer(200, "", "ok");
+    for (int i = 0; i < CONCURRENT_CALLS; i++) {
+      calls.next().answer(200, "", "ok");
     }
     for (TestClient client : clients) {
       assertEquals(200, client.read().status());
@@ -55,23 +55,23 @@
   }
 
   @Test
-  void anUpstreamThatTurnedACallAwayIsUsedAgainBeforeItsFlightIsHome() throws Exception {
-    List<StubServer.Connection> flight = new ArrayList<>();
-    for (int i = 0; i < FLIGHT; i++) {
+  void upstreamThatRefusedCallIsUsedAgainBeforeAllOpenCallsAreAnswered() throws Exception {
+    List<StubServer.Connection> openCalls = new ArrayList<>();
+    for (int i = 0; i < CONCURRENT_CALLS; i++) {
       send();
-      flight.add(held.next());
+      openCalls.add(calls.next());
     }
     TestClient refused = send();
-    held.next().answer(503, "X-Not-Run: 1\r\n", "full");
+    calls.next().answer(503, "X-Not-Run: 1\r\n", "full");
     assertEquals(503, refused.read().status());
 
-    int home = FLIGHT - 4;
-    for (int i = 0; i < home; i++) {
-      flight.get(i).answer(200, "", "ok");
+    int answered = CONCURRENT_CALLS - 4;
+    for (int i = 0; i < answered; i++) {
+      openCalls.get(i).answer(200, "", "ok");
       assertEquals(200, clients.get(i).read().status());
     }
     TestClient later = send();
-    held.next().answer(200, "", "ok");
+    calls.next().answer(200, "", "ok");
     assertEquals(200, later.read().status());
   }
 }
