--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -16,9 +16,9 @@
 
 /** A request over HTTP/1.1, whole or with a body that still comes. */
 public final class HttpPayload implements Payload {
-  private final UpstreamPool pool;
-  private final AnswerSink sink;
-  private final Upload upload;
+  private final UpstreamConnectionPool pool;
+  private final StreamedAnswerSink sink;
+  private final StreamedRequestBody streamedBody;
   private final HttpMethod method;
   private final String uri;
   private final HttpHeaders headers;
@@ -31,8 +31,8 @@
    * @param headers that go on to an upstream, which the time left and the length are added to
    */
   public HttpPayload(
-      UpstreamPool pool,
-      AnswerSink sink,
+      UpstreamConnectionPool pool,
+      StreamedAnswerSink sink,
       HttpMethod method,
       String uri,
       HttpHeaders headers,
@@ -47,16 +47,16 @@
    * @param upload brings the body where it still comes, and the body is then empty; else null
    */
   HttpPayload(
-      UpstreamPool pool,
-      AnswerSink sink,
+      UpstreamConnectionPool pool,
+      StreamedAnswerSink sink,
       HttpMethod method,
       String uri,
       HttpHeaders headers,
       ByteBuf body,
-      Upload upload) {
+      StreamedRequestBody streamedBody) {
     this.pool = pool;
     this.sink = sink;
-    this.upload = upload;
+    this.streamedBody = streamedBody;
     this.method = method;
     this.uri = uri;
     this.headers = headers;
@@ -69,13 +69,13 @@
   }
 
   /** Whoever gets an answer that goes on as it comes. */
-  public AnswerSink sink() {
+  public StreamedAnswerSink sink() {
     return sink;
   }
 
   /** Whether its body has come, so that it can be sent anywhere as it stands. */
-  public boolean whole() {
-    return upload == null;
+  public boolean isBodyComplete() {
+    return streamedBody == null;
   }
 
   public HttpMethod method() {
@@ -92,47 +92,47 @@
   }
 
   /** A copy of the body that shares its bytes; whoever gets it releases it. */
-  public ByteBuf shareBody() {
+  public ByteBuf retainedBody() {
     return body.retainedDuplicate();
   }
 
   /** What brings the body where it still comes, or null. */
-  Upload upload() {
-    return upload;
+  StreamedRequestBody streamedBody() {
+    return streamedBody;
   }
 
   @Override
-  public boolean repeatable() {
-    return upload == null || upload.repeatable();
+  public boolean isRepeatable() {
+    return streamedBody == null || streamedBody.canBeResent();
   }
 
   /** The head of a request whose body follows piece by piece. */
-  HttpRequest forwardHead(long leftNanos) {
-    HttpHeaders copy = headers.copy();
-    long toldNanos = Math.min(leftNanos, upload.callerNanos());
-    copy.set(HeaderRules.DEADLINE, HeaderRules.seconds(toldNanos));
-    if (upload.length() >= 0) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, upload.length());
+  HttpRequest toUpstreamHead(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
+    long deadlineNanos = Math.min(remainingNanos, streamedBody.clientWaitNanos());
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(deadlineNanos));
+    if (streamedBody.length() >= 0) {
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, streamedBody.length());
     } else {
-      copy.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      forwarded.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
-    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, copy);
+    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, forwarded);
   }
 
   /** The request as it goes to an upstream; the body is shared, not copied. */
-  FullHttpRequest forward(long leftNanos) {
-    HttpHeaders copy = headers.copy();
+  FullHttpRequest toUpstreamRequest(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             method,
             uri,
             body.retainedDuplicate(),
-            copy,
+            forwarded,
             EmptyHttpHeaders.INSTANCE);
-    copy.set(HeaderRules.DEADLINE, HeaderRules.seconds(leftNanos));
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(remainingNanos));
     if (body.isReadable() || !method.equals(HttpMethod.GET)) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
     return request;
   }
@@ -140,8 +140,8 @@
   @Override
   public void release() {
     body.release();
-    if (upload != null) {
-      upload.release();
+    if (streamedBody != null) {
+      streamedBody.release();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http2/ServedLink.java
+++ b/src/main/java/heathswitch/proxy/http2/InboundConnection.java
@@ -10,71 +10,72 @@
  * A connection that others began, with their calls on it: left in good order, and rid of calls
  * whose other side has stopped. Both bounds are needed, as its PINGs may go on all the while.
  */
-public abstract class ServedLink extends Link {
+public abstract class InboundConnection extends MultiplexedConnection {
   /** A call of the other side. */
-  public interface Call extends Handler {
+  public interface Call extends StreamHandler {
     /** Whether it is the other side's turn, and has been since then. */
-    boolean stuckSince(long nanos);
+    boolean stalledSinceBefore(long beforeNanos);
 
     /** Gives the call up; its stream ends with it. */
-    void cut();
+    void abort();
   }
 
-  private int calls;
-  private boolean leaving;
-  private boolean left;
+  private int openCalls;
+  private boolean goAwayStarted;
+  private boolean goAwayDone;
 
-  protected ServedLink(
+  protected InboundConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
     super(decoder, encoder, settings);
   }
 
   /** Whoever takes a call that begins. */
-  protected abstract Call begun(int id);
+  protected abstract Call createCall(int id);
 
   @Override
-  protected final Handler opened(int id) {
-    calls++;
-    return begun(id);
+  protected final StreamHandler onStreamOpened(int id) {
+    openCalls++;
+    return createCall(id);
   }
 
   /** To be called once for each call, when its stream is gone. */
-  public void callDone() {
-    calls--;
+  public void callClosed() {
+    openCalls--;
     closeIfIdle();
   }
 
-  protected final int calls() {
-    return calls;
+  protected final int openCalls() {
+    return openCalls;
   }
 
   /** No new calls; those that are on end by themselves. */
-  public final void leave() {
-    if (!leaving) {
-      leaving = true;
-      goAwayInOrder(
+  public final void closeGracefully() {
+    if (!goAwayStarted) {
+      goAwayStarted = true;
+      sendGracefulGoAway(
           () -> {
-            left = true;
+            goAwayDone = true;
             closeIfIdle();
           });
     }
   }
 
   public final void closeIfIdle() {
-    if (left && calls == 0) {
+    if (goAwayDone && openCalls == 0) {
       context().channel().close();
     }
   }
 
   /** Cuts the calls that are stuck since before then. */
-  protected final void cutStuck(long before) {
-    List<Call> stuck = new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
-    forEachHandler(
+  protected final void abortStalledCalls(long beforeNanos) {
+    List<Call> stalled =
+        new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
+    forEachStreamHandler(
         handler -> {
-          if (handler instanceof Call call && call.stuckSince(before)) {
-            stuck.add(call);
+          if (handler instanceof Call call && call.stalledSinceBefore(beforeNanos)) {
+            stalled.add(call);
           }
         });
-    stuck.forEach(Call::cut);
+    stalled.forEach(Call::abort);
   }
 }
--- a/src/main/java/heathswitch/proxy/http2/Link.java
+++ b/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
@@ -36,26 +36,26 @@
  * holds back its sender and nobody else: the connection's own window refills by itself, and what
  * all streams hold together is for the protocol above to bound.
  */
-public abstract class Link extends Http2ConnectionHandler {
+public abstract class MultiplexedConnection extends Http2ConnectionHandler {
   /** What the other side may send ahead on a stream. */
-  public static final int WINDOW = 256 << 10;
+  public static final int STREAM_WINDOW_BYTES = 256 << 10;
 
   /** Between the two steps of a GOAWAY: calls that cross the first are still taken. */
-  private static final long GOAWAY_MILLIS = 550;
+  private static final long GOAWAY_GRACE_MILLIS = 550;
 
-  private static final int MOST_EMPTY_FRAMES = 8;
-  private static final int MOST_SMALL_CONTINUATIONS = 16;
+  private static final int MAX_EMPTY_FRAMES = 8;
+  private static final int MAX_SMALL_CONTINUATIONS = 16;
 
   /**
    * Resets that a client may send within the window below: more is a rapid reset. A client that
    * gives up or hedges sends one for each call, and losing its connection would lose all others.
    */
-  private static final int MOST_RESETS = 2000;
+  private static final int MAX_RESETS_PER_WINDOW = 2000;
 
-  private static final int RESET_SECONDS = 10;
+  private static final int RESET_WINDOW_SECONDS = 10;
 
   /** What a stream is for. All calls come on the loop. */
-  public interface Handler {
+  public interface StreamHandler {
     void onHeaders(Http2Headers headers, boolean last);
 
     /**
@@ -74,25 +74,26 @@
   }
 
   /** Makes a connection's handler from the codec's two halves. */
-  public interface Maker<T extends Link> {
-    T of(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
+  public interface Factory<T extends MultiplexedConnection> {
+    T create(
+        Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
   }
 
-  private final Http2Connection.PropertyKey key;
+  private final Http2Connection.PropertyKey handlerKey;
   private ChannelHandlerContext ctx;
-  private boolean flushing;
+  private boolean flushScheduled;
 
-  protected Link(
+  protected MultiplexedConnection(
       Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
     super(decoder, encoder, settings);
-    key = connection().newKey();
-    decoder.frameListener(new Frames());
+    handlerKey = connection().newKey();
+    decoder.frameListener(new FrameListener());
     connection()
         .addListener(
             new Http2ConnectionAdapter() {
               @Override
               public void onStreamClosed(Http2Stream stream) {
-                Handler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(handlerKey);
                 if (handler != null) {
                   handler.onClosed(stream);
                 }
@@ -108,32 +109,34 @@
    * @param changing names of headers that are another in every message: indexed, they would push
    *     all else out of the table. Compared by identity.
    */
-  public static <T extends Link> T build(
+  public static <T extends MultiplexedConnection> T build(
       boolean server,
-      int mostStreams,
-      int mostHeaders,
-      Set<? extends CharSequence> changing,
-      Maker<T> maker) {
+      int maxStreams,
+      int maxHeaderListBytes,
+      Set<? extends CharSequence> neverIndexed,
+      Factory<T> factory) {
     Http2Settings settings =
-        Http2Settings.defaultSettings().initialWindowSize(WINDOW).maxHeaderListSize(mostHeaders);
+        Http2Settings.defaultSettings()
+            .initialWindowSize(STREAM_WINDOW_BYTES)
+            .maxHeaderListSize(maxHeaderListBytes);
     if (server) {
-      settings.maxConcurrentStreams(mostStreams);
+      settings.maxConcurrentStreams(maxStreams);
     } else {
       settings.pushEnabled(false);
     }
-    return new Builder<>(server, settings, changing, maker).build();
+    return new Builder<>(server, settings, neverIndexed, factory).build();
   }
 
-  private static final class Builder<T extends Link>
+  private static final class Builder<T extends MultiplexedConnection>
       extends AbstractHttp2ConnectionHandlerBuilder<T, Builder<T>> {
-    private final Maker<T> maker;
+    private final Factory<T> factory;
 
     Builder(
         boolean server,
         Http2Settings settings,
-        Set<? extends CharSequence> changing,
-        Maker<T> maker) {
-      this.maker = maker;
+        Set<? extends CharSequence> neverIndexed,
+        Factory<T> factory) {
+      this.factory = factory;
       Http2Connection connection = new DefaultHttp2Connection(server);
       connection
           .local()
@@ -148,17 +151,17 @@
       connection(connection);
       initialSettings(settings);
       gracefulShutdownTimeoutMillis(0);
-      decoderEnforceMaxConsecutiveEmptyDataFrames(MOST_EMPTY_FRAMES);
-      decoderEnforceMaxSmallContinuationFrames(MOST_SMALL_CONTINUATIONS);
+      decoderEnforceMaxConsecutiveEmptyDataFrames(MAX_EMPTY_FRAMES);
+      decoderEnforceMaxSmallContinuationFrames(MAX_SMALL_CONTINUATIONS);
       // An upstream may refuse and be told to stop as many streams as it takes; a client may make
       // neither side send resets without end.
-      int resets = server ? MOST_RESETS : 0;
-      decoderEnforceMaxRstFramesPerWindow(resets, RESET_SECONDS);
-      encoderEnforceMaxRstFramesPerWindow(resets, RESET_SECONDS);
+      int resets = server ? MAX_RESETS_PER_WINDOW : 0;
+      decoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
+      encoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
       headerSensitivityDetector(
           (name, value) -> {
-            for (CharSequence each : changing) {
-              if (each == name) {
+            for (CharSequence header : neverIndexed) {
+              if (header == name) {
                 return true;
               }
             }
@@ -174,7 +177,7 @@
     @Override
     protected T build(
         Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
-      return maker.of(decoder, encoder, settings);
+      return factory.create(decoder, encoder, settings);
     }
   }
 
@@ -189,13 +192,13 @@
   }
 
   /** Whether another stream may be opened from this side. */
-  public final boolean mayOpen() {
+  public final boolean canOpenStream() {
     return connection().local().canOpenStream() && !connection().goAwayReceived();
   }
 
   /** Opens a stream with its headers; its id, or -1 where none could be had and nothing is sent. */
-  public final int open(Handler handler, Http2Headers headers, boolean last) {
-    int id = mayOpen() ? connection().local().incrementAndGetNextStreamId() : -1;
+  public final int openStream(StreamHandler handler, Http2Headers headers, boolean last) {
+    int id = canOpenStream() ? connection().local().incrementAndGetNextStreamId() : -1;
     if (id <= 0) {
       return -1;
     }
@@ -204,43 +207,43 @@
     if (stream == null) {
       return -1;
     }
-    stream.setProperty(key, handler);
-    flushSoon();
+    stream.setProperty(handlerKey, handler);
+    scheduleFlush();
     return id;
   }
 
-  public final ChannelFuture headers(int id, Http2Headers headers, boolean last) {
-    flushSoon();
+  public final ChannelFuture writeHeaders(int id, Http2Headers headers, boolean last) {
+    scheduleFlush();
     return encoder().writeHeaders(ctx, id, headers, 0, last, ctx.newPromise());
   }
 
   /** Takes over the data; done when it has been written to the socket. */
-  public final ChannelFuture data(int id, ByteBuf data, boolean last) {
-    flushSoon();
+  public final ChannelFuture writeData(int id, ByteBuf data, boolean last) {
+    scheduleFlush();
     return encoder().writeData(ctx, id, data, 0, last, ctx.newPromise());
   }
 
   public final void reset(int id, Http2Error error) {
     if (connection().stream(id) != null) {
-      flushSoon();
+      scheduleFlush();
       resetStream(ctx, id, error.code(), ctx.newPromise());
     }
   }
 
-  public final void ping(long content) {
-    flushSoon();
+  public final void writePing(long content) {
+    scheduleFlush();
     encoder().writePing(ctx, false, content, ctx.newPromise());
   }
 
   /** Bytes of a stream's window have been used up. */
-  public final void consume(int id, int bytes) {
+  public final void returnWindow(int id, int bytes) {
     Http2Stream stream = connection().stream(id);
     if (stream == null || bytes == 0) {
       return;
     }
     try {
       if (connection().local().flowController().consumeBytes(stream, bytes)) {
-        flushSoon();
+        scheduleFlush();
       }
     } catch (Http2Exception e) {
       onError(ctx, true, e);
@@ -248,15 +251,15 @@
   }
 
   /** One flush for all that is written in a turn of the loop: each alone is a system call. */
-  private void flushSoon() {
-    if (!flushing) {
-      flushing = true;
+  private void scheduleFlush() {
+    if (!flushScheduled) {
+      flushScheduled = true;
       ctx.executor().execute(this::flushNow);
     }
   }
 
   private void flushNow() {
-    flushing = false;
+    flushScheduled = false;
     flush(ctx);
   }
 
@@ -265,7 +268,7 @@
   }
 
   /** Says that no stream after this one is taken; done when it is written. */
-  public final ChannelFuture goAway(int lastId, Http2Error error) {
+  public final ChannelFuture sendGoAway(int lastId, Http2Error error) {
     ChannelFuture writing =
         goAway(ctx, lastId, error.code(), Unpooled.EMPTY_BUFFER, ctx.newPromise());
     ctx.flush();
@@ -278,28 +281,28 @@
    *
    * @param left called after the second step, unless the connection is closed by then
    */
-  public final void goAwayInOrder(Runnable left) {
-    goAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
+  public final void sendGracefulGoAway(Runnable onSecondGoAway) {
+    sendGoAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
     ctx.executor()
         .schedule(
             () -> {
               if (ctx.channel().isActive()) {
-                goAway(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR);
-                left.run();
+                sendGoAway(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR);
+                onSecondGoAway.run();
               }
             },
-            GOAWAY_MILLIS,
+            GOAWAY_GRACE_MILLIS,
             MILLISECONDS);
   }
 
-  public final void forEachHandler(Consumer<Handler> each) {
+  public final void forEachStreamHandler(Consumer<StreamHandler> action) {
     try {
       connection()
           .forEachActiveStream(
               stream -> {
-                Handler handler = stream.getProperty(key);
+                StreamHandler handler = stream.getProperty(handlerKey);
                 if (handler != null) {
-                  each.accept(handler);
+                  action.accept(handler);
                 }
                 return true;
               });
@@ -329,15 +332,15 @@
   }
 
   /** The first headers of a stream that the other side opens; null turns the frame down. */
-  protected Handler opened(int id) {
+  protected StreamHandler onStreamOpened(int id) {
     return null;
   }
 
   /** Any frame has come but the answer to a PING. */
-  protected void heard() {}
+  protected void onFrameRead() {}
 
   /** Headers or data have come. */
-  protected void spoke() {}
+  protected void onHeadersOrDataRead() {}
 
   protected void onSettings(Http2Settings settings) {}
 
@@ -346,11 +349,11 @@
    *
    * @param content what it carries; an answer brings back what was sent
    */
-  protected void onPing(boolean answer, long content) {}
+  protected void onPing(boolean ack, long content) {}
 
   protected void onGoAway() {}
 
-  private final class Frames extends Http2FrameAdapter {
+  private final class FrameListener extends Http2FrameAdapter {
     @Override
     public void onHeadersRead(
         ChannelHandlerContext context,
@@ -367,13 +370,13 @@
     @Override
     public void onHeadersRead(
         ChannelHandlerContext context, int id, Http2Headers headers, int padding, boolean last) {
-      heard();
-      spoke();
+      onFrameRead();
+      onHeadersOrDataRead();
       Http2Stream stream = connection().stream(id);
-      Handler handler = stream.getProperty(key);
+      StreamHandler handler = stream.getProperty(handlerKey);
       if (handler == null) {
-        handler = opened(id);
-        stream.setProperty(key, handler);
+        handler = onStreamOpened(id);
+        stream.setProperty(handlerKey, handler);
       }
       if (handler != null) {
         handler.onHeaders(headers, last);
@@ -383,16 +386,16 @@
     @Override
     public int onDataRead(
         ChannelHandlerContext context, int id, ByteBuf data, int padding, boolean last) {
-      heard();
-      spoke();
-      Handler handler = connection().stream(id).getProperty(key);
+      onFrameRead();
+      onHeadersOrDataRead();
+      StreamHandler handler = connection().stream(id).getProperty(handlerKey);
       return padding + (handler == null ? data.readableBytes() : handler.onData(data, last));
     }
 
     @Override
     public void onRstStreamRead(ChannelHandlerContext context, int id, long code) {
-      heard();
-      Handler handler = connection().stream(id).getProperty(key);
+      onFrameRead();
+      StreamHandler handler = connection().stream(id).getProperty(handlerKey);
       if (handler != null) {
         handler.onReset(code);
       }
@@ -400,13 +403,13 @@
 
     @Override
     public void onSettingsRead(ChannelHandlerContext context, Http2Settings settings) {
-      heard();
+      onFrameRead();
       onSettings(settings);
     }
 
     @Override
     public void onPingRead(ChannelHandlerContext context, long data) {
-      heard();
+      onFrameRead();
       onPing(false, data);
     }
 
@@ -417,12 +420,12 @@
 
     @Override
     public void onWindowUpdateRead(ChannelHandlerContext context, int id, int increment) {
-      heard();
+      onFrameRead();
     }
 
     @Override
     public void onGoAwayRead(ChannelHandlerContext context, int lastId, long code, ByteBuf debug) {
-      heard();
+      onFrameRead();
       onGoAway();
     }
   }
--- a/src/main/java/heathswitch/proxy/operations/Standings.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.operations;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.rotation.Rotation;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /** Lays the marks of operators over the lists of discovery. On the loop alone. */
-final class Standings implements Dispatcher.Overlay {
+final class MarkOverlay implements Dispatcher.Overlay {
   private final Rotation rotation = new Rotation();
 
   /** Unix time that goes on evenly when the machine's clock is set. */
@@ -22,59 +22,59 @@
   /** As discovery listed them last; as long as its list. */
   private final Map<String, Member> listed = new HashMap<>();
 
-  Standings(LongSupplier clockMillis) {
+  MarkOverlay(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
   }
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> apply(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
     }
     long now = clockMillis.getAsLong();
-    List<Member> laidOver = new ArrayList<>(entries.size());
+    List<Member> result = new ArrayList<>(entries.size());
     for (Member entry : entries) {
       if (entry.health() == Health.GONE) {
         listed.remove(entry.id());
       } else {
         listed.put(entry.id(), entry);
       }
-      laidOver.add(standing(entry, now));
+      result.add(applyMark(entry, now));
     }
-    return laidOver;
+    return result;
   }
 
-  private Member standing(Member entry, long nowMillis) {
-    Rotation.Standing standing =
-        rotation.standing(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
-    return entry.with(standing.health(), standing.startedMillis());
+  private Member applyMark(Member entry, long nowMillis) {
+    Rotation.EffectiveState standing =
+        rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
+    return entry.withHealth(standing.health(), standing.startedMillis());
   }
 
   /** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
-  void update(Map<String, Mark> marks, Dispatcher dispatcher) {
+  void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
     long now = clockMillis.getAsLong();
     List<Member> changed = new ArrayList<>();
     for (String id : rotation.update(marks, now)) {
       Member entry = listed.get(id);
       if (entry != null) {
-        changed.add(standing(entry, now));
+        changed.add(applyMark(entry, now));
       }
     }
     if (!changed.isEmpty()) {
-      dispatcher.onStanding(this, changed);
+      dispatcher.onOverlayChanged(this, changed);
     }
   }
 
   /** Whether an upstream is listed, or marked though it no longer is. */
-  boolean knows(String id) {
-    return Mark.markable(id) && (listed.containsKey(id) || rotation.mark(id) != null);
+  boolean isKnown(String id) {
+    return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
   }
 
-  int listed() {
+  int listedCount() {
     return listed.size();
   }
 
-  int out() {
-    return rotation.out();
+  int suspendedCount() {
+    return rotation.suspendedCount();
   }
 }
--- a/src/test/java/heathswitch/proxy/http1/PipelinedPartsTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What is kept behind a request is bounded, and every buffer is released. */
-class PipelinedPartsTest {
-  private final PipelinedParts parts = new PipelinedParts();
+class PipelineQueueTest {
+  private final PipelineQueue parts = new PipelineQueue();
   private final List<HttpContent> added = new ArrayList<>();
 
   private void add(int bytes) {
@@ -25,10 +25,10 @@
 
   @Test
   void aFewAreServedInTurn() {
-    for (int i = 0; i < PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i < PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertFalse(parts.isFlood());
+    assertFalse(parts.hasOverflowed());
     for (HttpContent part : added) {
       assertSame(part, parts.poll());
       assertEquals(1, part.refCnt(), "it belongs to the caller");
@@ -39,25 +39,25 @@
 
   @Test
   void oneTooManyDropsAll() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertTrue(parts.isFlood());
+    assertTrue(parts.hasOverflowed());
     assertTrue(parts.isEmpty());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
   @Test
   void whatFollowsIsReleasedAndCounted() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
     for (int i = 0; i < 10; i++) {
       add(100_000);
-      assertFalse(parts.isEndless());
+      assertFalse(parts.overflowLimitExceeded());
     }
     add(100_000);
-    assertTrue(parts.isEndless());
+    assertTrue(parts.overflowLimitExceeded());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
--- a/src/test/java/heathswitch/proxy/operations/MarksTest.java
+++ b/src/test/java/heathswitch/proxy/operations/MarkStoreTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Suspension;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A mark whose file cannot be read for a moment stands as before. */
-class MarksTest {
+class MarkStoreTest {
   private static final long NOW = 1_000_000;
 
   @TempDir Path folder;
@@ -31,9 +31,9 @@
 
   @Test
   void anUpstreamThatIsOutStaysOutWhileItsMarkCannotBeRead() throws IOException {
-    Marks marks = new Marks(folder);
+    MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
-    Mark before = marks.read(NOW).get("s/1");
+    Suspension before = marks.read(NOW).get("s/1");
     makeUnreadable();
     assertEquals(before, marks.read(NOW + 1000).get("s/1"));
   }
@@ -41,15 +41,15 @@
   /** By the name of the file alone an upstream that has a mark is taken for out. */
   @Test
   void aProcessThatHasNeverReadAMarkTakesItsUpstreamForOut() throws IOException {
-    new Marks(folder).suspend("s/1", NOW);
+    new MarkStore(folder).suspend("s/1", NOW);
     makeUnreadable();
-    Map<String, Mark> seen = new Marks(folder).read(NOW + 1000);
-    assertTrue(seen.get("s/1").out());
+    Map<String, Suspension> seen = new MarkStore(folder).read(NOW + 1000);
+    assertTrue(seen.get("s/1").isSuspended());
   }
 
   @Test
   void aMarkThatWasTakenAwayIsGone() throws IOException {
-    Marks marks = new Marks(folder);
+    MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
       for (Path file : files) {
