--- a/src/main/java/heathswitch/policy/api/Actions.java
+++ b/src/main/java/heathswitch/policy/api/Actions.java
@@ -1,31 +1,41 @@
 package heathswitch.policy.api;
 
-/** What a balancer asks of its host. Calls are carried out in the order in which they are made. */
+/** The actions that a balancer requests from its host, to be carried out in order. */
 public interface Actions {
-  /** Starts an attempt of the request; attempts are numbered from 0 in this order. */
+  /**
+   * Sends an attempt of a request to a server. The attempts of a request are numbered from 0 in the
+   * order of these calls.
+   *
+   * @param attemptDeadlineNanos clock time at which the attempt times out; 0 for the deadline of
+   *     the request
+   */
   void send(long requestId, long serverId, long attemptDeadlineNanos);
 
-  /** Stops waiting for one attempt. */
+  /** Cancels an attempt. */
   void cancel(long requestId, int attempt);
 
-  /** Final answer: turned away, and a retry is harmless. Zero advice means none. */
+  /**
+   * Refuses a request as its final answer; the client may safely retry it.
+   *
+   * @param retryAfterNanos advised wait before a retry; 0 for no advice
+   */
   void refuse(long requestId, long retryAfterNanos);
 
-  /** Final answer: failed, with no promise about the effect. */
+  /** Fails a request as its final answer; the request may or may not have taken effect. */
   void fail(long requestId);
 
-  /** Says why the refusal or failure that follows is the answer. */
+  /** Reports the reason for the refusal or failure that follows. */
   default void reportUnserved(long requestId, UnservedReason reason) {}
 
-  /** Asks for a timer event with this token. */
+  /** Sets a timer; {@code onTimer} is called with the token when it fires. */
   void setTimer(long delayNanos, long token);
 
-  /** Asks discovery for changes from now on. */
+  /** Opens or ends the subscription to changes of the list at discovery. */
   void watch(boolean enable);
 
-  /** Asks discovery for the whole list once. */
+  /** Requests the full list from discovery once. */
   void fetch();
 
-  /** Leaves a line for the people on call. */
+  /** Writes a line to the operators' log. */
   void log(String message);
 }
--- a/src/main/java/heathswitch/policy/api/Health.java
+++ b/src/main/java/heathswitch/policy/api/Health.java
@@ -1,10 +1,10 @@
 package heathswitch.policy.api;
 
-/** What discovery says of a server. */
+/** State of a server as discovery lists it. */
 public enum Health {
   /** In service. */
   READY,
-  /** Finishing its work; nothing new may be sent. */
+  /** Finishing its work; nothing new may be sent to it. */
   DRAINING,
   /** Removed. */
   GONE
--- a/src/main/java/heathswitch/policy/api/ListUpdate.java
+++ b/src/main/java/heathswitch/policy/api/ListUpdate.java
@@ -1,39 +1,40 @@
 package heathswitch.policy.api;
 
-/** The forms in which discovery's news arrives. */
+/** Kinds of updates of the server list, and of failures to get one. */
 public enum ListUpdate {
   /** Only the changed entries. */
   DELTA,
   /**
-   * Only the changed entries, and no answer to a call: of an older watch, or an operator's mark.
+   * Only the changed entries, not in answer to a call: from an earlier watch, or because an
+   * operator has suspended or resumed an upstream.
    */
   UNSOLICITED_DELTA,
-  /** The whole list. */
+  /** The full list. */
   FULL,
-  /** The whole list as this instance last had it, possibly old. */
+  /** The full list as this balancer last knew it, possibly out of date. */
   STALE_FULL,
   /** A call failed or the subscription broke; no entries. */
   FAILED,
-  /** Discovery answered a call, and turned it away; no entries. */
+  /** Discovery rejected a call; no entries. */
   REJECTED,
-  /** Discovery began to answer a call, and the answer broke off before it told anything. */
+  /** The answer to a call broke off before it contained any of the list; no entries. */
   TRUNCATED,
-  /** A call was taken or a watch was open, and nothing came any more; no entries. */
+  /** A call was accepted or a watch was open, but nothing arrived in time; no entries. */
   SILENT,
-  /** A call could not be made from here, which tells nothing of discovery; no entries. */
+  /** A call failed on this machine, which says nothing about discovery; no entries. */
   NOT_SENT;
 
-  /** Whether what is not among the entries is gone. */
+  /** Whether servers that are not among the entries have been removed. */
   public boolean isFull() {
     return this == FULL || this == STALE_FULL;
   }
 
-  /** Whether discovery has answered with it, if it was called. */
+  /** Whether this answers a call that is in flight. */
   public boolean answersCall() {
     return this == DELTA || this == FULL;
   }
 
-  /** Whether a call or a subscription has failed; such news has no entries. */
+  /** Whether a call or a subscription has failed; such an update has no entries. */
   public boolean isFailure() {
     return this == FAILED
         || this == REJECTED
--- a/src/main/java/heathswitch/policy/api/Outcome.java
+++ b/src/main/java/heathswitch/policy/api/Outcome.java
@@ -6,21 +6,21 @@
   OK(false),
   /** The server answered with an error; the request may have run. */
   ERROR(false),
-  /** The server says that the request itself is at fault; another would say the same. */
+  /** The server rejected the request as invalid; any other server would do the same. */
   BAD_REQUEST(false),
-  /** Turned away before the server looked at it. */
+  /** Refused by the server before it processed the request. */
   REFUSED(true),
   /** No answer in time. */
   TIMEOUT(false),
   /** No connection could be made. */
   CONNECT_FAILED(true),
-  /** The connection broke while the attempt was out. */
+  /** The connection broke while the attempt was in flight. */
   RESET(false),
-  /** Called off by the balancer. */
+  /** Cancelled by the balancer. */
   CANCELLED(false),
   /** Never sent. */
   MOOT(true),
-  /** A code that this version does not know; taken as one that may have run. */
+  /** A code that this version does not know; the request may have run. */
   UNKNOWN(false);
 
   private final boolean neverRan;
@@ -29,7 +29,7 @@
     this.neverRan = neverRan;
   }
 
-  /** True where the outcome proves that the request did not run. */
+  /** Whether the outcome proves that the request did not run. */
   public boolean neverRan() {
     return neverRan;
   }
--- a/src/main/java/heathswitch/policy/api/RequestClass.java
+++ b/src/main/java/heathswitch/policy/api/RequestClass.java
@@ -1,6 +1,13 @@
 package heathswitch.policy.api;
 
-/** One class of requests, as the settings state it. */
+/**
+ * The settings of one class of requests.
+ *
+ * @param aimNanos delay to stay within
+ * @param dedupWindowNanos how long servers drop repeats of a keyed request
+ * @param worth value of a request that is served within its aim
+ * @param lateWorth value of a request that is served later
+ */
 public record RequestClass(
     String name,
     Effect effect,
@@ -12,17 +19,17 @@
     double lateWorth,
     boolean stream) {
 
-  /** Whether a request may run again. */
+  /** Whether a request may run more than once. */
   public enum Effect {
     /** May be repeated freely. */
     SAFE,
-    /** Repeats are dropped inside a group of servers, for a while. */
+    /** Repeats are dropped within a group of servers for a limited time. */
     KEYED,
     /** Must never run twice. */
     UNSAFE
   }
 
-  /** Which servers drop each other's repeats of a keyed request. */
+  /** The servers that deduplicate a keyed request together. */
   public enum Group {
     ALL,
     ZONE,
--- a/src/main/java/heathswitch/policy/api/RequestProtocol.java
+++ b/src/main/java/heathswitch/policy/api/RequestProtocol.java
@@ -1,17 +1,20 @@
 package heathswitch.policy.api;
 
-/** In what form a request comes: which servers can take it, and whether it may have a copy. */
+/**
+ * The protocol of a request and whether its body is complete. Determines which servers can take the
+ * request and whether it can be hedged.
+ */
 public enum RequestProtocol {
-  /** Over HTTP/1.1, whole. */
+  /** HTTP/1.1 with a complete body. */
   HTTP1(1, true),
-  /** Over HTTP/1.1, with more of its body still to come. */
+  /** HTTP/1.1 with a body that is still arriving. */
   HTTP1_STREAM(1, false),
-  /** Over gRPC, whole. */
+  /** gRPC with a complete request. */
   GRPC(2, true),
-  /** Over gRPC, with more of it still to come: only one attempt at a time can have that. */
+  /** gRPC with a request that is still arriving; only one attempt at a time can receive it. */
   GRPC_STREAM(2, false);
 
-  /** Sets of protocols that a server may speak, none and all of them included. */
+  /** Number of possible sets of protocols, including the empty and the full one. */
   public static final int PROTOCOL_SETS = 4;
 
   private final int protocolBit;
@@ -22,12 +25,12 @@
     this.hedgeable = hedgeable;
   }
 
-  /** The protocol's bit in {@link ServerEntry#speaks}. */
+  /** The bit of the protocol in {@link ServerEntry#protocols}. */
   public int protocolBit() {
     return protocolBit;
   }
 
-  /** Whether a second attempt may run beside a first one. */
+  /** Whether a second attempt may run at the same time as the first. */
   public boolean hedgeable() {
     return hedgeable;
   }
--- a/src/main/java/heathswitch/policy/api/ServerEntry.java
+++ b/src/main/java/heathswitch/policy/api/ServerEntry.java
@@ -1,11 +1,12 @@
 package heathswitch.policy.api;
 
 /**
- * One line of the server list.
+ * One entry of the server list.
  *
  * @param startedNanos clock time of the last start, or 0 for long ago
- * @param protocols the protocols that it takes, a {@link RequestProtocol#protocolBit} bit for each
- * @param role whether this balancer is to use it
+ * @param protocols the protocols that it supports, one {@link RequestProtocol#protocolBit} bit for
+ *     each
+ * @param role its role for this balancer
  */
 public record ServerEntry(
     long id,
@@ -18,7 +19,7 @@
     int protocols,
     SubsetRole role) {
 
-  /** One of which nothing is said who is to use it. */
+  /** An entry that is not assigned to a subset. */
   public ServerEntry(
       long id,
       String zone,
@@ -31,7 +32,7 @@
     this(id, zone, kind, cell, health, weight, startedNanos, protocols, SubsetRole.ANY);
   }
 
-  /** Likewise one that speaks HTTP/1.1 alone. */
+  /** An entry that is not assigned to a subset and supports HTTP/1.1 only. */
   public ServerEntry(
       long id,
       String zone,
--- a/src/main/java/heathswitch/policy/api/Settings.java
+++ b/src/main/java/heathswitch/policy/api/Settings.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 
-/** All that an instance is told at its start. Times are in nanoseconds. */
+/**
+ * The settings of a balancer. Times are in nanoseconds.
+ *
+ * @param overQuotaFactor factor on the worth of requests whose tenant is over its quota
+ * @param worthByWork whether worth is per unit of work rather than per request
+ * @param tier depth in the chain of services; 0 receives requests from outside
+ * @param instance index of this balancer among those of the same service
+ * @param instances number of balancers of the same service
+ * @param subscribes whether the balancer has to subscribe at discovery itself
+ */
 public record Settings(
     List<RequestClass> classes,
     List<Tenant> tenants,
@@ -16,7 +25,7 @@
     Limits limits,
     Obligations obligations) {
 
-  /** What the site allows. */
+  /** Limits set by the site. */
   public record Limits(
       int maxAttempts,
       boolean mayHedge,
@@ -32,7 +41,18 @@
     }
   }
 
-  /** The figures of the rules. */
+  /**
+   * Rules that every balancer must keep.
+   *
+   * @param answerGraceNanos time before the deadline that a refusal needs to arrive in time
+   * @param stopSendingWithinNanos grace period in which attempts may still go to a draining server
+   * @param subscribeWithinNanos time within which the balancer must subscribe at discovery
+   * @param startCapacity share of its capacity that a server has when it starts
+   * @param warmUpNanos time after its start in which a server is cold
+   * @param coldBudgetMultiple calls that may go to a cold server in a stretch of time, as a
+   *     multiple of its capacity
+   * @param coldBudgetWindowNanos length of that stretch
+   */
   public record Obligations(
       long answerGraceNanos,
       long stopSendingWithinNanos,
--- a/src/main/java/heathswitch/policy/api/SubsetRole.java
+++ b/src/main/java/heathswitch/policy/api/SubsetRole.java
@@ -1,11 +1,11 @@
 package heathswitch.policy.api;
 
-/** Whether a balancer among others is to use a server. */
+/** Role of a server for one balancer, where each balancer uses a subset of the servers. */
 public enum SubsetRole {
-  /** Nothing is said: all servers alike, near ones first. */
+  /** No subset is assigned: all servers are used alike, near ones first. */
   ANY,
-  /** One of those that it uses; its weight says how much against the others of these. */
+  /** In the balancer's subset; its weight is relative to the others in the subset. */
   OWN,
-  /** Others use it: nothing goes there while one of its own has room. */
+  /** Outside the subset: gets calls only when no server in the subset has room. */
   SPARE
 }
--- a/src/main/java/heathswitch/policy/api/Tenant.java
+++ b/src/main/java/heathswitch/policy/api/Tenant.java
@@ -1,6 +1,10 @@
 package heathswitch.policy.api;
 
-/** A tenant and its share of the service; the quota is for all balancers together. */
+/**
+ * A tenant of the service.
+ *
+ * @param quotaPerSecond requests per second, for all balancers together
+ */
 public record Tenant(String name, double portion, double quotaPerSecond) {
   public Tenant {
     Settings.require(name != null && !name.isEmpty(), "tenants[].name");
--- a/src/main/java/heathswitch/policy/api/UnservedReason.java
+++ b/src/main/java/heathswitch/policy/api/UnservedReason.java
@@ -1,15 +1,15 @@
 package heathswitch.policy.api;
 
-/** Why a request got its final answer without having been served, for the log. */
+/** Why a request was refused or failed without having been served; for the log. */
 public enum UnservedReason {
-  /** The entry takes no more of its worth at present. */
+  /** Admission control refuses requests of its worth at present. */
   NOT_ADMITTED,
-  /** No server could take it. */
+  /** No server had room. */
   NO_ROOM,
-  /** The list of servers may not be acted on. */
+  /** The list of servers is too old to be used. */
   LIST_NOT_CURRENT,
-  /** It waited for room, and none came. */
+  /** It was queued, and no server had room in time. */
   WAITED_IN_VAIN,
-  /** Its attempt failed, and there is no time, no allowance or no attempt left for another. */
+  /** Its attempt failed, and no time, no retry budget or no further attempt is left. */
   NO_FURTHER_ATTEMPT
 }
--- a/src/main/java/heathswitch/policy/core/ActiveSettings.java
+++ b/src/main/java/heathswitch/policy/core/ActiveSettings.java
@@ -7,25 +7,36 @@
 import java.util.Map;
 
 /**
- * One version of the settings with what is learned under it: delays of classes, quotas left. Each
- * request keeps the version it was taken under. A departure: the paper refuses whoever comes when
- * there is no room, and a tenant far over its quota would push out those that keep to theirs.
+ * One version of the settings together with the state learned under it: the mean delays of the
+ * classes and the remaining quotas of the tenants. A request keeps the version that it was admitted
+ * under. Differs from the paper, which refuses whatever arrives when there is no room: a tenant far
+ * over its quota would then displace tenants that keep within theirs.
  */
 final class ActiveSettings {
-  /** Seconds of quota that a tenant may have saved up. */
+  /** Quota that a tenant can save up, in seconds of its rate. */
   static final double QUOTA_BURST_SECONDS = 1;
 
   final Settings declared;
   final Settings.Limits limits;
+
+  /** Mean delay of each class. */
   final double[] classDelayNanos;
+
+  /** Delay samples taken of each class. */
   final long[] classSamples;
+
   private final Map<String, Integer> classIndex = new HashMap<>();
   private final Map<String, Integer> tenantIndex = new HashMap<>();
   private final double[] quotaPerSecond;
   private final double[] quotaTokens;
   private final long[] quotaFilledNanos;
 
-  /** Takes over what was learned of the same names under the version before, or null. */
+  /**
+   * Creates the state for new settings.
+   *
+   * @param previous the version before, from which classes and tenants of the same name keep their
+   *     learned state; null for none
+   */
   ActiveSettings(Settings settings, ActiveSettings previous) {
     this.declared = settings;
     this.limits = settings.limits();
@@ -57,17 +68,20 @@
     return declared.classes().get(index);
   }
 
-  /** Place of a class; the first one's for a name that the settings do not know. */
+  /** Index of a class; 0 for a name that the settings do not contain. */
   int classIndexOf(String name) {
     return classIndex.getOrDefault(name, 0);
   }
 
-  /** Place of a tenant, or -1 for one that the settings do not name. */
+  /** Index of a tenant; -1 for a name that the settings do not contain. */
   int tenantIndexOf(String name) {
     return tenantIndex.getOrDefault(name, -1);
   }
 
-  /** From 0 to 1, where 1 is the class that is worth most for its work, inside its quota. */
+  /**
+   * Worth of a request for admission, from 0 to 1. The class with the most worth per unit of work
+   * has 1; a tenant over its quota has its worth multiplied by the factor in the settings.
+   */
   double relativeWorth(int classIndex, int tenant, long nowNanos) {
     double best = 0;
     for (int i = 0; i < classDelayNanos.length; i++) {
@@ -77,7 +91,10 @@
     return overQuota(tenant, nowNanos) ? worth * declared.overQuotaFactor() : worth;
   }
 
-  /** The tenant has been let in. A refused try takes nothing, or retries would eat the quota. */
+  /**
+   * Charges the tenant for an admitted request. Refused requests are not charged, or retries would
+   * use up the quota.
+   */
   void takeQuotaToken(int tenant) {
     if (tenant >= 0) {
       quotaTokens[tenant] = Math.max(0, quotaTokens[tenant] - 1);
@@ -89,6 +106,7 @@
     return declared.worthByWork() ? worth : worth / classDelayNanos[index];
   }
 
+  /** Refills the tenant's token bucket; true if it holds less than one token. */
   private boolean overQuota(int tenant, long nowNanos) {
     if (tenant < 0 || quotaPerSecond[tenant] <= 0) {
       return false;
@@ -99,6 +117,7 @@
     return quotaTokens[tenant] < 1;
   }
 
+  /** Size of a tenant's token bucket. */
   private double maxQuotaTokens(int tenant) {
     return Math.max(2, QUOTA_BURST_SECONDS * quotaPerSecond[tenant]);
   }
--- a/src/main/java/heathswitch/policy/core/Balancer.java
+++ b/src/main/java/heathswitch/policy/core/Balancer.java
@@ -16,40 +16,57 @@
 import java.util.SplittableRandom;
 
 /**
- * One balancer: a method for each event, each with the clock's reading, and decisions sent out
- * through {@link Actions}. Single-threaded by contract; instances share nothing; the same events
- * and seed give the same actions.
+ * The load-balancing policy of one balancer. The host calls one method per event, always with the
+ * current clock reading; decisions are returned through {@link Actions}. Not thread-safe. Instances
+ * share no state, and the same events with the same seed produce the same actions.
  */
 public final class Balancer {
-  /** A call is overdue, and may get a second copy, at this multiple of its class's delay. */
+  /** An attempt is overdue, and may be hedged, after this multiple of its class's mean delay. */
   static final double OVERDUE_MULTIPLE = 4;
 
-  /** Weight of one result in the class's present delay. */
-  static final double MIN_CLASS_SAMPLE_WEIGHT = 0.02;
+  /**
+   * Smallest weight of one sample in a class's mean delay (a class with fewer samples weighs each
+   * more), and the weight of one sample in the fleet's error rate.
+   */
+  static final double MIN_SAMPLE_WEIGHT = 0.02;
 
-  /** Second copies and tries after a possible run, as a part of the requests. */
+  /**
+   * Retry budget earned by each request. It pays for hedges and for retries of requests that may
+   * already have run.
+   */
   static final double RETRY_BUDGET_SHARE = 0.1;
 
+  /** Largest retry budget that can be saved up. */
   static final double RETRY_BUDGET_BURST = 5;
 
-  /** Weight of one result in the fleet's present slowness. */
+  /** Weight of one sample in the fleet's slowness. */
   static final double FLEET_SAMPLE_WEIGHT = 0.1;
 
-  /** Part of its time for which a roomless call of a deeper tier waits. */
+  /** Share of its remaining time that a request waits in the queue where no server has room. */
   static final double QUEUE_TIME_SHARE = 0.3;
 
-  /** A server is judged faulty when its share of errors passes its peers' by this much. */
+  /** A server is ejected when its error rate exceeds that of the fleet by more than this. */
   static final double ERROR_MARGIN = 0.3;
 
-  /** Own calls by which a near server may lead a far one. */
+  /**
+   * A far server is chosen once the near one has more than this many calls of this balancer beyond
+   * those of the far one.
+   */
   static final int FAR_HANDICAP_CALLS = 2;
 
+  /** Time constant of the decaying average of the send rate. */
   static final long SEND_RATE_DECAY_NANOS = 2_000_000_000L;
 
-  /** A clock may round a timer down; taken for an old one, its calls would stay unanswered. */
+  /**
+   * A timer may fire this much early, since the host's clock may round down. Taken for an outdated
+   * timer it would be dropped, and the requests that it was set for would never be answered.
+   */
   static final long TIMER_SLACK_NANOS = 1_000_000L;
 
+  /** Timer token: check for overdue attempts and for requests whose time in the queue is over. */
   private static final long SWEEP_TIMER = 1;
+
+  /** Timer token: call discovery if there is no subscription. */
   static final long SUBSCRIBE_TIMER = 2;
 
   private final Actions actions;
@@ -63,11 +80,16 @@
   private long sweepDueNanos = Long.MAX_VALUE;
   private double retryTokens = RETRY_BUDGET_BURST;
   private double fleetErrorRate;
+
+  /** Delays of the fleet at present, as a multiple of the mean delays of the classes. */
   private double fleetSlowness = 1;
+
+  /** Attempts sent, decaying with {@link #SEND_RATE_DECAY_NANOS}, as of decayedSendsNanos. */
   private double decayedSends;
+
   private long decayedSendsNanos;
 
-  /** Creates an instance that knows nothing yet; {@link #start} must follow. */
+  /** Creates a balancer with no servers; {@link #start} must be called next. */
   public Balancer(Settings settings, long seed, Actions actions) {
     this.actions = actions;
     this.random = new SplittableRandom(seed);
@@ -75,44 +97,51 @@
     this.settings = new ActiveSettings(settings, null);
   }
 
-  /** Other settings for the requests that come from now on; those that are here keep their own. */
+  /** Applies new settings to requests that arrive from now on; earlier requests keep theirs. */
   public void reload(Settings newSettings) {
     settings = new ActiveSettings(newSettings, settings);
     membership.settings = newSettings;
   }
 
-  /** The instance starts. */
+  /** Starts the balancer. */
   public void start(long nowNanos) {
     decayedSendsNanos = nowNanos;
     membership.start(nowNanos);
   }
 
   /**
-   * Has a list hold for a limited time only unless it is confirmed: a change counts as told so long
-   * after discovery had it and could be reached.
+   * Limits how long a list that is not confirmed may be used. Without this call a list is valid
+   * until the next one arrives.
+   *
+   * @param deliveryNanos how long after a change the balancer counts as informed of it, if
+   *     discovery knew of the change and could be reached all that time
    */
   public void limitListAge(long nowNanos, long deliveryNanos) {
     membership.limitListAge(nowNanos, deliveryNanos);
   }
 
-  /** Discovery has said that the list is current, after all news of it. */
+  /** Discovery has confirmed that the list is current; all earlier updates have been applied. */
   public void onListConfirmed(long nowNanos) {
     membership.onListConfirmed(nowNanos);
     serveQueue(nowNanos);
   }
 
-  /** Discovery is to be asked at another address from now on. */
+  /** The address of discovery has changed. */
   public void onDiscoveryMoved(long nowNanos) {
     membership.onDiscoveryMoved(nowNanos);
   }
 
-  /** Discovery has news. */
+  /** Discovery has sent an update of the list, or a call to it has failed. */
   public void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries) {
     membership.onListUpdate(nowNanos, update, entries);
     serveQueue(nowNanos);
   }
 
-  /** A client's request has arrived. */
+  /**
+   * A request has arrived from a client.
+   *
+   * @param ttlNanos time until its deadline
+   */
   public void onRequest(
       long nowNanos,
       long id,
@@ -133,6 +162,7 @@
     }
   }
 
+  /** Admission control: whether the entry window has room for a request of this worth. */
   private boolean admit(Request request, int tenant, long nowNanos) {
     if (!entryWindow.hasRoom(settings.relativeWorth(request.classIndex, tenant, nowNanos))) {
       return false;
@@ -141,7 +171,11 @@
     return true;
   }
 
-  /** An answer has begun, so long after its server had the request; its deadline no longer runs. */
+  /**
+   * The answer to an attempt has begun; the deadline of the request no longer applies.
+   *
+   * @param tookNanos time from sending the attempt to the beginning of its answer
+   */
   public void onAnswerBegun(long nowNanos, long id, int number, long tookNanos) {
     Request.Attempt attempt = openAttempt(id, number);
     if (attempt != null && !attempt.request.finished) {
@@ -152,13 +186,17 @@
     }
   }
 
+  /** The attempt of this number if it is in flight, else null. */
   private Request.Attempt openAttempt(long id, int number) {
     Request request = requests.get(id);
     boolean exists = request != null && number >= 0 && number < request.attemptCount;
     return exists && request.attempts[number].open ? request.attempts[number] : null;
   }
 
-  /** Whether an attempt that was decided a while ago may still begin, on a new connection say. */
+  /**
+   * Whether an attempt that was chosen earlier may still be sent. The host asks again just before
+   * it writes the attempt, for example when a new connection has taken time to open.
+   */
   public boolean mayBegin(long nowNanos, long id, int number) {
     Request.Attempt attempt = openAttempt(id, number);
     return attempt != null
@@ -169,7 +207,11 @@
         && attempt.request.maySend(number, attempt.server, nowNanos);
   }
 
-  /** An attempt has ended. */
+  /**
+   * An attempt has ended.
+   *
+   * @param terminal whether the request has its final answer with this outcome
+   */
   public void onOutcome(
       long nowNanos, long id, int number, Outcome outcome, long tookNanos, boolean terminal) {
     Request.Attempt attempt = openAttempt(id, number);
@@ -185,7 +227,7 @@
     if (terminal && !request.finished) {
       finish(request, nowNanos);
     } else if (outcome == Outcome.BAD_REQUEST && !request.finished) {
-      actions.fail(request.id); // Sent elsewhere it would cost as much again and fare no better.
+      actions.fail(request.id); // A retry would cost as much again and give the same result.
       finish(request, nowNanos);
     } else if (!request.finished) {
       retryOrFail(request, nowNanos);
@@ -194,7 +236,7 @@
     serveQueue(nowNanos);
   }
 
-  /** The client has gone, or its request is over in some other way. */
+  /** The client has disconnected, or the host has finished the request in another way. */
   public void onClientGone(long nowNanos, long id) {
     Request request = requests.get(id);
     if (request != null && !request.finished) {
@@ -203,7 +245,7 @@
     }
   }
 
-  /** A timer has come due. */
+  /** A timer that was set with this token has fired. */
   public void onTimer(long nowNanos, long token) {
     if (token == SUBSCRIBE_TIMER) {
       membership.onSubscribeTimer(nowNanos);
@@ -212,6 +254,7 @@
     }
   }
 
+  /** Marks a request as answered and cancels its attempts that are still in flight. */
   private void finish(Request request, long nowNanos) {
     request.finished = true;
     entryWindow.onEnd(nowNanos, request, request.attemptCount > 0);
@@ -232,6 +275,7 @@
 
   // ---- sending ----
 
+  /** Sends an attempt if a server has room for it. */
   private boolean trySend(Request request, long nowNanos) {
     if (request.attemptCount >= request.settings.limits.maxAttempts()
         || nowNanos >= request.deadlineNanos
@@ -246,6 +290,10 @@
     return true;
   }
 
+  /**
+   * Chooses a server: a cold one within its budget, else the better of the best near and the best
+   * far one, else a spare one, else any ready one that has room within its window.
+   */
   private Server choose(Request request, long nowNanos) {
     Server server = membership.nextCold(request, nowNanos, ratePerSecond(nowNanos));
     if (server != null) {
@@ -259,7 +307,8 @@
     }
     boolean trySpare = server == null;
     if (membership.spare.poolSize() > 0 && fleetErrorRate > ERROR_MARGIN) {
-      // Its own may all fail, and only others' tell whether that is theirs or strikes all alike.
+      // If all servers of the subset fail, only servers outside it can show whether the fault is
+      // theirs or common to all. The more calls fail, the more of them go to spare servers.
       trySpare |= random.nextDouble() < fleetErrorRate;
     }
     Server spare = trySpare ? membership.spare.choose(request, nowNanos) : null;
@@ -300,14 +349,16 @@
     }
   }
 
-  // ---- no room, failures, waiting ----
+  // ---- queueing, retries, hedging ----
 
   /**
-   * Refused at once at the top; deeper, where callers would see an error, after a short wait. So is
-   * all that comes while the list may not be acted on: it is likely to be confirmed in a moment.
+   * Handles a request for which no server has room. At tier 0 it is refused at once. At deeper
+   * tiers, where a refusal would reach the caller as an error, it is queued for a short time. While
+   * the list may not be used requests are queued at every tier, since the list is likely to be
+   * confirmed soon.
    */
   private void queueOrReject(Request request, long nowNanos) {
-    // A call that comes with no time left would be answered too late by any timer.
+    // With no time left a request must be answered now: any timer would fire too late.
     long leftNanos = request.deadlineNanos - nowNanos;
     if ((request.settings.declared.tier() == 0 && !membership.noneAllowedByList(nowNanos))
         || leftNanos <= request.settings.declared.obligations().answerGraceNanos()) {
@@ -326,6 +377,7 @@
         : UnservedReason.NO_ROOM;
   }
 
+  /** Answers a request that could not be served. */
   private void failUnserved(Request request, long nowNanos, UnservedReason reason) {
     actions.reportUnserved(request.id, reason);
     if (request.mayAdviseRetry()) {
@@ -338,7 +390,7 @@
     removeIfDone(request);
   }
 
-  /** An attempt has failed and the request is not over. */
+  /** Retries a request after a failed attempt, queues it or answers it with a failure. */
   private void retryOrFail(Request request, long nowNanos) {
     if (request.openAttempts > 0 || request.queued) {
       return;
@@ -374,15 +426,16 @@
     }
   }
 
-  /** Looks at overdue calls and at calls that have waited long enough; one timer serves all. */
+  /** Hedges overdue attempts and expires queued requests; one timer serves all of them. */
   private void sweep(long nowNanos) {
     if (nowNanos < sweepDueNanos - TIMER_SLACK_NANOS) {
-      return; // A timer whose work was done by an earlier one.
+      return; // Outdated: an earlier sweep has done the work of this timer.
     }
     sweepDueNanos = Long.MAX_VALUE;
     queue.removeIf(request -> expireQueued(request, nowNanos));
     long nextNanos = Long.MAX_VALUE;
-    for (Request request : queue) { // Calls carry their caller's time: not in order of arrival.
+    // Deadlines come from the callers, so the queue is not in the order of its expiry times.
+    for (Request request : queue) {
       nextNanos = Math.min(nextNanos, request.queuedUntilNanos);
     }
     while (!hedgeCandidates.isEmpty()) {
@@ -399,6 +452,7 @@
     scheduleSweep(nowNanos, nextNanos);
   }
 
+  /** Fails a request whose time in the queue is over; true if it is no longer queued. */
   private boolean expireQueued(Request request, long nowNanos) {
     if (request.queued && request.queuedUntilNanos <= nowNanos) {
       failUnserved(
@@ -411,7 +465,7 @@
     return !request.queued;
   }
 
-  /** A second copy of an overdue call, where its class allows one and the budget lasts. */
+  /** Sends a hedge of an overdue request if its class and the retry budget allow it. */
   private void hedge(Request request, long nowNanos) {
     if (retryTokens >= 1
         && request.openAttempts == 1
@@ -421,7 +475,7 @@
     }
   }
 
-  /** The module's own view in a line, to be held against what the sockets show. */
+  /** The state of the policy in one line, for comparison with the state of the connections. */
   public String summary(long nowNanos) {
     return String.format(
         "entry %s, retries left %.0f, level %.2f, errors %.2f, waiting %d, requests %d; %s",
@@ -434,7 +488,10 @@
         membership.summary(nowNanos));
   }
 
-  /** Calls in flight, window, 1 if it rests or has rested twice unanswered; null if not known. */
+  /**
+   * Load of one server: calls in flight, window size, and 1 if it is ejected, unresponsive or has
+   * been ejected more than once since its last success, else 0. Null for an unknown server.
+   */
   public int[] load(long nowNanos, long serverId) {
     Server server = membership.servers.get(serverId);
     boolean unhealthy =
@@ -447,16 +504,17 @@
         : new int[] {server.inFlight, server.window.size(), unhealthy ? 1 : 0};
   }
 
-  // ---- judging servers ----
+  // ---- server health ----
 
   private void recordOutcome(
       long nowNanos, Request.Attempt attempt, Outcome outcome, long tookNanos) {
     if (attempt.answerBegun && outcome == Outcome.OK) {
-      return; // Told when it began; since then it has gone on at its caller's pace.
+      return; // Recorded when the answer began; since then the client has set the pace.
     }
     switch (outcome) {
       case OK -> recordSuccess(nowNanos, attempt, tookNanos);
-      // A dying server fails all its calls at once; single resets, late connections may strike all.
+      // Single resets and late connections may affect every server; a failing server fails all of
+      // its calls at once.
       case ERROR, RESET, CONNECT_FAILED -> recordError(nowNanos, attempt, outcome);
       case REFUSED -> eject(nowNanos, attempt);
       case TIMEOUT -> {
@@ -468,6 +526,7 @@
     }
   }
 
+  /** Updates the delay estimates, the error rates and the window of the server. */
   private void recordSuccess(long nowNanos, Request.Attempt attempt, long tookNanos) {
     Server server = attempt.server;
     server.lastResponseNanos = nowNanos;
@@ -478,11 +537,12 @@
     int classIndex = attempt.request.classIndex;
     double classRelativeDelay = tookNanos / settings.classDelayNanos[classIndex];
     double fleetRelativeDelay = classRelativeDelay / fleetSlowness;
-    // What slows every server alike must not close them: a server is judged against its peers.
+    // Slowness that affects all servers alike must not cut their windows, so the delay of a server
+    // is compared with that of the fleet.
     fleetSlowness +=
         FLEET_SAMPLE_WEIGHT
             * (Math.min(classRelativeDelay, DelayWindow.MAX_SAMPLE) - fleetSlowness);
-    double weight = Math.max(MIN_CLASS_SAMPLE_WEIGHT, 1.0 / ++settings.classSamples[classIndex]);
+    double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / ++settings.classSamples[classIndex]);
     double maxSampleNanos =
         settings.classSamples[classIndex] < 10
             ? tookNanos
@@ -490,7 +550,7 @@
     settings.classDelayNanos[classIndex] +=
         weight * (Math.min(tookNanos, maxSampleNanos) - settings.classDelayNanos[classIndex]);
     if (membership.isCold(server, nowNanos)) {
-      return; // A cold server's delays are no measure of its normal ones.
+      return; // The delays of a cold server say nothing about its normal delay.
     }
     int inFlight = server.inFlight + (attempt.open ? 0 : 1);
     if (server.window.onCompletion(nowNanos, attempt.sentNanos, fleetRelativeDelay, inFlight)) {
@@ -504,7 +564,7 @@
     server.lastResponseNanos =
         outcome == Outcome.CONNECT_FAILED ? server.lastResponseNanos : nowNanos;
     updateErrorRates(server, 1);
-    // At upper tiers an error may come from the tier below and then strikes all servers alike.
+    // An error may come from the tier below; then it affects all servers alike.
     if (server.errorRate > fleetErrorRate + ERROR_MARGIN) {
       eject(nowNanos, attempt);
       server.errorRate /= 2;
@@ -513,10 +573,13 @@
 
   private void updateErrorRates(Server server, double sample) {
     server.errorRate += Server.ERROR_SAMPLE_WEIGHT * (sample - server.errorRate);
-    fleetErrorRate += MIN_CLASS_SAMPLE_WEIGHT * (sample - fleetErrorRate);
+    fleetErrorRate += MIN_SAMPLE_WEIGHT * (sample - fleetErrorRate);
   }
 
-  /** Takes a server out for a while, once a flight: the calls of a flight fail together. */
+  /**
+   * Cuts the window of a server and ejects it. Calls that were in flight together fail together, so
+   * those sent before the last cut do not eject the server again.
+   */
   private void eject(long nowNanos, Request.Attempt attempt) {
     Server server = attempt.server;
     if (server.window.cutSince(attempt.sentNanos)) {
--- a/src/main/java/heathswitch/policy/core/EntryWindow.java
+++ b/src/main/java/heathswitch/policy/core/EntryWindow.java
@@ -1,23 +1,29 @@
 package heathswitch.policy.core;
 
 /**
- * The same window over all calls of an entry balancer, which alone can turn work away before any
- * was spent on it. Departures: the normal delay is a stated part of the aim, and a cut goes
- * straight to the new threshold, since most calls of the flight are still served. And the delay is
- * that of the calls in flight (Little's law): those that are over tell of a jam seconds late.
+ * Admission window over all requests of a balancer at tier 0, the only place where work can be
+ * refused before any has been spent on it. Differs from {@link DelayWindow} in three ways. The
+ * normal delay is a fixed share of the aim. A cut reduces the window to the new threshold and not
+ * to one, since most requests in flight are still served. The delay is computed from the requests
+ * in flight by Little's law, since finished requests show congestion only seconds late.
  */
 final class EntryWindow {
-  /** Part of the aim that calls may take on average. */
+  /** Mean delay above which the window is cut, as a share of the aim. */
   static final double NORMAL_DELAY_SHARE = 0.8;
 
-  /** What a cut leaves of the window. */
+  /** Share of the window that a cut leaves. */
   static final double CUT_FACTOR = 0.8;
 
+  /** Window at the start. */
   static final double INITIAL = 64;
 
+  /** Smallest window. */
   static final double MIN = 2;
 
-  /** The average is over so long: some calls even where one of many balancers sees ten a second. */
+  /**
+   * Time constant of the decaying averages. Long enough to cover several requests where one of many
+   * balancers gets ten a second.
+   */
   static final double AVERAGING_NANOS = 5e8;
 
   double window = INITIAL;
@@ -25,14 +31,21 @@
   private int inFlight;
   private long cutAtNanos = Long.MIN_VALUE;
 
-  /** Sum over the calls in flight of 1 / aim; its integral; and how many calls have ended. */
+  /** Sum of 1 / aim over the requests in flight. */
   private double load;
 
+  /** Decaying integral of the load over time, as of integratedNanos. */
   private double loadIntegral;
+
+  /** Decaying number of requests that have ended, as of integratedNanos. */
   private double decayedEnds;
+
   private long integratedNanos;
 
-  /** The window is for what is worth least; room beyond it, as much again, goes by worth. */
+  /**
+   * Whether a request is admitted. The least worth (0) may use the window, the highest (1) twice as
+   * much.
+   */
   boolean hasRoom(double relativeWorth) {
     return inFlight <= window * (1 + relativeWorth);
   }
@@ -55,7 +68,11 @@
     integratedNanos = nowNanos;
   }
 
-  /** The request is over; one that was never sent tells nothing. */
+  /**
+   * A request has ended.
+   *
+   * @param sent whether an attempt was made; a request that was never sent says nothing about load
+   */
   void onEnd(long nowNanos, Request request, boolean sent) {
     boolean used = 2 * inFlight >= window;
     integrate(nowNanos);
@@ -64,12 +81,13 @@
       return;
     }
     meanDelay = loadIntegral / ++decayedEnds;
-    // After a pause the first of many that came at once ends with all their time behind it.
+    // After a pause, when the first request of a burst ends, the integral already holds the time of
+    // all of them, but only one has ended: the mean is too high. So a cut needs a slow request too.
     boolean slow =
         nowNanos - request.arrivedNanos > NORMAL_DELAY_SHARE / 2 * request.requestClass.aimNanos();
     if (meanDelay < NORMAL_DELAY_SHARE) {
       window += !used ? 0 : meanDelay < NORMAL_DELAY_SHARE / 2 ? 1 : 3 / window;
-    } else if (slow && request.arrivedNanos >= cutAtNanos) { // One cut a flight.
+    } else if (slow && request.arrivedNanos >= cutAtNanos) { // One cut per flight.
       window = Math.max(MIN, CUT_FACTOR * Math.min(window, inFlight + 1));
       cutAtNanos = nowNanos;
     }
--- a/src/main/java/heathswitch/policy/core/ListLease.java
+++ b/src/main/java/heathswitch/policy/core/ListLease.java
@@ -3,30 +3,34 @@
 import heathswitch.policy.api.Settings;
 
 /**
- * For how long the newest list of servers may be acted on. A change counts as told some time after
- * discovery had it, whether or not it arrived, and nothing may be sent to a drained server once the
- * grace has passed after that. Only discovery's own word that the list is current begins that time
- * anew. A call that fails does not: from here an outage of discovery looks the same as an address
- * that is wrong or cannot be reached, at which all others are told. The one exception is the form
- * that the pages give an outage: a call that was taken, held and turned away.
+ * Decides for how long the newest list of servers may be used. A change counts as delivered some
+ * time after discovery had it, whether or not it arrived, and nothing may be sent to a drained
+ * server once the grace period after that has passed. Only a confirmation by discovery that the
+ * list is current renews the lease. A failed call does not: seen from the balancer, an outage of
+ * discovery looks the same as a wrong or unreachable address, where all other balancers are
+ * informed. The one exception is what the platform documents as the sign of an outage: a call that
+ * was accepted, held and rejected.
  *
- * <p>What calls have shown decides how far the list is trusted once its time is over. If they were
- * not answered it may be an outage, in which nothing is told, and a balancer that turned everything
- * away would make it one of the service: servers that go on serving may be used, for as long as a
- * change could stay untold if it was one, and on while further calls are not answered. Else nothing
- * may be sent.
+ * <p>Once the lease is over, the calls made so far decide how far the list is trusted. If they were
+ * not answered there may be an outage, in which no change is delivered, and a balancer that refused
+ * everything would turn it into an outage of the service. Servers that keep serving may then be
+ * used for as long as a change could be undelivered in an outage, and longer while further calls
+ * are not answered. Otherwise nothing may be sent.
  */
 final class ListLease {
   /**
-   * A process may be held up for 0.15 s between a look at the clock and its write, and a line takes
-   * its time from discovery to here.
+   * Safety margin before the end of the grace period. A process may stall for 0.15 s between
+   * reading the clock and writing, and a line takes some time from discovery to the balancer.
    */
   static final long SEND_MARGIN_NANOS = 250_000_000L;
 
-  /** A call that was turned away after more than this had its place in the queue. */
+  /** A call that was rejected after more than this had been queued by discovery. */
   static final long PROMPT_REJECTION_NANOS = 1_000_000_000L;
 
-  /** What has changed before counts as told so long after a new configuration moved discovery. */
+  /**
+   * Changes made before the address of discovery changed count as delivered so long after the new
+   * configuration.
+   */
   static final long MOVE_DELIVERY_NANOS = 4_000_000_000L;
 
   private static final long NEVER = Long.MAX_VALUE;
@@ -34,40 +38,40 @@
   private final long deliveryNanos;
   private final boolean pushed;
 
-  /** When the list was last known to be current. */
+  /** When the list was last confirmed. */
   private long confirmedNanos;
 
-  /** When discovery first moved since then. */
+  /** When the address of discovery first changed after the last confirmation. */
   private long movedNanos = NEVER;
 
   /**
-   * When discovery was last seen to be down by its own showing, as the pages have it: a call that
-   * it held for seconds and turned away, an agent that took one and was silent. Nothing is told
-   * then. When the list was confirmed if that is later.
+   * When discovery last showed the documented signs of an outage, in which no change is delivered:
+   * a call that was held for seconds and rejected, or an agent that accepted a call and sent
+   * nothing. The time of the last confirmation if that is later.
    */
   private long lastDownNanos;
 
-  /** When an agent first stopped telling since then. */
+  /** When the watch at the agent was first lost after the last confirmation. */
   private long pushLostNanos = NEVER;
 
-  /** When the newest call was made that was not answered in what may be an outage. */
+  /** Start of the newest call that was not answered, in what may be an outage. */
   private long lastUnansweredNanos = NEVER;
 
-  /** Whether a watch has confirmed the list and not failed since. */
+  /** Whether a watch has confirmed the list and has not failed since. */
   private boolean watched;
 
   /** Whether a call or a watch has failed since the list was confirmed. */
   private boolean failed;
 
-  /** Whether the newest failed call shows that discovery runs. */
+  /** Whether the newest failed call has shown that discovery is running. */
   private boolean discoveryRuns;
 
   /**
-   * Begins a lease on a list that nobody has confirmed yet.
+   * Creates the lease of a list that has not been confirmed yet.
    *
-   * @param toldNanos after which a change counts as told that discovery had all that time
-   * @param pushed whether an agent beside the balancer has the list, so that a change counts as
-   *     told at once where no watch is open
+   * @param deliveryNanos how long after discovery had a change it counts as delivered
+   * @param pushed whether a local agent has the list, so that a change counts as delivered at once
+   *     when no watch is open
    */
   ListLease(long nowNanos, long deliveryNanos, boolean pushed) {
     this.deliveryNanos = deliveryNanos;
@@ -77,7 +81,7 @@
     this.pushLostNanos = pushed ? nowNanos : NEVER;
   }
 
-  /** Discovery has said that the list is current. */
+  /** Discovery has confirmed that the list is current. */
   void onListConfirmed(long nowNanos) {
     confirmedNanos = nowNanos;
     lastDownNanos = nowNanos;
@@ -89,15 +93,12 @@
     discoveryRuns = false;
   }
 
-  /** Discovery is asked at another address from now on. */
+  /** The address of discovery has changed. */
   void onDiscoveryMoved(long nowNanos) {
     movedNanos = Math.min(movedNanos, nowNanos);
   }
 
-  /**
-   * A watch has broken that had confirmed the list until then, or a call could not even be made
-   * from here.
-   */
+  /** A watch that had confirmed the list has broken, or a call failed on this machine. */
   void onWatchBroken(long nowNanos) {
     markFailed();
     if (pushed) {
@@ -107,9 +108,9 @@
   }
 
   /**
-   * An agent has taken a call and said nothing, as it does while discovery is down: it learns
-   * nothing then, and what it gets later counts from then on. What it had before that counts all
-   * the same, if nobody was listening to it then.
+   * An agent has accepted a call and sent nothing, as it does while discovery is down. The agent
+   * gets no changes then; later ones count from when it gets them. Changes that it had before still
+   * count if no watch was open at that time.
    */
   void onAgentSilent(long nowNanos) {
     markFailed();
@@ -124,13 +125,13 @@
     failed = true;
   }
 
-  /** A call was answered, and its answer broke off before it told anything. */
+  /** The answer to a call broke off before it contained any of the list. */
   void onAnswerTruncated() {
     markFailed();
     discoveryRuns = true;
   }
 
-  /** A call was turned away, so long after it was made. */
+  /** A call was rejected, at once or after it had been held for a while. */
   void onCallRejected(long callStartedNanos, long nowNanos, Settings.Obligations obligations) {
     if (nowNanos - callStartedNanos > PROMPT_REJECTION_NANOS) {
       boolean down = !discoveryRuns && callStartedNanos < earliestDeliveryNanos(obligations);
@@ -143,9 +144,9 @@
   }
 
   /**
-   * A call has ended with nothing that shows that discovery runs. After one that was turned away
-   * the first such call is taken for a long queue. One that was made when a change may have counted
-   * as told already shows no outage in which it was not.
+   * A call has ended with no sign that discovery is running. The first such call after a rejected
+   * one is attributed to a long queue, not to an outage. Nor does a call show an outage that was
+   * made when a change could already count as delivered.
    */
   void onCallUnanswered(long callStartedNanos, Settings.Obligations obligations) {
     long outageSinceNanos = lastUnansweredNanos == NEVER ? confirmedNanos : lastUnansweredNanos;
@@ -159,7 +160,7 @@
     discoveryRuns = false;
   }
 
-  /** How far the list may be acted on. */
+  /** How far the list may be used. */
   ListTrust trust(long nowNanos, Settings.Obligations obligations) {
     long graceNanos = obligations.stopSendingWithinNanos() - SEND_MARGIN_NANOS;
     if (nowNanos < earliestDeliveryNanos(obligations) + graceNanos) {
@@ -170,8 +171,9 @@
   }
 
   /**
-   * Whether a server may be sent to that took an attempt at a time and served it. If it began to
-   * drain it did so later, and the grace lasts from then at least.
+   * Whether a server has served an attempt so recently that it may be sent to without a current
+   * list. If it has begun to drain it did so after that attempt, and the grace period of the drain
+   * is not over.
    */
   static boolean recentlyServed(
       long lastServedSentNanos, long nowNanos, Settings.Obligations obligations) {
@@ -179,16 +181,16 @@
         < lastServedSentNanos + obligations.stopSendingWithinNanos() - SEND_MARGIN_NANOS;
   }
 
-  /** The earliest time at which a change that was not heard can count as told. */
+  /** The earliest time at which a change that did not arrive can count as delivered. */
   private long earliestDeliveryNanos(Settings.Obligations obligations) {
     long withoutMoveNanos = lastDownNanos + effectiveDeliveryNanos(obligations);
     return Math.min(Math.min(withoutMoveNanos, pushLostNanos), moveDeliveryNanos());
   }
 
-  /** The same if discovery was down when the newest call was made that was not answered. */
+  /** The same on the assumption that discovery was down at the newest unanswered call. */
   private long outageDeliveryNanos(Settings.Obligations obligations) {
     if (!failed) {
-      // With no call that failed a balancer is held to its list for as long as it may not ask.
+      // Without a failed call the balancer has to follow its list for as long as it need not call.
       return Math.min(confirmedNanos + obligations.subscribeWithinNanos(), moveDeliveryNanos());
     }
     if (lastUnansweredNanos == NEVER || discoveryRuns) {
@@ -199,6 +201,7 @@
         + (movedNanos == NEVER ? limitNanos : Math.min(limitNanos, MOVE_DELIVERY_NANOS));
   }
 
+  /** When changes made before the address changed count as delivered. */
   private long moveDeliveryNanos() {
     if (movedNanos == NEVER) {
       return NEVER;
@@ -206,7 +209,7 @@
     return (pushed ? movedNanos : Math.max(movedNanos, lastDownNanos)) + MOVE_DELIVERY_NANOS;
   }
 
-  /** With no watch a balancer is held to its list for as long as it may leave off asking. */
+  /** Time to delivery; without a watch at most the time in which the balancer must subscribe. */
   private long effectiveDeliveryNanos(Settings.Obligations obligations) {
     boolean subscribedOrPushed = watched || pushed;
     return subscribedOrPushed
@@ -214,7 +217,7 @@
         : Math.min(deliveryNanos, obligations.subscribeWithinNanos());
   }
 
-  /** For how long the list has not been confirmed. */
+  /** Time since the last confirmation. */
   long ageNanos(long nowNanos) {
     return nowNanos - confirmedNanos;
   }
--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -14,9 +14,12 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 
-/** Follows the list of servers: who is known, in service, cold; and asks where it must be asked. */
+/**
+ * Tracks the servers by the list from discovery: which are known, in service and cold. Calls
+ * discovery where the balancer has to subscribe itself.
+ */
 final class Membership {
-  /** A cold server gets at most this multiple of its fair part of the traffic. */
+  /** Share of its fair part of the traffic, scaled by its warm-up, that a cold server gets. */
   static final double COLD_BUDGET_SHARE = 0.9;
 
   Settings settings;
@@ -32,13 +35,13 @@
   private final DiscoveryBackoff backoff;
   private final StartTimeEstimator startTimes = new StartTimeEstimator();
 
-  /** Null where a list holds until the next one comes. */
+  /** Null where a list is valid until the next one arrives. */
   private ListLease lease;
 
   private boolean subscribed;
   private boolean calling;
 
-  /** Whether discovery has another address since movedNanos and was not called there yet. */
+  /** Whether the address of discovery changed at firstMoveNanos and was not called since. */
   private boolean moveCallPending;
 
   private long firstMoveNanos;
@@ -59,29 +62,33 @@
     this.spare = new WorkingSet(random, idleNanos, 0, this::allowedByList);
   }
 
-  /** Plans the first call: spread by seed, since all instances may start at once. */
+  /** Schedules the first call, at a random time since all balancers may start at once. */
   void start(long nowNanos) {
     if (subscribes) {
       scheduleCall(nowNanos, backoff.firstCall(settings.obligations().subscribeWithinNanos()));
     }
   }
 
-  /** From now on a list that is not confirmed may be acted on for a limited time only. */
+  /** From now on a list that is not confirmed may be used for a limited time only. */
   void limitListAge(long nowNanos, long deliveryNanos) {
     lease = new ListLease(nowNanos, deliveryNanos, !subscribes);
     if (subscribes && callDueNanos - nowNanos > deliveryNanos) {
-      // Spread over the time for asking the first call would come when changes have been told.
+      // The first call was spread over the time allowed for subscribing, which may be longer; it
+      // must come before the balancer can count as informed of a change.
       scheduleCall(nowNanos, (callDueNanos - nowNanos) % deliveryNanos);
     }
   }
 
-  /** Only the newest plan counts: one call at a time, or all instances together drown discovery. */
+  /**
+   * Schedules the next call in place of any earlier schedule. With more than one call at a time all
+   * balancers together would overload discovery.
+   */
   private void scheduleCall(long nowNanos, long delayNanos) {
     callDueNanos = nowNanos + delayNanos;
     actions.setTimer(delayNanos, Balancer.SUBSCRIBE_TIMER);
   }
 
-  /** A timer for a call has come due: calls if the subscription is missing. */
+  /** A timer for a call has fired: calls discovery if there is no subscription. */
   void onSubscribeTimer(long nowNanos) {
     if (nowNanos < callDueNanos - Balancer.TIMER_SLACK_NANOS) {
       return;
@@ -92,16 +99,17 @@
     scheduleCall(nowNanos, backoff.repeatCall(settings.obligations().subscribeWithinNanos()));
   }
 
+  /** Calls discovery for a watch. */
   private void call(long nowNanos) {
     moveCallPending = false;
     if (!calling) {
-      callStartedNanos = nowNanos; // Else the one that is out keeps its turn.
+      callStartedNanos = nowNanos; // A call in flight keeps its start time.
     }
     calling = true;
     actions.watch(true);
   }
 
-  /** Discovery is to be asked at another address, where nobody is asked yet. */
+  /** The address of discovery has changed; there is no subscription at the new one yet. */
   void onDiscoveryMoved(long nowNanos) {
     if (!moveCallPending) {
       moveCallPending = true;
@@ -117,7 +125,7 @@
     }
   }
 
-  /** Discovery has said that the list is current. */
+  /** Discovery has confirmed that the list is current. */
   void onListConfirmed(long nowNanos) {
     startTimes.onContact(nowNanos);
     if (lease != null) {
@@ -126,7 +134,10 @@
     }
   }
 
-  /** How far the list may be acted on now; what {@link #mayUse} goes by until the next look. */
+  /**
+   * How far the list may be used now. {@link #allowedByList} goes by the result until this is
+   * called again.
+   */
   ListTrust trust(long nowNanos) {
     ListTrust now =
         lease == null ? ListTrust.CURRENT : lease.trust(nowNanos, settings.obligations());
@@ -142,7 +153,7 @@
     return lease.ageNanos(nowNanos) / 1_000_000 + " ms ago";
   }
 
-  /** Whether the list lets a server be sent to; {@link #trust} has been asked at this time. */
+  /** Whether the list allows sending to a server; {@link #trust} must be called before. */
   boolean allowedByList(Server server, long nowNanos) {
     return switch (trust) {
       case CURRENT -> true;
@@ -152,7 +163,7 @@
     };
   }
 
-  /** Whether the list lets no server at all be sent to. */
+  /** Whether the list allows sending to no server at all. */
   boolean noneAllowedByList(long nowNanos) {
     return switch (trust(nowNanos)) {
       case CURRENT -> false;
@@ -162,7 +173,7 @@
     };
   }
 
-  /** A call has failed or a watch has broken: another call is planned. */
+  /** A call has failed or a watch has broken: schedules the next call. */
   private void onFailure(long nowNanos, ListUpdate update) {
     boolean callFailed = calling;
     subscribed = false;
@@ -175,6 +186,7 @@
     }
   }
 
+  /** Wait before the next call after a failure. */
   private long backoffAfter(ListUpdate update, boolean callFailed, long durationNanos) {
     if (callFailed && durationNanos > ListLease.PROMPT_REJECTION_NANOS) {
       return backoff.afterTimeout();
@@ -184,6 +196,7 @@
         : backoff.afterFailure();
   }
 
+  /** Passes a failure on to the lease. */
   private void recordFailure(long nowNanos, ListUpdate update, boolean callFailed) {
     if (!subscribes && update == ListUpdate.SILENT) {
       lease.onAgentSilent(nowNanos);
@@ -198,7 +211,7 @@
     }
   }
 
-  /** Takes news; after a call that failed another is planned. */
+  /** Applies an update of the list; after a failed call schedules the next one. */
   void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries) {
     if (update.isFailure()) {
       onFailure(nowNanos, update);
@@ -216,7 +229,7 @@
     for (ServerEntry entry : entries) {
       applyEntry(nowNanos, entry);
     }
-    // One that is gone is dropped with its last call; if it comes back it is met as a stranger.
+    // A removed server is forgotten after its last call; if it is listed again it starts as new.
     servers.values().removeIf(it -> it.health == Health.GONE && it.inFlight == 0);
     maxWeight = servers.values().stream().mapToDouble(server -> server.weight).max().orElse(1);
   }
@@ -225,7 +238,7 @@
     return near.poolSize() + far.poolSize();
   }
 
-  /** Servers by state, and the sum of the windows of those that serve. */
+  /** Number of servers by state, and the sum of the windows of those in use. */
   String summary(long nowNanos) {
     int ejectedCount = 0;
     int unresponsiveCount = 0;
@@ -245,10 +258,12 @@
         servers.size(), cold.size(), ejectedCount, unresponsiveCount, near, far, inFlight, windows);
   }
 
+  /** The working set that a server belongs to while it is in service and warm. */
   WorkingSet setOf(Server server) {
     return server.role == SubsetRole.SPARE ? spare : server.near ? near : far;
   }
 
+  /** Marks the servers as removed that a full list does not contain. */
   private void dropUnlisted(List<ServerEntry> entries) {
     Set<Long> listed = entries.stream().map(ServerEntry::id).collect(Collectors.toSet());
     for (Server server : servers.values()) {
@@ -289,14 +304,16 @@
     cold.remove(server);
   }
 
+  /** Whether a server is within the warm-up time after its start. */
   boolean isCold(Server server, long nowNanos) {
     return server.startedNanos > 0
         && nowNanos - server.coldSinceNanos < settings.obligations().warmUpNanos();
   }
 
   /**
-   * A cold server that may take a call now, or null. It gets a part of a warm one's rate, growing
-   * as the slowest permitted warm-up does; buckets start at random, or all would send at once.
+   * A cold server that may take a call now, or null. A cold server gets a share of the rate of a
+   * warm one, which grows with the slowest permitted warm-up. Its token bucket starts with a random
+   * level, or all balancers would send at once.
    */
   Server nextCold(Request request, long nowNanos, double ratePerSecond) {
     if (cold.isEmpty()) {
@@ -310,8 +327,8 @@
       return null;
     }
     double fairRate = ratePerSecond / Math.max(1, poolSize() + cold.size());
-    fairRate *=
-        server.weight / maxWeight; // A light server starts with little; a heavy one is fair.
+    // The rate is per server, not per weight: a heavy server gets it whole, a lighter one less.
+    fairRate *= server.weight / maxWeight;
     double elapsedSeconds = (nowNanos - server.coldFilledNanos) / 1e9;
     server.coldFilledNanos = nowNanos;
     double filled = elapsedSeconds * fairRate * COLD_BUDGET_SHARE * warmUpShare(server, nowNanos);
@@ -325,6 +342,7 @@
     return request.maySendTo(server, nowNanos) ? server : null;
   }
 
+  /** Share of its full capacity that a cold server has at least, from its start to its warm-up. */
   private double warmUpShare(Server server, long nowNanos) {
     double start = settings.obligations().startCapacity();
     double age = (double) (nowNanos - server.coldSinceNanos) / settings.obligations().warmUpNanos();
--- a/src/main/java/heathswitch/policy/core/Request.java
+++ b/src/main/java/heathswitch/policy/core/Request.java
@@ -3,9 +3,9 @@
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.RequestProtocol;
 
-/** One request and its attempts. */
+/** A request with its attempts, and the rules of its class on repeating it. */
 final class Request {
-  /** One attempt. */
+  /** One attempt, sent to one server. */
   static final class Attempt {
     final Request request;
     final Server server;
@@ -27,7 +27,7 @@
 
   final long id;
 
-  /** The settings that it was taken under, which decide over it to its end. */
+  /** The settings at its arrival; they apply to the request until it ends. */
   final ActiveSettings settings;
 
   final int classIndex;
@@ -58,7 +58,7 @@
     this.deadlineNanos = nowNanos + ttlNanos;
   }
 
-  /** What its class takes at present. */
+  /** Mean delay of its class at present. */
   double expectedDelayNanos() {
     return settings.classDelayNanos[classIndex];
   }
@@ -71,11 +71,15 @@
     openAttempts++;
   }
 
-  /** The earliest attempt that is out or may have run, or null; it binds all that follow. */
+  /**
+   * The earliest attempt that is in flight or may have run, or null. Later attempts must stay
+   * within its deduplication window and group.
+   */
   Attempt bindingAttempt() {
     return bindingAttempt(attemptCount);
   }
 
+  /** The same among the first attempts, as many as given. */
   private Attempt bindingAttempt(int count) {
     for (int i = 0; i < count; i++) {
       if (attempts[i].open || attempts[i].mayHaveRun) {
@@ -85,12 +89,12 @@
     return null;
   }
 
-  /** Whether the class's rule lets one more attempt go to this server now. */
+  /** Whether the class allows another attempt at this server now. */
   boolean maySendTo(Server server, long nowNanos) {
     return maySend(attemptCount, server, nowNanos);
   }
 
-  /** The same for the attempt of this number. */
+  /** Whether the class allows the attempt of this number at this server now. */
   boolean maySend(int number, Server server, long nowNanos) {
     Attempt binding =
         requestClass.effect() == RequestClass.Effect.SAFE ? null : bindingAttempt(number);
@@ -112,7 +116,7 @@
     };
   }
 
-  /** Whether the class's rule lets the client be told that a retry is harmless. */
+  /** Whether the client may be told that a retry is harmless. */
   boolean mayAdviseRetry() {
     return requestClass.effect() == RequestClass.Effect.SAFE
         || (requestClass.effect() == RequestClass.Effect.KEYED
--- a/src/main/java/heathswitch/policy/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -6,14 +6,15 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What one balancer knows of one server. */
+/** The state that one balancer keeps about one server. */
 final class Server {
-  /** First rest after a cut for cause; doubled with each further one. */
+  /** Mean duration of the first ejection; doubled with each further one. */
   static final long EJECTION_NANOS = 500_000_000L;
 
+  /** The duration of an ejection is doubled at most this often. */
   static final int MAX_DOUBLINGS = 4;
 
-  /** Weight of one result in the server's share of errors. */
+  /** Weight of one result in the server's error rate. */
   static final double ERROR_SAMPLE_WEIGHT = 0.2;
 
   final long id;
@@ -23,10 +24,10 @@
   SubsetRole role = SubsetRole.ANY;
   Health health = Health.GONE;
 
-  /** As discovery tells it, by its own clock; 0 for long ago. */
+  /** Start time that discovery reports, by discovery's clock; 0 for long ago. */
   long startedNanos;
 
-  /** Since when it is cold, by this balancer's clock. */
+  /** Estimated start time by this balancer's clock; warm-up counts from here. */
   long coldSinceNanos;
 
   private long previousStartedNanos = -1;
@@ -34,33 +35,44 @@
   double weight = 1;
   int protocols;
 
-  /** Its next turn among servers of other weights, in the virtual time of its set. */
+  /** Its next turn in the virtual time of its set, for fair queueing by weight. */
   double virtualTurn;
 
   final DelayWindow window = new DelayWindow();
   int inFlight;
 
-  /** Calls in flight whose answer has not begun, oldest first. */
+  /** Attempts in flight whose answer has not begun, oldest first. */
   private final Set<Request.Attempt> unanswered = new LinkedHashSet<>();
 
   long lastResponseNanos = Long.MIN_VALUE / 2;
   long lastUsedNanos = Long.MIN_VALUE / 2;
 
-  /** When the newest attempt was made that it took and served. */
+  /** Send time of the newest attempt that the server has served. */
   long lastServedSentNanos = Long.MIN_VALUE / 2;
 
   long ejectedUntilNanos = Long.MIN_VALUE / 2;
+
+  /** Ejections since the last success. */
   int consecutiveEjections;
+
   double errorRate;
+
+  /** Calls that the server may take now while it is cold. */
   double coldTokens;
+
   long coldFilledNanos;
+
+  /** Index in its pool of the working set; -1 for none. */
   int poolIndex = -1;
+
+  /** Index among the members of the working set; -1 for none. */
   int memberIndex = -1;
 
   Server(long id) {
     this.id = id;
   }
 
+  /** Takes over what discovery lists; a weight that is not usable counts as 1. */
   void update(ServerEntry entry, String ownZone) {
     zone = entry.zone();
     cell = entry.cell();
@@ -72,10 +84,10 @@
   }
 
   /**
-   * Another time is told for its last start. One that stood before is no new start: it was only
-   * presumed to have restarted meanwhile.
+   * Handles a change of the reported start time. A return to the previous one is not a restart: the
+   * server had only been presumed to have restarted.
    *
-   * @return whether it is a new start
+   * @return whether the server has restarted
    */
   boolean startTimeChanged(long newStartedNanos, long newColdSinceNanos) {
     boolean restoresPrevious = newStartedNanos == previousStartedNanos;
@@ -87,11 +99,15 @@
     return !restoresPrevious;
   }
 
+  /** Whether the server is out of use after a cut of its window. */
   boolean ejected(long nowNanos) {
     return ejectedUntilNanos > nowNanos;
   }
 
-  /** Silent: nothing at all came back for as long as makes its oldest call overdue. */
+  /**
+   * Whether nothing has come back from the server for longer than it takes its oldest unanswered
+   * attempt to become overdue.
+   */
   boolean unresponsive(long nowNanos) {
     if (unanswered.isEmpty()) {
       return false;
@@ -105,7 +121,11 @@
     return inFlight < window.size() && !ejected(nowNanos) && !unresponsive(nowNanos);
   }
 
-  /** Leaves service for a while: longer each time, and never in step with other balancers. */
+  /**
+   * Ejects the server, for twice as long with each consecutive ejection.
+   *
+   * @param jitter from 0 to 1, so that balancers do not return to the server all at once
+   */
   void eject(long nowNanos, double jitter) {
     window.reserveFor(inFlight - unanswered.size());
     long baseNanos = EJECTION_NANOS << Math.min(consecutiveEjections, MAX_DOUBLINGS);
@@ -119,7 +139,7 @@
     unanswered.add(attempt);
   }
 
-  /** It has answered; what still comes may take as long as the caller likes. */
+  /** An answer has begun; from now on the reading client sets its pace. */
   void onAnswerBegun(Request.Attempt attempt) {
     unanswered.remove(attempt);
     attempt.answerBegun = true;
--- a/src/main/java/heathswitch/policy/core/StartTimeEstimator.java
+++ b/src/main/java/heathswitch/policy/core/StartTimeEstimator.java
@@ -5,33 +5,37 @@
 import java.util.List;
 
 /**
- * How old a start of a server is when it is first heard of. Its time was taken from the clock of
- * another machine, and either clock may be an hour off. What a later list tells for the first time
- * has started since the list before, or a little earlier, as lists come late: the two clocks are
- * believed within that span, and beyond it the start is held to be just now. For the servers of the
- * first list there is no such span; of these the newest start is held to be just now, unless that
- * would make a large part of the fleet cold.
+ * Estimates how long ago a server started when its start is first reported. The start time comes
+ * from the clock of another machine, and either clock may be off by an hour. A start that a later
+ * list reports first happened after the list before, or a little earlier since lists arrive late.
+ * The clocks are trusted within that span; a start beyond it is taken to be now. The first list has
+ * no such span: its newest start is taken to be now, unless that would make a large part of the
+ * fleet cold.
  */
 final class StartTimeEstimator {
-  /** One in so many servers may be held to be cold for want of a better clock. */
+  /** At most one in this many servers may be presumed cold by the first list. */
   private static final int PRESUMED_COLD_DIVISOR = 3;
 
-  /** A server may run for so long before discovery tells of it. */
+  /** Longest time from the start of a server until discovery reports it. */
   static final long DISCOVERY_LAG_NANOS = 3_000_000_000L;
 
-  /** Whether discovery has told a list in this instance's life. */
+  /** Whether discovery has sent a list to this balancer. */
   private boolean listReceived;
 
-  /** When discovery last said anything of the list, and the span from then to the newest list. */
+  /** When discovery last sent or confirmed the list. */
   private long lastContactNanos;
 
+  /** Largest plausible age of a start that the newest list reports first. */
   private long maxAgeNanos;
 
   private boolean firstList = true;
+
+  /** Whether the newest start of the first list is taken to be now. */
   private boolean newestIsNow;
+
   private long newestStartNanos;
 
-  /** A list is about to be taken. */
+  /** A list is about to be applied. */
   void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries, long warmUpNanos) {
     firstList = !listReceived;
     listReceived |= update.answersCall();
@@ -47,16 +51,17 @@
     newestIsNow = recent * PRESUMED_COLD_DIVISOR <= entries.size();
   }
 
-  /** Discovery has told all that it knew. */
+  /** Discovery has sent all changes that it knows of. */
   void onContact(long nowNanos) {
     lastContactNanos = nowNanos;
   }
 
+  /** Whether a start is less than the warm-up time before the newest one. */
   private boolean startedRecently(ServerEntry entry, long warmUpNanos) {
     return entry.startedNanos() > 0 && newestStartNanos - entry.startedNanos() < warmUpNanos;
   }
 
-  /** How long ago a start was that the newest list tells for the first time, by no clock's word. */
+  /** Estimated age of a start that the newest list reports for the first time. */
   long ageNanos(long nowNanos, long startedNanos) {
     long ageNanos = Math.max(0, nowNanos - startedNanos);
     if (!firstList) {
--- a/src/main/java/heathswitch/policy/core/WorkingSet.java
+++ b/src/main/java/heathswitch/policy/core/WorkingSet.java
@@ -8,31 +8,36 @@
 import java.util.function.Predicate;
 
 /**
- * The adaptive set over one pool of servers: the member with room and fewest own calls takes the
- * call; when all are full a random server of the pool joins; idle members leave.
+ * The servers of one pool that the balancer uses at present. A call goes to the member that has
+ * room and the fewest calls of this balancer. When all members are full, a random server of the
+ * pool joins; members that are idle leave.
  */
 final class WorkingSet {
-  /** Members below which the set widens even while members have room. */
+  /** With fewer members the set grows even while its members have room. */
   static final int MIN_MEMBERS = 16;
 
+  /** The set does not grow beyond this, unless the balancer's own servers are more. */
   static final int MAX_MEMBERS = 48;
 
-  /** Random draws from the pool before the search is given up. */
+  /** Random draws from the pool before a search gives up. */
   static final int MAX_DRAWS = 6;
 
-  /** Calls of the lighter of two servers that count as no difference. */
+  /**
+   * Servers of different weights are tied while their loads differ by less than this many calls of
+   * the lighter one.
+   */
   static final double TIE_CALLS = 2;
 
-  /** Whether a server may be used at all at a time, whatever room it has. */
+  /** Whether a server may be used at a time at all, regardless of its window. */
   interface Eligibility {
     boolean test(Server server, long nowNanos);
   }
 
-  /** By what they speak: a request draws from those of its protocol alone and those of both. */
+  /** Servers by their set of protocols; a request draws from each set with its protocol. */
   private final List<List<Server>> poolsByProtocols =
       List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
 
-  /** Members by what they speak. */
+  /** Number of members by their set of protocols. */
   private final int[] membersByProtocols = new int[RequestProtocol.PROTOCOL_SETS];
 
   private final List<Server> members = new ArrayList<>();
@@ -41,9 +46,10 @@
   private final long maxIdleNanos;
   private final int minMembers;
 
-  /** Servers of the pool that this balancer is to use: all of them are members if they can be. */
+  /** Servers with the role OWN; the set grows until it holds as many. */
   private int ownCount;
 
+  /** Latest turn that a member has taken, in virtual time. */
   private double virtualTime;
 
   WorkingSet(SplittableRandom random, long maxIdleNanos, int minMembers, Eligibility eligibility) {
@@ -79,6 +85,7 @@
     server.poolIndex = -1;
   }
 
+  /** Removes a server from the members; it stays in the pool. */
   void leave(Server server) {
     if (server.memberIndex < 0) {
       return;
@@ -91,7 +98,7 @@
     server.memberIndex = -1;
   }
 
-  /** The server for this request, or null where none has room. */
+  /** The server for this request, or null if none has room. */
   Server choose(Request request, long nowNanos) {
     if (memberCount(request) < Math.max(minMembers, ownCount)) {
       join(request, nowNanos);
@@ -120,8 +127,9 @@
   }
 
   /**
-   * Fewest own calls first; among equals the one whose turn is longest ago. Where weights differ,
-   * calls for the weight, unless both are within some calls of the lighter; then by virtual time.
+   * Whether the first server is preferred. With equal weights the one with fewer calls in flight
+   * is, and with as many the one that was used longest ago. With different weights the one with
+   * fewer calls per weight is; where that is a tie, the one with the earlier virtual turn.
    */
   private static boolean preferred(Server one, Server other) {
     if (one.weight != other.weight) {
@@ -134,18 +142,19 @@
         : one.lastUsedNanos < other.lastUsedNanos;
   }
 
-  /** The server takes a call: its next turn comes the later the lighter it is. */
+  /** Advances the virtual turn of a server that takes a call, further the lighter it is. */
   void onSend(Server server) {
     virtualTime = Math.max(virtualTime, server.virtualTurn);
     server.virtualTurn = virtualTime + 1 / server.weight;
   }
 
-  /** Members that speak the request's protocol. */
+  /** Members that support the request's protocol. */
   private int memberCount(Request request) {
     return membersByProtocols[request.protocol.protocolBit()]
         + membersByProtocols[RequestProtocol.PROTOCOL_SETS - 1];
   }
 
+  /** Adds a random server of the pool that has room to the members, or returns null. */
   private Server join(Request request, long nowNanos) {
     Server server =
         drawFromPool(
@@ -161,7 +170,10 @@
     return server;
   }
 
-  /** A ready server whatever its window says, for when all are out of service. */
+  /**
+   * A random server with room in its window even if it is ejected or unresponsive; the last resort
+   * when no other server is left. Null if none is found.
+   */
   Server anyReady(Request request, long nowNanos) {
     return drawFromPool(
         request,
