--- a/src/main/java/heathswitch/policy/adapter/Instance.java
+++ b/src/main/java/heathswitch/policy/adapter/Instance.java
@@ -4,7 +4,7 @@
 import heathswitch.policy.api.Settings;
 import heathswitch.policy.core.Balancer;
 
-/** One hosted balancer; writes its decisions as actions on the wire. */
+/** One balancer of the adapter; writes its actions to the wire. */
 final class Instance implements Actions {
   private static final byte[] FORWARD = WireWriter.quoted("FORWARD");
   private static final byte[] STOP_ATTEMPT = WireWriter.quoted("STOP_ATTEMPT");
@@ -26,6 +26,7 @@
     this.balancer = new Balancer(settings, seed, this);
   }
 
+  /** Reports an exception of an instance. */
   static void fault(String name, String text, WireWriter out) {
     out.openAction(FAULT, WireWriter.quoted(name)).text(text).closeAction();
   }
--- a/src/main/java/heathswitch/policy/adapter/Main.java
+++ b/src/main/java/heathswitch/policy/adapter/Main.java
@@ -8,18 +8,21 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** The command line: {@code adapter} speaks the wire on standard input and output. */
+/**
+ * The command line: {@code adapter} runs balancers by events from standard input and writes their
+ * actions to standard output.
+ */
 public final class Main {
   private Main() {}
 
-  /** Runs the adapter and exits with its code. */
+  /** Runs the adapter and exits with its status. */
   public static void main(String[] args) {
     InputStream in = new FileInputStream(FileDescriptor.in);
     OutputStream out = new FileOutputStream(FileDescriptor.out);
     System.exit(run(args, in, out, System.err));
   }
 
-  /** 0 at the end of the input, 1 on bad input, 2 on a wrong command line. */
+  /** Exit status: 0 at the end of the input, 1 on invalid input, 2 on a wrong command line. */
   static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
     if (args.length != 1 || !args[0].equals("adapter")) {
       err.println("usage: java -jar heathswitch.jar adapter");
--- a/src/main/java/heathswitch/policy/adapter/ProtocolException.java
+++ b/src/main/java/heathswitch/policy/adapter/ProtocolException.java
@@ -1,6 +1,6 @@
 package heathswitch.policy.adapter;
 
-/** Input that is not the wire; the message says where and what was expected. */
+/** Invalid input; the message has the line and what was expected there. */
 final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/heathswitch/policy/adapter/SettingsReader.java
+++ b/src/main/java/heathswitch/policy/adapter/SettingsReader.java
@@ -7,11 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the settings object of the wire into {@link Settings}; unknown keys are skipped. */
+/** Reads the settings object of the wire into {@link Settings}; unknown keys are ignored. */
 public final class SettingsReader {
   private SettingsReader() {}
 
-  /** Reads the settings; an {@link IllegalArgumentException} names the field that is wrong. */
+  /**
+   * Reads the settings.
+   *
+   * @throws IllegalArgumentException naming the field that is invalid
+   */
   public static Settings read(Map<String, Object> env) {
     List<RequestClass> classes = new ArrayList<>();
     for (Object item : list(env, "classes")) {
@@ -57,7 +61,7 @@
     return switch (name) {
       case "read_like" -> RequestClass.Effect.SAFE;
       case "idempotency_key" -> RequestClass.Effect.KEYED;
-      // A word that this version does not know must not lead to a second effect.
+      // For a value that this version does not know a request must not run twice.
       default -> RequestClass.Effect.UNSAFE;
     };
   }
--- a/src/main/java/heathswitch/policy/adapter/WireReader.java
+++ b/src/main/java/heathswitch/policy/adapter/WireReader.java
@@ -21,8 +21,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads batches token by token and hands each event to its instance. */
+/** Reads batches of events token by token and passes each event to its instance. */
 final class WireReader {
+  /** Lists that the input can define; each has a number, its sheet. */
   private static final int LIST_SLOTS = 16;
 
   private final JsonParser parser;
@@ -43,7 +44,7 @@
     }
   }
 
-  /** Runs to the end of the input. */
+  /** Processes the input to its end. */
   void run() throws IOException, ProtocolException {
     try {
       while (parser.nextToken() != null) {
@@ -227,7 +228,7 @@
     runOrReportFault(() -> instance.balancer.onTimer(nowNanos, token));
   }
 
-  /** The module sends no probes; a result is checked for its form and dropped. */
+  /** Balancers send no probes; a result is only checked for validity. */
   private void pingResult(Instance instance) throws IOException, ProtocolException {
     number("took_ns");
     number("reason");
@@ -236,7 +237,7 @@
     end();
   }
 
-  /** The module sends no peer messages and heeds none. */
+  /** Balancers send no messages to peers; a message is only checked for validity. */
   private void peer(Instance instance) throws IOException, ProtocolException {
     number("by");
     text("raw");
@@ -257,6 +258,7 @@
     };
   }
 
+  /** Runs a decision; if it throws, reports a fault in place of its actions. */
   private void runOrReportFault(Runnable decision) {
     int mark = out.mark();
     try {
@@ -294,7 +296,7 @@
 
   private long wholeValue(String what) throws IOException, ProtocolException {
     if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      // A seed may use all 64 bits; its low ones serve as well.
+      // A seed may have more than 63 bits; its low 64 bits are used.
       check(what.equals("seed"), what + " expected below 2^63");
       return parser.getBigIntegerValue().longValue();
     }
@@ -310,7 +312,7 @@
     return parser.getDoubleValue();
   }
 
-  /** Text, or null for an absent value; a site without tenants sends 0 in their place. */
+  /** Text, or null for an absent value. A site without tenants sends 0 as the tenant. */
   private String text(String what) throws IOException, ProtocolException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.VALUE_NULL || (what.equals("team") && isNumber(token))) {
--- a/src/main/java/heathswitch/policy/adapter/WireWriter.java
+++ b/src/main/java/heathswitch/policy/adapter/WireWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects a reply as bytes and hands it over in one piece. */
+/** Collects the actions of a reply in a buffer and writes them at once. */
 final class WireWriter {
   private static final byte[] NEXT = ascii("[\"NEXT\"]\n");
 
@@ -18,7 +18,7 @@
     this.out = out;
   }
 
-  /** The opening of an action: its name and its instance, both already quoted. */
+  /** Begins an action with its name and its instance, both already quoted. */
   WireWriter openAction(byte[] name, byte[] instance) {
     put((byte) '[');
     put(name);
@@ -46,16 +46,17 @@
     put((byte) '\n');
   }
 
-  /** The line that closes a reply. */
+  /** Adds the line that ends a reply. */
   void endReply() {
     put(NEXT);
   }
 
+  /** The present position, for {@link #truncate}. */
   int mark() {
     return length;
   }
 
-  /** Takes back what was written since the mark. */
+  /** Removes what was written after the mark. */
   void truncate(int mark) {
     length = mark;
   }
--- /dev/null
+++ b/src/main/java/heathswitch/policy/adapter/package-info.java
@@ -0,0 +1,2 @@
+/** Runs balancers by events from standard input, for simulation. */
+package heathswitch.policy.adapter;
--- a/src/main/java/heathswitch/policy/rotation/Rotation.java
+++ b/src/main/java/heathswitch/policy/rotation/Rotation.java
@@ -6,33 +6,35 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The marks that are in force, and what a listing means under them. */
+/** The suspensions in force, and the state of listed upstreams under them. */
 public final class Rotation {
   /**
-   * What discovery has to tell counts as told after so long. An upstream that was put back is held
-   * to be cold until then, unless its start is known: it was restarted while it was out.
+   * Time after which discovery counts as having reported a change. An upstream that was put back is
+   * presumed to have restarted while it was out, and so to be cold, until then or until its start
+   * is reported.
    */
   public static final long DISCOVERY_LAG_MILLIS = 6500;
 
-  /** Marks that are held at most; operators take out a few at a time. */
+  /** Most suspensions that are kept; operators suspend a few upstreams at a time. */
   public static final int MAX_SUSPENSIONS = 4096;
 
   /**
-   * What a listed upstream counts for.
+   * The state of a listed upstream under the suspensions.
    *
-   * @param startedMillis Unix time of its last start as it is to be believed
+   * @param startedMillis reported or presumed Unix time of its last start
    */
   public record EffectiveState(Health health, long startedMillis) {}
 
   private Map<String, Suspension> suspensions = Map.of();
 
-  /** The ids that are held to be cold for want of news. */
+  /** Ids of the upstreams that are presumed to have restarted. */
   private final Set<String> presumedRestarted = new HashSet<>();
 
   /**
-   * Takes the marks as they are now.
+   * Replaces the suspensions.
    *
-   * @return the ids whose standing may have changed, by these marks or by the time that has passed
+   * @return ids of the upstreams whose state may have changed, by a suspension or by the passage of
+   *     time
    */
   public Set<String> update(Map<String, Suspension> current, long nowMillis) {
     Set<String> changed = new HashSet<>();
@@ -51,28 +53,28 @@
         changed.add(id);
       }
     }
-    presumedRestarted.removeAll(
-        changed); // Told now; one that is no longer listed has no standing again.
+    // Reported by this call. An upstream that is no longer listed is not asked for again.
+    presumedRestarted.removeAll(changed);
     suspensions = new HashMap<>(current);
     return changed;
   }
 
-  /** The mark of an upstream, or null. */
+  /** The suspension of an upstream, or null. */
   public Suspension suspension(String id) {
     return suspensions.get(id);
   }
 
-  /** How many are held to be cold for want of news. */
+  /** Number of upstreams that are presumed to have restarted. */
   int presumedCount() {
     return presumedRestarted.size();
   }
 
-  /** How many are out. */
+  /** Number of upstreams that are out of rotation. */
   public int suspendedCount() {
     return (int) suspensions.values().stream().filter(Suspension::isSuspended).count();
   }
 
-  /** What an upstream counts for that discovery lists so. */
+  /** The state of an upstream that discovery lists with this health and start. */
   public EffectiveState effectiveState(
       String id, Health listedHealth, long startedMillis, long nowMillis) {
     presumedRestarted.remove(id);
--- a/src/main/java/heathswitch/policy/rotation/package-info.java
+++ b/src/main/java/heathswitch/policy/rotation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which upstreams operators have taken out and put back, and what a listed upstream then counts
- * for. Free of input, output and clocks.
+ * Upstreams that operators have taken out of rotation and put back, and the state of a listed
+ * upstream that follows from it. No input, output or clocks.
  */
 package heathswitch.policy.rotation;
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -14,167 +14,167 @@
 
 /** An accepted request with its attempts and its completion state. */
 final class LiveRequest implements RequestHandle {
-/** Receives the events of a request and its attempts. */
-interface Listener {
-boolean beginStreaming(Attempt attempt);
+  /** Receives the events of a request and its attempts. */
+  interface Listener {
+    boolean beginStreaming(Attempt attempt);
 
-void complete(Attempt attempt, Outcome outcome, Answer answer);
+    void complete(Attempt attempt, Outcome outcome, Answer answer);
 
-boolean maySend(Attempt attempt);
+    boolean maySend(Attempt attempt);
 
-void callerGone(LiveRequest request);
+    void callerGone(LiveRequest request);
 
-void bodyComplete(LiveRequest request, long ttlNanos);
-}
-
-/** One attempt of a request. */
-static final class Attempt extends heathswitch.proxy.spi.Attempt {
-final LiveRequest request;
-final int number;
-final long sentNanos;
-private final Listener listener;
-
-/** Whether the attempt was sent to another site; the decision module doesn't know of it. */
-boolean overflow;
-
-boolean open = true;
-
-/** The outcome, or null while the attempt is in flight. */
-Outcome outcome;
-
-/** Whether the answer is streamed to the caller as it arrives. */
-boolean streaming;
-
-Future<?> timeout;
-
-Attempt(LiveRequest request, int number, Upstream upstream, long sentNanos, Listener listener) {
-super(upstream);
-this.request = request;
-this.number = number;
-this.sentNanos = sentNanos;
-this.listener = listener;
-}
-
-@Override
-public long deadlineNanos() {
-return request.deadlineNanos;
-}
-
-@Override
-public int number() {
-return number;
-}
-
-@Override
-public boolean maySend() {
-return listener.maySend(this);
-}
-
-@Override
-public boolean beginStreaming() {
-return listener.beginStreaming(this);
-}
+    void bodyComplete(LiveRequest request, long ttlNanos);
+  }
 
-@Override
-public void complete(Outcome outcome, Answer answer) {
-listener.complete(this, outcome, answer);
-}
-}
-
-final long id;
-
-/** The client's id of the request, unique among the open requests. */
-final String name;
-
-final Caller caller;
-final RequestClass type;
-final Payload payload;
-final long arrivedNanos;
-long deadlineNanos;
-
-/** When the request was received completely. */
-long bodyCompleteNanos;
-
-private final Listener listener;
-final List<Attempt> attempts = new ArrayList<>(2);
-int openAttempts;
-boolean completed;
-
-/**
-* The number of attempts at other sites. Once there is one, the decision module has released the
-* request.
-*/
-int overflowAttempts;
-
-/** Whether no attempt so far can have been executed. */
-boolean neverRan = true;
-
-/** The limit of the settings that were in force when the request was accepted. */
-int maxAttempts;
-
-/** Why the request was given up, or null if it was not. */
-UnservedReason giveUpReason;
-
-/** The retry-after interval that the caller is told if the request is refused. */
-long retryAfterNanos;
-
-Future<?> deadline;
-
-/** The last error answer from an upstream, forwarded if there is no better answer. */
-Answer lastError;
-
-LiveRequest(
-long id,
-String name,
-Caller caller,
-RequestClass type,
-Payload payload,
-long nowNanos,
-long ttlNanos,
-Listener listener) {
-this.listener = listener;
-this.id = id;
-this.name = name;
-this.caller = caller;
-this.type = type;
-this.payload = payload;
-this.arrivedNanos = nowNanos;
-this.bodyCompleteNanos = nowNanos;
-this.deadlineNanos = nowNanos + ttlNanos;
-}
-
-@Override
-public void bodyComplete(long ttlNanos) {
-listener.bodyComplete(this, ttlNanos);
-}
-
-@Override
-public void callerGone() {
-listener.callerGone(this);
-}
-
-/** Whether nothing more can happen to the request. */
-boolean isFinished() {
-return completed && openAttempts == 0;
-}
-
-/** Stores an error answer and releases the previous one. */
-void replaceLastError(Answer error) {
-if (lastError != null) {
-lastError.release();
-}
-lastError = error;
-}
-
-/** Transfers ownership of the last error answer, or returns null. */
-Answer takeLastError() {
-Answer error = lastError;
-lastError = null;
-return error;
-}
-
-void release() {
-payload.release();
-replaceLastError(null);
-}
+  /** One attempt of a request. */
+  static final class Attempt extends heathswitch.proxy.spi.Attempt {
+    final LiveRequest request;
+    final int number;
+    final long sentNanos;
+    private final Listener listener;
+
+    /** Whether the attempt was sent to another site; the decision module doesn't know of it. */
+    boolean overflow;
+
+    boolean open = true;
+
+    /** The outcome, or null while the attempt is in flight. */
+    Outcome outcome;
+
+    /** Whether the answer is streamed to the caller as it arrives. */
+    boolean streaming;
+
+    Future<?> timeout;
+
+    Attempt(LiveRequest request, int number, Upstream upstream, long sentNanos, Listener listener) {
+      super(upstream);
+      this.request = request;
+      this.number = number;
+      this.sentNanos = sentNanos;
+      this.listener = listener;
+    }
+
+    @Override
+    public long deadlineNanos() {
+      return request.deadlineNanos;
+    }
+
+    @Override
+    public int number() {
+      return number;
+    }
+
+    @Override
+    public boolean maySend() {
+      return listener.maySend(this);
+    }
+
+    @Override
+    public boolean beginStreaming() {
+      return listener.beginStreaming(this);
+    }
+
+    @Override
+    public void complete(Outcome outcome, Answer answer) {
+      listener.complete(this, outcome, answer);
+    }
+  }
+
+  final long id;
+
+  /** The client's id of the request, unique among the open requests. */
+  final String name;
+
+  final Caller caller;
+  final RequestClass type;
+  final Payload payload;
+  final long arrivedNanos;
+  long deadlineNanos;
+
+  /** When the request was received completely. */
+  long bodyCompleteNanos;
+
+  private final Listener listener;
+  final List<Attempt> attempts = new ArrayList<>(2);
+  int openAttempts;
+  boolean completed;
+
+  /**
+   * The number of attempts at other sites. Once there is one, the decision module has released the
+   * request.
+   */
+  int overflowAttempts;
+
+  /** Whether no attempt so far can have been executed. */
+  boolean neverRan = true;
+
+  /** The limit of the settings that were in force when the request was accepted. */
+  int maxAttempts;
+
+  /** Why the request was given up, or null if it was not. */
+  UnservedReason giveUpReason;
+
+  /** The retry-after interval that the caller is told if the request is refused. */
+  long retryAfterNanos;
+
+  Future<?> deadline;
+
+  /** The last error answer from an upstream, forwarded if there is no better answer. */
+  Answer lastError;
+
+  LiveRequest(
+      long id,
+      String name,
+      Caller caller,
+      RequestClass type,
+      Payload payload,
+      long nowNanos,
+      long ttlNanos,
+      Listener listener) {
+    this.listener = listener;
+    this.id = id;
+    this.name = name;
+    this.caller = caller;
+    this.type = type;
+    this.payload = payload;
+    this.arrivedNanos = nowNanos;
+    this.bodyCompleteNanos = nowNanos;
+    this.deadlineNanos = nowNanos + ttlNanos;
+  }
+
+  @Override
+  public void bodyComplete(long ttlNanos) {
+    listener.bodyComplete(this, ttlNanos);
+  }
+
+  @Override
+  public void callerGone() {
+    listener.callerGone(this);
+  }
+
+  /** Whether nothing more can happen to the request. */
+  boolean isFinished() {
+    return completed && openAttempts == 0;
+  }
+
+  /** Stores an error answer and releases the previous one. */
+  void replaceLastError(Answer error) {
+    if (lastError != null) {
+      lastError.release();
+    }
+    lastError = error;
+  }
+
+  /** Transfers ownership of the last error answer, or returns null. */
+  Answer takeLastError() {
+    Answer error = lastError;
+    lastError = null;
+    return error;
+  }
+
+  void release() {
+    payload.release();
+    replaceLastError(null);
+  }
 }
--- a/src/main/java/heathswitch/proxy/http1/RequestHead.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestHead.java
@@ -6,62 +6,62 @@
 import java.util.List;
 
 /**
-* What the head of a request says of how it is to be served, under the settings that hold now.
-*
-* @param type its class, or null where it was not found
-* @param ttlNanos how long its client waits for the answer
-* @param fault what is wrong with it, or null
-*/
+ * What the head of a request says of how it is to be served, under the settings that hold now.
+ *
+ * @param type its class, or null where it was not found
+ * @param ttlNanos how long its client waits for the answer
+ * @param fault what is wrong with it, or null
+ */
 record RequestHead(RequestClass requestClass, long timeoutNanos, String error) {
-private static final int MAX_ID_LENGTH = 128;
+  private static final int MAX_ID_LENGTH = 128;
 
-/**
-* Reads a head.
-*
-* @param forbidden a header that no client may send, or null
-*/
-static RequestHead read(HttpRequest head, Dispatcher dispatcher, String forbidden) {
-String framingError = HeaderRules.framingError(head);
-if (framingError != null) {
-return invalid(framingError);
-}
-if (forbidden != null && head.headers().contains(forbidden)) {
-return invalid(forbidden + " is not for clients");
-}
-List<String> ids = head.headers().getAll(HeaderRules.REQUEST_ID);
-if (ids.size() != 1 || !HeaderRules.isVisibleAscii(ids.get(0), MAX_ID_LENGTH)) {
-return invalid("one readable " + HeaderRules.REQUEST_ID + " expected");
-}
-if (dispatcher.isRequestOpen(ids.get(0))) {
-return invalid(duplicateIdError());
-}
-RequestClass requestClass = dispatcher.requestClass(head.headers().get(HeaderRules.CLASS));
-return requestClass == null
-? invalid("unknown " + HeaderRules.CLASS)
-: read(head, requestClass);
-}
+  /**
+   * Reads a head.
+   *
+   * @param forbidden a header that no client may send, or null
+   */
+  static RequestHead read(HttpRequest head, Dispatcher dispatcher, String forbidden) {
+    String framingError = HeaderRules.framingError(head);
+    if (framingError != null) {
+      return invalid(framingError);
+    }
+    if (forbidden != null && head.headers().contains(forbidden)) {
+      return invalid(forbidden + " is not for clients");
+    }
+    List<String> ids = head.headers().getAll(HeaderRules.REQUEST_ID);
+    if (ids.size() != 1 || !HeaderRules.isVisibleAscii(ids.get(0), MAX_ID_LENGTH)) {
+      return invalid("one readable " + HeaderRules.REQUEST_ID + " expected");
+    }
+    if (dispatcher.isRequestOpen(ids.get(0))) {
+      return invalid(duplicateIdError());
+    }
+    RequestClass requestClass = dispatcher.requestClass(head.headers().get(HeaderRules.CLASS));
+    return requestClass == null
+        ? invalid("unknown " + HeaderRules.CLASS)
+        : read(head, requestClass);
+  }
 
-private static RequestHead read(HttpRequest head, RequestClass requestClass) {
-String deadline = head.headers().get(HeaderRules.DEADLINE);
-long timeoutNanos =
-deadline == null ? requestClass.deadlineNanos() : HeaderRules.parseSeconds(deadline.trim());
-if (timeoutNanos < 0) {
-return invalid("malformed " + HeaderRules.DEADLINE);
-}
-boolean hasKey = head.headers().contains(HeaderRules.IDEMPOTENCY_KEY);
-if (!HeaderRules.methodMatchesClass(requestClass, head.method(), hasKey)) {
-return invalid("method or key does not fit class " + requestClass.name());
-}
-// No client waits longer than its class allows, and nothing is held for it any longer.
-return new RequestHead(
-requestClass, Math.min(timeoutNanos, requestClass.deadlineNanos()), null);
-}
+  private static RequestHead read(HttpRequest head, RequestClass requestClass) {
+    String deadline = head.headers().get(HeaderRules.DEADLINE);
+    long timeoutNanos =
+        deadline == null ? requestClass.deadlineNanos() : HeaderRules.parseSeconds(deadline.trim());
+    if (timeoutNanos < 0) {
+      return invalid("malformed " + HeaderRules.DEADLINE);
+    }
+    boolean hasKey = head.headers().contains(HeaderRules.IDEMPOTENCY_KEY);
+    if (!HeaderRules.methodMatchesClass(requestClass, head.method(), hasKey)) {
+      return invalid("method or key does not fit class " + requestClass.name());
+    }
+    // No client waits longer than its class allows, and nothing is held for it any longer.
+    return new RequestHead(
+        requestClass, Math.min(timeoutNanos, requestClass.deadlineNanos()), null);
+  }
 
-static String duplicateIdError() {
-return HeaderRules.REQUEST_ID + " of an open request";
-}
+  static String duplicateIdError() {
+    return HeaderRules.REQUEST_ID + " of an open request";
+  }
 
-private static RequestHead invalid(String error) {
-return new RequestHead(null, 0, error);
-}
+  private static RequestHead invalid(String error) {
+    return new RequestHead(null, 0, error);
+  }
 }
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -29,649 +29,649 @@
 import io.netty.util.concurrent.Future;
 
 /**
-* One connection to an upstream, with one exchange at a time. It says how each attempt ended, by
-* the protocol's table: whether the request may have run depends on whether its last byte was
-* written, and only an answer that is whole is ever passed on as one.
-*/
+ * One connection to an upstream, with one exchange at a time. It says how each attempt ended, by
+ * the protocol's table: whether the request may have run depends on whether its last byte was
+ * written, and only an answer that is whole is ever passed on as one.
+ */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
-implements Attempt.Exchange, StreamedAnswerSource {
-/**
-* A longer answer is spoilt, or broken off where it does not say how long it is. Upstreams send
-* up to 32 MB.
-*/
-static final long MAX_BODY_BYTES = 48L << 20;
-
-/**
-* An answer is gathered up to this size, so that one that breaks can be tried again. A longer one
-* goes on as it comes: memory holds only a few of them.
-*/
-static final int MAX_BUFFERED_BYTES = 64 << 10;
-
-/**
-* So long after its first byte an answer that still comes goes on, however little there is: its
-* client is owed what the upstream gives. Until then it could be tried again.
-*/
-static final long MAX_BUFFERING_MILLIS = 1000;
-
-/**
-* An answer that has begun and of which nothing came for so long will never be complete. Guards
-* against heads and bodies that stop short on a connection that stays open, and ought to against
-* a machine that dies while it writes. Would do harm to an upstream that pauses while it sends.
-*/
-static final long STALL_TIMEOUT_MILLIS = 500;
-
-/** The same for an answer that goes on, which cannot be had in any other way. */
-static final long STREAMED_STALL_TIMEOUT_MILLIS = 6000;
-
-/** A longer body of an answer that is not served is not worth reading for the connection. */
-private static final int MAX_DISCARDED_BYTES = 64 << 10;
-
-private static final long DISCARD_TIMEOUT_MILLIS = 1000;
-
-/** So many connections in a row that do not come up in time are a machine that is cut off. */
-private static final int MAX_CONSECUTIVE_DIAL_TIMEOUTS = 2;
-
-private enum Phase {
-/** No exchange is on. */
-IDLE,
-/** The answer's head has not come. */
-AWAITING_HEAD,
-/** Between an interim answer and the real one. */
-INTERIM,
-/** An answer that may be served is being gathered. */
-BUFFERING,
-/** An answer to serve is complete; told once it is clear that nothing follows it. */
-COMPLETE,
-/** An answer goes on to the client as it comes; its outcome has been told. */
-STREAMING,
-/** All of such an answer has come. */
-STREAMED,
-/** The outcome has been told; the rest is read so that the connection can be used again. */
-DISCARDING
-}
-
-final Upstream upstream;
-private final UpstreamConnectionPool pool;
-private final Clock clock;
-final StrictResponseDecoder decoder = new StrictResponseDecoder();
-private Channel channel;
-private Attempt attempt;
-private HttpPayload payload;
-private Phase phase = Phase.IDLE;
-private boolean connecting;
-private Future<?> dialTimeout;
-private boolean requestWritten;
-private boolean reusable;
-private boolean closed;
-private HttpResponse head;
-private CompositeByteBuf buffered;
-private int discardedBytes;
-private long idleSinceNanos;
-private int readsAtStart;
-private int readsAtInterim;
-private boolean sawInterimAnswer;
-private Future<?> stallTimer;
-private int readsAtStallCheck;
-private long answerStartedNanos;
-private long streamedBytes;
-private StreamedAnswerSink sink;
-private boolean paused;
-
-public UpstreamConnection(UpstreamConnectionPool pool, Clock clock, Upstream upstream) {
-this.pool = pool;
-this.clock = clock;
-this.upstream = upstream;
-}
-
-/** A new connection, with the attempt that it was opened for. */
-public void startConnecting(
-ChannelFuture connectFuture, Attempt first, HttpPayload requestPayload) {
-payload = requestPayload;
-channel = connectFuture.channel();
-attempt = first;
-first.attach(this);
-phase = Phase.AWAITING_HEAD;
-requestWritten = false;
-if (connectFuture.isDone()) {
-onConnectDone(connectFuture);
-} else {
-connecting = true;
-dialTimeout =
-channel.eventLoop().schedule(this::onDialTimeout, pool.dialTimeoutMillis(), MILLISECONDS);
-connectFuture.addListener(done -> onConnectDone(connectFuture));
-}
-}
-
-/**
-* The attempt is over; the connection is not. One that comes up late is as good as any, and where
-* many do, to open each anew would find most of them late again.
-*/
-private void onDialTimeout() {
-dialTimeout = null;
-if (upstream.recordDialTimeout() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
-pool.closeEstablished(upstream); // What is silent now is silent on those too.
-}
-pool.addUnclaimed(this);
-endAttempt(Outcome.CONNECT_FAILED);
-}
-
-private void onConnectDone(ChannelFuture connectFuture) {
-connecting = false;
-if (dialTimeout != null) {
-dialTimeout.cancel(false);
-dialTimeout = null;
-}
-if (!connectFuture.isSuccess()) {
-endAttempt(Outcome.CONNECT_FAILED);
-close();
-} else if (attempt != null) {
-writeRequest();
-} else if (!closed) {
-upstream.recordHeard(clock.nowNanos());
-reusable = true;
-finishExchange();
-}
-}
-
-/** The next exchange on an idle connection. */
-public void startExchange(Attempt nextAttempt, HttpPayload requestPayload) {
-payload = requestPayload;
-attempt = nextAttempt;
-nextAttempt.attach(this);
-phase = Phase.AWAITING_HEAD;
-requestWritten = false;
-writeRequest();
-}
-
-private void writeRequest() {
-reusable = false;
-readsAtStart = decoder.readCount();
-sawInterimAnswer = false;
-Attempt current = attempt;
-if (!current.maySend()) {
-endAttempt(Outcome.MOOT);
-close();
-return;
-}
-long remainingNanos = current.deadlineNanos() - clock.nowNanos();
-StreamedRequestBody streamedBody = payload.streamedBody();
-if (streamedBody == null) {
-trackRequestWritten(
-channel.writeAndFlush(payload.toUpstreamRequest(remainingNanos)), current);
-} else {
-channel.write(payload.toUpstreamHead(remainingNanos));
-streamedBody.attach(this);
-}
-}
-
-private void trackRequestWritten(ChannelFuture lastWrite, Attempt current) {
-lastWrite.addListener(
-done -> {
-if (attempt != current) {
-return;
-}
-if (done.isSuccess()) {
-requestWritten = true;
-} else {
-onConnectionLost();
-}
-});
-}
-
-/** A piece of a long body, which it takes over; false where the upstream is to be given time. */
-boolean writeBody(ByteBuf piece, boolean last) {
-if (closed || attempt == null) {
-piece.release();
-return true;
-}
-if (last) {
-trackRequestWritten(channel.writeAndFlush(new DefaultLastHttpContent(piece)), attempt);
-} else {
-channel.writeAndFlush(new DefaultHttpContent(piece));
-}
-return channel.isWritable();
-}
-
-@Override
-public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-if (attempt != null && payload.streamedBody() != null && channel.isWritable()) {
-payload.streamedBody().onWritable(this);
-}
-}
-
-@Override
-public void cancel() {
-attempt = null;
-if (connecting && !closed) {
-pool.addUnclaimed(this);
-} else {
-close();
-}
-}
-
-// ---- an answer that goes on as it comes ----
-
-@Override
-public void setPaused(boolean pause) {
-if (phase == Phase.STREAMING && paused != pause) {
-paused = pause;
-channel.config().setAutoRead(!pause);
-}
-}
-
-@Override
-public void clientDisconnected() {
-if (phase == Phase.STREAMING || phase == Phase.STREAMED) {
-sink = null;
-close();
-}
-}
-
-/** False if the answer has no client any more; the connection is closed then. */
-private boolean startStreaming() {
-Attempt current = attempt;
-if (!current.beginStreaming() || closed) {
-attempt = null;
-close();
-return false;
-}
-attempt = null;
-cancelStallTimer();
-phase = Phase.STREAMING;
-streamedBytes = buffered.readableBytes();
-sink = payload.sink();
-sink.answerStarted(head, this);
-if (buffered.isReadable()) {
-sink.answerData(buffered);
-} else {
-buffered.release();
-}
-buffered = null;
-// Its work is done and its place free; how long the rest takes is between it and the client.
-current.complete(Outcome.OK, null);
-watchStreamForStall();
-return !closed;
-}
-
-private void streamContent(HttpContent content, boolean last) {
-streamedBytes += content.content().readableBytes();
-if (streamedBytes > MAX_BODY_BYTES) {
-failInvalidAnswer("too long");
-return;
-}
-if (content.content().isReadable()) {
-sink.answerData(retainOrCopy(content.content()));
-}
-if (last) {
-phase = Phase.STREAMED;
-}
-}
-
-private void watchStreamForStall() {
-readsAtStallCheck = decoder.readCount();
-stallTimer =
-channel
-.eventLoop()
-.schedule(
-() -> {
-stallTimer = null;
-if (phase != Phase.STREAMING) {
-return;
-}
-if (!paused && decoder.readCount() == readsAtStallCheck) {
-failInvalidAnswer("it stopped short");
-} else {
-watchStreamForStall();
-}
-},
-STREAMED_STALL_TIMEOUT_MILLIS,
-MILLISECONDS);
-}
-
-@Override
-public void channelRead(ChannelHandlerContext ctx, Object message) {
-try {
-upstream.recordHeard(clock.nowNanos());
-if (closed) {
-return;
-}
-HttpObject part = (HttpObject) message;
-if (phase == Phase.COMPLETE || phase == Phase.STREAMED) {
-onExcessBytes(); // What is complete stays so.
-} else if (part.decoderResult().isFailure()) {
-failInvalidAnswer("malformed: " + part.decoderResult().cause());
-} else if (phase == Phase.IDLE) {
-Log.warn("unasked bytes", upstream.name + ": connection closed", "server", upstream.name);
-onExcessBytes();
-close();
-} else {
-if (part instanceof HttpResponse response) {
-onHead(response);
-}
-if (part instanceof HttpContent content && !closed) {
-onContent(content);
-}
-}
-} finally {
-ReferenceCountUtil.release(message);
-}
-}
-
-private void onHead(HttpResponse response) {
-int status = response.status().code();
-if (phase == Phase.DISCARDING) {
-onExcessBytes(); // A second answer to one request.
-} else if (status >= 100 && status < 200 && status != 101) {
-phase = Phase.INTERIM;
-} else if (status == HttpResponseStatus.OK.code()) {
-startAnswer(response);
-} else {
-reusable =
-requestWritten
-&& status != 101
-&& HttpUtil.isKeepAlive(response)
-&& hasDefinedEnd(response);
-phase = Phase.DISCARDING;
-discardedBytes = 0;
-endAttempt(errorOutcome(response));
-if (reusable) {
-channel.eventLoop().schedule(this::stopDiscarding, DISCARD_TIMEOUT_MILLIS, MILLISECONDS);
-} else {
-close();
-}
-}
-}
-
-private void stopDiscarding() {
-if (phase == Phase.DISCARDING) {
-close();
-}
-}
-
-/**
-* Only the upstream's word that nothing ran makes a repeat safe; a bare 503 says no such thing.
-*/
-private static Outcome errorOutcome(HttpResponse response) {
-int status = response.status().code();
-if ((status == 503 || status == 504)
-&& "1".equals(response.headers().get(HeaderRules.NOT_RUN))) {
-return Outcome.REFUSED;
-}
-return status >= 400 && status < 500 ? Outcome.BAD_REQUEST : Outcome.ERROR;
-}
-
-private void startAnswer(HttpResponse response) {
-// An upstream begins when it has the last byte: what comes before that answers something else.
-if (!requestWritten || hasUnknownFraming(response)) {
-failInvalidAnswer(requestWritten ? "unclear framing" : "too early");
-return;
-}
-if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
-failInvalidAnswer("too long: " + HttpUtil.getContentLength(response));
-return;
-}
-head = response;
-// One that ends with its connection is whole if the connection ends in order, and only then.
-reusable = HttpUtil.isKeepAlive(response) && hasDefinedEnd(response);
-phase = Phase.BUFFERING;
-answerStartedNanos = clock.nowNanos();
-buffered = channel.alloc().compositeBuffer(1024);
-}
-
-private static boolean hasUnknownFraming(HttpResponse response) {
-return response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-&& !HttpUtil.isTransferEncodingChunked(response);
-}
-
-private static boolean hasDefinedEnd(HttpResponse response) {
-int status = response.status().code();
-return HttpUtil.isContentLengthSet(response)
-|| HttpUtil.isTransferEncodingChunked(response)
-|| status == 204
-|| status == 304;
-}
-
-private void onContent(HttpContent content) {
-boolean last = content instanceof LastHttpContent;
-switch (phase) {
-case INTERIM -> {
-if (last) {
-phase = Phase.AWAITING_HEAD;
-sawInterimAnswer = true;
-readsAtInterim = decoder.readCount();
-}
-}
-case BUFFERING -> buffer(content, last);
-case STREAMING -> streamContent(content, last);
-case DISCARDING -> {
-discardedBytes += content.content().readableBytes();
-if (discardedBytes > MAX_DISCARDED_BYTES) {
-close();
-} else if (last) {
-finishExchange();
-}
-}
-default -> onExcessBytes(); // What is complete stays so.
-}
-}
-
-private void buffer(HttpContent content, boolean last) {
-if (content.content().isReadable()) {
-buffered.addComponent(true, retainOrCopy(content.content()));
-}
-boolean mustStream =
-buffered.readableBytes() > MAX_BUFFERED_BYTES
-|| HttpUtil.getContentLength(head, 0L) > MAX_BUFFERED_BYTES && buffered.isReadable();
-if (mustStream && !startStreaming()) {
-return;
-}
-if (last) {
-phase = phase == Phase.STREAMING ? Phase.STREAMED : Phase.COMPLETE;
-}
-}
-
-/** A short piece is copied: it would keep the whole buffer that it was read into. */
-private ByteBuf retainOrCopy(ByteBuf piece) {
-return piece.readableBytes() < 1024 ? Unpooled.copiedBuffer(piece) : piece.retain();
-}
-
-/**
-* Only here is an answer told and its connection given back: a second answer in the same read
-* would otherwise be taken for that of the next request.
-*/
-@Override
-public void channelReadComplete(ChannelHandlerContext ctx) {
-if (closed) {
-return;
-}
-boolean bytesRead = decoder.readCount() != readsAtStart;
-if (phase == Phase.IDLE && bytesRead) {
-onExcessBytes();
-close(); // Bytes that nobody asked for, even if they make no message yet.
-} else if (phase == Phase.AWAITING_HEAD && awaitsFinalAnswer()) {
-cancelStallTimer(); // Interim answers came whole; the real one may take its time.
-} else if (bytesRead && attempt != null && phase != Phase.COMPLETE && stallTimer == null) {
-watchForStall();
-}
-if (phase == Phase.STREAMING) {
-sink.answerFlush();
-} else if (phase == Phase.STREAMED) {
-checkUnparsedBytes();
-StreamedAnswerSink currentSink = sink;
-sink = null;
-finishExchange();
-currentSink.answerEnd();
-return;
-}
-if (phase == Phase.COMPLETE) {
-checkUnparsedBytes();
-ByteBuf body = buffered;
-buffered = null;
-Attempt served = attempt;
-attempt = null;
-finishExchange();
-if (served != null) {
-served.complete(Outcome.OK, new HttpAnswer(head, body));
-}
-}
-}
-
-private void checkUnparsedBytes() {
-if (decoder.hasUnparsedBytes()) {
-onExcessBytes();
-}
-}
-
-/** More came than belongs to an answer. */
-private void onExcessBytes() {
-reusable = false;
-pool.recordExcessBytes();
-}
-
-private void watchForStall() {
-Attempt watched = attempt;
-readsAtStallCheck = decoder.readCount();
-stallTimer =
-channel
-.eventLoop()
-.schedule(() -> checkForStall(watched), STALL_TIMEOUT_MILLIS, MILLISECONDS);
-}
-
-private void checkForStall(Attempt watched) {
-stallTimer = null;
-if (attempt != watched || phase == Phase.COMPLETE) {
-return;
-}
-if (decoder.readCount() == readsAtStallCheck) {
-failInvalidAnswer("it stopped short");
-} else if (phase == Phase.BUFFERING
-&& buffered.isReadable()
-&& clock.nowNanos() - answerStartedNanos >= MAX_BUFFERING_MILLIS * 1_000_000L) {
-if (startStreaming()) {
-sink.answerFlush();
-}
-} else {
-watchForStall();
-}
-}
-
-private boolean awaitsFinalAnswer() {
-return sawInterimAnswer && decoder.readCount() == readsAtInterim && !decoder.hasUnparsedBytes();
-}
-
-private void cancelStallTimer() {
-if (stallTimer != null) {
-stallTimer.cancel(false);
-stallTimer = null;
-}
-}
-
-/** The connection goes back, unless one of the sides wants it closed. */
-private void finishExchange() {
-cancelStallTimer();
-readsAtStart = decoder.readCount();
-if (reusable && channel.isActive()) {
-phase = Phase.IDLE;
-payload = null;
-paused = false;
-idleSinceNanos = clock.nowNanos();
-channel.config().setAutoRead(true);
-pool.release(this);
-} else {
-close();
-}
-}
-
-/**
-* An answer came that is none. The request has run for all that is known, and its upstream is not
-* cut off: it answers, and what spoils one upstream's answers may spoil every one's. The module
-* counts it as an error, which is judged against the upstream's peers.
-*/
-private void failInvalidAnswer(String reason) {
-Log.warn(
-"spoilt answer", upstream.name + ": " + reason, "server", upstream.name, "reason", reason);
-Attempt failed = attempt;
-attempt = null;
-close();
-if (failed != null) {
-failed.complete(Outcome.ERROR, null);
-}
-}
-
-/** The connection broke; before the last byte was written nothing can run. */
-private void onConnectionLost() {
-if (phase == Phase.STREAMING && !closed) {
-failInvalidAnswer("it broke off");
-return;
-}
-Attempt failed = attempt;
-attempt = null;
-close();
-if (failed != null) {
-failed.complete(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
-}
-}
-
-private void endAttempt(Outcome outcome) {
-Attempt ended = attempt;
-attempt = null;
-if (ended != null) {
-ended.complete(outcome, null);
-}
-}
-
-@Override
-public void channelInactive(ChannelHandlerContext ctx) {
-onConnectionLost();
-}
-
-@Override
-public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-if (!(cause instanceof java.io.IOException)) {
-Log.error("upstream connection", upstream.name, cause, "server", upstream.name);
-}
-onConnectionLost();
-}
-
-public void close() {
-if (closed) {
-return;
-}
-closed = true;
-cancelStallTimer();
-if (dialTimeout != null) {
-dialTimeout.cancel(false);
-dialTimeout = null;
-}
-if (payload != null && payload.streamedBody() != null) {
-payload.streamedBody().detach(this);
-}
-if (sink != null) {
-StreamedAnswerSink openSink = sink;
-sink = null;
-openSink.answerAborted();
-}
-pool.remove(this);
-if (buffered != null) {
-buffered.release();
-buffered = null;
-}
-Channels.close(channel);
-}
-
-/**
-* Whether an idle connection may carry another request. Its socket is read first: a connection
-* that the other side has closed, or on which unasked bytes wait, must not get one.
-*/
-public boolean canBeReused(long oldestIdleNanos) {
-if (idleSinceNanos < oldestIdleNanos || !channel.isActive()) {
-return false;
-}
-((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
-return !closed && channel.isActive();
-}
-
-public long idleSinceNanos() {
-return idleSinceNanos;
-}
+    implements Attempt.Exchange, StreamedAnswerSource {
+  /**
+   * A longer answer is spoilt, or broken off where it does not say how long it is. Upstreams send
+   * up to 32 MB.
+   */
+  static final long MAX_BODY_BYTES = 48L << 20;
+
+  /**
+   * An answer is gathered up to this size, so that one that breaks can be tried again. A longer one
+   * goes on as it comes: memory holds only a few of them.
+   */
+  static final int MAX_BUFFERED_BYTES = 64 << 10;
+
+  /**
+   * So long after its first byte an answer that still comes goes on, however little there is: its
+   * client is owed what the upstream gives. Until then it could be tried again.
+   */
+  static final long MAX_BUFFERING_MILLIS = 1000;
+
+  /**
+   * An answer that has begun and of which nothing came for so long will never be complete. Guards
+   * against heads and bodies that stop short on a connection that stays open, and ought to against
+   * a machine that dies while it writes. Would do harm to an upstream that pauses while it sends.
+   */
+  static final long STALL_TIMEOUT_MILLIS = 500;
+
+  /** The same for an answer that goes on, which cannot be had in any other way. */
+  static final long STREAMED_STALL_TIMEOUT_MILLIS = 6000;
+
+  /** A longer body of an answer that is not served is not worth reading for the connection. */
+  private static final int MAX_DISCARDED_BYTES = 64 << 10;
+
+  private static final long DISCARD_TIMEOUT_MILLIS = 1000;
+
+  /** So many connections in a row that do not come up in time are a machine that is cut off. */
+  private static final int MAX_CONSECUTIVE_DIAL_TIMEOUTS = 2;
+
+  private enum Phase {
+    /** No exchange is on. */
+    IDLE,
+    /** The answer's head has not come. */
+    AWAITING_HEAD,
+    /** Between an interim answer and the real one. */
+    INTERIM,
+    /** An answer that may be served is being gathered. */
+    BUFFERING,
+    /** An answer to serve is complete; told once it is clear that nothing follows it. */
+    COMPLETE,
+    /** An answer goes on to the client as it comes; its outcome has been told. */
+    STREAMING,
+    /** All of such an answer has come. */
+    STREAMED,
+    /** The outcome has been told; the rest is read so that the connection can be used again. */
+    DISCARDING
+  }
+
+  final Upstream upstream;
+  private final UpstreamConnectionPool pool;
+  private final Clock clock;
+  final StrictResponseDecoder decoder = new StrictResponseDecoder();
+  private Channel channel;
+  private Attempt attempt;
+  private HttpPayload payload;
+  private Phase phase = Phase.IDLE;
+  private boolean connecting;
+  private Future<?> dialTimeout;
+  private boolean requestWritten;
+  private boolean reusable;
+  private boolean closed;
+  private HttpResponse head;
+  private CompositeByteBuf buffered;
+  private int discardedBytes;
+  private long idleSinceNanos;
+  private int readsAtStart;
+  private int readsAtInterim;
+  private boolean sawInterimAnswer;
+  private Future<?> stallTimer;
+  private int readsAtStallCheck;
+  private long answerStartedNanos;
+  private long streamedBytes;
+  private StreamedAnswerSink sink;
+  private boolean paused;
+
+  public UpstreamConnection(UpstreamConnectionPool pool, Clock clock, Upstream upstream) {
+    this.pool = pool;
+    this.clock = clock;
+    this.upstream = upstream;
+  }
+
+  /** A new connection, with the attempt that it was opened for. */
+  public void startConnecting(
+      ChannelFuture connectFuture, Attempt first, HttpPayload requestPayload) {
+    payload = requestPayload;
+    channel = connectFuture.channel();
+    attempt = first;
+    first.attach(this);
+    phase = Phase.AWAITING_HEAD;
+    requestWritten = false;
+    if (connectFuture.isDone()) {
+      onConnectDone(connectFuture);
+    } else {
+      connecting = true;
+      dialTimeout =
+          channel.eventLoop().schedule(this::onDialTimeout, pool.dialTimeoutMillis(), MILLISECONDS);
+      connectFuture.addListener(done -> onConnectDone(connectFuture));
+    }
+  }
+
+  /**
+   * The attempt is over; the connection is not. One that comes up late is as good as any, and where
+   * many do, to open each anew would find most of them late again.
+   */
+  private void onDialTimeout() {
+    dialTimeout = null;
+    if (upstream.recordDialTimeout() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
+      pool.closeEstablished(upstream); // What is silent now is silent on those too.
+    }
+    pool.addUnclaimed(this);
+    endAttempt(Outcome.CONNECT_FAILED);
+  }
+
+  private void onConnectDone(ChannelFuture connectFuture) {
+    connecting = false;
+    if (dialTimeout != null) {
+      dialTimeout.cancel(false);
+      dialTimeout = null;
+    }
+    if (!connectFuture.isSuccess()) {
+      endAttempt(Outcome.CONNECT_FAILED);
+      close();
+    } else if (attempt != null) {
+      writeRequest();
+    } else if (!closed) {
+      upstream.recordHeard(clock.nowNanos());
+      reusable = true;
+      finishExchange();
+    }
+  }
+
+  /** The next exchange on an idle connection. */
+  public void startExchange(Attempt nextAttempt, HttpPayload requestPayload) {
+    payload = requestPayload;
+    attempt = nextAttempt;
+    nextAttempt.attach(this);
+    phase = Phase.AWAITING_HEAD;
+    requestWritten = false;
+    writeRequest();
+  }
+
+  private void writeRequest() {
+    reusable = false;
+    readsAtStart = decoder.readCount();
+    sawInterimAnswer = false;
+    Attempt current = attempt;
+    if (!current.maySend()) {
+      endAttempt(Outcome.MOOT);
+      close();
+      return;
+    }
+    long remainingNanos = current.deadlineNanos() - clock.nowNanos();
+    StreamedRequestBody streamedBody = payload.streamedBody();
+    if (streamedBody == null) {
+      trackRequestWritten(
+          channel.writeAndFlush(payload.toUpstreamRequest(remainingNanos)), current);
+    } else {
+      channel.write(payload.toUpstreamHead(remainingNanos));
+      streamedBody.attach(this);
+    }
+  }
+
+  private void trackRequestWritten(ChannelFuture lastWrite, Attempt current) {
+    lastWrite.addListener(
+        done -> {
+          if (attempt != current) {
+            return;
+          }
+          if (done.isSuccess()) {
+            requestWritten = true;
+          } else {
+            onConnectionLost();
+          }
+        });
+  }
+
+  /** A piece of a long body, which it takes over; false where the upstream is to be given time. */
+  boolean writeBody(ByteBuf piece, boolean last) {
+    if (closed || attempt == null) {
+      piece.release();
+      return true;
+    }
+    if (last) {
+      trackRequestWritten(channel.writeAndFlush(new DefaultLastHttpContent(piece)), attempt);
+    } else {
+      channel.writeAndFlush(new DefaultHttpContent(piece));
+    }
+    return channel.isWritable();
+  }
+
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    if (attempt != null && payload.streamedBody() != null && channel.isWritable()) {
+      payload.streamedBody().onWritable(this);
+    }
+  }
+
+  @Override
+  public void cancel() {
+    attempt = null;
+    if (connecting && !closed) {
+      pool.addUnclaimed(this);
+    } else {
+      close();
+    }
+  }
+
+  // ---- an answer that goes on as it comes ----
+
+  @Override
+  public void setPaused(boolean pause) {
+    if (phase == Phase.STREAMING && paused != pause) {
+      paused = pause;
+      channel.config().setAutoRead(!pause);
+    }
+  }
+
+  @Override
+  public void clientDisconnected() {
+    if (phase == Phase.STREAMING || phase == Phase.STREAMED) {
+      sink = null;
+      close();
+    }
+  }
+
+  /** False if the answer has no client any more; the connection is closed then. */
+  private boolean startStreaming() {
+    Attempt current = attempt;
+    if (!current.beginStreaming() || closed) {
+      attempt = null;
+      close();
+      return false;
+    }
+    attempt = null;
+    cancelStallTimer();
+    phase = Phase.STREAMING;
+    streamedBytes = buffered.readableBytes();
+    sink = payload.sink();
+    sink.answerStarted(head, this);
+    if (buffered.isReadable()) {
+      sink.answerData(buffered);
+    } else {
+      buffered.release();
+    }
+    buffered = null;
+    // Its work is done and its place free; how long the rest takes is between it and the client.
+    current.complete(Outcome.OK, null);
+    watchStreamForStall();
+    return !closed;
+  }
+
+  private void streamContent(HttpContent content, boolean last) {
+    streamedBytes += content.content().readableBytes();
+    if (streamedBytes > MAX_BODY_BYTES) {
+      failInvalidAnswer("too long");
+      return;
+    }
+    if (content.content().isReadable()) {
+      sink.answerData(retainOrCopy(content.content()));
+    }
+    if (last) {
+      phase = Phase.STREAMED;
+    }
+  }
+
+  private void watchStreamForStall() {
+    readsAtStallCheck = decoder.readCount();
+    stallTimer =
+        channel
+            .eventLoop()
+            .schedule(
+                () -> {
+                  stallTimer = null;
+                  if (phase != Phase.STREAMING) {
+                    return;
+                  }
+                  if (!paused && decoder.readCount() == readsAtStallCheck) {
+                    failInvalidAnswer("it stopped short");
+                  } else {
+                    watchStreamForStall();
+                  }
+                },
+                STREAMED_STALL_TIMEOUT_MILLIS,
+                MILLISECONDS);
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext ctx, Object message) {
+    try {
+      upstream.recordHeard(clock.nowNanos());
+      if (closed) {
+        return;
+      }
+      HttpObject part = (HttpObject) message;
+      if (phase == Phase.COMPLETE || phase == Phase.STREAMED) {
+        onExcessBytes(); // What is complete stays so.
+      } else if (part.decoderResult().isFailure()) {
+        failInvalidAnswer("malformed: " + part.decoderResult().cause());
+      } else if (phase == Phase.IDLE) {
+        Log.warn("unasked bytes", upstream.name + ": connection closed", "server", upstream.name);
+        onExcessBytes();
+        close();
+      } else {
+        if (part instanceof HttpResponse response) {
+          onHead(response);
+        }
+        if (part instanceof HttpContent content && !closed) {
+          onContent(content);
+        }
+      }
+    } finally {
+      ReferenceCountUtil.release(message);
+    }
+  }
+
+  private void onHead(HttpResponse response) {
+    int status = response.status().code();
+    if (phase == Phase.DISCARDING) {
+      onExcessBytes(); // A second answer to one request.
+    } else if (status >= 100 && status < 200 && status != 101) {
+      phase = Phase.INTERIM;
+    } else if (status == HttpResponseStatus.OK.code()) {
+      startAnswer(response);
+    } else {
+      reusable =
+          requestWritten
+              && status != 101
+              && HttpUtil.isKeepAlive(response)
+              && hasDefinedEnd(response);
+      phase = Phase.DISCARDING;
+      discardedBytes = 0;
+      endAttempt(errorOutcome(response));
+      if (reusable) {
+        channel.eventLoop().schedule(this::stopDiscarding, DISCARD_TIMEOUT_MILLIS, MILLISECONDS);
+      } else {
+        close();
+      }
+    }
+  }
+
+  private void stopDiscarding() {
+    if (phase == Phase.DISCARDING) {
+      close();
+    }
+  }
+
+  /**
+   * Only the upstream's word that nothing ran makes a repeat safe; a bare 503 says no such thing.
+   */
+  private static Outcome errorOutcome(HttpResponse response) {
+    int status = response.status().code();
+    if ((status == 503 || status == 504)
+        && "1".equals(response.headers().get(HeaderRules.NOT_RUN))) {
+      return Outcome.REFUSED;
+    }
+    return status >= 400 && status < 500 ? Outcome.BAD_REQUEST : Outcome.ERROR;
+  }
+
+  private void startAnswer(HttpResponse response) {
+    // An upstream begins when it has the last byte: what comes before that answers something else.
+    if (!requestWritten || hasUnknownFraming(response)) {
+      failInvalidAnswer(requestWritten ? "unclear framing" : "too early");
+      return;
+    }
+    if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
+      failInvalidAnswer("too long: " + HttpUtil.getContentLength(response));
+      return;
+    }
+    head = response;
+    // One that ends with its connection is whole if the connection ends in order, and only then.
+    reusable = HttpUtil.isKeepAlive(response) && hasDefinedEnd(response);
+    phase = Phase.BUFFERING;
+    answerStartedNanos = clock.nowNanos();
+    buffered = channel.alloc().compositeBuffer(1024);
+  }
+
+  private static boolean hasUnknownFraming(HttpResponse response) {
+    return response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+        && !HttpUtil.isTransferEncodingChunked(response);
+  }
+
+  private static boolean hasDefinedEnd(HttpResponse response) {
+    int status = response.status().code();
+    return HttpUtil.isContentLengthSet(response)
+        || HttpUtil.isTransferEncodingChunked(response)
+        || status == 204
+        || status == 304;
+  }
+
+  private void onContent(HttpContent content) {
+    boolean last = content instanceof LastHttpContent;
+    switch (phase) {
+      case INTERIM -> {
+        if (last) {
+          phase = Phase.AWAITING_HEAD;
+          sawInterimAnswer = true;
+          readsAtInterim = decoder.readCount();
+        }
+      }
+      case BUFFERING -> buffer(content, last);
+      case STREAMING -> streamContent(content, last);
+      case DISCARDING -> {
+        discardedBytes += content.content().readableBytes();
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
+          close();
+        } else if (last) {
+          finishExchange();
+        }
+      }
+      default -> onExcessBytes(); // What is complete stays so.
+    }
+  }
+
+  private void buffer(HttpContent content, boolean last) {
+    if (content.content().isReadable()) {
+      buffered.addComponent(true, retainOrCopy(content.content()));
+    }
+    boolean mustStream =
+        buffered.readableBytes() > MAX_BUFFERED_BYTES
+            || HttpUtil.getContentLength(head, 0L) > MAX_BUFFERED_BYTES && buffered.isReadable();
+    if (mustStream && !startStreaming()) {
+      return;
+    }
+    if (last) {
+      phase = phase == Phase.STREAMING ? Phase.STREAMED : Phase.COMPLETE;
+    }
+  }
+
+  /** A short piece is copied: it would keep the whole buffer that it was read into. */
+  private ByteBuf retainOrCopy(ByteBuf piece) {
+    return piece.readableBytes() < 1024 ? Unpooled.copiedBuffer(piece) : piece.retain();
+  }
+
+  /**
+   * Only here is an answer told and its connection given back: a second answer in the same read
+   * would otherwise be taken for that of the next request.
+   */
+  @Override
+  public void channelReadComplete(ChannelHandlerContext ctx) {
+    if (closed) {
+      return;
+    }
+    boolean bytesRead = decoder.readCount() != readsAtStart;
+    if (phase == Phase.IDLE && bytesRead) {
+      onExcessBytes();
+      close(); // Bytes that nobody asked for, even if they make no message yet.
+    } else if (phase == Phase.AWAITING_HEAD && awaitsFinalAnswer()) {
+      cancelStallTimer(); // Interim answers came whole; the real one may take its time.
+    } else if (bytesRead && attempt != null && phase != Phase.COMPLETE && stallTimer == null) {
+      watchForStall();
+    }
+    if (phase == Phase.STREAMING) {
+      sink.answerFlush();
+    } else if (phase == Phase.STREAMED) {
+      checkUnparsedBytes();
+      StreamedAnswerSink currentSink = sink;
+      sink = null;
+      finishExchange();
+      currentSink.answerEnd();
+      return;
+    }
+    if (phase == Phase.COMPLETE) {
+      checkUnparsedBytes();
+      ByteBuf body = buffered;
+      buffered = null;
+      Attempt served = attempt;
+      attempt = null;
+      finishExchange();
+      if (served != null) {
+        served.complete(Outcome.OK, new HttpAnswer(head, body));
+      }
+    }
+  }
+
+  private void checkUnparsedBytes() {
+    if (decoder.hasUnparsedBytes()) {
+      onExcessBytes();
+    }
+  }
+
+  /** More came than belongs to an answer. */
+  private void onExcessBytes() {
+    reusable = false;
+    pool.recordExcessBytes();
+  }
+
+  private void watchForStall() {
+    Attempt watched = attempt;
+    readsAtStallCheck = decoder.readCount();
+    stallTimer =
+        channel
+            .eventLoop()
+            .schedule(() -> checkForStall(watched), STALL_TIMEOUT_MILLIS, MILLISECONDS);
+  }
+
+  private void checkForStall(Attempt watched) {
+    stallTimer = null;
+    if (attempt != watched || phase == Phase.COMPLETE) {
+      return;
+    }
+    if (decoder.readCount() == readsAtStallCheck) {
+      failInvalidAnswer("it stopped short");
+    } else if (phase == Phase.BUFFERING
+        && buffered.isReadable()
+        && clock.nowNanos() - answerStartedNanos >= MAX_BUFFERING_MILLIS * 1_000_000L) {
+      if (startStreaming()) {
+        sink.answerFlush();
+      }
+    } else {
+      watchForStall();
+    }
+  }
+
+  private boolean awaitsFinalAnswer() {
+    return sawInterimAnswer && decoder.readCount() == readsAtInterim && !decoder.hasUnparsedBytes();
+  }
+
+  private void cancelStallTimer() {
+    if (stallTimer != null) {
+      stallTimer.cancel(false);
+      stallTimer = null;
+    }
+  }
+
+  /** The connection goes back, unless one of the sides wants it closed. */
+  private void finishExchange() {
+    cancelStallTimer();
+    readsAtStart = decoder.readCount();
+    if (reusable && channel.isActive()) {
+      phase = Phase.IDLE;
+      payload = null;
+      paused = false;
+      idleSinceNanos = clock.nowNanos();
+      channel.config().setAutoRead(true);
+      pool.release(this);
+    } else {
+      close();
+    }
+  }
+
+  /**
+   * An answer came that is none. The request has run for all that is known, and its upstream is not
+   * cut off: it answers, and what spoils one upstream's answers may spoil every one's. The module
+   * counts it as an error, which is judged against the upstream's peers.
+   */
+  private void failInvalidAnswer(String reason) {
+    Log.warn(
+        "spoilt answer", upstream.name + ": " + reason, "server", upstream.name, "reason", reason);
+    Attempt failed = attempt;
+    attempt = null;
+    close();
+    if (failed != null) {
+      failed.complete(Outcome.ERROR, null);
+    }
+  }
+
+  /** The connection broke; before the last byte was written nothing can run. */
+  private void onConnectionLost() {
+    if (phase == Phase.STREAMING && !closed) {
+      failInvalidAnswer("it broke off");
+      return;
+    }
+    Attempt failed = attempt;
+    attempt = null;
+    close();
+    if (failed != null) {
+      failed.complete(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+    }
+  }
+
+  private void endAttempt(Outcome outcome) {
+    Attempt ended = attempt;
+    attempt = null;
+    if (ended != null) {
+      ended.complete(outcome, null);
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    onConnectionLost();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (!(cause instanceof java.io.IOException)) {
+      Log.error("upstream connection", upstream.name, cause, "server", upstream.name);
+    }
+    onConnectionLost();
+  }
+
+  public void close() {
+    if (closed) {
+      return;
+    }
+    closed = true;
+    cancelStallTimer();
+    if (dialTimeout != null) {
+      dialTimeout.cancel(false);
+      dialTimeout = null;
+    }
+    if (payload != null && payload.streamedBody() != null) {
+      payload.streamedBody().detach(this);
+    }
+    if (sink != null) {
+      StreamedAnswerSink openSink = sink;
+      sink = null;
+      openSink.answerAborted();
+    }
+    pool.remove(this);
+    if (buffered != null) {
+      buffered.release();
+      buffered = null;
+    }
+    Channels.close(channel);
+  }
+
+  /**
+   * Whether an idle connection may carry another request. Its socket is read first: a connection
+   * that the other side has closed, or on which unasked bytes wait, must not get one.
+   */
+  public boolean canBeReused(long oldestIdleNanos) {
+    if (idleSinceNanos < oldestIdleNanos || !channel.isActive()) {
+      return false;
+    }
+    ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
+    return !closed && channel.isActive();
+  }
+
+  public long idleSinceNanos() {
+    return idleSinceNanos;
+  }
 }
--- a/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
+++ b/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
@@ -32,162 +32,162 @@
 import java.util.function.Consumer;
 
 /**
-* The second address: a call to a connection, in HTTP/1.1, answered with a status and a line. It
-* shares the balancer's loop. Connections on which no call is finished are bounded in number and in
-* time, so that those who connect and say nothing keep nobody else from being heard.
-*/
+ * The second address: a call to a connection, in HTTP/1.1, answered with a status and a line. It
+ * shares the balancer's loop. Connections on which no call is finished are bounded in number and in
+ * time, so that those who connect and say nothing keep nobody else from being heard.
+ */
 final class ConsoleServer {
-/** The operators' calls; each answers once, on the loop. */
-interface Commands {
-/** Whether the balancer takes clients. */
-boolean isReady();
-
-/** Takes an upstream out, or puts it back; the status to answer. */
-void setSuspended(String id, boolean suspended, Consumer<HttpResponseStatus> done);
-
-/** Empties the balancer, or takes it into use again. */
-void setDraining(boolean draining);
-}
-
-/** The oldest goes where there would be more. */
-static final int MAX_CONNECTIONS = 24;
-
-private static final int CONNECTION_TIMEOUT_SECONDS = 8;
-private static final int MAX_BODY_BYTES = 8192;
-private static final String UPSTREAM_PATH_PREFIX = "/v1/upstreams/";
-
-private final EventLoop loop;
-private final ResourceBudget budget;
-private final Commands commands;
-private final Set<Channel> openConnections = new LinkedHashSet<>();
-private Channel listener;
-
-ConsoleServer(EventLoop loop, ResourceBudget budget, Commands commands) {
-this.loop = loop;
-this.budget = budget;
-this.commands = commands;
-}
-
-/** Listens; fails if the address cannot be had. Must not be called on the loop. */
-void start(InetSocketAddress address) throws InterruptedException {
-listener = Listeners.bootstrap(loop, this::onAccepted).bind(address).sync().channel();
-}
-
-InetSocketAddress address() {
-return (InetSocketAddress) listener.localAddress();
-}
-
-private void onAccepted(Channel channel) {
-budget.connectionOpened();
-openConnections.add(channel);
-channel
-.closeFuture()
-.addListener(
-closed -> {
-budget.connectionClosed();
-openConnections.remove(channel);
-});
-if (openConnections.size() > MAX_CONNECTIONS) {
-openConnections.iterator().next().close();
-}
-channel
-.pipeline()
-.addLast(
-new HttpServerCodec(4096, 8192, 8192),
-new HttpObjectAggregator(MAX_BODY_BYTES),
-new RequestHandler());
-Future<?> timeout = loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_SECONDS, SECONDS);
-channel.closeFuture().addListener(closed -> timeout.cancel(false));
-}
-
-private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-private boolean requestRead;
-
-@Override
-protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-if (!requestRead) {
-requestRead = true;
-route(request, status -> writeResponse(ctx, status));
-}
-}
-
-@Override
-public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-if (!(cause instanceof IOException)) {
-Log.warn("console", "connection closed: " + cause);
-}
-ctx.close();
-}
-}
-
-private void route(FullHttpRequest request, Consumer<HttpResponseStatus> reply) {
-String path;
-try {
-if (request.decoderResult().isFailure()) {
-throw new IllegalArgumentException("malformed");
-}
-path = new QueryStringDecoder(request.uri()).rawPath();
-switch (path) {
-case "/v1/readyz" ->
-replyToGet(request, commands.isReady() ? HttpResponseStatus.OK : unavailable(), reply);
-case "/v1/balancer/drain" -> runPut(request, () -> setDraining(true, reply), reply);
-case "/v1/balancer/activate" -> runPut(request, () -> setDraining(false, reply), reply);
-default -> routeUpstream(request, path, reply);
-}
-} catch (IllegalArgumentException e) {
-reply.accept(HttpResponseStatus.BAD_REQUEST); // Also an id that is wrongly escaped.
-}
-}
-
-private void routeUpstream(
-FullHttpRequest request, String path, Consumer<HttpResponseStatus> reply) {
-int end = path.lastIndexOf('/');
-String action = path.substring(end + 1);
-boolean suspend = action.equals("suspend");
-if (!path.startsWith(UPSTREAM_PATH_PREFIX)
-|| end < UPSTREAM_PATH_PREFIX.length()
-|| !suspend && !action.equals("resume")) {
-reply.accept(HttpResponseStatus.NOT_FOUND);
-return;
-}
-String id =
-QueryStringDecoder.decodeComponent(path.substring(UPSTREAM_PATH_PREFIX.length(), end));
-runPut(request, () -> commands.setSuspended(id, suspend, reply), reply);
-}
-
-private void setDraining(boolean draining, Consumer<HttpResponseStatus> reply) {
-commands.setDraining(draining);
-reply.accept(HttpResponseStatus.OK);
-}
-
-private static HttpResponseStatus unavailable() {
-return HttpResponseStatus.SERVICE_UNAVAILABLE;
-}
-
-private static void replyToGet(
-FullHttpRequest request, HttpResponseStatus status, Consumer<HttpResponseStatus> reply) {
-reply.accept(
-request.method().equals(HttpMethod.GET) ? status : HttpResponseStatus.METHOD_NOT_ALLOWED);
-}
-
-private static void runPut(
-FullHttpRequest request, Runnable command, Consumer<HttpResponseStatus> reply) {
-if (request.method().equals(HttpMethod.PUT)) {
-command.run();
-} else {
-reply.accept(HttpResponseStatus.METHOD_NOT_ALLOWED);
-}
-}
-
-private static void writeResponse(ChannelHandlerContext ctx, HttpResponseStatus status) {
-FullHttpResponse response =
-new DefaultFullHttpResponse(
-HttpVersion.HTTP_1_1,
-status,
-Unpooled.copiedBuffer(status.reasonPhrase() + "\n", US_ASCII));
-response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
-response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-HttpUtil.setContentLength(response, response.content().readableBytes());
-ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
-}
+  /** The operators' calls; each answers once, on the loop. */
+  interface Commands {
+    /** Whether the balancer takes clients. */
+    boolean isReady();
+
+    /** Takes an upstream out, or puts it back; the status to answer. */
+    void setSuspended(String id, boolean suspended, Consumer<HttpResponseStatus> done);
+
+    /** Empties the balancer, or takes it into use again. */
+    void setDraining(boolean draining);
+  }
+
+  /** The oldest goes where there would be more. */
+  static final int MAX_CONNECTIONS = 24;
+
+  private static final int CONNECTION_TIMEOUT_SECONDS = 8;
+  private static final int MAX_BODY_BYTES = 8192;
+  private static final String UPSTREAM_PATH_PREFIX = "/v1/upstreams/";
+
+  private final EventLoop loop;
+  private final ResourceBudget budget;
+  private final Commands commands;
+  private final Set<Channel> openConnections = new LinkedHashSet<>();
+  private Channel listener;
+
+  ConsoleServer(EventLoop loop, ResourceBudget budget, Commands commands) {
+    this.loop = loop;
+    this.budget = budget;
+    this.commands = commands;
+  }
+
+  /** Listens; fails if the address cannot be had. Must not be called on the loop. */
+  void start(InetSocketAddress address) throws InterruptedException {
+    listener = Listeners.bootstrap(loop, this::onAccepted).bind(address).sync().channel();
+  }
+
+  InetSocketAddress address() {
+    return (InetSocketAddress) listener.localAddress();
+  }
+
+  private void onAccepted(Channel channel) {
+    budget.connectionOpened();
+    openConnections.add(channel);
+    channel
+        .closeFuture()
+        .addListener(
+            closed -> {
+              budget.connectionClosed();
+              openConnections.remove(channel);
+            });
+    if (openConnections.size() > MAX_CONNECTIONS) {
+      openConnections.iterator().next().close();
+    }
+    channel
+        .pipeline()
+        .addLast(
+            new HttpServerCodec(4096, 8192, 8192),
+            new HttpObjectAggregator(MAX_BODY_BYTES),
+            new RequestHandler());
+    Future<?> timeout = loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_SECONDS, SECONDS);
+    channel.closeFuture().addListener(closed -> timeout.cancel(false));
+  }
+
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private boolean requestRead;
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      if (!requestRead) {
+        requestRead = true;
+        route(request, status -> writeResponse(ctx, status));
+      }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      if (!(cause instanceof IOException)) {
+        Log.warn("console", "connection closed: " + cause);
+      }
+      ctx.close();
+    }
+  }
+
+  private void route(FullHttpRequest request, Consumer<HttpResponseStatus> reply) {
+    String path;
+    try {
+      if (request.decoderResult().isFailure()) {
+        throw new IllegalArgumentException("malformed");
+      }
+      path = new QueryStringDecoder(request.uri()).rawPath();
+      switch (path) {
+        case "/v1/readyz" ->
+            replyToGet(request, commands.isReady() ? HttpResponseStatus.OK : unavailable(), reply);
+        case "/v1/balancer/drain" -> runPut(request, () -> setDraining(true, reply), reply);
+        case "/v1/balancer/activate" -> runPut(request, () -> setDraining(false, reply), reply);
+        default -> routeUpstream(request, path, reply);
+      }
+    } catch (IllegalArgumentException e) {
+      reply.accept(HttpResponseStatus.BAD_REQUEST); // Also an id that is wrongly escaped.
+    }
+  }
+
+  private void routeUpstream(
+      FullHttpRequest request, String path, Consumer<HttpResponseStatus> reply) {
+    int end = path.lastIndexOf('/');
+    String action = path.substring(end + 1);
+    boolean suspend = action.equals("suspend");
+    if (!path.startsWith(UPSTREAM_PATH_PREFIX)
+        || end < UPSTREAM_PATH_PREFIX.length()
+        || !suspend && !action.equals("resume")) {
+      reply.accept(HttpResponseStatus.NOT_FOUND);
+      return;
+    }
+    String id =
+        QueryStringDecoder.decodeComponent(path.substring(UPSTREAM_PATH_PREFIX.length(), end));
+    runPut(request, () -> commands.setSuspended(id, suspend, reply), reply);
+  }
+
+  private void setDraining(boolean draining, Consumer<HttpResponseStatus> reply) {
+    commands.setDraining(draining);
+    reply.accept(HttpResponseStatus.OK);
+  }
+
+  private static HttpResponseStatus unavailable() {
+    return HttpResponseStatus.SERVICE_UNAVAILABLE;
+  }
+
+  private static void replyToGet(
+      FullHttpRequest request, HttpResponseStatus status, Consumer<HttpResponseStatus> reply) {
+    reply.accept(
+        request.method().equals(HttpMethod.GET) ? status : HttpResponseStatus.METHOD_NOT_ALLOWED);
+  }
+
+  private static void runPut(
+      FullHttpRequest request, Runnable command, Consumer<HttpResponseStatus> reply) {
+    if (request.method().equals(HttpMethod.PUT)) {
+      command.run();
+    } else {
+      reply.accept(HttpResponseStatus.METHOD_NOT_ALLOWED);
+    }
+  }
+
+  private static void writeResponse(ChannelHandlerContext ctx, HttpResponseStatus status) {
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1,
+            status,
+            Unpooled.copiedBuffer(status.reasonPhrase() + "\n", US_ASCII));
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+  }
 }
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -14,67 +14,67 @@
 
 /** Lays the marks of operators over the lists of discovery. On the loop alone. */
 final class MarkOverlay implements Dispatcher.Overlay {
-private final Rotation rotation = new Rotation();
+  private final Rotation rotation = new Rotation();
 
-/** Unix time that goes on evenly when the machine's clock is set. */
-private final LongSupplier clockMillis;
+  /** Unix time that goes on evenly when the machine's clock is set. */
+  private final LongSupplier clockMillis;
 
-/** As discovery listed them last; as long as its list. */
-private final Map<String, Member> listed = new HashMap<>();
+  /** As discovery listed them last; as long as its list. */
+  private final Map<String, Member> listed = new HashMap<>();
 
-MarkOverlay(LongSupplier clockMillis) {
-this.clockMillis = clockMillis;
-}
+  MarkOverlay(LongSupplier clockMillis) {
+    this.clockMillis = clockMillis;
+  }
 
-@Override
-public List<Member> apply(ListUpdate form, List<Member> entries) {
-if (form.isFull()) {
-listed.clear();
-}
-long now = clockMillis.getAsLong();
-List<Member> result = new ArrayList<>(entries.size());
-for (Member entry : entries) {
-if (entry.health() == Health.GONE) {
-listed.remove(entry.id());
-} else {
-listed.put(entry.id(), entry);
-}
-result.add(applyMark(entry, now));
-}
-return result;
-}
+  @Override
+  public List<Member> apply(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
+      listed.clear();
+    }
+    long now = clockMillis.getAsLong();
+    List<Member> result = new ArrayList<>(entries.size());
+    for (Member entry : entries) {
+      if (entry.health() == Health.GONE) {
+        listed.remove(entry.id());
+      } else {
+        listed.put(entry.id(), entry);
+      }
+      result.add(applyMark(entry, now));
+    }
+    return result;
+  }
 
-private Member applyMark(Member entry, long nowMillis) {
-Rotation.EffectiveState standing =
-rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
-return entry.withHealth(standing.health(), standing.startedMillis());
-}
+  private Member applyMark(Member entry, long nowMillis) {
+    Rotation.EffectiveState standing =
+        rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
+    return entry.withHealth(standing.health(), standing.startedMillis());
+  }
 
-/** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
-void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
-long now = clockMillis.getAsLong();
-List<Member> changed = new ArrayList<>();
-for (String id : rotation.update(marks, now)) {
-Member entry = listed.get(id);
-if (entry != null) {
-changed.add(applyMark(entry, now));
-}
-}
-if (!changed.isEmpty()) {
-dispatcher.onOverlayChanged(this, changed);
-}
-}
+  /** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
+  void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
+    long now = clockMillis.getAsLong();
+    List<Member> changed = new ArrayList<>();
+    for (String id : rotation.update(marks, now)) {
+      Member entry = listed.get(id);
+      if (entry != null) {
+        changed.add(applyMark(entry, now));
+      }
+    }
+    if (!changed.isEmpty()) {
+      dispatcher.onOverlayChanged(this, changed);
+    }
+  }
 
-/** Whether an upstream is listed, or marked though it no longer is. */
-boolean isKnown(String id) {
-return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
-}
+  /** Whether an upstream is listed, or marked though it no longer is. */
+  boolean isKnown(String id) {
+    return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
+  }
 
-int listedCount() {
-return listed.size();
-}
+  int listedCount() {
+    return listed.size();
+  }
 
-int suspendedCount() {
-return rotation.suspendedCount();
-}
+  int suspendedCount() {
+    return rotation.suspendedCount();
+  }
 }
--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -12,154 +12,156 @@
 import java.util.stream.Collectors;
 
 /**
-* Plays every order of steps up to a depth in every world, each from a world made anew, and lets
-* each come to rest. No order is left out and none stands for another: nothing need be argued.
-*/
+ * Plays every order of steps up to a depth in every world, each from a world made anew, and lets
+ * each come to rest. No order is left out and none stands for another: nothing need be argued.
+ */
 public final class Explorer {
-/** An order that breaks a property, as short as it can be made. */
-public record Counterexample(
-Invariant invariant, DispatchHarness.Config config, List<Step> steps) {
-/** A timeline to be read and a test to be pasted. */
-@Override
-public String toString() {
-String names = steps.stream().map(Step::name).collect(Collectors.joining(", "));
-return invariant
-+ " in "
-+ config
-+ "\n"
-+ steps.stream().map(step -> " " + step).collect(Collectors.joining("\n"))
-+ "\n assertEquals(Set.of(), Explorer.play(new World."
-+ config.toString().replace('[', '(').replace(']', ')')
-+ ", List.of("
-+ names
-+ ")));";
-}
-}
+  /** An order that breaks a property, as short as it can be made. */
+  public record Counterexample(
+      Invariant invariant, DispatchHarness.Config config, List<Step> steps) {
+    /** A timeline to be read and a test to be pasted. */
+    @Override
+    public String toString() {
+      String names = steps.stream().map(Step::name).collect(Collectors.joining(", "));
+      return invariant
+          + " in "
+          + config
+          + "\n"
+          + steps.stream().map(step -> " " + step).collect(Collectors.joining("\n"))
+          + "\n assertEquals(Set.of(), Explorer.play(new World."
+          + config.toString().replace('[', '(').replace(']', ')')
+          + ", List.of("
+          + names
+          + ")));";
+    }
+  }
 
-private final int depth;
-private final AtomicLong states = new AtomicLong();
-private final AtomicLong transitions = new AtomicLong();
-private final Map<Invariant, Counterexample> counterexamples = new EnumMap<>(Invariant.class);
-private final boolean stopAtFirst;
+  private final int depth;
+  private final AtomicLong states = new AtomicLong();
+  private final AtomicLong transitions = new AtomicLong();
+  private final Map<Invariant, Counterexample> counterexamples = new EnumMap<>(Invariant.class);
+  private final boolean stopAtFirst;
 
-/** For orders of so many steps at most. */
-public Explorer(int depth, boolean stopAtFirst) {
-this.depth = depth;
-this.stopAtFirst = stopAtFirst;
-}
+  /** For orders of so many steps at most. */
+  public Explorer(int depth, boolean stopAtFirst) {
+    this.depth = depth;
+    this.stopAtFirst = stopAtFirst;
+  }
 
-/** Every world that is explored. */
-public static List<DispatchHarness.Config> configs() {
-List<DispatchHarness.Config> configs = new ArrayList<>();
-for (Effect a : Effect.values()) {
-for (Effect b : Effect.values()) {
-for (int servers = 1; servers <= 2; servers++) {
-for (int tier = 0; tier <= 1; tier++) {
-configs.add(new DispatchHarness.Config(a, b, RequestProtocol.HTTP1, servers, tier, true, false));
-}
-}
-}
-configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 2, 0, false, false));
-configs.add(new DispatchHarness.Config(a, a, RequestProtocol.GRPC_STREAM, 2, 0, true, false));
-for (int tier = 0; tier <= 1; tier++) {
-configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 1, tier, true, true));
-}
-}
-return configs;
-}
+  /** Every world that is explored. */
+  public static List<DispatchHarness.Config> configs() {
+    List<DispatchHarness.Config> configs = new ArrayList<>();
+    for (Effect a : Effect.values()) {
+      for (Effect b : Effect.values()) {
+        for (int servers = 1; servers <= 2; servers++) {
+          for (int tier = 0; tier <= 1; tier++) {
+            configs.add(
+                new DispatchHarness.Config(
+                    a, b, RequestProtocol.HTTP1, servers, tier, true, false));
+          }
+        }
+      }
+      configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 2, 0, false, false));
+      configs.add(new DispatchHarness.Config(a, a, RequestProtocol.GRPC_STREAM, 2, 0, true, false));
+      for (int tier = 0; tier <= 1; tier++) {
+        configs.add(new DispatchHarness.Config(a, a, RequestProtocol.HTTP1, 1, tier, true, true));
+      }
+    }
+    return configs;
+  }
 
-/**
-* Plays one order and lets the world come to rest; what it broke. Steps that cannot be are left
-* out.
-*/
-public static Set<Invariant> play(DispatchHarness.Config config, List<Step> steps) {
-DispatchHarness harness = new DispatchHarness(config);
-for (Step step : steps) {
-if (harness.enabled(step)) {
-harness.play(step);
-}
-}
-return harness.runToRest();
-}
+  /**
+   * Plays one order and lets the world come to rest; what it broke. Steps that cannot be are left
+   * out.
+   */
+  public static Set<Invariant> play(DispatchHarness.Config config, List<Step> steps) {
+    DispatchHarness harness = new DispatchHarness(config);
+    for (Step step : steps) {
+      if (harness.enabled(step)) {
+        harness.play(step);
+      }
+    }
+    return harness.runToRest();
+  }
 
-/** Explores all worlds, several at a time. */
-public Explorer run() {
-configs().parallelStream().forEach(setup -> explore(setup, new ArrayList<>()));
-return this;
-}
+  /** Explores all worlds, several at a time. */
+  public Explorer run() {
+    configs().parallelStream().forEach(setup -> explore(setup, new ArrayList<>()));
+    return this;
+  }
 
-private boolean shouldStop() {
-synchronized (counterexamples) {
-return stopAtFirst && !counterexamples.isEmpty();
-}
-}
+  private boolean shouldStop() {
+    synchronized (counterexamples) {
+      return stopAtFirst && !counterexamples.isEmpty();
+    }
+  }
 
-private void explore(DispatchHarness.Config config, List<Step> path) {
-if (shouldStop()) {
-return;
-}
-// Each order is played from the start: real objects cannot be copied half-way.
-DispatchHarness harness = new DispatchHarness(config);
-for (Step step : path) {
-harness.play(step);
-}
-List<Step> next = new ArrayList<>();
-if (path.size() < depth) {
-for (Step step : Step.values()) {
-if (harness.enabled(step)) {
-next.add(step);
-}
-}
-}
-states.incrementAndGet();
-transitions.addAndGet(path.size());
-for (Invariant invariant : harness.runToRest()) {
-record(invariant, config, path);
-}
-for (Step step : next) {
-path.add(step);
-explore(config, path);
-path.remove(path.size() - 1);
-}
-}
+  private void explore(DispatchHarness.Config config, List<Step> path) {
+    if (shouldStop()) {
+      return;
+    }
+    // Each order is played from the start: real objects cannot be copied half-way.
+    DispatchHarness harness = new DispatchHarness(config);
+    for (Step step : path) {
+      harness.play(step);
+    }
+    List<Step> next = new ArrayList<>();
+    if (path.size() < depth) {
+      for (Step step : Step.values()) {
+        if (harness.enabled(step)) {
+          next.add(step);
+        }
+      }
+    }
+    states.incrementAndGet();
+    transitions.addAndGet(path.size());
+    for (Invariant invariant : harness.runToRest()) {
+      record(invariant, config, path);
+    }
+    for (Step step : next) {
+      path.add(step);
+      explore(config, path);
+      path.remove(path.size() - 1);
+    }
+  }
 
-private void record(Invariant invariant, DispatchHarness.Config config, List<Step> path) {
-synchronized (counterexamples) {
-Counterexample known = counterexamples.get(invariant);
-if (known == null || path.size() < known.steps().size()) {
-List<Step> shortest = shrink(path, steps -> play(config, steps).contains(invariant));
-counterexamples.put(invariant, new Counterexample(invariant, config, shortest));
-}
-}
-}
+  private void record(Invariant invariant, DispatchHarness.Config config, List<Step> path) {
+    synchronized (counterexamples) {
+      Counterexample known = counterexamples.get(invariant);
+      if (known == null || path.size() < known.steps().size()) {
+        List<Step> shortest = shrink(path, steps -> play(config, steps).contains(invariant));
+        counterexamples.put(invariant, new Counterexample(invariant, config, shortest));
+      }
+    }
+  }
 
-/** Leaves out one step after the other as long as what was found shows. */
-static List<Step> shrink(List<Step> path, Predicate<List<Step>> reproduces) {
-List<Step> shortest = new ArrayList<>(path);
-for (int i = shortest.size() - 1; i >= 0; i--) {
-List<Step> shorter = new ArrayList<>(shortest);
-shorter.remove(i);
-if (reproduces.test(shorter)) {
-shortest = shorter;
-}
-}
-return shortest;
-}
+  /** Leaves out one step after the other as long as what was found shows. */
+  static List<Step> shrink(List<Step> path, Predicate<List<Step>> reproduces) {
+    List<Step> shortest = new ArrayList<>(path);
+    for (int i = shortest.size() - 1; i >= 0; i--) {
+      List<Step> shorter = new ArrayList<>(shortest);
+      shorter.remove(i);
+      if (reproduces.test(shorter)) {
+        shortest = shorter;
+      }
+    }
+    return shortest;
+  }
 
-/** Orders that were played to rest. */
-public long states() {
-return states.get();
-}
+  /** Orders that were played to rest. */
+  public long states() {
+    return states.get();
+  }
 
-/** Steps that were played. */
-public long transitions() {
-return transitions.get();
-}
+  /** Steps that were played. */
+  public long transitions() {
+    return transitions.get();
+  }
 
-/** The shortest order found for each property that was broken. */
-public List<Counterexample> counterexamples() {
-synchronized (counterexamples) {
-return List.copyOf(counterexamples.values());
-}
-}
+  /** The shortest order found for each property that was broken. */
+  public List<Counterexample> counterexamples() {
+    synchronized (counterexamples) {
+      return List.copyOf(counterexamples.values());
+    }
+  }
 }
--- a/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
@@ -336,7 +336,8 @@
     assertEquals(FormatSupport.FIRST, settled.formatVersion());
     say(new Command.Join("b", 2, 1, true, false, rules, late));
     assertEquals(FormatSupport.LATEST, settled.formatVersion());
-    assertEquals(FormatSupport.LATEST, MaintenanceState.fromSnapshot(settled.toSnapshot()).formatVersion());
+    assertEquals(
+        FormatSupport.LATEST, MaintenanceState.fromSnapshot(settled.toSnapshot()).formatVersion());
     CommandResult back =
         say(new Command.Join("b", 3, 2, true, false, rules, FormatSupport.UNSTATED));
     assertFalse(back.ok());
