--- a/src/main/java/heathswitch/proxy/http1/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -389,7 +389,10 @@
     head = null;
     phase = Phase.STREAMING_BODY;
     dispatch(
-        accepted, Unpooled.EMPTY_BUFFER, clientTimeoutNanos + MAX_UPLOAD_NANOS, RequestProtocol.HTTP1_STREAM);
+        accepted,
+        Unpooled.EMPTY_BUFFER,
+        clientTimeoutNanos + MAX_UPLOAD_NANOS,
+        RequestProtocol.HTTP1_STREAM);
   }
 
   private void readStreamedBody(HttpContent content) {
