--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -2,10 +2,10 @@
 
 import heathswitch.policy.api.Actions;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.api.Part;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
+import heathswitch.policy.api.SubsetRole;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,119 +14,130 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 
-/** Follows the list of servers: who is known, in service, cold; and asks where it must be asked. */
+/**
+ * Tracks the servers by the list from discovery: which are known, in service and cold. Calls
+ * discovery where the balancer has to subscribe itself.
+ */
 final class Membership {
-  /** A cold server gets at most this multiple of its fair part of the traffic. */
-  static final double COLD_HEADROOM = 0.9;
+  /** Share of its fair part of the traffic, scaled by its warm-up, that a cold server gets. */
+  static final double COLD_BUDGET_SHARE = 0.9;
 
   Settings settings;
   private final Actions actions;
   private final SplittableRandom random;
-  final Map<Long, Server> known = new HashMap<>();
+  final Map<Long, Server> servers = new HashMap<>();
   private final List<Server> cold = new ArrayList<>();
   final WorkingSet near;
   final WorkingSet far;
   final WorkingSet spare;
-  private int coldTurn;
-  private double heaviest = 1;
-  private final ListCalls calls;
-  private final StartTimes starts = new StartTimes();
+  private int coldIndex;
+  private double maxWeight = 1;
+  private final DiscoveryBackoff backoff;
+  private final StartTimeEstimator startTimes = new StartTimeEstimator();
 
-  /** Null where a list holds until the next one comes. */
+  /** Null where a list is valid until the next one arrives. */
   private ListLease lease;
 
   private boolean subscribed;
   private boolean calling;
 
-  /** Whether discovery has another address since movedNanos and was not called there yet. */
-  private boolean moving;
+  /** Whether the address of discovery changed at firstMoveNanos and was not called since. */
+  private boolean moveCallPending;
 
-  private long movedNanos;
-  private final boolean asks;
+  private long firstMoveNanos;
+  private final boolean subscribes;
   private ListTrust trust = ListTrust.CURRENT;
-  private long calledNanos;
+  private long callStartedNanos;
   private long callDueNanos;
 
   Membership(Settings settings, Actions actions, SplittableRandom random) {
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    this.calls = new ListCalls(random);
-    this.asks = settings.mustAsk();
+    this.backoff = new DiscoveryBackoff(random);
+    this.subscribes = settings.subscribes();
     long idleNanos = settings.limits().keepAliveNanos();
-    this.near = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
-    this.far = new WorkingSet(random, idleNanos, WorkingSet.LEAST, this::mayUse);
-    this.spare = new WorkingSet(random, idleNanos, 0, this::mayUse);
+    this.near = new WorkingSet(random, idleNanos, WorkingSet.MIN_MEMBERS, this::allowedByList);
+    this.far = new WorkingSet(random, idleNanos, WorkingSet.MIN_MEMBERS, this::allowedByList);
+    this.spare = new WorkingSet(random, idleNanos, 0, this::allowedByList);
   }
 
-  /** Plans the first call: spread by seed, since all instances may start at once. */
+  /** Schedules the first call, at a random time since all balancers may start at once. */
   void start(long nowNanos) {
-    if (asks) {
-      callIn(nowNanos, calls.first(settings.obligations().mustAskInNanos()));
+    if (subscribes) {
+      scheduleCall(nowNanos, backoff.firstCall(settings.obligations().subscribeWithinNanos()));
     }
   }
 
-  /** From now on a list that is not confirmed may be acted on for a limited time only. */
-  void limitAge(long nowNanos, long toldNanos) {
-    lease = new ListLease(nowNanos, toldNanos, !asks);
-    if (asks && callDueNanos - nowNanos > toldNanos) {
-      // Spread over the time for asking the first call would come when changes have been told.
-      callIn(nowNanos, (callDueNanos - nowNanos) % toldNanos);
+  /** From now on a list that is not confirmed may be used for a limited time only. */
+  void limitListAge(long nowNanos, long deliveryNanos) {
+    lease = new ListLease(nowNanos, deliveryNanos, !subscribes);
+    if (subscribes && callDueNanos - nowNanos > deliveryNanos) {
+      // The first call was spread over the time allowed for subscribing, which may be longer; it
+      // must come before the balancer can count as informed of a change.
+      scheduleCall(nowNanos, (callDueNanos - nowNanos) % deliveryNanos);
     }
   }
 
-  /** Only the newest plan counts: one call at a time, or all instances together drown discovery. */
-  private void callIn(long nowNanos, long delayNanos) {
+  /**
+   * Schedules the next call in place of any earlier schedule. With more than one call at a time all
+   * balancers together would overload discovery.
+   */
+  private void scheduleCall(long nowNanos, long delayNanos) {
     callDueNanos = nowNanos + delayNanos;
-    actions.setTimer(delayNanos, Balancer.ASK);
+    actions.setTimer(delayNanos, Balancer.SUBSCRIBE_TIMER);
   }
 
-  /** A timer for a call has come due: calls if the subscription is missing. */
-  void ask(long nowNanos) {
+  /** A timer for a call has fired: calls discovery if there is no subscription. */
+  void onSubscribeTimer(long nowNanos) {
     if (nowNanos < callDueNanos - Balancer.TIMER_SLACK_NANOS) {
       return;
     }
     if (!subscribed) {
       call(nowNanos);
     }
-    callIn(nowNanos, calls.repeat(settings.obligations().mustAskInNanos()));
+    scheduleCall(nowNanos, backoff.repeatCall(settings.obligations().subscribeWithinNanos()));
   }
 
+  /** Calls discovery for a watch. */
   private void call(long nowNanos) {
-    moving = false;
+    moveCallPending = false;
     if (!calling) {
-      calledNanos = nowNanos; // Else the one that is out keeps its turn.
+      callStartedNanos = nowNanos; // A call in flight keeps its start time.
     }
     calling = true;
     actions.watch(true);
   }
 
-  /** Discovery is to be asked at another address, where nobody is asked yet. */
-  void moved(long nowNanos) {
-    if (!moving) {
-      moving = true;
-      movedNanos = nowNanos;
+  /** The address of discovery has changed; there is no subscription at the new one yet. */
+  void onDiscoveryMoved(long nowNanos) {
+    if (!moveCallPending) {
+      moveCallPending = true;
+      firstMoveNanos = nowNanos;
     }
     if (lease != null) {
-      lease.moved(nowNanos);
+      lease.onDiscoveryMoved(nowNanos);
     }
-    if (asks) {
+    if (subscribes) {
       subscribed = false;
       calling = false;
-      callIn(nowNanos, calls.settle(nowNanos - movedNanos));
+      scheduleCall(nowNanos, backoff.afterMove(nowNanos - firstMoveNanos));
     }
   }
 
-  /** Discovery has said that the list is current. */
-  void confirmed(long nowNanos) {
-    starts.heard(nowNanos);
+  /** Discovery has confirmed that the list is current. */
+  void onListConfirmed(long nowNanos) {
+    startTimes.onContact(nowNanos);
     if (lease != null) {
-      lease.confirmed(nowNanos);
+      lease.onListConfirmed(nowNanos);
       trust(nowNanos);
     }
   }
 
-  /** How far the list may be acted on now; what {@link #mayUse} goes by until the next look. */
+  /**
+   * How far the list may be used now. {@link #allowedByList} goes by the result until this is
+   * called again.
+   */
   ListTrust trust(long nowNanos) {
     ListTrust now =
         lease == null ? ListTrust.CURRENT : lease.trust(nowNanos, settings.obligations());
@@ -142,183 +153,197 @@
     return lease.ageNanos(nowNanos) / 1_000_000 + " ms ago";
   }
 
-  /** Whether the list lets a server be sent to; {@link #trust} has been asked at this time. */
-  boolean mayUse(Server server, long nowNanos) {
+  /** Whether the list allows sending to a server; {@link #trust} must be called before. */
+  boolean allowedByList(Server server, long nowNanos) {
     return switch (trust) {
       case CURRENT -> true;
-      case SERVING_ONLY -> ListLease.serving(server.tookNanos, nowNanos, settings.obligations());
+      case SERVING_ONLY ->
+          ListLease.recentlyServed(server.lastServedSentNanos, nowNanos, settings.obligations());
       case NONE -> false;
     };
   }
 
-  /** Whether the list lets no server at all be sent to. */
-  boolean suspended(long nowNanos) {
+  /** Whether the list allows sending to no server at all. */
+  boolean noneAllowedByList(long nowNanos) {
     return switch (trust(nowNanos)) {
       case CURRENT -> false;
-      case SERVING_ONLY -> known.values().stream().noneMatch(server -> mayUse(server, nowNanos));
+      case SERVING_ONLY ->
+          servers.values().stream().noneMatch(server -> allowedByList(server, nowNanos));
       case NONE -> true;
     };
   }
 
-  /** A call has failed or a watch has broken: another call is planned. */
-  private void onFailure(long nowNanos, ListForm form) {
-    boolean called = calling;
+  /** A call has failed or a watch has broken: schedules the next call. */
+  private void onFailure(long nowNanos, ListUpdate update) {
+    boolean callFailed = calling;
     subscribed = false;
     calling = false;
     if (lease != null) {
-      tellLease(nowNanos, form, called);
+      recordFailure(nowNanos, update, callFailed);
     }
-    if (asks && !moving) {
-      callIn(nowNanos, waitAfter(form, called, nowNanos - calledNanos));
+    if (subscribes && !moveCallPending) {
+      scheduleCall(nowNanos, backoffAfter(update, callFailed, nowNanos - callStartedNanos));
     }
   }
 
-  private long waitAfter(ListForm form, boolean called, long tookNanos) {
-    if (called && tookNanos > ListLease.PROMPT_NANOS) {
-      return calls.afterWait();
+  /** Wait before the next call after a failure. */
+  private long backoffAfter(ListUpdate update, boolean callFailed, long durationNanos) {
+    if (callFailed && durationNanos > ListLease.PROMPT_REJECTION_NANOS) {
+      return backoff.afterTimeout();
     }
-    return called && form == ListForm.TURNED_AWAY ? calls.afterTurnedAway() : calls.afterFailure();
+    return callFailed && update == ListUpdate.REJECTED
+        ? backoff.afterRejection()
+        : backoff.afterFailure();
   }
 
-  private void tellLease(long nowNanos, ListForm form, boolean called) {
-    if (!asks && form == ListForm.SILENT) {
-      lease.agentSilent(nowNanos);
-    } else if (!called || form == ListForm.NOT_MADE) {
-      lease.broken(nowNanos);
-    } else if (form == ListForm.TURNED_AWAY) {
-      lease.turnedAway(calledNanos, nowNanos, settings.obligations());
-    } else if (form == ListForm.CUT_SHORT) {
-      lease.cutShort();
+  /** Passes a failure on to the lease. */
+  private void recordFailure(long nowNanos, ListUpdate update, boolean callFailed) {
+    if (!subscribes && update == ListUpdate.SILENT) {
+      lease.onAgentSilent(nowNanos);
+    } else if (!callFailed || update == ListUpdate.NOT_SENT) {
+      lease.onWatchBroken(nowNanos);
+    } else if (update == ListUpdate.REJECTED) {
+      lease.onCallRejected(callStartedNanos, nowNanos, settings.obligations());
+    } else if (update == ListUpdate.TRUNCATED) {
+      lease.onAnswerTruncated();
     } else {
-      lease.unanswered(calledNanos, settings.obligations());
+      lease.onCallUnanswered(callStartedNanos, settings.obligations());
     }
   }
 
-  /** Takes news; after a call that failed another is planned. */
-  void onNews(long nowNanos, ListForm form, List<ServerEntry> entries) {
-    if (form.failure()) {
-      onFailure(nowNanos, form);
+  /** Applies an update of the list; after a failed call schedules the next one. */
+  void onListUpdate(long nowNanos, ListUpdate update, List<ServerEntry> entries) {
+    if (update.isFailure()) {
+      onFailure(nowNanos, update);
       return;
     }
-    if (form.answer() && calling) {
+    if (update.answersCall() && calling) {
       subscribed = true;
       calling = false;
-      calls.answered();
+      backoff.reset();
     }
-    if (form.whole()) {
-      dropMissing(entries);
+    if (update.isFull()) {
+      dropUnlisted(entries);
     }
-    starts.onList(nowNanos, form, entries, settings.obligations().warmUpNanos());
+    startTimes.onListUpdate(nowNanos, update, entries, settings.obligations().warmUpNanos());
     for (ServerEntry entry : entries) {
-      apply(nowNanos, entry);
+      applyEntry(nowNanos, entry);
     }
-    // One that is gone is dropped with its last call; if it comes back it is met as a stranger.
-    known.values().removeIf(it -> it.health == Health.GONE && it.inFlight == 0);
-    heaviest = known.values().stream().mapToDouble(server -> server.weight).max().orElse(1);
+    // A removed server is forgotten after its last call; if it is listed again it starts as new.
+    servers.values().removeIf(it -> it.health == Health.GONE && it.inFlight == 0);
+    maxWeight = servers.values().stream().mapToDouble(server -> server.weight).max().orElse(1);
   }
 
   int poolSize() {
     return near.poolSize() + far.poolSize();
   }
 
-  /** Servers by state, and the sum of the windows of those that serve. */
-  String figures(long nowNanos) {
-    int resting = 0;
-    int silent = 0;
+  /** Number of servers by state, and the sum of the windows of those in use. */
+  String summary(long nowNanos) {
+    int ejectedCount = 0;
+    int unresponsiveCount = 0;
     int inFlight = 0;
     double windows = 0;
-    for (Server server : known.values()) {
+    for (Server server : servers.values()) {
       inFlight += server.inFlight;
-      boolean rests = server.resting(nowNanos);
-      boolean quiet = !rests && server.silent(nowNanos);
-      resting += rests ? 1 : 0;
-      silent += quiet ? 1 : 0;
-      windows += rests || quiet || server.health != Health.READY ? 0 : server.window.window();
+      boolean ejected = server.ejected(nowNanos);
+      boolean unresponsive = !ejected && server.unresponsive(nowNanos);
+      ejectedCount += ejected ? 1 : 0;
+      unresponsiveCount += unresponsive ? 1 : 0;
+      windows +=
+          ejected || unresponsive || server.health != Health.READY ? 0 : server.window.window();
     }
     return String.format(
         "%d servers, cold %d, resting %d, silent %d, near %s, far %s, calls %d in %.0f",
-        known.size(), cold.size(), resting, silent, near, far, inFlight, windows);
+        servers.size(), cold.size(), ejectedCount, unresponsiveCount, near, far, inFlight, windows);
   }
 
+  /** The working set that a server belongs to while it is in service and warm. */
   WorkingSet setOf(Server server) {
-    return server.part == Part.SPARE ? spare : server.near ? near : far;
+    return server.role == SubsetRole.SPARE ? spare : server.near ? near : far;
   }
 
-  private void dropMissing(List<ServerEntry> entries) {
+  /** Marks the servers as removed that a full list does not contain. */
+  private void dropUnlisted(List<ServerEntry> entries) {
     Set<Long> listed = entries.stream().map(ServerEntry::id).collect(Collectors.toSet());
-    for (Server server : known.values()) {
+    for (Server server : servers.values()) {
       if (!listed.contains(server.id)) {
-        withdraw(server);
+        removeFromSets(server);
         server.health = Health.GONE;
       }
     }
   }
 
-  private void apply(long nowNanos, ServerEntry entry) {
-    Server server = known.computeIfAbsent(entry.id(), Server::new);
+  private void applyEntry(long nowNanos, ServerEntry entry) {
+    Server server = servers.computeIfAbsent(entry.id(), Server::new);
     boolean restarted =
         entry.startedNanos() != server.startedNanos
-            && server.started(
-                entry.startedNanos(), nowNanos - starts.ageNanos(nowNanos, entry.startedNanos()));
-    withdraw(server);
-    server.describe(entry, settings.zone());
+            && server.startTimeChanged(
+                entry.startedNanos(),
+                nowNanos - startTimes.ageNanos(nowNanos, entry.startedNanos()));
+    removeFromSets(server);
+    server.update(entry, settings.zone());
     if (restarted) {
       server.coldTokens = random.nextDouble();
       server.coldFilledNanos = nowNanos;
-      server.failures = 0;
-      server.restUntilNanos = nowNanos;
+      server.consecutiveEjections = 0;
+      server.ejectedUntilNanos = nowNanos;
     }
-    boolean serves = server.health == Health.READY;
-    if (serves && coldNow(server, nowNanos)) {
+    boolean ready = server.health == Health.READY;
+    if (ready && isCold(server, nowNanos)) {
       cold.add(server);
-    } else if (serves) {
+    } else if (ready) {
       setOf(server).add(server);
     }
   }
 
-  private void withdraw(Server server) {
+  private void removeFromSets(Server server) {
     if (server.poolIndex >= 0) {
       setOf(server).remove(server);
     }
     cold.remove(server);
   }
 
-  boolean coldNow(Server server, long nowNanos) {
+  /** Whether a server is within the warm-up time after its start. */
+  boolean isCold(Server server, long nowNanos) {
     return server.startedNanos > 0
         && nowNanos - server.coldSinceNanos < settings.obligations().warmUpNanos();
   }
 
   /**
-   * A cold server that may take a call now, or null. It gets a part of a warm one's rate, growing
-   * as the slowest permitted warm-up does; buckets start at random, or all would send at once.
+   * A cold server that may take a call now, or null. A cold server gets a share of the rate of a
+   * warm one, which grows with the slowest permitted warm-up. Its token bucket starts with a random
+   * level, or all balancers would send at once.
    */
-  Server coldTurn(Request request, long nowNanos, double ratePerSecond) {
+  Server nextCold(Request request, long nowNanos, double ratePerSecond) {
     if (cold.isEmpty()) {
       return null;
     }
-    coldTurn = (coldTurn + 1) % cold.size();
-    Server server = cold.get(coldTurn);
-    if (!coldNow(server, nowNanos)) {
-      cold.remove(coldTurn);
+    coldIndex = (coldIndex + 1) % cold.size();
+    Server server = cold.get(coldIndex);
+    if (!isCold(server, nowNanos)) {
+      cold.remove(coldIndex);
       setOf(server).add(server);
       return null;
     }
-    double fair = ratePerSecond / Math.max(1, poolSize() + cold.size());
-    fair *= server.weight / heaviest; // A light server starts with little; a heavy one is fair.
-    double elapsed = (nowNanos - server.coldFilledNanos) / 1e9;
+    double fairRate = ratePerSecond / Math.max(1, poolSize() + cold.size());
+    // The rate is per server, not per weight: a heavy server gets it whole, a lighter one less.
+    fairRate *= server.weight / maxWeight;
+    double elapsedSeconds = (nowNanos - server.coldFilledNanos) / 1e9;
     server.coldFilledNanos = nowNanos;
-    double filled = elapsed * fair * COLD_HEADROOM * capacityShare(server, nowNanos);
+    double filled = elapsedSeconds * fairRate * COLD_BUDGET_SHARE * warmUpShare(server, nowNanos);
     server.coldTokens = Math.min(1.5, server.coldTokens + filled);
     if (server.coldTokens < 1
-        || server.part == Part.SPARE
+        || server.role == SubsetRole.SPARE
         || !server.hasRoom(nowNanos)
-        || !mayUse(server, nowNanos)) {
+        || !allowedByList(server, nowNanos)) {
       return null;
     }
     return request.maySendTo(server, nowNanos) ? server : null;
   }
 
-  private double capacityShare(Server server, long nowNanos) {
+  /** Share of its full capacity that a cold server has at least, from its start to its warm-up. */
+  private double warmUpShare(Server server, long nowNanos) {
     double start = settings.obligations().startCapacity();
     double age = (double) (nowNanos - server.coldSinceNanos) / settings.obligations().warmUpNanos();
     return start + (1 - start) * Math.max(0, Math.min(1, age));
--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InCall.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.gateway.Gateway;
 import heathswitch.policy.gateway.Trail;
 import heathswitch.proxy.http1.HeaderRules;
@@ -13,7 +13,7 @@
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
-import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.RequestHandle;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
@@ -59,7 +59,7 @@
   private boolean answered;
   private boolean lent;
   private long takenNanos;
-  private Ticket ticket;
+  private RequestHandle ticket;
 
   /** Brings an answer that goes on as it comes. */
   private StreamedAnswerSource source;
@@ -164,7 +164,7 @@
     takenNanos = inward.now();
     long left = SiteHeaders.number(head, SiteHeaders.LEFT) * 1000 - (takenNanos - begunNanos);
     String name = site + ' ' + head.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
-    if (left <= 0 || inward.draining() || inward.dispatcher().isOpen(name)) {
+    if (left <= 0 || inward.draining() || inward.dispatcher().isRequestOpen(name)) {
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
@@ -202,7 +202,7 @@
             forwarded.get(HeaderRules.TENANT),
             "1".equals(forwarded.get(HeaderRules.RETRY)),
             Math.min(left, type.deadlineNanos()),
-            Form.HTTP1,
+            RequestProtocol.HTTP1,
             payload);
   }
 
@@ -223,13 +223,13 @@
   // ---- the one answer ----
 
   @Override
-  public void taken(Ticket live) {
+  public void accepted(RequestHandle live) {
     ticket = live;
   }
 
   /** What came from another site is served here or nowhere. */
   @Override
-  public boolean mayLeave() {
+  public boolean mayOverflow() {
     return false;
   }
 
@@ -370,7 +370,7 @@
 
   /** Of a body that comes, all of it has to be there in time; of an answer, each part taken. */
   @Override
-  public boolean stalledSince(long nanos) {
+  public boolean stalledSinceBefore(long nanos) {
     return answered ? unsent > 0 && movedNanos < nanos : !ended && begunNanos < nanos;
   }
 
@@ -407,9 +407,9 @@
       by.clientDisconnected();
     }
     if (ticket != null) {
-      Ticket live = ticket;
+      RequestHandle live = ticket;
       ticket = null;
-      live.gone();
+      live.callerGone();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
-import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.grpc.Gathering;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.InboundConnection;
@@ -11,7 +11,7 @@
 import heathswitch.proxy.spi.Attempt;
 import heathswitch.proxy.spi.Caller;
 import heathswitch.proxy.spi.Payload;
-import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.RequestHandle;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -39,7 +39,7 @@
   private Gathered kept;
   private long deadlineNanos;
   private Future<?> deadline;
-  private Ticket ticket;
+  private RequestHandle ticket;
 
   /** The attempt that gets what the client still sends. */
   private GrpcStream upstream;
@@ -191,12 +191,12 @@
             tenant != null ? tenant.toString() : method.tenant(),
             previous != null && !"0".contentEquals(previous),
             left,
-            ended ? Form.GRPC : Form.GRPC_STREAM,
+            ended ? RequestProtocol.GRPC : RequestProtocol.GRPC_STREAM,
             this);
   }
 
   @Override
-  public void taken(Ticket live) {
+  public void accepted(RequestHandle live) {
     ticket = live;
   }
 
@@ -209,7 +209,7 @@
 
   /** Whether all that the client has sent is still there, for another attempt. */
   @Override
-  public boolean repeatable() {
+  public boolean isRepeatable() {
     return kept != null;
   }
 
@@ -476,15 +476,15 @@
 
   private void callOff() {
     if (ticket != null) {
-      Ticket live = ticket;
+      RequestHandle live = ticket;
       ticket = null;
-      live.gone();
+      live.callerGone();
     }
   }
 
   /** Whether its client has not taken the end of its answer since then. */
   @Override
-  public boolean stalledSince(long nanos) {
+  public boolean stalledSinceBefore(long nanos) {
     return answered && unwrittenNanos < nanos;
   }
 
--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -3,10 +3,10 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Listeners;
 import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.ResourceBudget;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -21,60 +21,63 @@
 import java.util.List;
 import java.util.Set;
 
-/** Listens for clients and keeps their connections within the budget. */
+/** Accepts client connections and keeps their number within the budget. */
 public final class ClientListener {
-  private static final int BACKLOG = 4096;
+  private static final int ACCEPT_BACKLOG = 4096;
   private static final long TICK_MILLIS = 200;
 
   /**
-   * The first request on a new connection may come so long after the connection. A request that
-   * crosses the end of a connection on which another was answered is sent again by its client; one
-   * that crosses the end of a new connection is lost.
+   * How long a shutdown waits for the first request on a new connection. If a connection that
+   * already carried an answer is closed while a request is in flight, the client sends that request
+   * again; on a new connection the request would be lost.
    */
-  private static final long FIRST_REQUEST_NANOS = 300_000_000L;
+  private static final long FIRST_REQUEST_GRACE_NANOS = 300_000_000L;
 
   private final EventLoop loop;
   private final Clock clock;
-  final Budget budget;
-  private final Set<ClientConnection> clients = new LinkedHashSet<>();
+  final ResourceBudget budget;
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** The client that has been idle longest first. */
+  /** Longest idle first. */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Ended between requests, but not closed by their clients yet. */
-  private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+  /** Half-closed between requests and not closed by the client yet. */
+  private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-  /** Those that have not asked for anything yet, oldest first. */
-  private final Set<ClientConnection> silent = new LinkedHashSet<>();
+  /** Without any request so far, oldest first. */
+  private final Set<ClientConnection> unused = new LinkedHashSet<>();
 
   private Dispatcher dispatcher;
   private UpstreamConnectionPool pool;
   private Channel listener;
   private boolean draining;
-  private boolean closing;
+  private boolean keepAliveDisabled;
 
-  /** Set on the loop; read by the thread that starts, too. */
+  /** Written on the event loop, also read by the starting thread. */
   private volatile boolean stopped;
 
-  /** A header that no client may send, or null. */
+  /** Name of a header that clients must not send, or null. */
   private String forbiddenHeader;
 
-  public ClientListener(EventLoop loop, Clock clock, Budget budget) {
+  public ClientListener(EventLoop loop, Clock clock, ResourceBudget budget) {
     this.loop = loop;
     this.clock = clock;
     this.budget = budget;
   }
 
   /**
-   * Listens; fails if the address cannot be had. A server that was stopped before does not listen
-   * at all: a connection that is made to a listener while it closes would be reset. Must not be
-   * called on the loop.
+   * Binds the address and starts accepting; fails if the address is not available. After {@link
+   * #stopListening} it does not bind at all, because connections made to a listener that is closing
+   * are reset. Must not be called on the event loop.
    *
-   * @param shared whether another process may listen at the same address, and each gets a part of
-   *     the connections (SO_REUSEPORT)
+   * @param reusePort whether other processes may listen on the same address, each receiving a share
+   *     of the connections (SO_REUSEPORT)
    */
   public void start(
-      InetSocketAddress address, boolean shared, Dispatcher dispatcher, UpstreamConnectionPool pool)
+      InetSocketAddress address,
+      boolean reusePort,
+      Dispatcher dispatcher,
+      UpstreamConnectionPool pool)
       throws InterruptedException {
     this.dispatcher = dispatcher;
     this.pool = pool;
@@ -82,32 +85,32 @@
       return;
     }
     ServerBootstrap bootstrap =
-        Listeners.on(loop, this::accepted)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        Listeners.bootstrap(loop, this::onAccepted)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(16384, 65536));
-    if (shared) {
+    if (reusePort) {
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
     Channel bound = bootstrap.bind(address).sync().channel();
-    loop.submit(() -> listening(bound)).sync();
+    loop.submit(() -> onBound(bound)).sync();
     loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
   }
 
-  /** Told to end while the address was bound: nobody is taken. */
-  private void listening(Channel bound) {
+  /** Closes the listener again if it was stopped while binding. */
+  private void onBound(Channel bound) {
     listener = bound;
     if (stopped) {
       bound.close();
     }
   }
 
-  /** Where clients connect; null where the process was told to end before it listened. */
+  /** The bound address; null if the process was told to stop before it listened. */
   public InetSocketAddress address() {
     return listener == null ? null : (InetSocketAddress) listener.localAddress();
   }
 
-  /** A header that no client may send; before the start. */
+  /** Sets a header that clients must not send. To be called before the start. */
   public void forbidHeader(String header) {
     forbiddenHeader = header;
   }
@@ -120,37 +123,37 @@
     return pool;
   }
 
-  private void accepted(Channel channel) {
+  private void onAccepted(Channel channel) {
     StrictRequestDecoder decoder = new StrictRequestDecoder();
     ClientConnection client = new ClientConnection(this, dispatcher, clock, channel, decoder);
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
-    budget.opened();
-    clients.add(client);
-    channel.closeFuture().addListener(closed -> closed(client));
-    // Clients may hold half of the descriptors; the rest is for the attempts of their requests.
-    if (clients.size() > budget.mostConnections() / 2) {
+    budget.connectionOpened();
+    connections.add(client);
+    channel.closeFuture().addListener(closed -> onClosed(client));
+    // Clients may hold half of the descriptors; the rest is left for attempts at upstreams.
+    if (connections.size() > budget.maxConnections() / 2) {
       evictIdle();
     }
-    if (budget.connectionsLeft() <= 0) {
+    if (budget.availableConnections() <= 0) {
       pool.evictIdle();
     }
-    silent.add(client);
-    if (budget.connectionsLeft() <= 0) {
-      // The rest wait in the backlog until a descriptor is free.
+    unused.add(client);
+    if (budget.availableConnections() <= 0) {
+      // Further connections wait in the accept backlog until a descriptor is free.
       listener.config().setAutoRead(false);
     }
   }
 
-  private void closed(ClientConnection client) {
-    budget.closed();
-    clients.remove(client);
-    leaving.remove(client);
+  private void onClosed(ClientConnection client) {
+    budget.connectionClosed();
+    connections.remove(client);
+    lingering.remove(client);
     becameBusy(client);
     resumeAccepting();
   }
 
   private void resumeAccepting() {
-    if (listener != null && listener.isOpen() && budget.connectionsLeft() > 0) {
+    if (listener != null && listener.isOpen() && budget.availableConnections() > 0) {
       listener.config().setAutoRead(true);
     }
   }
@@ -160,33 +163,34 @@
     idle.add(client);
   }
 
-  /** Its end has been told to its client; its descriptor may be had at once. */
-  void leaves(ClientConnection client) {
+  /** The connection is in a lingering close; it can be evicted at any time. */
+  void lingerStarted(ClientConnection client) {
     becameBusy(client);
-    leaving.add(client);
+    lingering.add(client);
   }
 
   public void becameBusy(ClientConnection client) {
     if (!idle.remove(client)) {
-      silent.remove(client);
+      unused.remove(client);
     }
   }
 
   /**
-   * Closes a client connection on which nothing is asked; false if there is none. Those that never
-   * asked go first while they are many: hundreds that connect and say nothing must not push out the
-   * clients that come back. Would do harm to a client that connects long before it asks.
+   * Closes one client connection without an open request; false if there is none. If many
+   * connections have never carried a request, these are closed first, so that hundreds of silent
+   * connections do not displace returning clients. This penalizes a client that connects long
+   * before its first request.
    */
   public boolean evictIdle() {
-    boolean silentFirst = silent.size() > budget.mostConnections() / 16;
-    return evict(leaving)
-        || (silentFirst ? evict(silent) || evict(idle) : evict(idle) || evict(silent));
+    boolean unusedFirst = unused.size() > budget.maxConnections() / 16;
+    return evict(lingering)
+        || (unusedFirst ? evict(unused) || evict(idle) : evict(idle) || evict(unused));
   }
 
-  private static boolean evict(Set<ClientConnection> from) {
-    while (!from.isEmpty()) {
-      ClientConnection client = from.iterator().next();
-      from.remove(client); // One that proves busy is told of again when it has been answered.
+  private static boolean evict(Set<ClientConnection> candidates) {
+    while (!candidates.isEmpty()) {
+      ClientConnection client = candidates.iterator().next();
+      candidates.remove(client); // A busy one is added again when it becomes idle.
       if (client.evict()) {
         return true;
       }
@@ -195,59 +199,59 @@
   }
 
   public int clientCount() {
-    return clients.size();
+    return connections.size();
   }
 
   public boolean isDraining() {
     return draining;
   }
 
-  /** Not ready for new clients any more; those that are here are served. */
+  /** Reports not ready to health checks; existing clients are still served. */
   public void startDraining() {
     draining = true;
   }
 
   public boolean keepAliveDisabled() {
-    return closing;
+    return keepAliveDisabled;
   }
 
-  /** From now on answers ask for the connection to be closed. */
+  /** From now on answers carry Connection: close. */
   public void disableKeepAlive() {
-    closing = true;
+    keepAliveDisabled = true;
   }
 
-  /** Takes clients again after a drain. */
+  /** Accepts clients again after a drain. */
   public void endDraining() {
     draining = false;
-    closing = false;
+    keepAliveDisabled = false;
   }
 
-  /** Takes no more connections, after those that have already come. */
+  /** Stops accepting, after the connections that are already in the backlog. */
   public void stopListening() {
     stopped = true;
     if (listener == null) {
       return;
     }
-    Listeners.end(listener, () -> budget.connectionsLeft() > 0);
+    Listeners.closeGracefully(listener, () -> budget.availableConnections() > 0);
   }
 
-  /** Whether connections may still come. */
+  /** Whether new connections can still be accepted. */
   public boolean isListening() {
     return listener != null && listener.isOpen();
   }
 
   /**
-   * Closes the connections on which no request is being read or answered. To be called again while
-   * there are {@link #clientCount}: one that has just come is left for as long as its first request
-   * may take.
+   * Closes the connections on which no request is being read or answered. To be called repeatedly
+   * while {@link #clientCount} is not zero, because new connections are kept until the time allowed
+   * for their first request is over.
    */
   public void closeIdle() {
     for (ClientConnection client : new ArrayList<>(idle)) {
       client.closeIdle();
     }
     long now = clock.nowNanos();
-    for (ClientConnection client : new ArrayList<>(silent)) {
-      if (client.silentNanos(now) > FIRST_REQUEST_NANOS) {
+    for (ClientConnection client : new ArrayList<>(unused)) {
+      if (client.unusedNanos(now) > FIRST_REQUEST_GRACE_NANOS) {
         client.closeIdle();
       }
     }
@@ -256,14 +260,14 @@
   private void tick() {
     try {
       long now = clock.nowNanos();
-      List<ClientConnection> all = new ArrayList<>(clients);
+      List<ClientConnection> all = new ArrayList<>(connections);
       for (ClientConnection client : all) {
         client.tick(now);
       }
-      pool.sweep();
+      pool.closeExpired();
       resumeAccepting();
     } catch (RuntimeException e) {
-      Log.error("tick", "failed", e); // Thrown on, it would end all later ticks.
+      Log.error("tick", "failed", e); // An exception would cancel the periodic task.
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -14,21 +14,22 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** A request over HTTP/1.1, whole or with a body that still comes. */
+/** An HTTP/1.1 request whose body is either complete or still being received. */
 public final class HttpPayload implements Payload {
   private final UpstreamConnectionPool pool;
   private final StreamedAnswerSink sink;
-  private final StreamedRequestBody upload;
+  private final StreamedRequestBody streamedBody;
   private final HttpMethod method;
   private final String uri;
   private final HttpHeaders headers;
   private final ByteBuf body;
 
   /**
-   * One that is whole; takes over the body.
+   * Creates a request with a complete body.
    *
-   * @param sink whoever gets an answer that goes on as it comes
-   * @param headers that go on to an upstream, which the time left and the length are added to
+   * @param sink receives the answer if it is streamed
+   * @param headers forwarded to the upstream, together with the remaining time and the body length
+   * @param body ownership passes to this object
    */
   public HttpPayload(
       UpstreamConnectionPool pool,
@@ -41,10 +42,11 @@
   }
 
   /**
-   * Takes over the body.
+   * Creates a request with a complete or a streamed body.
    *
-   * @param sink whoever gets an answer that goes on as it comes
-   * @param upload brings the body where it still comes, and the body is then empty; else null
+   * @param sink receives the answer if it is streamed
+   * @param body the complete body, empty if it is streamed; ownership passes to this object
+   * @param streamedBody the body if it is still being received, otherwise null
    */
   HttpPayload(
       UpstreamConnectionPool pool,
@@ -53,10 +55,10 @@
       String uri,
       HttpHeaders headers,
       ByteBuf body,
-      StreamedRequestBody upload) {
+      StreamedRequestBody streamedBody) {
     this.pool = pool;
     this.sink = sink;
-    this.upload = upload;
+    this.streamedBody = streamedBody;
     this.method = method;
     this.uri = uri;
     this.headers = headers;
@@ -68,14 +70,14 @@
     return pool.start(attempt, this);
   }
 
-  /** Whoever gets an answer that goes on as it comes. */
+  /** Receives the answer if it is streamed. */
   public StreamedAnswerSink sink() {
     return sink;
   }
 
-  /** Whether its body has come, so that it can be sent anywhere as it stands. */
+  /** Whether the whole body has been received, so that the request can go to any destination. */
   public boolean isBodyComplete() {
-    return upload == null;
+    return streamedBody == null;
   }
 
   public HttpMethod method() {
@@ -86,53 +88,53 @@
     return uri;
   }
 
-  /** What goes on to whoever serves it; not to be changed. */
+  /** The headers to forward; callers must not modify them. */
   public HttpHeaders headers() {
     return headers;
   }
 
-  /** A copy of the body that shares its bytes; whoever gets it releases it. */
+  /** A duplicate that shares the bytes of the body; the caller must release it. */
   public ByteBuf retainedBody() {
     return body.retainedDuplicate();
   }
 
-  /** What brings the body where it still comes, or null. */
-  StreamedRequestBody upload() {
-    return upload;
+  /** The body if it is still being received, otherwise null. */
+  StreamedRequestBody streamedBody() {
+    return streamedBody;
   }
 
   @Override
-  public boolean repeatable() {
-    return upload == null || upload.repeatable();
+  public boolean isRepeatable() {
+    return streamedBody == null || streamedBody.canBeResent();
   }
 
-  /** The head of a request whose body follows piece by piece. */
-  HttpRequest forwardHead(long leftNanos) {
-    HttpHeaders copy = headers.copy();
-    long toldNanos = Math.min(leftNanos, upload.callerNanos());
-    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(toldNanos));
-    if (upload.length() >= 0) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, upload.length());
+  /** The request head to send to an upstream when the body is streamed after it. */
+  HttpRequest toUpstreamHead(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
+    long deadlineNanos = Math.min(remainingNanos, streamedBody.clientWaitNanos());
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(deadlineNanos));
+    if (streamedBody.length() >= 0) {
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, streamedBody.length());
     } else {
-      copy.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      forwarded.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
-    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, copy);
+    return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, forwarded);
   }
 
-  /** The request as it goes to an upstream; the body is shared, not copied. */
-  FullHttpRequest forward(long leftNanos) {
-    HttpHeaders copy = headers.copy();
+  /** The complete request to send to an upstream; the body is shared, not copied. */
+  FullHttpRequest toUpstreamRequest(long remainingNanos) {
+    HttpHeaders forwarded = headers.copy();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             method,
             uri,
             body.retainedDuplicate(),
-            copy,
+            forwarded,
             EmptyHttpHeaders.INSTANCE);
-    copy.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(leftNanos));
+    forwarded.set(HeaderRules.DEADLINE, HeaderRules.formatSeconds(remainingNanos));
     if (body.isReadable() || !method.equals(HttpMethod.GET)) {
-      copy.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+      forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
     return request;
   }
@@ -140,8 +142,8 @@
   @Override
   public void release() {
     body.release();
-    if (upload != null) {
-      upload.release();
+    if (streamedBody != null) {
+      streamedBody.release();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
+++ b/src/main/java/heathswitch/proxy/http1/PipelineQueue.java
@@ -6,64 +6,68 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client has sent behind a request that is not answered yet. A client sends one request at a
- * time; a few parts ahead are kept and served in turn, more are a flood: all of them are dropped,
- * and what follows is counted and thrown away.
+ * Decoded parts that a client pipelined behind a request that has not been answered yet. Clients
+ * are expected to send one request at a time. A few parts are queued and served in order; if there
+ * are more, the queue overflows: all queued parts are dropped, and later ones are counted and
+ * discarded.
  */
 final class PipelineQueue {
-  static final int MOST_PARTS = 8;
+  static final int MAX_PARTS = 8;
 
-  /** What each part of a flood counts for beside its body. */
-  private static final int PART_BYTES = 64;
+  /** Counted for each part after an overflow, in addition to its body. */
+  private static final int PART_OVERHEAD_BYTES = 64;
 
-  /** Of a flood; no more is read, although only reading shows that the client has gone. */
-  private static final long MOST_FLOOD_BYTES = 1L << 20;
+  /**
+   * After an overflow of this size reading stops, although a disconnect of the client is only
+   * detected by reading.
+   */
+  private static final long MAX_OVERFLOW_BYTES = 1L << 20;
 
   private final ArrayDeque<HttpObject> parts = new ArrayDeque<>();
-  private boolean flood;
-  private long floodBytes;
+  private boolean overflowed;
+  private long overflowBytes;
 
   boolean isEmpty() {
     return parts.isEmpty();
   }
 
-  /** Whether too many have come, ever. */
-  boolean isFlood() {
-    return flood;
+  /** Whether the queue has ever overflowed. */
+  boolean hasOverflowed() {
+    return overflowed;
   }
 
-  /** Whether a flood has gone on for so long that no more of it is to be read. */
-  boolean isEndless() {
-    return floodBytes > MOST_FLOOD_BYTES;
+  /** Whether so much has arrived after the overflow that reading must stop. */
+  boolean overflowLimitExceeded() {
+    return overflowBytes > MAX_OVERFLOW_BYTES;
   }
 
-  /** Takes over a part. */
+  /** Adds a part and takes ownership of it. */
   void add(HttpObject part) {
-    if (flood) {
-      count(part);
+    if (overflowed) {
+      countOverflow(part);
       ReferenceCountUtil.release(part);
       return;
     }
     parts.add(part);
-    if (parts.size() > MOST_PARTS) {
-      flood = true;
+    if (parts.size() > MAX_PARTS) {
+      overflowed = true;
       release();
     }
   }
 
-  private void count(HttpObject part) {
+  private void countOverflow(HttpObject part) {
     if (part instanceof HttpContent content) {
-      floodBytes += content.content().readableBytes();
+      overflowBytes += content.content().readableBytes();
     }
-    floodBytes += PART_BYTES;
+    overflowBytes += PART_OVERHEAD_BYTES;
   }
 
-  /** The oldest, which belongs to the caller; null if there is none. */
+  /** Removes the oldest part and passes its ownership to the caller; null if the queue is empty. */
   HttpObject poll() {
     return parts.poll();
   }
 
-  /** Drops what is kept. */
+  /** Releases all queued parts. */
   void release() {
     while (!parts.isEmpty()) {
       ReferenceCountUtil.release(parts.poll());
--- a/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
+++ b/src/main/java/heathswitch/proxy/http1/RequestBodyBuffer.java
@@ -5,34 +5,34 @@
 import io.netty.buffer.CompositeByteBuf;
 
 /**
- * The body of a request as it comes in. Pieces are copied into blocks: a short piece would keep the
- * whole buffer it was read into, and a body of many pieces would be copied together again and
- * again.
+ * Accumulates the body of a request. Pieces are copied into blocks, because a retained short piece
+ * would keep alive the whole buffer that it was read into, and a body of many pieces would have to
+ * be consolidated repeatedly.
  */
 final class RequestBodyBuffer {
   private static final int BLOCK_BYTES = 32 << 10;
-  private static final int LEAST_BLOCK_BYTES = 64;
-  private static final int MOST_BLOCKS = 2048;
+  private static final int MIN_BLOCK_BYTES = 64;
+  private static final int MAX_BLOCKS = 2048;
 
   private final ByteBufAllocator allocator;
-  private final long length;
+  private final long declaredLength;
   private final CompositeByteBuf blocks;
 
-  /** The block that is being filled, or null. */
+  /** The block that is currently being filled, or null. */
   private ByteBuf tail;
 
   /**
-   * An empty one.
+   * Creates an empty buffer.
    *
-   * @param length that its head states, or -1
+   * @param declaredLength Content-Length of the request, or -1 if it has none
    */
-  RequestBodyBuffer(ByteBufAllocator allocator, long length) {
+  RequestBodyBuffer(ByteBufAllocator allocator, long declaredLength) {
     this.allocator = allocator;
-    this.length = length;
-    this.blocks = allocator.compositeBuffer(MOST_BLOCKS);
+    this.declaredLength = declaredLength;
+    this.blocks = allocator.compositeBuffer(MAX_BLOCKS);
   }
 
-  /** Copies a piece, which stays its owner's. */
+  /** Copies a piece; the caller keeps its ownership. */
   void append(ByteBuf piece) {
     while (piece.isReadable()) {
       if (tail == null) {
@@ -46,8 +46,8 @@
   }
 
   private int nextBlockBytes() {
-    long expected = length < 0 ? BLOCK_BYTES : length - blocks.readableBytes();
-    return (int) Math.max(LEAST_BLOCK_BYTES, Math.min(expected, BLOCK_BYTES));
+    long remaining = declaredLength < 0 ? BLOCK_BYTES : declaredLength - blocks.readableBytes();
+    return (int) Math.max(MIN_BLOCK_BYTES, Math.min(remaining, BLOCK_BYTES));
   }
 
   private void closeBlock() {
@@ -57,14 +57,14 @@
     }
   }
 
-  /** Hands over all that has come; nothing may be done with this afterwards. */
-  ByteBuf take() {
+  /** Passes the accumulated bytes to the caller. This object must not be used afterwards. */
+  ByteBuf takeBuffer() {
     closeBlock();
     return blocks;
   }
 
-  /** Gives all of it back. */
+  /** Releases all blocks. */
   void release() {
-    take().release();
+    takeBuffer().release();
   }
 }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.maintenance;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.maintenance.CapacityReport;
 import heathswitch.policy.maintenance.Machine;
 import heathswitch.policy.maintenance.MaintenanceState;
@@ -42,8 +42,8 @@
   private Set<String> restingAtLastReport = new HashSet<>();
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> apply(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
     }
     List<Member> result = new ArrayList<>(entries.size());
@@ -77,10 +77,10 @@
     }
     MaintenanceState.AwayMachine held = away.get(entry.id());
     if (held != null && held.phase().held() || heldAt.containsKey(addressKey(entry))) {
-      return entry.with(Health.DRAINING, entry.startedMillis());
+      return entry.withHealth(Health.DRAINING, entry.startedMillis());
     }
     long since = returnedMillis.getOrDefault(entry.id(), 0L);
-    return entry.with(entry.health(), Math.max(since, entry.startedMillis()));
+    return entry.withHealth(entry.health(), Math.max(since, entry.startedMillis()));
   }
 
   /**
@@ -120,7 +120,7 @@
       }
     }
     if (!changed.isEmpty()) {
-      dispatcher.onStanding(this, changed);
+      dispatcher.onOverlayChanged(this, changed);
     }
   }
 
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
@@ -137,9 +137,9 @@
               worker.setDaemon(true);
               return worker;
             });
-    node.dispatcher().overlay(overlay);
-    node.dispatcher().gate(() -> session.maySend(System.nanoTime()));
-    node.shutdown().lastly(this::leave);
+    node.dispatcher().addOverlay(overlay);
+    node.dispatcher().setSendGate(() -> session.maySend(System.nanoTime()));
+    node.shutdown().addFinalTask(this::leave);
   }
 
   /** Blocks until this balancer has joined, which takes a majority of the voters. */
@@ -233,7 +233,7 @@
       leaseEnded = false;
       if (draining) {
         draining = false;
-        node.emptying().end();
+        node.operatorDrain().end();
       }
       return;
     }
@@ -245,12 +245,14 @@
               : "the lease cannot be renewed: no more clients are accepted");
       draining = true;
       drainingNanos = now;
-      node.emptying().begin();
+      node.operatorDrain().begin();
     }
-    if (!session.maySend(now) && node.dispatcher().live() > 0) {
+    if (!session.maySend(now) && node.dispatcher().liveRequestCount() > 0) {
       if (!leaseEnded) {
         leaseEnded = true;
-        Log.warn("work", "the lease has ended: " + node.dispatcher().live() + " requests fail");
+        Log.warn(
+            "work",
+            "the lease has ended: " + node.dispatcher().liveRequestCount() + " requests fail");
       }
       node.dispatcher().failAll();
     }
@@ -314,7 +316,7 @@
   public boolean clientsGone() {
     return draining
         && System.nanoTime() - drainingNanos > MILLISECONDS.toNanos(DRAIN_MILLIS)
-        && node.dispatcher().live() == 0
+        && node.dispatcher().liveRequestCount() == 0
         && !agreement.leader().equals(config.instance());
   }
 
