--- a/src/main/java/heathswitch/policy/maintenance/InstanceSession.java
+++ b/src/main/java/heathswitch/policy/maintenance/InstanceSession.java
@@ -65,6 +65,7 @@
   /** How long to wait for the result of a command. */
   static final long RESULT_TIMEOUT_NANOS = 3000 * MILLI;
 
+  /** How long to wait after a failure, and the least time between renewals that are early. */
   static final long RETRY_NANOS = 100 * MILLI;
 
   /**
@@ -80,8 +81,8 @@
   private static final long MAX_RENEWAL_INTERVAL_MILLIS = 1000;
 
   private enum State {
-    /** Not joined. */
-    OUTSIDE,
+    /** Has not joined, was fenced, or its join failed. */
+    NOT_JOINED,
     /** The join has been submitted. */
     JOINING,
     /** The join was accepted, but the local log has not applied it yet. */
@@ -98,15 +99,23 @@
   private final MaintenanceRules rules;
   private final FormatSupport formats;
 
-  private State state = State.OUTSIDE;
+  private State state = State.NOT_JOINED;
   private boolean everJoined;
   private long incarnation;
   private long previousIncarnation;
+
+  /** When the next join or renewal is due. */
   private long nextNanos = Long.MIN_VALUE;
+
+  /** When the last join or renewal was submitted; its lease starts then. */
   private long sentNanos;
+
   private long leaseUntilNanos;
   private boolean renewing;
+
+  /** Whether an order requires this balancer to leave. */
   private boolean leaving;
+
   private long leaveSentNanos;
 
   /** Whether a leave has been submitted; the instance sends nothing until it has joined again. */
@@ -182,7 +191,7 @@
   public List<Command> step(long nowNanos, LocalView local) {
     List<Command> commands = new ArrayList<>();
     switch (state) {
-      case OUTSIDE -> join(nowNanos, local, commands);
+      case NOT_JOINED -> join(nowNanos, local, commands);
       case JOINING -> {
         if (nowNanos - sentNanos > RESULT_TIMEOUT_NANOS) {
           reset(nowNanos);
@@ -217,7 +226,7 @@
 
   /** Ends the session; the next join follows after {@link #RETRY_NANOS}. */
   private void reset(long nowNanos) {
-    state = State.OUTSIDE;
+    state = State.NOT_JOINED;
     leaving = false;
     nextNanos = nowNanos + RETRY_NANOS;
     lastRenewal = null;
--- a/src/main/java/heathswitch/policy/maintenance/MaintenanceState.java
+++ b/src/main/java/heathswitch/policy/maintenance/MaintenanceState.java
@@ -395,8 +395,8 @@
     item.order.move(item, to, index, nowMillis);
     changes++;
     if (to.ended()) {
-      away.remove(
-          item.machine.id(), item); // Keeps the entry of another order that has the machine.
+      // With the value, so that the entry of another order that has the machine stays.
+      away.remove(item.machine.id(), item);
     } else {
       away.put(item.machine.id(), item);
     }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceOverlay.java
@@ -42,8 +42,8 @@
   private Set<String> restingAtLastReport = new HashSet<>();
 
   @Override
-  public List<Member> apply(ListUpdate form, List<Member> entries) {
-    if (form.isFull()) {
+  public List<Member> apply(ListUpdate update, List<Member> entries) {
+    if (update.isFull()) {
       listed.clear();
     }
     List<Member> result = new ArrayList<>(entries.size());
