--- a/src/main/java/heathswitch/proxy/Main.java
+++ b/src/main/java/heathswitch/proxy/Main.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * The command line: {@code serve} without a file is the balancer of the platform, {@code adapter}
- * the simulator's, {@code rehearse} belongs to the build, and the rest is for all other
- * installations.
+ * Entry point of the command line. {@code serve} without a file runs the balancer on the hosting
+ * platform, {@code adapter} runs it for the simulator and {@code rehearse} is used by the build;
+ * all other commands are for standalone installations.
  */
 public final class Main {
   private Main() {}
 
-  /** Runs until the process is told to end. */
+  /** Runs a command; a balancer keeps running until the process is told to stop. */
   public static void main(String[] args) {
-    // The platform's three commands load nothing of what other installations need.
+    // These three commands must not load classes that only standalone installations need.
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> exit(serve(System.getenv()));
       case "rehearse" -> System.exit(rehearse());
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Ends the process on an error or a finished command; a balancer goes on. */
+  /** Exits after an error or a finished command; a negative code keeps a balancer running. */
   private static void exit(int code) {
     if (code >= 0) {
       System.exit(code);
@@ -54,13 +54,13 @@
       return 1;
     }
     PlatformNode balancer = new PlatformNode(config, environment);
-    // Before it can be seen as ready: a SIGHUP that finds no handler ends the process.
+    // Must precede readiness: a SIGHUP without a handler terminates the process.
     balancer.reload().install();
-    // And before anything can be taken: a SIGTERM that finds no handler loses what has been.
+    // Must precede the first request: a SIGTERM without a handler loses accepted requests.
     balancer.node().shutdown().installHook();
     try {
       balancer.start();
-    } catch (Exception e) { // Netty throws the cause of a failed bind undeclared.
+    } catch (Exception e) { // Netty rethrows the checked cause of a failed bind undeclared.
       System.err.println("listen: cannot use " + config.listen() + ": " + e.getMessage());
       balancer.node().shutdown().removeHook();
       return 1;
--- a/src/main/java/heathswitch/proxy/gateway/Inward.java
+++ b/src/main/java/heathswitch/proxy/gateway/Inward.java
@@ -177,7 +177,7 @@
   }
 
   @Override
-  public void drain() {
+  public void startDraining() {
     List.copyOf(links).forEach(InLink::closeGracefully);
     draining = true;
   }
@@ -193,7 +193,7 @@
   }
 
   @Override
-  public int clients() {
+  public int clientCount() {
     return links.size();
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public void drain() {
+  public void startDraining() {
     draining = true;
     List.copyOf(links).forEach(ClientLink::closeGracefully);
   }
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public int clients() {
+  public int clientCount() {
     return links.size();
   }
 
--- a/src/main/java/heathswitch/proxy/node/MemberSource.java
+++ b/src/main/java/heathswitch/proxy/node/MemberSource.java
@@ -3,27 +3,27 @@
 import heathswitch.proxy.dispatch.Dispatcher;
 import io.netty.channel.EventLoop;
 
-/** Where the list of upstreams comes from. All calls come on the loop. */
+/** The source of the list of upstreams. All calls are made on the event loop. */
 public interface MemberSource {
-  /** Makes a source for a node that is being put together. */
+  /** Creates the source while its node is being assembled. */
   interface Factory {
     MemberSource create(EventLoop loop);
   }
 
-  /** Starts the dispatcher with the list as it is known now, and from then on tells it of news. */
+  /** Starts the dispatcher with the currently known list, and passes it updates from then on. */
   void start(Dispatcher dispatcher);
 
   /**
-   * Returns when the list is good enough to serve by, after a bounded time in any case. Called
-   * after the start, not on the loop.
+   * Returns once the list is good enough to serve requests, or after a bounded time. Unlike the
+   * other methods, called off the event loop, after the start.
    */
   default void awaitList() throws InterruptedException {}
 
-  /** How the list stands and what was done to get it, for the log; on the loop. */
+  /** The state of the list and of the calls that fetch it, for the log. */
   default String figures() {
     return "";
   }
 
-  /** No news from now on. */
+  /** Stops the updates. */
   void stop();
 }
--- a/src/main/java/heathswitch/proxy/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -16,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One running balancer: its parts, put together on one event loop. */
+/** One running balancer, assembled from its parts on one event loop. */
 public final class Node {
   private static final long FIGURES_SECONDS = 10;
 
@@ -25,7 +25,7 @@
   private final Clock clock = new Clock();
   private final NodeSettings settings;
   private final ResourceBudget budget;
-  private final ClientListener server;
+  private final ClientListener clientListener;
   private final UpstreamConnectionPool pool;
   private final Dispatcher dispatcher;
   private final MemberSource members;
@@ -34,23 +34,25 @@
   private final LoopLagMonitor lagMonitor;
   private final List<ProtocolListener> extraListeners = new ArrayList<>();
 
-  /** Puts the parts together; {@link #start} must follow. */
+  /** Assembles the parts; {@link #start} must follow. */
   public Node(NodeSettings settings, MemberSource.Factory source, long lagSampleNanos) {
     this.settings = settings;
     budget = new ResourceBudget(settings.maxDescriptors(), ResourceBudget.BODY_BYTES);
-    server = new ClientListener(loop, clock, budget);
+    clientListener = new ClientListener(loop, clock, budget);
     pool =
         new UpstreamConnectionPool(
-            loop, clock, budget, settings.settings().limits(), server::evictIdle);
+            loop, clock, budget, settings.settings().limits(), clientListener::evictIdle);
     dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
     dispatcher.addTransport(pool);
     members = source.create(loop);
-    shutdown = new Shutdown(loop, settings.settings(), server, dispatcher, members, extraListeners);
-    operatorDrain = new OperatorDrain(loop, server);
+    shutdown =
+        new Shutdown(
+            loop, settings.settings(), clientListener, dispatcher, members, extraListeners);
+    operatorDrain = new OperatorDrain(loop, clientListener);
     lagMonitor = new LoopLagMonitor(lagSampleNanos);
   }
 
-  /** Adds a front; before the start. */
+  /** Adds a listener for another protocol. To be called before the start. */
   public ProtocolListener addListener(ProtocolListener.Factory factory) {
     ProtocolListener listener =
         factory.create(
@@ -59,54 +61,54 @@
     return listener;
   }
 
-  /** A header that no client over HTTP/1.1 may send; before the start. */
+  /** Forbids HTTP/1.1 clients to send a header. To be called before the start. */
   public void forbidHeader(String header) {
-    server.forbidHeader(header);
+    clientListener.forbidHeader(header);
   }
 
   private boolean evictIdle() {
-    return pool.evictIdle() || server.evictIdle();
+    return pool.evictIdle() || clientListener.evictIdle();
   }
 
-  /** Returns once clients can connect; fails if the address is taken. */
+  /** Returns once clients can connect; fails if the address is in use. */
   public void start() throws InterruptedException {
     loop.submit(() -> members.start(dispatcher)).sync();
     members.awaitList();
-    server.start(settings.listen(), settings.reusePort(), dispatcher, pool);
-    for (ProtocolListener front : extraListeners) {
-      front.start();
+    clientListener.start(settings.listen(), settings.reusePort(), dispatcher, pool);
+    for (ProtocolListener listener : extraListeners) {
+      listener.start();
     }
     lagMonitor.start(loop);
     loop.scheduleAtFixedRate(this::logFigures, FIGURES_SECONDS, FIGURES_SECONDS, SECONDS);
   }
 
-  /** Other settings for all that is taken and opened from now on; on the loop. */
+  /** Replaces the settings for new requests and connections; to be called on the event loop. */
   public void reload(Settings newSettings) {
     dispatcher.reload(newSettings);
     pool.reload(newSettings.limits());
     shutdown.reload(newSettings);
   }
 
-  /** Where clients connect; null where the process was told to end before it listened. */
+  /** The listen address, or null if the process was told to stop before it listened. */
   public InetSocketAddress address() {
-    return server.address();
+    return clientListener.address();
   }
 
   public EventLoop loop() {
     return loop;
   }
 
-  /** Unix time by the node's own clock, which goes on evenly when the machine's is set. */
+  /** Unix time of the node's own clock, which is not affected when the system clock is set. */
   public long nowMillis() {
     return clock.nowNanos() / 1_000_000;
   }
 
-  /** To be read on the loop. */
+  /** To be used on the event loop. */
   public LoopLagMonitor lagMonitor() {
     return lagMonitor;
   }
 
-  /** To be read on the loop. */
+  /** To be used on the event loop. */
   public Dispatcher dispatcher() {
     return dispatcher;
   }
@@ -119,12 +121,12 @@
     return operatorDrain;
   }
 
-  /** What the node may hold; to be used on the loop. */
+  /** The limits on descriptors and body bytes; to be used on the event loop. */
   public ResourceBudget budget() {
     return budget;
   }
 
-  /** Ends at once, without a drain. */
+  /** Stops at once, without a drain. */
   public void stop() {
     group.shutdownGracefully(0, 5, SECONDS).awaitUninterruptibly();
   }
@@ -137,7 +139,7 @@
             + "; live "
             + dispatcher.liveRequestCount()
             + ", clients "
-            + server.clientCount()
+            + clientListener.clientCount()
             + ", idle upstream connections "
             + pool.idleConnectionCount()
             + ", connections "
--- a/src/main/java/heathswitch/proxy/node/NodeSettings.java
+++ b/src/main/java/heathswitch/proxy/node/NodeSettings.java
@@ -4,10 +4,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * What every balancer is told, wherever its list of upstreams comes from.
+ * The settings of a node that don't depend on the source of its list of upstreams.
  *
- * @param shared whether another process may listen for clients at the same address
- * @param sockets descriptors that the process may hold, the JVM's own among them
+ * @param reusePort whether another process may listen for clients at the same address
+ * @param maxDescriptors limit of open file descriptors of the process, including the JVM's own
  */
 public record NodeSettings(
     String name,
--- a/src/main/java/heathswitch/proxy/node/OperatorDrain.java
+++ b/src/main/java/heathswitch/proxy/node/OperatorDrain.java
@@ -8,66 +8,69 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * A balancer that operators empty while it runs, and take into use again. The front hears of it at
- * {@code /up} and brings no more connections a moment later; the open ones go with their next
- * answer, and in the end without one. On the loop alone.
+ * Drains a running balancer on an operator's request, and puts it back into service. The load
+ * balancer in front notices at {@code /up} and stops sending new connections a moment later; open
+ * connections are closed with their next answer, and finally when they are idle. Used on the event
+ * loop only.
  */
 public final class OperatorDrain {
-  /** By then the front has asked several times and sends new connections elsewhere. */
+  /** By then the load balancer in front has polled several times and connects elsewhere. */
   static final long CLOSE_DELAY_MILLIS = 500;
 
   /**
-   * Most clients have had an answer by then, which told them. Those that have not lose their
-   * connection between requests. Must leave room for what is then being read: 4 s after the call no
-   * connection may be held that is idle or whose request is younger than 2 s.
+   * By then most clients have had an answer that told them to disconnect. The others are
+   * disconnected between requests. Must leave time for requests that are being read: 4 s after the
+   * drain call there may be no connection that is idle or whose request is younger than 2 s.
    */
   static final long CLOSE_IDLE_DELAY_MILLIS = 1500;
 
   private static final long CLOSE_IDLE_PERIOD_MILLIS = 50;
 
   private final EventLoop loop;
-  private final ClientListener server;
+  private final ClientListener clientListener;
   private boolean draining;
   private Future<?> nextStep;
 
-  OperatorDrain(EventLoop loop, ClientListener server) {
+  OperatorDrain(EventLoop loop, ClientListener clientListener) {
     this.loop = loop;
-    this.server = server;
+    this.clientListener = clientListener;
   }
 
-  /** Whether the balancer is empty or on its way to be. */
+  /** Whether the balancer is draining or drained. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** No new clients; those that are here leave with their next answer. Twice is once. */
+  /**
+   * Starts the drain: no new clients, and current ones leave with their next answer. Idempotent.
+   */
   public void begin() {
     if (!draining) {
       draining = true;
-      Log.info("emptying", "begun with " + server.clientCount() + " connections");
-      server.startDraining();
-      nextStep = loop.schedule(this::stopAccepting, CLOSE_DELAY_MILLIS, MILLISECONDS);
+      Log.info("emptying", "started with " + clientListener.clientCount() + " connections");
+      clientListener.startDraining();
+      nextStep = loop.schedule(this::disableKeepAlive, CLOSE_DELAY_MILLIS, MILLISECONDS);
     }
   }
 
-  private void stopAccepting() {
-    server.disableKeepAlive();
+  private void disableKeepAlive() {
+    clientListener.disableKeepAlive();
     nextStep =
         loop.schedule(this::closeIdle, CLOSE_IDLE_DELAY_MILLIS - CLOSE_DELAY_MILLIS, MILLISECONDS);
   }
 
-  /** Again and again: a stray connection that comes later must not stay either. */
+  /** Repeated, since a connection that arrives late must not stay open either. */
   private void closeIdle() {
-    server.closeIdle();
+    clientListener.closeIdle();
     nextStep = loop.schedule(this::closeIdle, CLOSE_IDLE_PERIOD_MILLIS, MILLISECONDS);
   }
 
-  /** Takes clients again, from now on. */
+  /** Ends the drain: clients are accepted again. */
   public void end() {
     if (draining) {
       draining = false;
       nextStep.cancel(false);
-      server.endDraining();
+      clientListener.endDraining();
       Log.info("emptying", "ended");
     }
   }
--- a/src/main/java/heathswitch/proxy/node/ProtocolListener.java
+++ b/src/main/java/heathswitch/proxy/node/ProtocolListener.java
@@ -7,13 +7,13 @@
 import io.netty.channel.EventLoop;
 import java.util.function.BooleanSupplier;
 
-/** A listener in another protocol, on the same loop and before the same dispatcher. */
+/** A listener for another protocol that runs on the node's event loop and uses its dispatcher. */
 public interface ProtocolListener {
   /**
-   * What a front shares with the rest of its node.
+   * The parts of the node that a listener shares.
    *
    * @param pool the connections to upstreams over HTTP/1.1
-   * @param evict frees a descriptor of an idle connection; false if there is none
+   * @param evict closes an idle connection to free its descriptor; false if there is none
    */
   record Context(
       EventLoop loop,
@@ -23,7 +23,7 @@
       UpstreamConnectionPool pool,
       BooleanSupplier evict) {}
 
-  /** Makes a front for a node that is being put together. */
+  /** Creates the listener while its node is being assembled. */
   interface Factory {
     ProtocolListener create(Context context);
   }
@@ -31,17 +31,17 @@
   /** Returns once clients can connect. Must not be called on the loop. */
   void start() throws InterruptedException;
 
-  /** Not ready for new clients any more; those that are here are served. */
-  void drain();
+  /** Reports the node as not ready for new clients; current clients are still served. */
+  void startDraining();
 
   void stopListening();
 
-  /** Whether clients may still connect: a listener takes a moment to end. */
+  /** Whether clients can still connect; closing the listener takes a moment. */
   boolean isListening();
 
-  /** Connections that are still there. */
-  int clients();
+  /** The number of open connections. */
+  int clientCount();
 
-  /** Closes those that have nothing to wait for. */
+  /** Closes the connections that are not waiting for an answer. */
   void closeIdle();
 }
--- a/src/main/java/heathswitch/proxy/node/Shutdown.java
+++ b/src/main/java/heathswitch/proxy/node/Shutdown.java
@@ -13,38 +13,40 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * SIGTERM: new connections still come for up to 0.4 s and are served. Clients use those that they
- * have for as long as they stay open, and while the other balancers restart too they have no better
- * place to go, so these are closed only when what is taken later might not be answered in time. The
- * process ends with code 0 when all that was taken has been answered.
+ * Drains the balancer at SIGTERM. New connections arrive for up to 0.4 s after it and are served.
+ * Clients keep using their open connections, and have no better alternative while the other
+ * balancers restart too, so these connections are closed only when a later request might not be
+ * answered in time. The process exits with code 0 when all accepted requests have been answered.
  */
 public final class Shutdown {
-  /** Past the time for which the front may still send new connections. */
+  /** Longer than the load balancer in front may still send new connections. */
   static final long STOP_LISTENING_MILLIS = 550;
 
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest deadline, of these at most, and 0.7 s.
+   * SIGKILL follows SIGTERM no sooner than after the longest deadline, capped at this value, plus
+   * 0.7 s.
    */
   private static final long MAX_DEADLINE_MILLIS = 3000;
 
   private static final long KILL_EXTRA_MILLIS = 700;
 
   /**
-   * What is not answered so long before SIGKILL fails at once: an answer that SIGKILL finds owed is
-   * lost. Would do harm to long calls where SIGKILL comes later.
+   * Requests that are unanswered this long before SIGKILL fail at once, since SIGKILL would leave
+   * them without an answer. Long calls would fail needlessly if SIGKILL came later than assumed.
    */
   private static final long KILL_MARGIN_MILLIS = 400;
 
   /**
-   * What a call is given from the end of the taking to that moment. Guards against restarts one
-   * after the other, where the balancer before is not back yet: requests that come in between find
-   * nobody. Taken so late some are failed that would have been answered elsewhere, had there been
-   * another balancer; the front sends those elsewhere by itself.
+   * The time between the last request on a kept-alive connection and the failing of unanswered
+   * requests. Accepting requests this late guards against rolling restarts in which the previous
+   * balancer is not back yet, so that requests in between would find no balancer. Some requests
+   * accepted that late fail that another balancer could have answered; if there is one, the load
+   * balancer in front sends them there by itself.
    */
   private static final long ANSWER_TIME_MILLIS = 1100;
 
   private final EventLoop loop;
-  private final ClientListener server;
+  private final ClientListener clientListener;
   private final Dispatcher dispatcher;
   private final MemberSource members;
   private final List<ProtocolListener> extraListeners;
@@ -53,46 +55,50 @@
   private BooleanSupplier hasSuccessor = () -> false;
   private volatile boolean draining;
 
-  /** What is left to say when all is drained, or null. */
+  /** Run after the drain; may be null. */
   private volatile Runnable finalTask;
 
-  /** When what is owed fails, and until when requests are taken on open connections. */
+  /** After this time unanswered requests fail. */
   private long failPendingMillis;
 
-  private long stopAcceptingMillis;
+  /** For this time open connections accept further requests. */
+  private long keepAliveMillis;
 
   public Shutdown(
       EventLoop loop,
       Settings settings,
-      ClientListener server,
+      ClientListener clientListener,
       Dispatcher dispatcher,
       MemberSource members,
       List<ProtocolListener> extraListeners) {
     reload(settings);
     this.loop = loop;
-    this.server = server;
+    this.clientListener = clientListener;
     this.dispatcher = dispatcher;
     this.members = members;
     this.extraListeners = extraListeners;
   }
 
-  /** The longest deadline of other settings says when SIGKILL comes; before the drain. */
+  /**
+   * Recalculates the time of SIGKILL from the longest deadline of new settings. To be called before
+   * the drain.
+   */
   final void reload(Settings settings) {
     long longest =
         settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
     failPendingMillis =
         Math.min(longest / 1_000_000, MAX_DEADLINE_MILLIS) + KILL_EXTRA_MILLIS - KILL_MARGIN_MILLIS;
-    stopAcceptingMillis = Math.max(STOP_LISTENING_MILLIS, failPendingMillis - ANSWER_TIME_MILLIS);
+    keepAliveMillis = Math.max(STOP_LISTENING_MILLIS, failPendingMillis - ANSWER_TIME_MILLIS);
   }
 
-  /** Tells whether another process of this balancer takes the clients that come from now on. */
+  /** Sets the check of whether another process of this balancer accepts new clients from now on. */
   public void setSuccessorCheck(BooleanSupplier hasSuccessor) {
     this.hasSuccessor = hasSuccessor;
   }
 
   /**
-   * Is run when all is drained, before the process ends, after those that were named before; must
-   * end by itself, and soon. Before the start.
+   * Adds a task that is run after the drain and before the process exits, after tasks added
+   * earlier. The task must finish by itself and quickly. To be called before the start.
    */
   public void addFinalTask(Runnable task) {
     Runnable earlier = finalTask;
@@ -111,15 +117,15 @@
   }
 
   /**
-   * Drains at SIGTERM, also at one that comes while the balancer starts. The JVM would exit with
-   * the signal's code, so the hook ends it itself.
+   * Installs the hook that drains at SIGTERM, also during the start of the balancer. The JVM would
+   * exit with the signal's code, so the hook halts it itself.
    */
   public void installHook() {
     shutdownHook = new Thread(this::drainAndHalt, "shutdown");
     Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
-  /** Nothing was started that could be drained. */
+  /** Removes the hook because nothing was started that could be drained. */
   public void removeHook() {
     Runtime.getRuntime().removeShutdownHook(shutdownHook);
   }
@@ -136,59 +142,60 @@
     Runtime.getRuntime().halt(0);
   }
 
-  /** Begins the drain; the latch opens when it is complete. */
+  /** Starts the drain and returns a latch that opens when it is complete. */
   public CountDownLatch drain() {
     if (draining) {
-      return drained; // A second signal asks for what is already going on.
+      return drained; // A second signal while the drain is in progress.
     }
     draining = true;
-    boolean handOver = hasSuccessor.getAsBoolean();
+    boolean successorRuns = hasSuccessor.getAsBoolean();
     loop.execute(
         () -> {
           Log.info("shutdown", "draining, " + dispatcher.liveRequestCount() + " requests live");
-          if (handOver) {
+          if (successorRuns) {
             handOver();
           } else {
-            server.startDraining();
-            extraListeners.forEach(ProtocolListener::drain);
+            clientListener.startDraining();
+            extraListeners.forEach(ProtocolListener::startDraining);
             loop.schedule(this::stopListening, STOP_LISTENING_MILLIS, MILLISECONDS);
           }
-          loop.schedule(this::stopAccepting, stopAcceptingMillis, MILLISECONDS);
+          loop.schedule(this::disableKeepAlive, keepAliveMillis, MILLISECONDS);
           loop.schedule(dispatcher::failAll, failPendingMillis, MILLISECONDS);
         });
     return drained;
   }
 
   /**
-   * Another process has the address too: new connections are its own at once, the open ones go with
-   * their next answer. Whoever asks here whether the balancer is up hears yes, as it is.
+   * Hands over to another process that listens at the same address: new connections go to it at
+   * once, and open ones are closed with their next answer. Health checks that still reach this
+   * process report the balancer as up, which it is.
    */
   private void handOver() {
-    Log.info("shutdown", "another process has followed");
+    Log.info("shutdown", "handing over to another process");
     stopListening();
-    server.disableKeepAlive();
+    clientListener.disableKeepAlive();
   }
 
   private void stopListening() {
-    server.stopListening();
+    clientListener.stopListening();
     extraListeners.forEach(ProtocolListener::stopListening);
   }
 
-  private void stopAccepting() {
-    server.disableKeepAlive();
+  private void disableKeepAlive() {
+    clientListener.disableKeepAlive();
     waitForClients();
   }
 
-  /** Whether there are clients still, or may come. */
+  /** Whether there are clients, or may be new ones. */
   private boolean hasClients() {
-    return server.isListening()
-        || server.clientCount() > 0
-        || extraListeners.stream().anyMatch(front -> front.isListening() || front.clients() > 0);
+    return clientListener.isListening()
+        || clientListener.clientCount() > 0
+        || extraListeners.stream().anyMatch(each -> each.isListening() || each.clientCount() > 0);
   }
 
-  /** Answers are still on their way to clients after the last request has been decided. */
+  /** Waits for clients to leave: answers are still being written after the last decision. */
   private void waitForClients() {
-    server.closeIdle();
+    clientListener.closeIdle();
     extraListeners.forEach(ProtocolListener::closeIdle);
     if (hasClients()) {
       loop.schedule(this::waitForClients, 20, MILLISECONDS);
--- a/src/main/java/heathswitch/proxy/runtime/AcceptRetryHandler.java
+++ b/src/main/java/heathswitch/proxy/runtime/AcceptRetryHandler.java
@@ -7,15 +7,15 @@
 import java.io.IOException;
 
 /**
- * What becomes of a listener whose accept has failed, as it may for a moment where the system is
- * short of descriptors or buffers. Netty would leave off for a second; the connections that wait
- * meanwhile are made as far as their clients can tell, and their requests' time runs. One for each
- * listener, on its loop.
+ * Retries accepting after a failure, which happens temporarily when the system is short of
+ * descriptors or buffers. Netty would pause for a second; meanwhile the pending connections look
+ * established to their clients, and the time limits of their requests run. One instance per
+ * listener, used on its event loop.
  */
 final class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
   static final long INITIAL_DELAY_MILLIS = 5;
 
-  /** The wait is doubled with each failure in a row, so often at most: 80 ms. */
+  /** The delay doubles with each consecutive failure, up to this many times: 80 ms. */
   static final int MAX_DOUBLINGS = 4;
 
   private int consecutiveFailures;
--- a/src/main/java/heathswitch/proxy/runtime/Addresses.java
+++ b/src/main/java/heathswitch/proxy/runtime/Addresses.java
@@ -5,11 +5,13 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Numeric addresses with a port, such as 127.0.0.1:9000; names are never looked up. */
+/**
+ * Parses and formats numeric addresses with a port, such as 127.0.0.1:9000, without DNS lookups.
+ */
 public final class Addresses {
   private Addresses() {}
 
-  /** The address in a text, IPv6 in brackets or without, or null for what is none. */
+  /** Parses an address, IPv6 with or without brackets; returns null if it is invalid. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -27,7 +29,7 @@
     }
   }
 
-  /** The one way of writing an address that is used to compare two of them. */
+  /** Formats an address in its canonical form, which can be compared as text. */
   public static String format(InetSocketAddress address) {
     return NetUtil.toSocketAddressString(address);
   }
--- a/src/main/java/heathswitch/proxy/runtime/Clock.java
+++ b/src/main/java/heathswitch/proxy/runtime/Clock.java
@@ -3,20 +3,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Nanoseconds of Unix time that never step back: the wall clock is read once, so the start times of
- * upstreams are on the same scale, and a clock that is set does not disturb any delay.
+ * A monotonic clock in nanoseconds of Unix time. The wall clock is read once: the start times of
+ * upstreams are on the same scale, and setting the system clock does not disturb delays.
  */
 public final class Clock {
   private final LongSupplier nanos;
   private final long offsetNanos;
 
-  /** The system's clock. */
+  /** Creates a clock that runs with the system's monotonic time. */
   public Clock() {
     nanos = System::nanoTime;
     offsetNanos = System.currentTimeMillis() * 1_000_000L - nanos.getAsLong();
   }
 
-  /** A clock that somebody else moves. */
+  /** Creates a clock that reads the given source. */
   public Clock(LongSupplier nanos) {
     this.nanos = nanos;
     offsetNanos = 0;
--- a/src/main/java/heathswitch/proxy/runtime/GracefulServerSocketChannel.java
+++ b/src/main/java/heathswitch/proxy/runtime/GracefulServerSocketChannel.java
@@ -7,25 +7,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A listener that ends without resetting those that have connected. A socket that a selector knows
- * is closed in earnest only with the selector's next turn; the system goes on making connections
- * until then, and resets them at the close. So this one leaves the selector first, takes what
- * waits, and closes then, which is at once.
+ * A server channel that can be closed without resetting established connections. A socket that is
+ * registered with a selector is really closed only in the selector's next cycle; until then the
+ * system keeps establishing connections, which it resets at the close. This channel is therefore
+ * deregistered first, then accepts the pending connections, and is then closed, which takes effect
+ * immediately.
  */
 public final class GracefulServerSocketChannel extends NioServerSocketChannel {
   private static final long POLL_MILLIS = 1;
 
-  /** Connections that one read takes at most. */
+  /** The maximum number of connections accepted by one read. */
   private static final int MAX_ACCEPTS_PER_READ = 16;
 
   private boolean closing;
   private int acceptedCount;
 
   /**
-   * Takes no more connections, after those that have already come. On the loop; the channel is
-   * closed some turns of the loop later.
+   * Accepts the pending connections and closes the channel, some iterations of the event loop
+   * later. To be called on the event loop.
    *
-   * @param room whether another connection can be taken; those that cannot are reset
+   * @param hasRoom whether another connection can be accepted; those that cannot are reset
    */
   public void closeGracefully(BooleanSupplier hasRoom) {
     if (!closing) {
@@ -40,7 +41,7 @@
       return;
     }
     if (hasRoom.getAsBoolean()) {
-      config().setAutoRead(true); // Off for a moment after an accept that failed.
+      config().setAutoRead(true); // May be off after a failed accept.
     }
     int before;
     do {
--- a/src/main/java/heathswitch/proxy/runtime/Listeners.java
+++ b/src/main/java/heathswitch/proxy/runtime/Listeners.java
@@ -8,25 +8,26 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** How every listener begins, whatever is spoken on it. */
+/** Creates and closes the listeners of all protocols. */
 public final class Listeners {
   private Listeners() {}
 
   /**
-   * Has a listener take no more connections, after those that have already come; on the loop. It is
-   * closed some turns of the loop later.
+   * Accepts a listener's pending connections and closes it, some iterations of the event loop
+   * later. To be called on the event loop.
    *
-   * @param room whether another connection can be taken
+   * @param hasRoom whether another connection can be accepted
    */
   public static void closeGracefully(Channel listener, BooleanSupplier hasRoom) {
     ((GracefulServerSocketChannel) listener).closeGracefully(hasRoom);
   }
 
   /**
-   * A listener on the loop, to be bound. Its address can be had again at once after its end, and
-   * what is written on its connections goes out at once.
+   * Returns the bootstrap of a listener on an event loop, ready to be bound. Its address can be
+   * reused right after it is closed (SO_REUSEADDR), and writes to its connections are not delayed
+   * (TCP_NODELAY).
    *
-   * @param accepted told of each connection before anything is read from it, on the loop
+   * @param onAccept called with each connection on the event loop, before anything is read from it
    */
   public static ServerBootstrap bootstrap(EventLoop loop, Consumer<Channel> onAccept) {
     return new ServerBootstrap()
--- a/src/main/java/heathswitch/proxy/runtime/Log.java
+++ b/src/main/java/heathswitch/proxy/runtime/Log.java
@@ -9,32 +9,32 @@
 import java.util.logging.Logger;
 
 /**
- * The log on standard error, limited for each kind of line: a failing upstream or a hostile client
- * must not turn into a flood that costs the loop its time. A line may carry fields for programs
- * that read it, as pairs of a name and a value; the message says all that a person needs without
- * them.
+ * The log, written to standard error and rate-limited per kind of line: a failing upstream or a
+ * hostile client must not cause a flood that takes up the event loop's time. A line may carry
+ * fields for programs, as pairs of a name and a value; the message alone is complete for a human
+ * reader.
  */
 public final class Log {
   private static final Logger LOGGER = Logger.getLogger("heathswitch.proxy");
   private static final LogRateLimiter RATE_LIMITER = new LogRateLimiter();
 
-  /** Where lines go that the limit lets through; null for the JDK's own log. */
+  /** Receives the lines that pass the rate limiter; null for the JDK's own log. */
   private static volatile Sink sink;
 
-  /** Takes lines in place of the JDK's log; from any thread, one at a time. */
+  /** Receives lines in place of the JDK's log, from any thread, but never concurrently. */
   public interface Sink {
     /**
-     * One line.
+     * Writes one line.
      *
-     * @param cause what was thrown, or null
-     * @param fields names and values in turn
+     * @param cause the exception, or null
+     * @param fields alternating names and values
      */
     void write(Level level, String kind, String message, Throwable cause, String... fields);
   }
 
   private Log() {}
 
-  /** Sends the JDK's log, Netty's lines included, to standard error with one line a record. */
+  /** Writes the JDK's log, including Netty's, to standard error with one line per record. */
   public static void installConsoleHandler() {
     Logger root = Logger.getLogger("");
     for (var handler : root.getHandlers()) {
@@ -46,7 +46,7 @@
     Logger.getLogger("io.netty").setLevel(Level.SEVERE);
   }
 
-  /** Sends all lines from now on there; null for the JDK's own log. */
+  /** Sets the sink of all lines; null for the JDK's own log. */
   public static void setSink(Sink newSink) {
     sink = newSink;
   }
@@ -55,7 +55,7 @@
     write(Level.INFO, kind, message, null, fields);
   }
 
-  /** A line whose text costs something, and is made only if the limit lets it through. */
+  /** Logs a line whose text is built only if it passes the rate limiter. */
   public static void info(String kind, Supplier<String> message) {
     if (tryAcquire(kind)) {
       emit(Level.INFO, kind, message.get(), null);
@@ -82,7 +82,7 @@
   }
 
   private static void logSuppressed(String kind, int lines) {
-    emit(Level.WARNING, kind, lines + " more lines left out", null);
+    emit(Level.WARNING, kind, lines + " more lines suppressed", null);
   }
 
   private static void emit(
--- a/src/main/java/heathswitch/proxy/runtime/LogRateLimiter.java
+++ b/src/main/java/heathswitch/proxy/runtime/LogRateLimiter.java
@@ -5,16 +5,17 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * So many lines of each kind in a period; what is left out is counted and told. From any thread.
+ * Limits the number of log lines of each kind per period, and counts the suppressed lines.
+ * Thread-safe.
  */
 public final class LogRateLimiter {
   static final int LINES_PER_KIND = 5;
   static final long PERIOD_NANOS = 5_000_000_000L;
 
-  /** Kinds are words of the program, and beyond so many one falls in with the others. */
+  /** Kinds are literals of the program; beyond this number, further kinds share one limit. */
   private static final int MAX_KINDS = 256;
 
-  private static final String OVERFLOW_KIND = "others";
+  private static final String SHARED_KIND = "others";
 
   private final Map<String, Integer> counts = new HashMap<>();
   private long periodStartNanos = System.nanoTime();
@@ -22,7 +23,7 @@
   /**
    * Whether a line may be written now.
    *
-   * @param leftOut told, when a period is over, how many lines of a kind were left out in it
+   * @param suppressed called after a period with each kind and the number of its suppressed lines
    */
   public synchronized boolean tryAcquire(String kind, ObjIntConsumer<String> suppressed) {
     long now = System.nanoTime();
@@ -35,7 +36,7 @@
       }
       counts.clear();
     }
-    boolean known = counts.size() < MAX_KINDS || counts.containsKey(kind);
-    return counts.merge(known ? kind : OVERFLOW_KIND, 1, Integer::sum) <= LINES_PER_KIND;
+    boolean ownCounter = counts.size() < MAX_KINDS || counts.containsKey(kind);
+    return counts.merge(ownCounter ? kind : SHARED_KIND, 1, Integer::sum) <= LINES_PER_KIND;
   }
 }
--- a/src/main/java/heathswitch/proxy/runtime/LoopLagMonitor.java
+++ b/src/main/java/heathswitch/proxy/runtime/LoopLagMonitor.java
@@ -4,14 +4,17 @@
 
 import io.netty.channel.EventLoop;
 
-/** How late the event loop runs: a timer that ought to come at even times. On the loop only. */
+/**
+ * Measures the lag of the event loop, by how late a periodic timer runs. Used on the event loop
+ * only.
+ */
 public final class LoopLagMonitor {
   private final long periodNanos;
   private long expectedNanos;
   private long maxLagSinceFigures;
   private long maxLagSinceStatus;
 
-  /** A stall shorter than the period may be missed in part. */
+  /** Creates a monitor; of stalls shorter than the period, part may go unnoticed. */
   public LoopLagMonitor(long periodNanos) {
     this.periodNanos = periodNanos;
   }
@@ -29,14 +32,14 @@
     expectedNanos = now + periodNanos;
   }
 
-  /** The greatest lateness since the last call of this method. */
+  /** Returns the maximum lag since the last call of this method, for the line of figures. */
   public long takeMaxLagForFigures() {
     long maxLag = maxLagSinceFigures;
     maxLagSinceFigures = 0;
     return maxLag;
   }
 
-  /** As {@link #takeLatestNanos}, for another reader: neither takes anything from the other. */
+  /** Like {@link #takeMaxLagForFigures}, but for the status page; the two are independent. */
   public long takeMaxLagForStatus() {
     long maxLag = maxLagSinceStatus;
     maxLagSinceStatus = 0;
--- a/src/main/java/heathswitch/proxy/runtime/ResourceBudget.java
+++ b/src/main/java/heathswitch/proxy/runtime/ResourceBudget.java
@@ -3,16 +3,16 @@
 import java.util.ArrayDeque;
 
 /**
- * Counts what must not grow without bound: descriptors and the bytes of bodies that are held.
+ * Limits descriptors and the bytes of buffered request bodies.
  *
- * <p>A body reserves all that it may need before it is read, or waits for its turn holding nothing.
- * Two half-read bodies can so never wait for each other.
+ * <p>A body reserves all the bytes it may need before it is read, or waits in a queue without
+ * holding any. Thus two partly read bodies can never wait for each other.
  */
 public final class ResourceBudget {
-  /** Descriptors left for the JVM's own files, the listener, discovery and the log. */
+  /** Descriptors reserved for the JVM's own files, the listener, discovery and the log. */
   public static final int RESERVED_DESCRIPTORS = 48;
 
-  /** Bytes of bodies held at once; one body of the largest size always fits. */
+  /** Limit of buffered body bytes; one body of the maximum size always fits. */
   public static final long BODY_BYTES = 8L << 20;
 
   private record Waiter(long bytes, Runnable granted) {}
@@ -29,12 +29,12 @@
     this.freeBytes = bodyBytes;
   }
 
-  /** So many descriptors are held by other processes of this balancer, which share its limit. */
+  /** Sets how many descriptors other processes of this balancer use, which share its limit. */
   public void setDescriptorsOfOtherProcesses(int descriptorsOfOthers) {
     maxConnections = descriptors - RESERVED_DESCRIPTORS - descriptorsOfOthers;
   }
 
-  /** Descriptors that this process counts for. */
+  /** The number of descriptors that this process uses or has reserved. */
   public int usedDescriptors() {
     return connections + RESERVED_DESCRIPTORS;
   }
@@ -63,7 +63,11 @@
     return freeBytes;
   }
 
-  /** Takes the bytes now and returns null, or calls back later when they have been taken. */
+  /**
+   * Reserves bytes and returns null, or queues the reservation and calls back once it is granted.
+   *
+   * @return null, or a token to pass to {@link #cancelReservation}
+   */
   public Object reserve(long bytes, Runnable granted) {
     if (waiters.isEmpty() && bytes <= freeBytes) {
       freeBytes -= bytes;
@@ -74,13 +78,13 @@
     return waiter;
   }
 
-  /** A waiting body is no longer wanted. */
+  /** Cancels a queued reservation. */
   public void cancelReservation(Object waiter) {
     waiters.remove(waiter);
     grantWaiters();
   }
 
-  /** Gives bytes back. */
+  /** Returns reserved bytes. */
   public void release(long bytes) {
     freeBytes += bytes;
     grantWaiters();
--- a/src/main/java/heathswitch/proxy/runtime/SignalFileReader.java
+++ b/src/main/java/heathswitch/proxy/runtime/SignalFileReader.java
@@ -1,34 +1,34 @@
 package heathswitch.proxy.runtime;
 
 /**
- * Reads a file at each signal, one read at a time, so that what was read last is also handed on
- * last. A file that could not be read is read again until it can be, or a newer signal has come: a
- * signal is told once, and nothing would ever tell what it stood for.
+ * Reads a file at each signal. Reads are serialized, so the content that was read last is also
+ * applied last. A failed read is retried until it succeeds or a newer signal arrives: a signal is
+ * delivered only once, so the change it announces would otherwise be lost.
  */
 public final class SignalFileReader {
   private static final long INITIAL_BACKOFF_MILLIS = 50;
   private static final long MAX_BACKOFF_MILLIS = 1000;
 
-  /** Some minutes; an operator who finds the last line of it sends another signal. */
+  /** Amounts to some minutes. An operator who finds the final warning sends another signal. */
   private static final int MAX_RETRIES = 200;
 
-  /** Reads the file for the signal of this number and hands on what it holds. */
+  /** Reads the file for a signal and applies its content. */
   @FunctionalInterface
   public interface Reader {
-    /** False if the file could not be read, and may be in a moment. */
+    /** Returns false if the file cannot be read now but possibly later. */
     boolean read(int signal);
   }
 
   private final Reader reader;
 
-  /** Signals so far; the newest one's number. */
+  /** The number of the newest signal, which is also the number of signals so far. */
   private int lastSignal;
 
   public SignalFileReader(Reader reader) {
     this.reader = reader;
   }
 
-  /** A signal has come; the first read is made on the calling thread. */
+  /** Handles a signal; the first read is made on the calling thread. */
   public synchronized void onSignal() {
     lastSignal++;
     if (!reader.read(lastSignal)) {
@@ -36,9 +36,9 @@
     }
   }
 
-  /** The thread goes on trying until it can read, or a newer signal has come. */
+  /** Starts a thread that retries until a read succeeds or a newer signal arrives. */
   private void startRetries(int signal) {
-    Thread thread = new Thread(() -> retry(signal), "read again for signal " + signal);
+    Thread thread = new Thread(() -> retry(signal), "retry read for signal " + signal);
     thread.setDaemon(true);
     thread.start();
   }
@@ -56,7 +56,7 @@
       }
       backoffMillis = Math.min(2 * backoffMillis, MAX_BACKOFF_MILLIS);
     }
-    Log.warn("reload", "signal " + signal + " given up: its file could not be read");
+    Log.warn("reload", "signal " + signal + ": gave up reading the file");
   }
 
   private synchronized boolean readUnlessSuperseded(int signal) {
--- a/src/main/java/heathswitch/proxy/runtime/Signals.java
+++ b/src/main/java/heathswitch/proxy/runtime/Signals.java
@@ -2,15 +2,15 @@
 
 import java.lang.reflect.Proxy;
 
-/** SIGHUP, which the JVM would otherwise take for a signal to end on. */
+/** Handles SIGHUP, at which the JVM would otherwise exit. */
 public final class Signals {
   private Signals() {}
 
   /**
-   * Runs the action at each SIGHUP, on a thread of the JVM's. That is a new one for each signal,
-   * and nothing keeps their order, so that they take turns here: the run that begins last sees all
-   * that was there before the newest signal. The JDK's only way to a signal is named at run time,
-   * as it is not an API.
+   * Runs the action at each SIGHUP, on a thread of the JVM. The JVM starts a new thread for each
+   * signal, in no defined order, so the runs are serialized here: the run that starts last sees
+   * everything written before the newest signal. The JDK's signal handling is not a public API and
+   * is therefore accessed by reflection.
    */
   public static void onHangUp(Runnable action) {
     try {
--- a/src/test/java/heathswitch/proxy/runtime/GracefulServerSocketChannelTest.java
+++ b/src/test/java/heathswitch/proxy/runtime/GracefulServerSocketChannelTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that connect while a listener ends: whoever has connected is taken. */
+/** A client whose connect succeeded while the listener was being closed must be accepted. */
 @Timeout(30)
 class GracefulServerSocketChannelTest {
   private static final int CLIENTS = 40;
@@ -38,19 +38,19 @@
         .channel();
   }
 
-  /** Ends the listener in a turn of its loop that goes on until all clients have connected. */
-  private void endWhileClientsConnect(Channel listener, Socket[] clients, boolean room)
+  /** Closes the listener in a task that blocks the event loop until all clients have connected. */
+  private void closeWhileClientsConnect(Channel listener, Socket[] clients, boolean hasRoom)
       throws Exception {
     InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-    CountDownLatch ending = new CountDownLatch(1);
+    CountDownLatch closing = new CountDownLatch(1);
     CountDownLatch connected = new CountDownLatch(1);
     loop.execute(
         () -> {
-          Listeners.closeGracefully(listener, () -> room);
-          ending.countDown();
+          Listeners.closeGracefully(listener, () -> hasRoom);
+          closing.countDown();
           await(connected);
         });
-    ending.await();
+    closing.await();
     for (int i = 0; i < clients.length; i++) {
       clients[i] = new Socket();
       clients[i].connect(address, 5000);
@@ -68,11 +68,11 @@
   }
 
   @Test
-  void whoeverHasConnectedWhileTheLoopWasHeldUpIsTaken() throws Exception {
+  void acceptsClientsThatConnectedWhileLoopWasBlocked() throws Exception {
     Channel listener = listen();
     InetSocketAddress address = (InetSocketAddress) listener.localAddress();
     Socket[] clients = new Socket[CLIENTS];
-    endWhileClientsConnect(listener, clients, true);
+    closeWhileClientsConnect(listener, clients, true);
     assertEquals(CLIENTS, accepted.get());
     for (Socket client : clients) {
       client.close();
@@ -80,26 +80,26 @@
     assertThrows(IOException.class, () -> new Socket().connect(address, 1000));
   }
 
-  /** An accept that failed just before must not keep it from that. */
+  /** The pause after a failed accept must not keep the listener from accepting these clients. */
   @Test
-  void alsoWhereAnAcceptHasJustFailed() throws Exception {
+  void acceptsPendingClientsRightAfterFailedAccept() throws Exception {
     Channel listener = listen();
     loop.submit(() -> listener.pipeline().fireExceptionCaught(new IOException("no buffers")))
         .sync();
     Socket[] clients = new Socket[CLIENTS];
-    endWhileClientsConnect(listener, clients, true);
+    closeWhileClientsConnect(listener, clients, true);
     assertEquals(CLIENTS, accepted.get());
     for (Socket client : clients) {
       client.close();
     }
   }
 
-  /** Without descriptors for them they are not all taken, and it ends nevertheless. */
+  /** Without descriptors not all clients are accepted, but the listener must still be closed. */
   @Test
-  void itEndsWhereThereIsNoRoom() throws Exception {
+  void closesWhenThereIsNoRoomForPendingClients() throws Exception {
     Channel listener = listen();
     Socket[] clients = new Socket[CLIENTS];
-    endWhileClientsConnect(listener, clients, false);
+    closeWhileClientsConnect(listener, clients, false);
     assertTrue(accepted.get() < CLIENTS);
     for (Socket client : clients) {
       client.close();
--- a/src/test/java/heathswitch/proxy/runtime/LogRateLimiterTest.java
+++ b/src/test/java/heathswitch/proxy/runtime/LogRateLimiterTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A flood of one kind is cut off, others are not. */
+/** Lines of one kind are rate-limited without affecting other kinds. */
 class LogRateLimiterTest {
   @Test
-  void eachKindHasItsOwnLimit() {
+  void limitsEachKindSeparately() {
     LogRateLimiter limit = new LogRateLimiter();
     int passed = 0;
     for (int i = 0; i < 100; i++) {
@@ -18,9 +18,9 @@
     assertTrue(limit.tryAcquire("another", (kind, lines) -> {}));
   }
 
-  /** Kinds that somebody outside could make up would be kept without end. */
+  /** Without a bound, kinds derived from external input would use unlimited memory. */
   @Test
-  void kindsWithoutEndShareOneLimit() {
+  void limitsNumberOfKinds() {
     LogRateLimiter limit = new LogRateLimiter();
     int passed = 0;
     for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/heathswitch/proxy/runtime/SignalFileReaderTest.java
+++ b/src/test/java/heathswitch/proxy/runtime/SignalFileReaderTest.java
@@ -10,55 +10,55 @@
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
 
-/** What was read last is handed on last, and a signal is not lost with a read that fails. */
+/** The content read last is applied last, and a failed read does not lose its signal. */
 @Timeout(60)
 class SignalFileReaderTest {
   private final AtomicReference<String> file = new AtomicReference<>("first");
-  private final List<String> taken = new CopyOnWriteArrayList<>();
+  private final List<String> applied = new CopyOnWriteArrayList<>();
 
   @Test
-  void aReadThatIsHeldUpIsHandedOnBeforeTheNextOne() throws Exception {
+  void appliesDelayedReadBeforeNextOne() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
-    CountDownLatch goOn = new CountDownLatch(1);
-    SignalFileReader reads =
+    CountDownLatch resume = new CountDownLatch(1);
+    SignalFileReader reader =
         new SignalFileReader(
             signal -> {
               String text = file.get();
               if (signal == 1) {
                 reading.countDown();
-                await(goOn);
+                await(resume);
               }
-              return taken.add(text);
+              return applied.add(text);
             });
-    Thread first = new Thread(reads::onSignal);
+    Thread first = new Thread(reader::onSignal);
     first.start();
     reading.await();
     file.set("second");
-    Thread second = new Thread(reads::onSignal);
+    Thread second = new Thread(reader::onSignal);
     second.start();
-    Await.until("it waits its turn", () -> second.getState() == Thread.State.BLOCKED);
-    goOn.countDown();
+    Await.until("second read is waiting", () -> second.getState() == Thread.State.BLOCKED);
+    resume.countDown();
     first.join();
     second.join();
-    assertEquals(List.of("first", "second"), taken);
+    assertEquals(List.of("first", "second"), applied);
   }
 
   @Test
-  void aFileThatCannotBeReadIsReadAgain() throws Exception {
+  void retriesFailedRead() throws Exception {
     file.set(null);
-    SignalFileReader reads =
-        new SignalFileReader(signal -> file.get() != null && taken.add(file.get()));
-    reads.onSignal();
+    SignalFileReader reader =
+        new SignalFileReader(signal -> file.get() != null && applied.add(file.get()));
+    reader.onSignal();
     file.set("late");
-    Await.until("read", () -> taken.equals(List.of("late")));
+    Await.until("read", () -> applied.equals(List.of("late")));
   }
 
   @Test
-  void aNewerSignalEndsTheTriesOfAnOlderOne() throws Exception {
+  void newerSignalStopsRetriesOfOlderOne() throws Exception {
     List<Integer> read = new CopyOnWriteArrayList<>();
-    SignalFileReader reads = new SignalFileReader(signal -> read.add(signal) && signal == 2);
-    reads.onSignal();
-    reads.onSignal();
+    SignalFileReader reader = new SignalFileReader(signal -> read.add(signal) && signal == 2);
+    reader.onSignal();
+    reader.onSignal();
     Thread.sleep(500);
     assertEquals(2, read.get(read.size() - 1));
     assertEquals(1, read.stream().filter(signal -> signal == 2).count());
