--- a/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
+++ b/src/main/java/heathswitch/proxy/http1/StreamedRequestBody.java
@@ -6,131 +6,131 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body on its way from its client to the one attempt that gets it. What came first is kept
- * until more than that has gone on, so that an attempt that never got a connection is no loss. The
- * client is read only as fast as the upstream takes it; what is held is what one read of the client
- * brings, at most.
+ * A long request body that is streamed from the client to a single attempt. The prefix is kept
+ * until more than the prefix has been sent, so that an attempt that never got a connection can be
+ * replaced by another one. The client is read only as fast as the upstream accepts the data; at
+ * most the data of one read from the client is held.
  */
 final class StreamedRequestBody {
   private final ClientConnection client;
   private final ResourceBudget budget;
   private final long length;
-  private final long callerNanos;
+  private final long clientWaitNanos;
   private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
-  /** What came before the request was taken, or null once more than that has gone on. */
-  private ByteBuf first;
+  /** Received before the request was accepted; null once more than the prefix has been sent. */
+  private ByteBuf prefix;
 
-  private long reserved;
-  private UpstreamConnection to;
-  private boolean ended;
-  private boolean endPassed;
-  private boolean over;
+  private long prefixReservation;
+  private UpstreamConnection target;
+  private boolean complete;
+  private boolean lastPieceWritten;
+  private boolean released;
 
   /**
-   * Takes over the first part and its place in the budget.
+   * Takes ownership of the prefix and of its reservation in the budget.
    *
-   * @param length of the whole body, or -1 where its client did not say
-   * @param callerNanos how long the client waits once all of it has come
+   * @param length length of the whole body, or -1 if the client did not declare it
+   * @param clientWaitNanos how long the client waits after it has sent the whole body
    */
   StreamedRequestBody(
       ClientConnection client,
       ResourceBudget budget,
       long length,
-      long callerNanos,
-      ByteBuf first,
-      long reserved) {
+      long clientWaitNanos,
+      ByteBuf prefix,
+      long prefixReservation) {
     this.client = client;
     this.budget = budget;
     this.length = length;
-    this.callerNanos = callerNanos;
-    this.first = first;
-    this.reserved = reserved;
+    this.clientWaitNanos = clientWaitNanos;
+    this.prefix = prefix;
+    this.prefixReservation = prefixReservation;
   }
 
-  /** The most that an upstream may be told: the body may take far longer than its client waits. */
-  long callerNanos() {
-    return callerNanos;
+  /** Upper bound of the time announced to an upstream; sending the body may take far longer. */
+  long clientWaitNanos() {
+    return clientWaitNanos;
   }
 
   long length() {
     return length;
   }
 
-  /** Whether another attempt could be given all of it. */
-  boolean repeatable() {
-    return first != null && !over;
+  /** Whether the whole body is still available for another attempt. */
+  boolean canBeResent() {
+    return prefix != null && !released;
   }
 
-  /** A piece has come, which it takes over. */
-  void add(ByteBuf piece, boolean last) {
-    if (over) {
+  /** Adds a received piece and takes ownership of it. */
+  void append(ByteBuf piece, boolean last) {
+    if (released) {
       piece.release();
       return;
     }
-    ended |= last;
+    complete |= last;
     pending.add(piece);
-    passOn();
+    forward();
   }
 
-  /** An attempt has its connection and gets all that there is. */
+  /** An attempt has got its connection; sends everything received so far. */
   void attach(UpstreamConnection connection) {
-    to = connection;
-    connection.more(first.retainedDuplicate(), false);
-    passOn();
+    target = connection;
+    connection.writeBody(prefix.retainedDuplicate(), false);
+    forward();
   }
 
-  private void passOn() {
-    boolean room = to != null;
-    while (room && !pending.isEmpty()) {
+  private void forward() {
+    boolean writable = target != null;
+    while (writable && !pending.isEmpty()) {
       ByteBuf piece = pending.poll();
-      forgetFirst();
-      endPassed = ended && pending.isEmpty();
-      room = to.more(piece, endPassed);
+      releasePrefix();
+      lastPieceWritten = complete && pending.isEmpty();
+      writable = target.writeBody(piece, lastPieceWritten);
     }
-    if (room && ended && !endPassed && pending.isEmpty()) {
-      endPassed = true;
-      to.more(Unpooled.EMPTY_BUFFER, true);
+    if (writable && complete && !lastPieceWritten && pending.isEmpty()) {
+      lastPieceWritten = true;
+      target.writeBody(Unpooled.EMPTY_BUFFER, true);
     }
-    client.pauseReading(!room && !ended);
+    client.setReadingPaused(!writable && !complete);
   }
 
-  /** The connection takes more again. */
-  void writable(UpstreamConnection connection) {
-    if (connection == to) {
-      passOn();
+  /** The connection accepts data again. */
+  void onWritable(UpstreamConnection connection) {
+    if (connection == target) {
+      forward();
     }
   }
 
-  /** The attempt is over; the next one, if there can be one, gets it from the start. */
+  /** The attempt is over. If another one is possible, it gets the body from the beginning. */
   void detach(UpstreamConnection connection) {
-    if (connection == to) {
-      to = null;
-      endPassed = false;
-      if (first == null) {
-        release(); // Nobody can use the rest.
+    if (connection == target) {
+      target = null;
+      lastPieceWritten = false;
+      if (prefix == null) {
+        release(); // Part of the body is gone, so no other attempt can use the rest.
       }
     }
   }
 
-  private void forgetFirst() {
-    if (first != null) {
-      first.release();
-      first = null;
-      budget.release(reserved);
-      reserved = 0;
+  private void releasePrefix() {
+    if (prefix != null) {
+      prefix.release();
+      prefix = null;
+      budget.release(prefixReservation);
+      prefixReservation = 0;
     }
   }
 
-  /** Nothing more is sent. */
+  /** Releases everything that is held; later pieces are discarded. */
   void release() {
-    if (!over) {
-      over = true;
-      forgetFirst();
+    if (!released) {
+      released = true;
+      releasePrefix();
       while (!pending.isEmpty()) {
         pending.poll().release();
       }
-      client.pauseReading(false);
+      client.setReadingPaused(false);
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -24,54 +24,58 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Connections to upstreams: opens them, keeps idle ones for a while, and closes them in time. */
+/** Pool of HTTP/1.1 connections to upstreams, with limits on idle time and descriptors. */
 public final class UpstreamConnectionPool implements Transport {
   /**
-   * Part of the stated idle time for which a connection is kept. An upstream counts from its own
-   * last byte and may close earlier; a request that crosses the closing ends as a reset, and an
-   * unsafe one is then lost.
+   * Fraction of the configured keep-alive time for which an idle connection is kept. The upstream
+   * counts from its own last byte and may close earlier than the balancer expects. A request that
+   * is in flight during the close ends as a reset, and an unsafe one is then lost.
    */
-  static final double KEEP_SHARE = 0.6;
+  static final double KEEP_ALIVE_FRACTION = 0.6;
 
   /**
-   * An upstream that owes an answer and has said nothing for so long may be cut off, which its idle
-   * connections would never show. A new connection tells within the time allowed for connecting.
+   * An upstream that has open attempts and has sent nothing for this long may be unreachable, which
+   * idle connections never reveal. A new connection does so within the dial timeout.
    */
-  static final long SUSPECT_NANOS = 1_000_000_000L;
+  static final long SILENCE_LIMIT_NANOS = 1_000_000_000L;
 
   /**
-   * Where some answers bring more than belongs to them, the more may come a moment after its
-   * answer, and would be taken for that of the next request on its connection. So for a while after
-   * any was seen a connection rests before it is used again. Where none is seen nothing waits.
+   * Delay before a connection is reused, applied only for a while after an upstream has sent excess
+   * bytes. Such bytes may arrive shortly after the answer that they follow and would be taken for
+   * the answer to the next request on the connection.
    */
-  static final long REST_NANOS = 20_000_000L;
+  static final long REUSE_DELAY_NANOS = 20_000_000L;
 
-  private static final long WARY_NANOS = 60_000_000_000L;
+  /** How long reuse is delayed after excess bytes were seen. */
+  private static final long REUSE_DELAY_PERIOD_NANOS = 60_000_000_000L;
 
-  private static final int DEFAULT_DIAL_MILLIS = 1000;
+  private static final int DEFAULT_DIAL_TIMEOUT_MILLIS = 1000;
 
-  /** A connection that has not come up after so long is given up, whether anybody waits or not. */
-  private static final int LATE_DIAL_MILLIS = 2000;
+  /**
+   * A connection that is not established after this long, or after a longer dial timeout, is given
+   * up whether or not an attempt waits for it.
+   */
+  private static final int UNCLAIMED_DIAL_TIMEOUT_MILLIS = 2000;
 
-  private static final int MOST_DIAL_MILLIS = 60_000;
+  private static final int MAX_DIAL_TIMEOUT_MILLIS = 60_000;
 
   private final Clock clock;
   final ResourceBudget budget;
-  private long keepNanos;
+  private long keepAliveNanos;
   private final BooleanSupplier evictClient;
   private final Bootstrap bootstrap;
-  private int dialMillis;
+  private int dialTimeoutMillis;
 
-  /** Those that nobody waits for and that may still come up, oldest first. */
-  private final Set<UpstreamConnection> late = new LinkedHashSet<>();
+  /** Still dialing after their attempt has ended, oldest first. */
+  private final Set<UpstreamConnection> unclaimedDials = new LinkedHashSet<>();
 
-  private long moreSeenNanos = Long.MIN_VALUE / 2;
+  private long excessBytesSeenNanos = Long.MIN_VALUE / 2;
 
-  /** Of all upstreams, the one that has been idle longest first. */
+  /** Idle connections to all upstreams, longest idle first. */
   private final Set<UpstreamConnection> idle = new LinkedHashSet<>();
 
-  /** Newest last: the newest is the least likely to be closed by the other side. */
-  private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleOf = new HashMap<>();
+  /** Newest last; the newest is the least likely to be closed by the upstream. */
+  private final Map<Upstream, ArrayDeque<UpstreamConnection>> idleByUpstream = new HashMap<>();
 
   public UpstreamConnectionPool(
       EventLoop loop,
@@ -90,31 +94,34 @@
     reload(limits);
   }
 
-  /** Other limits, for idle connections and for those that are opened from now on. */
+  /** Applies new limits to idle connections and to connections opened from now on. */
   public final void reload(Settings.Limits limits) {
-    keepNanos = (long) (limits.keepAliveNanos() * KEEP_SHARE);
-    long dialMillis = limits.dialTimeoutNanos() / 1_000_000;
-    this.dialMillis =
-        dialMillis > 0 ? (int) Math.min(dialMillis, MOST_DIAL_MILLIS) : DEFAULT_DIAL_MILLIS;
+    keepAliveNanos = (long) (limits.keepAliveNanos() * KEEP_ALIVE_FRACTION);
+    long configuredMillis = limits.dialTimeoutNanos() / 1_000_000;
+    this.dialTimeoutMillis =
+        configuredMillis > 0
+            ? (int) Math.min(configuredMillis, MAX_DIAL_TIMEOUT_MILLIS)
+            : DEFAULT_DIAL_TIMEOUT_MILLIS;
     bootstrap.option(
-        ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(this.dialMillis, LATE_DIAL_MILLIS));
+        ChannelOption.CONNECT_TIMEOUT_MILLIS,
+        Math.max(this.dialTimeoutMillis, UNCLAIMED_DIAL_TIMEOUT_MILLIS));
   }
 
-  /** For which an attempt waits for its connection. */
-  int dialMillis() {
-    return dialMillis;
+  /** How long an attempt waits for its connection. */
+  int dialTimeoutMillis() {
+    return dialTimeoutMillis;
   }
 
-  /** Its attempt waits no longer, or has gone; it may still come up and be of use to another. */
-  void comesLate(UpstreamConnection connection) {
-    if (connection.upstream.outOfService || keepNanos <= 0) {
+  /** Keeps a dialing connection whose attempt has ended, for use by another attempt. */
+  void addUnclaimed(UpstreamConnection connection) {
+    if (connection.upstream.outOfService || keepAliveNanos <= 0) {
       connection.close();
     } else {
-      late.add(connection);
+      unclaimedDials.add(connection);
     }
   }
 
-  /** Starts an attempt on an idle connection or a new one; false if no descriptor can be had. */
+  /** Starts an attempt on an idle or a new connection; false if no descriptor is available. */
   boolean start(Attempt attempt, HttpPayload payload) {
     Upstream upstream = attempt.upstream();
     if (upstream.address == null) {
@@ -122,12 +129,12 @@
     }
     if (upstream.inFlight++ == 0) {
       upstream.silentSinceNanos = clock.nowNanos();
-    } else if (clock.nowNanos() - upstream.silentSinceNanos > SUSPECT_NANOS) {
-      closeSilent(upstream);
+    } else if (clock.nowNanos() - upstream.silentSinceNanos > SILENCE_LIMIT_NANOS) {
+      closeEstablished(upstream);
     }
-    UpstreamConnection reused = takeIdle(upstream);
+    UpstreamConnection reused = acquireIdle(upstream);
     if (reused != null) {
-      reused.begin(attempt, payload);
+      reused.startExchange(attempt, payload);
       return true;
     }
     if (budget.availableConnections() <= 0 && !evictIdle() && !evictClient.getAsBoolean()) {
@@ -141,7 +148,7 @@
   private void dial(Attempt attempt, HttpPayload payload) {
     UpstreamConnection connection = new UpstreamConnection(this, clock, attempt.upstream());
     budget.connectionOpened();
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         bootstrap
             .clone()
             .handler(
@@ -154,126 +161,134 @@
                   }
                 })
             .connect(attempt.upstream().address);
-    if (Channels.hasSocket(connecting.channel())) {
-      connecting.channel().closeFuture().addListener(closed -> budget.connectionClosed());
+    if (Channels.hasSocket(connectFuture.channel())) {
+      connectFuture.channel().closeFuture().addListener(closed -> budget.connectionClosed());
     } else {
-      budget.connectionClosed(); // No socket could be made; the channel is a stand-in that never
+      budget.connectionClosed(); // Without a socket, Netty returns a failed channel that never
       // closes.
     }
-    connection.dialing(connecting, attempt, payload);
+    connection.startConnecting(connectFuture, attempt, payload);
   }
 
-  private UpstreamConnection takeIdle(Upstream upstream) {
-    for (UpstreamConnection next = newestAtRest(upstream);
-        next != null;
-        next = newestAtRest(upstream)) {
-      forget(next);
-      if (next.stillGood(clock.nowNanos() - keepNanos)) {
-        return next;
+  private UpstreamConnection acquireIdle(Upstream upstream) {
+    for (UpstreamConnection candidate = newestReusable(upstream);
+        candidate != null;
+        candidate = newestReusable(upstream)) {
+      remove(candidate);
+      if (candidate.canBeReused(clock.nowNanos() - keepAliveNanos)) {
+        return candidate;
       }
-      next.close();
+      candidate.close();
     }
     return null;
   }
 
-  private UpstreamConnection newest(Upstream upstream) {
-    ArrayDeque<UpstreamConnection> of = idleOf.get(upstream);
-    return of == null ? null : of.peekLast();
+  private UpstreamConnection newestIdle(Upstream upstream) {
+    ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(upstream);
+    return connections == null ? null : connections.peekLast();
   }
 
-  /** The newest on which nothing more of its last answer is to be expected. */
-  private UpstreamConnection newestAtRest(Upstream upstream) {
-    ArrayDeque<UpstreamConnection> of = idleOf.get(upstream);
-    if (of == null) {
+  /** The newest idle connection on which no excess bytes are expected, or null. */
+  private UpstreamConnection newestReusable(Upstream upstream) {
+    ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(upstream);
+    if (connections == null) {
       return null;
     }
     long now = clock.nowNanos();
-    boolean wary = now - moreSeenNanos < WARY_NANOS;
-    Iterator<UpstreamConnection> newestFirst = of.descendingIterator();
+    boolean delayReuse = now - excessBytesSeenNanos < REUSE_DELAY_PERIOD_NANOS;
+    Iterator<UpstreamConnection> newestFirst = connections.descendingIterator();
     while (newestFirst.hasNext()) {
-      UpstreamConnection next = newestFirst.next();
-      if (!wary || now - next.idleSinceNanos() >= REST_NANOS) {
-        return next;
+      UpstreamConnection candidate = newestFirst.next();
+      if (!delayReuse || now - candidate.idleSinceNanos() >= REUSE_DELAY_NANOS) {
+        return candidate;
       }
     }
     return null;
   }
 
-  /** An upstream has sent more than belongs to its answer. */
-  void sawMore() {
-    moreSeenNanos = clock.nowNanos();
+  /** An upstream has sent more than belongs to an answer. */
+  void recordExcessBytes() {
+    excessBytesSeenNanos = clock.nowNanos();
   }
 
-  /** An exchange has ended well and its connection can carry another. */
-  public void giveBack(UpstreamConnection connection) {
-    late.remove(connection);
-    if (connection.upstream.outOfService || keepNanos <= 0) {
+  /** Takes back a connection that can carry another exchange. */
+  public void release(UpstreamConnection connection) {
+    unclaimedDials.remove(connection);
+    if (connection.upstream.outOfService || keepAliveNanos <= 0) {
       connection.close();
     } else {
-      idleOf.computeIfAbsent(connection.upstream, any -> new ArrayDeque<>(4)).addLast(connection);
+      idleByUpstream
+          .computeIfAbsent(connection.upstream, any -> new ArrayDeque<>(4))
+          .addLast(connection);
       idle.add(connection);
     }
   }
 
-  public void forget(UpstreamConnection connection) {
-    late.remove(connection);
+  /** Removes a connection from all collections, without closing it. */
+  public void remove(UpstreamConnection connection) {
+    unclaimedDials.remove(connection);
     if (idle.remove(connection)) {
-      ArrayDeque<UpstreamConnection> of = idleOf.get(connection.upstream);
-      if (of.peekLast() == connection) {
-        of.pollLast();
+      ArrayDeque<UpstreamConnection> connections = idleByUpstream.get(connection.upstream);
+      if (connections.peekLast() == connection) {
+        connections.pollLast();
       } else {
-        of.remove(connection);
+        connections.remove(connection);
       }
-      if (of.isEmpty() && connection.upstream.removed) {
-        idleOf.remove(connection.upstream);
+      if (connections.isEmpty() && connection.upstream.removed) {
+        idleByUpstream.remove(connection.upstream);
       }
     }
   }
 
-  /** A connection that still comes up will tell by itself; an idle one would not. */
-  void closeSilent(Upstream upstream) {
-    for (UpstreamConnection next = newest(upstream); next != null; next = newest(upstream)) {
-      forget(next);
+  /** Closes the idle connections only: a dialing connection detects an unreachable machine. */
+  void closeEstablished(Upstream upstream) {
+    for (UpstreamConnection next = newestIdle(upstream);
+        next != null;
+        next = newestIdle(upstream)) {
+      remove(next);
       next.close();
     }
   }
 
-  /** After a restart, a new address, a drain, or silence. */
+  /** Called after a restart, a new address, a drain, or silence of the upstream. */
   @Override
   public void closeIdle(Upstream upstream) {
-    closeSilent(upstream);
-    for (UpstreamConnection connection : new ArrayList<>(late)) {
+    closeEstablished(upstream);
+    for (UpstreamConnection connection : new ArrayList<>(unclaimedDials)) {
       if (connection.upstream == upstream) {
         connection.close();
       }
     }
     if (upstream.removed) {
-      idleOf.remove(upstream);
+      idleByUpstream.remove(upstream);
     }
   }
 
   @Override
   public boolean hasConnection(Upstream upstream) {
-    return newest(upstream) != null;
+    return newestIdle(upstream) != null;
   }
 
-  /** Closes the connections that have stood idle for long. */
-  public void sweep() {
-    long before = clock.nowNanos() - keepNanos;
-    while (!idle.isEmpty() && idle.iterator().next().idleSinceNanos() < before) {
+  /** Closes the connections whose keep-alive time is over. */
+  public void closeExpired() {
+    long oldestIdleNanos = clock.nowNanos() - keepAliveNanos;
+    while (!idle.isEmpty() && idle.iterator().next().idleSinceNanos() < oldestIdleNanos) {
       UpstreamConnection oldest = idle.iterator().next();
-      forget(oldest);
+      remove(oldest);
       oldest.close();
     }
   }
 
-  /** Closes the connection that has been idle longest, for its descriptor; false if none is. */
+  /**
+   * Closes a dialing connection without an attempt, or else the longest idle one, to free its
+   * descriptor; false if there is none.
+   */
   public boolean evictIdle() {
-    Set<UpstreamConnection> from = late.isEmpty() ? idle : late;
-    if (from.isEmpty()) {
+    Set<UpstreamConnection> candidates = unclaimedDials.isEmpty() ? idle : unclaimedDials;
+    if (candidates.isEmpty()) {
       return false;
     }
-    from.iterator().next().close();
+    candidates.iterator().next().close();
     return true;
   }
 
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkStore.java
@@ -21,7 +21,7 @@
  * Without a folder they are kept in memory alone. Used by one thread, never the loop's.
  */
 final class MarkStore {
-  private static final int MOST_FILE_BYTES = 1024;
+  private static final int MAX_FILE_BYTES = 1024;
 
   private final Path folder;
   private Map<String, Suspension> marks = new HashMap<>();
@@ -34,34 +34,34 @@
   /** What stands now, in the folder of both processes. */
   Map<String, Suspension> read(long nowMillis) {
     if (folder != null) {
-      Map<String, Suspension> found = new HashMap<>();
+      Map<String, Suspension> current = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
           Suspension mark =
-              found.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
+              current.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
           if (mark != null) {
-            found.put(mark.id(), mark);
+            current.put(mark.id(), mark);
           }
         }
-        marks = found;
+        marks = current;
       } catch (NoSuchFileException e) {
-        marks = found;
+        marks = current;
       } catch (IOException | RuntimeException e) {
         Log.warn("marks", "left as they were: " + e);
       }
     }
-    dropSettled(nowMillis);
+    removeSettled(nowMillis);
     return Map.copyOf(marks);
   }
 
   /** A file that cannot be read now says what it said before, or that its upstream is out. */
   private Suspension readFile(Path file, long nowMillis) {
     try {
-      if (Files.size(file) > MOST_FILE_BYTES) {
+      if (Files.size(file) > MAX_FILE_BYTES) {
         throw new IllegalArgumentException("too long");
       }
-      String[] words = Files.readString(file).split("\n");
-      return new Suspension(words[2], Long.parseLong(words[0]), Long.parseLong(words[1]));
+      String[] lines = Files.readString(file).split("\n");
+      return new Suspension(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
     } catch (NoSuchFileException e) {
       return null; // The other process has just taken it away.
     } catch (CharacterCodingException | RuntimeException e) {
@@ -69,22 +69,22 @@
       return null;
     } catch (IOException e) {
       Log.warn("marks", file.getFileName() + " cannot be read: " + e);
-      return unread(file, nowMillis);
+      return fallbackMark(file, nowMillis);
     }
   }
 
-  private Suspension unread(Path file, long nowMillis) {
+  private Suspension fallbackMark(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Suspension before = marks.get(id);
-      return before != null ? before : Suspension.suspend(null, id, nowMillis);
+      Suspension lastRead = marks.get(id);
+      return lastRead != null ? lastRead : Suspension.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
       return null; // Its name is none of ours.
     }
   }
 
-  private void dropSettled(long nowMillis) {
+  private void removeSettled(long nowMillis) {
     for (Suspension mark : Map.copyOf(marks).values()) {
       if (mark.isObsolete(nowMillis)) {
         marks.remove(mark.id());
@@ -101,18 +101,18 @@
 
   /** Takes an upstream out; returns only once every process of the balancer will know. */
   void suspend(String id, long nowMillis) throws IOException {
-    Map<String, Suspension> now = read(nowMillis);
-    if (now.size() >= Rotation.MAX_SUSPENSIONS && !now.containsKey(id)) {
+    Map<String, Suspension> current = read(nowMillis);
+    if (current.size() >= Rotation.MAX_SUSPENSIONS && !current.containsKey(id)) {
       throw new IOException("more than " + Rotation.MAX_SUSPENSIONS + " are out");
     }
-    write(Suspension.suspend(now.get(id), id, nowMillis));
+    write(Suspension.suspend(current.get(id), id, nowMillis));
   }
 
   /** Puts an upstream back that may be out. */
   void resume(String id, long nowMillis) throws IOException {
-    Suspension back = Suspension.resume(read(nowMillis).get(id), nowMillis);
-    if (back != null) {
-      write(back);
+    Suspension resumed = Suspension.resume(read(nowMillis).get(id), nowMillis);
+    if (resumed != null) {
+      write(resumed);
     }
   }
 
