--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -27,8 +27,8 @@
           + " in "
           + config
           + "\n"
-          + steps.stream().map(step -> " " + step).collect(Collectors.joining("\n"))
-          + "\n assertEquals(Set.of(), Explorer.play(new DispatchHarness."
+          + steps.stream().map(step -> "  " + step).collect(Collectors.joining("\n"))
+          + "\n  assertEquals(Set.of(), Explorer.play(new DispatchHarness."
           + config.toString().replace('[', '(').replace(']', ')')
           + ", List.of("
           + names
--- a/src/main/java/heathswitch/testbed/explore/Mutants.java
+++ b/src/main/java/heathswitch/testbed/explore/Mutants.java
@@ -15,44 +15,49 @@
 
   static final List<Mutant> ALL =
       List.of(
-          new Mutant(DISPATCHER, " attempt.upstream().inFlight--;\n", ""),
-          new Mutant(DISPATCHER, " if (!attempt.open) {\n releaseAnswer(answer);", " if (false) {"),
-          new Mutant(DISPATCHER, " request.openAttempts--;\n", ""),
+          new Mutant(DISPATCHER, "    attempt.upstream().inFlight--;\n", ""),
           new Mutant(
               DISPATCHER,
-              " markCompleted(request);\n counters.served++;\n request.caller.serve",
-              " counters.served++;\n request.caller.serve"),
-          new Mutant(DISPATCHER, " cancelAttempt(other); // A caller", " // A caller"),
+              "    if (!attempt.open) {\n      releaseAnswer(answer);",
+              "    if (false) {"),
+          new Mutant(DISPATCHER, "          request.openAttempts--;\n", ""),
           new Mutant(
               DISPATCHER,
-              " counters.served++;\n deliverEvent(request",
-              " counters.served++;\n"
-                  + " request.attempts.stream().filter(a -> a != attempt).toList()"
+              "      markCompleted(request);\n      counters.served++;\n      request.caller.serve",
+              "      counters.served++;\n      request.caller.serve"),
+          new Mutant(
+              DISPATCHER, "        cancelAttempt(other); // A caller", "        // A caller"),
+          new Mutant(
+              DISPATCHER,
+              "    counters.served++;\n    deliverEvent(request",
+              "    counters.served++;\n"
+                  + "    request.attempts.stream().filter(a -> a != attempt).toList()"
                   + ".forEach(this::cancelAttempt);\n"
-                  + " deliverEvent(request"),
+                  + "    deliverEvent(request"),
           new Mutant(
               DISPATCHER,
-              " if (request.completed) {\n releaseAnswer(answer);\n } else if (isServed",
-              " if (request.completed) {\n } else if (isServed"),
+              "    if (request.completed) {\n      releaseAnswer(answer);\n    } else if (isServed",
+              "    if (request.completed) {\n    } else if (isServed"),
           new Mutant(
               DISPATCHER,
-              " counters.callerGone++;\n markCompleted(request);\n",
-              " counters.callerGone++;\n"),
+              "      counters.callerGone++;\n      markCompleted(request);\n",
+              "      counters.callerGone++;\n"),
           new Mutant(
               DISPATCHER,
-              " complete(attempt, Outcome.TIMEOUT, null);\n attempt.cancel();",
-              " complete(attempt, Outcome.TIMEOUT, null);"),
+              "    complete(attempt, Outcome.TIMEOUT, null);\n    attempt.cancel();",
+              "    complete(attempt, Outcome.TIMEOUT, null);"),
           new Mutant(
               DISPATCHER,
-              " complete(attempt, Outcome.CANCELLED, null);\n attempt.cancel();",
-              " complete(attempt, Outcome.CANCELLED, null);"),
-          new Mutant(DISPATCHER, " request.release();\n", ""),
-          new Mutant(DISPATCHER, " openRequestNames.remove(request.name);\n", ""),
-          new Mutant(DISPATCHER, " upstream.inFlight++; // Decremented", " // Decremented"),
+              "      complete(attempt, Outcome.CANCELLED, null);\n      attempt.cancel();",
+              "      complete(attempt, Outcome.CANCELLED, null);"),
+          new Mutant(DISPATCHER, "      request.release();\n", ""),
+          new Mutant(DISPATCHER, "    openRequestNames.remove(request.name);\n", ""),
+          new Mutant(
+              DISPATCHER, "      upstream.inFlight++; // Decremented", "      // Decremented"),
           new Mutant(
               DISPATCHER,
-              " markCompleted(request);\n request.caller.refuse",
-              " request.caller.refuse"),
+              "    markCompleted(request);\n    request.caller.refuse",
+              "    request.caller.refuse"),
           new Mutant(
               DISPATCHER, "if (!attempt.open || request.completed) {", "if (!attempt.open) {"),
           new Mutant(DISPATCHER, " || !request.caller.mayOverflow()) {", ") {"),
@@ -61,40 +66,45 @@
               DISPATCHER,
               "outcome == Outcome.RESET && isSafe(request)",
               "outcome == Outcome.RESET"),
-          new Mutant(DISPATCHER, " request.openAttempts--;\n overflowRouter", " overflowRouter"),
-          new Mutant(DISPATCHER, " request.overflowAttempts++;\n", ""),
+          new Mutant(
+              DISPATCHER, "    request.openAttempts--;\n    overflowRouter", "    overflowRouter"),
+          new Mutant(DISPATCHER, "    request.overflowAttempts++;\n", ""),
           new Mutant(
               DISPATCHER, "outcome == Outcome.OK && !request.completed;", "outcome == Outcome.OK;"),
           new Mutant(
               DISPATCHER,
-              "sendOverflow(request)) {\n balancer.onClientGone(clock.nowNanos(), request.id);",
+              "sendOverflow(request)) {\n      balancer.onClientGone(clock.nowNanos(), request.id);",
               "sendOverflow(request)) {"),
-          new Mutant(DISPATCHER, " && request.caller.isStillWaiting()\n", ""),
+          new Mutant(DISPATCHER, "        && request.caller.isStillWaiting()\n", ""),
           new Mutant(DISPATCHER, "if (!request.caller.isStillWaiting()) {", "if (false) {"),
-          new Mutant(LIVE_REQUEST, " lastError.release();\n", ""),
-          new Mutant(LIVE_REQUEST, " lastError = null;\n", ""),
+          new Mutant(LIVE_REQUEST, "      lastError.release();\n", ""),
+          new Mutant(LIVE_REQUEST, "    lastError = null;\n", ""),
           new Mutant(LIVE_REQUEST, "return completed && openAttempts == 0;", "return completed;"),
-          new Mutant(BALANCER, " settings = new ActiveSettings(newSettings, settings);\n", ""),
-          new Mutant(BALANCER, " attempt.server.onEnd(attempt);\n", ""),
+          new Mutant(BALANCER, "    settings = new ActiveSettings(newSettings, settings);\n", ""),
+          new Mutant(BALANCER, "    attempt.server.onEnd(attempt);\n", ""),
           new Mutant(BALANCER, "attempt.mayHaveRun = !outcome.neverRan();", ""),
           new Mutant(
-              BALANCER, " entryWindow.onEnd(nowNanos, request, request.attemptCount > 0);\n", ""),
-          new Mutant(BALANCER, " entryWindow.onEnd(nowNanos, attempt.request, true);\n", ""),
-          new Mutant(BALANCER, " actions.cancel(request.id, i);\n", ""),
-          new Mutant(BALANCER, " requests.remove(request.id);\n", ""),
+              BALANCER,
+              "    entryWindow.onEnd(nowNanos, request, request.attemptCount > 0);\n",
+              ""),
+          new Mutant(BALANCER, "      entryWindow.onEnd(nowNanos, attempt.request, true);\n", ""),
+          new Mutant(BALANCER, "        actions.cancel(request.id, i);\n", ""),
+          new Mutant(BALANCER, "      requests.remove(request.id);\n", ""),
           new Mutant(BALANCER, "if (request.mayAdviseRetry()) {", "if (true) {"),
-          new Mutant(BALANCER, " && request.protocol.hedgeable()\n", ""),
+          new Mutant(BALANCER, "        && request.protocol.hedgeable()\n", ""),
           new Mutant(REQUEST, "(binding == null || mayRepeat", "(true || mayRepeat"),
           new Mutant(REQUEST, "inDedupGroup(bound.server, server);", "true;"),
           new Mutant(
-              REQUEST, "nowNanos - bound.sentNanos < requestClass.dedupWindowNanos()\n && ", ""),
+              REQUEST,
+              "nowNanos - bound.sentNanos < requestClass.dedupWindowNanos()\n        && ",
+              ""),
           new Mutant(
               REQUEST, "attempts[i].open || attempts[i].mayHaveRun", "attempts[i].mayHaveRun"),
-          new Mutant(REQUEST, " || bindingAttempt() == null;", " || true;"),
-          new Mutant(SERVER, " inFlight--;\n", ""),
-          new Mutant(SERVER, " inFlight++;\n", ""),
+          new Mutant(REQUEST, "        || bindingAttempt() == null;", "        || true;"),
+          new Mutant(SERVER, "    inFlight--;\n", ""),
+          new Mutant(SERVER, "    inFlight++;\n", ""),
           new Mutant(MEMBERSHIP, "ready = server.health == Health.READY;", "ready = true;"),
-          new Mutant(MEMBERSHIP, " setOf(server).remove(server);\n", ""),
+          new Mutant(MEMBERSHIP, "      setOf(server).remove(server);\n", ""),
           new Mutant(ENTRY, "load = --inFlight == 0", "load = inFlight == 0"));
 
   private Mutants() {}
