--- a/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
+++ b/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
@@ -23,8 +23,9 @@
 import java.util.Set;
 
 /**
- * The real dispatcher and the real module between two callers and up to two servers that a sequence
- * of steps plays, in virtual time. It checks the properties as it goes and again at rest.
+ * Runs the real dispatcher and the real decision module in virtual time, between two callers and a
+ * few servers that are simulated by a sequence of steps. Checks the invariants after each step and
+ * once more when all activity has ended.
  */
 public final class DispatchHarness {
   private static final long MS = 1_000_000L;
@@ -33,19 +34,19 @@
   private static final long KEY_WINDOW_NANOS = 2000 * MS;
   private static final int MAX_ATTEMPTS = 3;
 
-  /** In place of a server's number. */
+  /** Takes the place of a server's index for calls to the overflow site. */
   private static final int OVERFLOW_SITE = -1;
 
   /**
-   * What stays the same through a sequence.
+   * What stays constant during a sequence of steps.
    *
-   * @param tier 0 refuses for want of room at once, deeper ones wait
-   * @param away whether there is another place, to which requests of the second kind may not go
+   * @param tier 0 refuses at once for lack of capacity, deeper tiers queue
+   * @param hasOverflowSite whether there is another site; requests of kind B may not go there
    */
   public record Config(
       RequestClass.Effect effectA,
       RequestClass.Effect effectB,
-      RequestProtocol form,
+      RequestProtocol protocol,
       int servers,
       int tier,
       boolean cancelAttempts,
@@ -56,7 +57,7 @@
   private final Dispatcher dispatcher;
   private final List<SimulatedRequest> requests = new ArrayList<>();
   private final List<ServerCall> calls = new ArrayList<>();
-  private final Set<Invariant> violated = EnumSet.noneOf(Invariant.class);
+  private final Set<Invariant> violations = EnumSet.noneOf(Invariant.class);
   private final Health[] health;
   private final long[] startedNanos;
   private boolean descriptorShortage;
@@ -64,10 +65,10 @@
   private boolean noOverflowSite;
   private boolean reloaded;
 
-  /** Attempts that the other place was chosen for and has not been told the end of. */
+  /** Attempts at the overflow site whose end has not been reported to its router. */
   private int overflowInFlight;
 
-  /** Requests that were served here, and of which the other place has not been told. */
+  /** Requests served by a local server that have not been reported to the overflow router. */
   private int unreportedLocalAnswers;
 
   public DispatchHarness(Config config) {
@@ -84,7 +85,7 @@
 
   private Settings settings() {
     return new Settings(
-        List.of(type("a", currentEffect(true)), type("b", currentEffect(false))),
+        List.of(requestClass("a", currentEffect(true)), requestClass("b", currentEffect(false))),
         List.of(),
         1,
         false,
@@ -97,17 +98,17 @@
         new Settings.Obligations(20 * MS, 1000 * MS, 10_000 * MS, 0.15, 1000 * MS, 2.5, 2000 * MS));
   }
 
-  /** Of a request that comes now. */
-  private RequestClass.Effect currentEffect(boolean first) {
-    return first == reloaded ? config.effectB() : config.effectA();
+  /** The effect of a request that arrives now; a reload swaps the effects of kinds A and B. */
+  private RequestClass.Effect currentEffect(boolean isA) {
+    return isA == reloaded ? config.effectB() : config.effectA();
   }
 
-  /** Whether attempts of a request that comes now may be called off. */
+  /** Whether attempts of a request that arrives now may be cancelled; a reload inverts this. */
   private boolean currentlyCancels() {
     return config.cancelAttempts() != reloaded;
   }
 
-  private static RequestClass type(String name, RequestClass.Effect effect) {
+  private static RequestClass requestClass(String name, RequestClass.Effect effect) {
     return new RequestClass(
         name,
         effect,
@@ -131,24 +132,25 @@
   private List<Member> members() {
     List<Member> members = new ArrayList<>();
     for (int i = 0; i < health.length; i++) {
-      InetSocketAddress at =
+      InetSocketAddress address =
           health[i] == Health.GONE ? null : InetSocketAddress.createUnresolved("s" + i, 80);
-      members.add(new Member("s" + i, at, at, health[i], "z", "k", i, 1, startedNanos[i] / MS));
+      members.add(
+          new Member("s" + i, address, address, health[i], "z", "k", i, 1, startedNanos[i] / MS));
     }
     return members;
   }
 
-  // ---- what the world is made of ----
+  // ---- simulated parts ----
 
-  /** Another place, which takes whatever it is given as long as there is one. */
+  /** Another site, which accepts every request while it is available. */
   private final class RemoteSite implements OverflowRouter {
-    private static final int MAX_ATTEMPTS = 2;
+    private static final int MAX_OVERFLOW_ATTEMPTS = 2;
 
     private final Upstream site = new Upstream(-1, "far");
 
     @Override
     public Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries) {
-      if (noOverflowSite || tries >= MAX_ATTEMPTS || leftNanos <= 0) {
+      if (noOverflowSite || tries >= MAX_OVERFLOW_ATTEMPTS || leftNanos <= 0) {
         return null;
       }
       overflowInFlight++;
@@ -163,7 +165,7 @@
     @Override
     public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
       if (--overflowInFlight < 0) {
-        violated.add(Invariant.OVERFLOW_ROUTER_NOTIFIED);
+        violations.add(Invariant.OVERFLOW_ROUTER_NOTIFIED);
       }
     }
 
@@ -176,9 +178,9 @@
     }
   }
 
-  /** One request, its caller and its payload. */
+  /** A request with its caller and its payload. */
   private final class SimulatedRequest implements Caller, Payload {
-    final boolean first;
+    final boolean isA;
     final String name = "r" + (requests.size() + 1);
     final RequestClass.Effect effect;
     final boolean cancelsAttempts = currentlyCancels();
@@ -191,9 +193,9 @@
     boolean streaming;
     int releaseCount;
 
-    SimulatedRequest(boolean first) {
-      this.first = first;
-      this.effect = currentEffect(first);
+    SimulatedRequest(boolean isA) {
+      this.isA = isA;
+      this.effect = currentEffect(isA);
     }
 
     boolean completed() {
@@ -202,26 +204,26 @@
 
     private void recordAnswer() {
       if (++answerCount > 1 || callerGone) {
-        violated.add(Invariant.EXACTLY_ONE_ANSWER);
+        violations.add(Invariant.EXACTLY_ONE_ANSWER);
       }
       if (loop.nowNanos() > deadlineNanos + GRACE_NANOS) {
-        violated.add(Invariant.ANSWER_BY_DEADLINE);
+        violations.add(Invariant.ANSWER_BY_DEADLINE);
       }
     }
 
-    /** The earliest attempt that is out or may have run, or null. */
+    /** The earliest attempt that is in flight or may have run, or null. */
     private ServerCall firstPossiblyRun() {
       return calls.stream().filter(call -> !call.ended || call.mayHaveRun).findFirst().orElse(null);
     }
 
     @Override
-    public void accepted(RequestHandle live) {
-      handle = live;
+    public void accepted(RequestHandle newHandle) {
+      handle = newHandle;
     }
 
     @Override
     public boolean mayOverflow() {
-      return first;
+      return isA;
     }
 
     @Override
@@ -235,10 +237,10 @@
     @Override
     public void serve(Answer answer) {
       recordAnswer();
-      SimulatedAnswer reply = (SimulatedAnswer) answer;
-      if (reply == null || reply.request != this) {
-        violated.add(Invariant.ANSWER_BELONGS_TO_REQUEST);
-      } else if (reply.local) {
+      SimulatedAnswer simulated = (SimulatedAnswer) answer;
+      if (simulated == null || simulated.request != this) {
+        violations.add(Invariant.ANSWER_BELONGS_TO_REQUEST);
+      } else if (simulated.local) {
         unreportedLocalAnswers++;
       }
       release(answer);
@@ -248,7 +250,7 @@
     public void refuse(long retryAfterNanos, Answer last) {
       recordAnswer();
       if (effect == RequestClass.Effect.UNSAFE && firstPossiblyRun() != null) {
-        violated.add(Invariant.UNSAFE_NOT_REFUSED);
+        violations.add(Invariant.UNSAFE_NOT_REFUSED);
       }
       release(last);
     }
@@ -262,7 +264,7 @@
     private void release(Answer answer) {
       if (answer != null) {
         if (((SimulatedAnswer) answer).request != this) {
-          violated.add(Invariant.ANSWER_BELONGS_TO_REQUEST);
+          violations.add(Invariant.ANSWER_BELONGS_TO_REQUEST);
         }
         answer.release();
       }
@@ -270,18 +272,18 @@
 
     private boolean startOverflow(Attempt attempt) {
       checkMaySend();
-      if (!first) {
-        violated.add(Invariant.NO_SECOND_OVERFLOW);
+      if (!isA) {
+        violations.add(Invariant.NO_SECOND_OVERFLOW);
       }
       if (calls.stream().filter(call -> call.server == OVERFLOW_SITE).count()
-          >= RemoteSite.MAX_ATTEMPTS) {
-        violated.add(Invariant.OVERFLOW_ATTEMPT_LIMIT);
+          >= RemoteSite.MAX_OVERFLOW_ATTEMPTS) {
+        violations.add(Invariant.OVERFLOW_ATTEMPT_LIMIT);
       }
       for (ServerCall call : calls) {
-        boolean repeats =
+        boolean safeRetry =
             call.server == OVERFLOW_SITE && call.ended && effect == RequestClass.Effect.SAFE;
-        if (!repeats && (!call.ended || call.mayHaveRun)) {
-          violated.add(Invariant.NO_OVERFLOW_AFTER_RUN);
+        if (!safeRetry && (!call.ended || call.mayHaveRun)) {
+          violations.add(Invariant.NO_OVERFLOW_AFTER_RUN);
         }
       }
       return !descriptorShortage && startCall(attempt, OVERFLOW_SITE);
@@ -289,13 +291,13 @@
 
     private void checkMaySend() {
       if (completed()) {
-        violated.add(Invariant.NO_SEND_AFTER_ANSWER);
+        violations.add(Invariant.NO_SEND_AFTER_ANSWER);
       }
       if (disconnectUnread) {
-        violated.add(Invariant.NO_SEND_AFTER_DISCONNECT);
+        violations.add(Invariant.NO_SEND_AFTER_DISCONNECT);
       }
       if (loop.nowNanos() >= deadlineNanos) {
-        violated.add(Invariant.NO_SEND_AFTER_DEADLINE);
+        violations.add(Invariant.NO_SEND_AFTER_DEADLINE);
       }
     }
 
@@ -305,7 +307,7 @@
       DispatchHarness.this.calls.add(call);
       attempt.attach(call);
       if (failSynchronously) {
-        call.end(Outcome.CONNECT_FAILED, false);
+        call.complete(Outcome.CONNECT_FAILED, false);
       }
       return true;
     }
@@ -314,28 +316,28 @@
     public boolean start(Attempt attempt) {
       checkMaySend();
       if (calls.stream().anyMatch(call -> call.server == OVERFLOW_SITE)) {
-        violated.add(Invariant.NO_LOCAL_SEND_AFTER_OVERFLOW);
+        violations.add(Invariant.NO_LOCAL_SEND_AFTER_OVERFLOW);
       }
       Upstream upstream = attempt.upstream();
       int server = upstream.name.charAt(1) - '0';
       if (health[server] != Health.READY) {
-        violated.add(Invariant.NO_SEND_TO_DRAINED_SERVER);
+        violations.add(Invariant.NO_SEND_TO_DRAINED_SERVER);
       }
       if (attempt.number() >= MAX_ATTEMPTS) {
-        violated.add(Invariant.ATTEMPT_LIMIT);
+        violations.add(Invariant.ATTEMPT_LIMIT);
       }
-      if (!config.form().hedgeable() && calls.stream().anyMatch(call -> !call.ended)) {
-        violated.add(Invariant.STREAM_NOT_HEDGED);
+      if (!config.protocol().hedgeable() && calls.stream().anyMatch(call -> !call.ended)) {
+        violations.add(Invariant.STREAM_NOT_HEDGED);
       }
-      ServerCall binding = firstPossiblyRun();
-      if (binding != null && effect == RequestClass.Effect.UNSAFE) {
-        violated.add(Invariant.UNSAFE_NOT_RETRIED);
+      ServerCall earlier = firstPossiblyRun();
+      if (earlier != null && effect == RequestClass.Effect.UNSAFE) {
+        violations.add(Invariant.UNSAFE_NOT_RETRIED);
       }
-      if (binding != null
+      if (earlier != null
           && effect == RequestClass.Effect.KEYED
-          && (binding.server != server
-              || loop.nowNanos() - binding.sentNanos >= KEY_WINDOW_NANOS)) {
-        violated.add(Invariant.KEYED_RETRY_IN_WINDOW);
+          && (earlier.server != server
+              || loop.nowNanos() - earlier.sentNanos >= KEY_WINDOW_NANOS)) {
+        violations.add(Invariant.KEYED_RETRY_IN_WINDOW);
       }
       if (descriptorShortage) {
         return false;
@@ -350,16 +352,16 @@
     }
   }
 
-  /** An answer that says whose it is. */
+  /** An answer that knows its request. */
   private final class SimulatedAnswer implements Answer {
     final SimulatedRequest request;
     final boolean local;
     int releaseCount;
 
-    SimulatedAnswer(SimulatedRequest request, boolean here) {
+    SimulatedAnswer(SimulatedRequest request, boolean local) {
       this.request = request;
-      this.local = here;
-      simulatedAnswers.add(this);
+      this.local = local;
+      answers.add(this);
     }
 
     @Override
@@ -368,9 +370,9 @@
     }
   }
 
-  private final List<SimulatedAnswer> simulatedAnswers = new ArrayList<>();
+  private final List<SimulatedAnswer> answers = new ArrayList<>();
 
-  /** One attempt as its server sees it. */
+  /** An attempt as seen by its server. */
   private final class ServerCall implements Attempt.Exchange {
     final SimulatedRequest request;
     final Attempt attempt;
@@ -386,18 +388,18 @@
       this.server = server;
     }
 
-    void end(Outcome outcome, boolean withAnswer) {
+    void complete(Outcome outcome, boolean withAnswer) {
       ended = true;
       mayHaveRun = !outcome.neverRan();
-      boolean reply = withAnswer || outcome == Outcome.OK;
+      boolean hasAnswer = withAnswer || outcome == Outcome.OK;
       attempt.complete(
-          outcome, reply ? new SimulatedAnswer(request, server != OVERFLOW_SITE) : null);
+          outcome, hasAnswer ? new SimulatedAnswer(request, server != OVERFLOW_SITE) : null);
     }
 
     @Override
     public void cancel() {
       if (streaming) {
-        violated.add(Invariant.STREAMING_ATTEMPT_KEPT);
+        violations.add(Invariant.STREAMING_ATTEMPT_KEPT);
       }
       ended = true;
       mayHaveRun = true;
@@ -418,9 +420,9 @@
     return newest == oldestCall() ? null : newest;
   }
 
-  private SimulatedRequest openRequest(boolean first) {
+  private SimulatedRequest openRequest(boolean isA) {
     return requests.stream()
-        .filter(request -> request.first == first && !request.completed())
+        .filter(request -> request.isA == isA && !request.completed())
         .findFirst()
         .orElse(null);
   }
@@ -459,14 +461,14 @@
       switch (step) {
         case REQUEST_A -> request(true);
         case REQUEST_B -> request(false);
-        case OK -> oldestCall().end(Outcome.OK, true);
-        case ERROR -> oldestCall().end(Outcome.ERROR, false);
-        case ERROR_WITH_ANSWER -> oldestCall().end(Outcome.ERROR, true);
-        case REFUSED -> oldestCall().end(Outcome.REFUSED, false);
-        case CONNECT_FAILED -> oldestCall().end(Outcome.CONNECT_FAILED, false);
-        case RESET -> oldestCall().end(Outcome.RESET, false);
-        case OK_NEWEST -> newestCall().end(Outcome.OK, true);
-        case ERROR_NEWEST -> newestCall().end(Outcome.ERROR, false);
+        case OK -> oldestCall().complete(Outcome.OK, true);
+        case ERROR -> oldestCall().complete(Outcome.ERROR, false);
+        case ERROR_WITH_ANSWER -> oldestCall().complete(Outcome.ERROR, true);
+        case REFUSED -> oldestCall().complete(Outcome.REFUSED, false);
+        case CONNECT_FAILED -> oldestCall().complete(Outcome.CONNECT_FAILED, false);
+        case RESET -> oldestCall().complete(Outcome.RESET, false);
+        case OK_NEWEST -> newestCall().complete(Outcome.OK, true);
+        case ERROR_NEWEST -> newestCall().complete(Outcome.ERROR, false);
         case BEGIN_STREAMING -> beginStreaming(oldestCall());
         case LATE_OK -> completeAgain();
         case DISCONNECT_A -> disconnect(openRequest(true));
@@ -489,47 +491,47 @@
         case NO_OVERFLOW_SITE -> noOverflowSite = true;
       }
       loop.runDueTasks();
-    } catch (RuntimeException | StackOverflowError e) { // The second is an order without an end.
-      violated.add(Invariant.NO_EXCEPTION);
+    } catch (RuntimeException | StackOverflowError e) { // An overflow means endless recursion.
+      violations.add(Invariant.NO_EXCEPTION);
     }
     for (ServerCall call : calls) {
       if (!call.ended
           && call.request.cancelsAttempts
           && call.request.completed()
           && !call.streaming) {
-        violated.add(Invariant.UNNEEDED_ATTEMPT_CANCELLED);
+        violations.add(Invariant.UNNEEDED_ATTEMPT_CANCELLED);
       }
     }
   }
 
-  private void request(boolean first) {
-    SimulatedRequest request = new SimulatedRequest(first);
+  private void request(boolean isA) {
+    SimulatedRequest request = new SimulatedRequest(isA);
     requests.add(request);
-    RequestClass type = dispatcher.requestClass(first ? "a" : "b");
+    RequestClass type = dispatcher.requestClass(isA ? "a" : "b");
     dispatcher.onRequest(
-        request, type, request.name, null, false, DEADLINE_NANOS, config.form(), request);
+        request, type, request.name, null, false, DEADLINE_NANOS, config.protocol(), request);
   }
 
   private void beginStreaming(ServerCall call) {
     SimulatedRequest request = call.request;
-    boolean over = request.completed();
+    boolean wasCompleted = request.completed();
     if (call.attempt.beginStreaming()) {
       request.streaming = true;
       call.streaming = true;
       unreportedLocalAnswers += call.server == OVERFLOW_SITE ? 0 : 1;
       if (call.ended) {
-        violated.add(Invariant.STREAMING_ATTEMPT_KEPT);
+        violations.add(Invariant.STREAMING_ATTEMPT_KEPT);
       }
       request.recordAnswer();
-      if (over) {
-        violated.add(Invariant.EXACTLY_ONE_ANSWER);
+      if (wasCompleted) {
+        violations.add(Invariant.EXACTLY_ONE_ANSWER);
       }
     }
   }
 
   private void completeAgain() {
-    ServerCall ended = calls.stream().filter(call -> call.ended).findFirst().orElseThrow();
-    ended.attempt.complete(Outcome.OK, new SimulatedAnswer(ended.request, true));
+    ServerCall endedCall = calls.stream().filter(call -> call.ended).findFirst().orElseThrow();
+    endedCall.attempt.complete(Outcome.OK, new SimulatedAnswer(endedCall.request, true));
   }
 
   private void disconnect(SimulatedRequest request) {
@@ -544,61 +546,64 @@
 
   // ---- at rest ----
 
-  /** Lets all that is out end and all timers run, and checks what is left; what was broken. */
+  /**
+   * Ends all calls in flight, runs all timers and checks for leaks. Returns all violated
+   * invariants.
+   */
   public Set<Invariant> runToRest() {
     try {
       for (ServerCall call = oldestCall(); call != null; call = oldestCall()) {
-        call.end(Outcome.ERROR, false);
+        call.complete(Outcome.ERROR, false);
         loop.runDueTasks();
       }
       loop.advanceTo(loop.nowNanos() + 60_000 * MS);
       for (ServerCall call = oldestCall(); call != null; call = oldestCall()) {
-        call.end(Outcome.ERROR, false);
+        call.complete(Outcome.ERROR, false);
         loop.runDueTasks();
       }
       loop.advanceTo(loop.nowNanos() + 60_000 * MS);
     } catch (RuntimeException e) {
-      violated.add(Invariant.NO_EXCEPTION);
+      violations.add(Invariant.NO_EXCEPTION);
     }
     for (SimulatedRequest request : requests) {
       if (request.answerCount == 0 && !request.callerGone) {
-        violated.add(Invariant.EXACTLY_ONE_ANSWER);
+        violations.add(Invariant.EXACTLY_ONE_ANSWER);
       }
       if (dispatcher.isRequestOpen(request.name)) {
-        violated.add(Invariant.NO_REQUEST_LEAK);
+        violations.add(Invariant.NO_REQUEST_LEAK);
       }
       if (request.releaseCount != 1) {
-        violated.add(Invariant.RELEASED_ONCE);
+        violations.add(Invariant.RELEASED_ONCE);
       }
       for (ServerCall call : request.calls) {
         if (call.attempt.upstream().inFlight != 0) {
-          violated.add(Invariant.NO_ATTEMPT_LEAK);
+          violations.add(Invariant.NO_ATTEMPT_LEAK);
         }
       }
     }
-    if (simulatedAnswers.stream().anyMatch(reply -> reply.releaseCount != 1)) {
-      violated.add(Invariant.RELEASED_ONCE);
+    if (answers.stream().anyMatch(answer -> answer.releaseCount != 1)) {
+      violations.add(Invariant.RELEASED_ONCE);
     }
     if (dispatcher.loads(health.length).values().stream().anyMatch(load -> load[0] != 0)) {
-      violated.add(Invariant.NO_ATTEMPT_LEAK);
+      violations.add(Invariant.NO_ATTEMPT_LEAK);
     }
     if (overflowInFlight != 0 || config.hasOverflowSite() && unreportedLocalAnswers != 0) {
-      violated.add(Invariant.OVERFLOW_ROUTER_NOTIFIED);
+      violations.add(Invariant.OVERFLOW_ROUTER_NOTIFIED);
     }
     String figures = dispatcher.figures();
     if (dispatcher.liveRequestCount() != 0
         || !figures.startsWith("entry 0 of")
         || !figures.contains("waiting 0, requests 0;")) {
-      violated.add(Invariant.NO_REQUEST_LEAK);
+      violations.add(Invariant.NO_REQUEST_LEAK);
     }
     if (loop.nextDeadlineNanos() >= 0) {
-      violated.add(Invariant.NO_TIMER_LEAK);
+      violations.add(Invariant.NO_TIMER_LEAK);
     }
-    return violated;
+    return violations;
   }
 
-  /** What is broken so far. */
-  public Set<Invariant> violated() {
-    return violated;
+  /** The invariants violated so far. */
+  public Set<Invariant> violations() {
+    return violations;
   }
 }
--- a/src/main/java/heathswitch/testbed/explore/Explorer.java
+++ b/src/main/java/heathswitch/testbed/explore/Explorer.java
@@ -12,17 +12,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays every order of steps up to a depth in every world, each from a world made anew, and lets
- * each come to rest. No order is left out and none stands for another: nothing need be argued.
+ * Explores all sequences of steps up to a given length in all configurations, each in a new harness
+ * that is then run to rest. There is no state merging or partial-order reduction, so completeness
+ * doesn't depend on an argument about equivalent sequences.
  */
 public final class Explorer {
-  /** An order that breaks a property, as short as it can be made. */
+  /** A minimized sequence of steps that violates an invariant. */
   public record Counterexample(
       Invariant invariant, DispatchHarness.Config config, List<Step> steps) {
-    /** A timeline to be read and a test to be pasted. */
+    /** Returns the list of steps and an assertion that can be pasted into a test. */
     @Override
     public String toString() {
-      String names = steps.stream().map(Step::name).collect(Collectors.joining(", "));
+      String stepNames = steps.stream().map(Step::name).collect(Collectors.joining(", "));
       return invariant
           + " in "
           + config
@@ -31,7 +32,7 @@
           + "\n  assertEquals(Set.of(), Explorer.play(new DispatchHarness."
           + config.toString().replace('[', '(').replace(']', ')')
           + ", List.of("
-          + names
+          + stepNames
           + ")));";
     }
   }
@@ -42,13 +43,13 @@
   private final Map<Invariant, Counterexample> counterexamples = new EnumMap<>(Invariant.class);
   private final boolean stopAtFirst;
 
-  /** For orders of so many steps at most. */
+  /** Creates an explorer of sequences of at most this many steps. */
   public Explorer(int depth, boolean stopAtFirst) {
     this.depth = depth;
     this.stopAtFirst = stopAtFirst;
   }
 
-  /** Every world that is explored. */
+  /** The configurations that are explored. */
   public static List<DispatchHarness.Config> configs() {
     List<DispatchHarness.Config> configs = new ArrayList<>();
     for (Effect a : Effect.values()) {
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Plays one order and lets the world come to rest; what it broke. Steps that cannot be are left
-   * out.
+   * Plays one sequence, runs it to rest and returns the violated invariants. Steps that are not
+   * enabled are skipped.
    */
   public static Set<Invariant> play(DispatchHarness.Config config, List<Step> steps) {
     DispatchHarness harness = new DispatchHarness(config);
@@ -84,9 +85,9 @@
     return harness.runToRest();
   }
 
-  /** Explores all worlds, several at a time. */
+  /** Explores all configurations in parallel. */
   public Explorer run() {
-    configs().parallelStream().forEach(setup -> explore(setup, new ArrayList<>()));
+    configs().parallelStream().forEach(config -> explore(config, new ArrayList<>()));
     return this;
   }
 
@@ -100,7 +101,7 @@
     if (shouldStop()) {
       return;
     }
-    // Each order is played from the start: real objects cannot be copied half-way.
+    // Each sequence is replayed from the start, since the real objects cannot be copied.
     DispatchHarness harness = new DispatchHarness(config);
     for (Step step : path) {
       harness.play(step);
@@ -135,7 +136,7 @@
     }
   }
 
-  /** Leaves out one step after the other as long as what was found shows. */
+  /** Removes single steps from a sequence while it still reproduces the violation. */
   static List<Step> shrink(List<Step> path, Predicate<List<Step>> reproduces) {
     List<Step> shortest = new ArrayList<>(path);
     for (int i = shortest.size() - 1; i >= 0; i--) {
@@ -148,17 +149,17 @@
     return shortest;
   }
 
-  /** Orders that were played to rest. */
+  /** The number of sequences that were run to rest. */
   public long states() {
     return states.get();
   }
 
-  /** Steps that were played. */
+  /** The number of steps that were played. */
   public long transitions() {
     return transitions.get();
   }
 
-  /** The shortest order found for each property that was broken. */
+  /** The shortest sequence found for each violated invariant. */
   public List<Counterexample> counterexamples() {
     synchronized (counterexamples) {
       return List.copyOf(counterexamples.values());
--- a/src/main/java/heathswitch/testbed/explore/ExplorerMeasurement.java
+++ b/src/main/java/heathswitch/testbed/explore/ExplorerMeasurement.java
@@ -4,7 +4,10 @@
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
 
-/** Every order of events in small worlds, and whether faults that are put in are found. */
+/**
+ * Explores all sequences of events in small configurations, and checks by mutation testing whether
+ * injected faults are detected.
+ */
 public final class ExplorerMeasurement implements Measurement {
   private static final int MUTANT_DEPTH = 4;
 
@@ -12,17 +15,22 @@
   public Figures run(boolean brief) throws Exception {
     int depth = brief ? 4 : 6;
     Figures.progress(
-        "every order of " + depth + " events in " + Explorer.configs().size() + " worlds");
-    long since = System.nanoTime();
+        "all sequences of "
+            + depth
+            + " events in "
+            + Explorer.configs().size()
+            + " configurations");
+    long startNanos = System.nanoTime();
     Explorer explorer = new Explorer(depth, false).run();
-    double seconds = (System.nanoTime() - since) / 1e9;
-    explorer.counterexamples().forEach(finding -> Figures.progress(finding.toString()));
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
+    explorer.counterexamples().forEach(each -> Figures.progress(each.toString()));
     MutantRun mutants = new MutantRun();
-    int found = 0;
+    int detected = 0;
     for (Mutant mutant : Mutants.ALL) {
       int steps = mutants.shortestDetection(mutant, MUTANT_DEPTH);
-      found += steps > 0 ? 1 : 0;
-      Figures.progress((steps > 0 ? "found by " + steps : "NOT FOUND") + ": " + mutant);
+      detected += steps > 0 ? 1 : 0;
+      Figures.progress(
+          (steps > 0 ? "detected by " + steps + " steps" : "NOT DETECTED") + ": " + mutant);
     }
     return new Figures()
         .add("depth", depth)
@@ -31,7 +39,7 @@
         .add("transitions", explorer.transitions())
         .add("violations", explorer.counterexamples().size())
         .add("mutants", Mutants.ALL.size())
-        .add("mutants_found", found)
+        .add("mutants_found", detected)
         .rounded("states_per_s", explorer.states() / seconds);
   }
 }
--- a/src/main/java/heathswitch/testbed/explore/Invariant.java
+++ b/src/main/java/heathswitch/testbed/explore/Invariant.java
@@ -1,57 +1,56 @@
 package heathswitch.testbed.explore;
 
-/** What has to hold in every order of events; the page for maintainers says each in full. */
+/**
+ * The invariants that must hold for every sequence of events; the maintainers' documentation states
+ * each in full.
+ */
 public enum Invariant {
-  /** Exactly one final answer to each request whose caller has not gone. */
+  /** Each request whose caller has not disconnected gets exactly one final answer. */
   EXACTLY_ONE_ANSWER,
-  /** The final answer comes by the deadline and a grace. */
+  /** The final answer arrives by the deadline plus a grace period. */
   ANSWER_BY_DEADLINE,
-  /** An answer that is served was made for this request. */
+  /** An answer is delivered only to the request it was made for. */
   ANSWER_BELONGS_TO_REQUEST,
-  /**
-   * A request that may not be repeated is not sent after an attempt that is out or may have run.
-   */
+  /** An unsafe request is not sent again after an attempt that is in flight or may have run. */
   UNSAFE_NOT_RETRIED,
-  /** Nor refused after one. */
+  /** An unsafe request is not refused after an attempt that is in flight or may have run. */
   UNSAFE_NOT_REFUSED,
-  /** A keyed one is repeated only within its group and time. */
+  /** A keyed request is repeated only within its group and its window. */
   KEYED_RETRY_IN_WINDOW,
-  /** A call with more of it to come has one attempt at a time. */
+  /** A call with more request messages to come has one attempt at a time. */
   STREAM_NOT_HEDGED,
-  /** Nothing new is sent after the final answer. */
+  /** Nothing is sent after the final answer. */
   NO_SEND_AFTER_ANSWER,
-  /** Nothing new is sent for a caller that has left, though that was not read before. */
+  /** Nothing is sent for a caller that has disconnected, even if that was not read before. */
   NO_SEND_AFTER_DISCONNECT,
-  /** Nothing new is sent past the deadline. */
+  /** Nothing is sent after the deadline. */
   NO_SEND_AFTER_DEADLINE,
-  /** Nothing new is sent to a server that drains or is gone. */
+  /** Nothing is sent to a server that is draining or removed. */
   NO_SEND_TO_DRAINED_SERVER,
-  /** No more attempts than the limit. */
+  /** The number of attempts does not exceed the limit. */
   ATTEMPT_LIMIT,
-  /**
-   * At rest each attempt has ended: none is out at a server, in the module or in the dispatcher.
-   */
+  /** At rest no attempt is in flight at a server, in the module or in the dispatcher. */
   NO_ATTEMPT_LEAK,
-  /** At rest no request, no wait and no place in the entry window is left. */
+  /** At rest there is no open or waiting request, and the entry window is empty. */
   NO_REQUEST_LEAK,
-  /** At rest no timer is left that comes back. */
+  /** At rest there is no recurring timer. */
   NO_TIMER_LEAK,
   /** Each payload and each answer is released exactly once. */
   RELEASED_ONCE,
-  /** An attempt that nobody waits for any more has been called off. */
+  /** An attempt whose result is no longer needed is cancelled. */
   UNNEEDED_ATTEMPT_CANCELLED,
-  /** An attempt whose answer goes on is not called off while its caller waits. */
+  /** An attempt whose answer is being streamed is not cancelled while its caller waits. */
   STREAMING_ATTEMPT_KEPT,
-  /** Sent to another place only if no attempt here is out or may have run. */
+  /** A request overflows only if no local attempt is in flight or may have run. */
   NO_OVERFLOW_AFTER_RUN,
-  /** What came from another place is served here or nowhere. */
+  /** A request that came from another site is not forwarded to a further one. */
   NO_SECOND_OVERFLOW,
-  /** No more than two attempts elsewhere. */
+  /** A request has at most two attempts at other sites. */
   OVERFLOW_ATTEMPT_LIMIT,
-  /** Once sent elsewhere, a request is sent to no server here. */
+  /** A request that has been sent to another site is not sent to a local server. */
   NO_LOCAL_SEND_AFTER_OVERFLOW,
-  /** The place is told once of the end of each attempt there, and of each request served here. */
+  /** The overflow router is told once of each end of its attempts and each local answer. */
   OVERFLOW_ROUTER_NOTIFIED,
-  /** No exception out of an event. */
+  /** No event handler throws an exception. */
   NO_EXCEPTION
 }
--- a/src/main/java/heathswitch/testbed/explore/MutantRun.java
+++ b/src/main/java/heathswitch/testbed/explore/MutantRun.java
@@ -5,7 +5,7 @@
 import java.lang.reflect.Method;
 import java.util.List;
 
-/** Explores the worlds with a fault put into a copy of a class. */
+/** Runs the explorer on a copy of the program with a fault injected into one class. */
 final class MutantRun {
   private final Copies copies =
       Copies.ofThisProgram(
@@ -15,20 +15,23 @@
               "heathswitch.proxy.spi.",
               "heathswitch.testbed.explore."));
 
-  /** Steps of the shortest order that shows the fault, or -1 if none of so many steps does. */
+  /**
+   * The length of the shortest sequence that detects the fault, or -1 if none up to the given depth
+   * does.
+   */
   int shortestDetection(Mutant mutant, int depth) throws Exception {
     for (int steps = 1; steps <= depth; steps++) {
       Class<?> type = copies.load(mutant, MutantRun.class.getName());
-      Method shows = type.getDeclaredMethod("shows", int.class);
-      shows.setAccessible(true); // Another loader makes it another package.
-      if ((boolean) shows.invoke(null, steps)) {
+      Method violates = type.getDeclaredMethod("violatesInvariant", int.class);
+      violates.setAccessible(true); // A different loader means a different package.
+      if ((boolean) violates.invoke(null, steps)) {
         return steps;
       }
     }
     return -1;
   }
 
-  /** Called in the loader of the copy. */
+  /** Called by reflection in the class loader of the copy. */
   static boolean violatesInvariant(int depth) {
     return !new Explorer(depth, true).run().counterexamples().isEmpty();
   }
--- a/src/main/java/heathswitch/testbed/explore/Mutants.java
+++ b/src/main/java/heathswitch/testbed/explore/Mutants.java
@@ -3,7 +3,7 @@
 import heathswitch.testbed.mutants.Mutant;
 import java.util.List;
 
-/** Faults in what carries an attempt. */
+/** The faults injected into the dispatcher and the decision module for mutation testing. */
 final class Mutants {
   private static final String DISPATCHER = "heathswitch.proxy.dispatch.Dispatcher";
   private static final String LIVE_REQUEST = "heathswitch.proxy.dispatch.LiveRequest";
--- a/src/main/java/heathswitch/testbed/explore/RandomWalk.java
+++ b/src/main/java/heathswitch/testbed/explore/RandomWalk.java
@@ -7,45 +7,48 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Long random orders in larger worlds, each told by its seed alone. */
+/** Plays long random sequences with more servers, each determined by its seed alone. */
 public final class RandomWalk {
   private static final Effect[] EFFECTS = Effect.values();
-  private static final RequestProtocol[] FORMS = RequestProtocol.values();
+  private static final RequestProtocol[] PROTOCOLS = RequestProtocol.values();
 
   private RandomWalk() {}
 
-  /** Walks so many steps, comes to rest, and returns the first broken property's order or null. */
-  public static Explorer.Counterexample walk(long seed, int steps) {
+  /**
+   * Plays a random sequence of at most this many steps and runs it to rest. Returns the minimized
+   * sequence for the first violated invariant, or null if none is violated.
+   */
+  public static Explorer.Counterexample walk(long seed, int maxSteps) {
     SplittableRandom random = new SplittableRandom(seed);
     DispatchHarness.Config config =
         new DispatchHarness.Config(
             EFFECTS[random.nextInt(EFFECTS.length)],
             EFFECTS[random.nextInt(EFFECTS.length)],
-            FORMS[random.nextInt(FORMS.length)],
+            PROTOCOLS[random.nextInt(PROTOCOLS.length)],
             3 + random.nextInt(7),
             random.nextInt(2),
             random.nextInt(4) > 0,
             random.nextInt(3) == 0);
     DispatchHarness harness = new DispatchHarness(config);
-    List<Step> played = new ArrayList<>();
-    Step[] all = Step.values();
-    for (int i = 0; i < steps && harness.violated().isEmpty(); i++) {
-      Step step = all[random.nextInt(all.length)];
-      // Each would rule the rest of the walk, and short orders have them.
-      boolean rare = step == Step.DESCRIPTOR_SHORTAGE || step == Step.FAIL_SYNCHRONOUSLY;
-      if (harness.enabled(step) && (!rare || random.nextInt(200) == 0)) {
+    List<Step> path = new ArrayList<>();
+    Step[] allSteps = Step.values();
+    for (int i = 0; i < maxSteps && harness.violations().isEmpty(); i++) {
+      Step step = allSteps[random.nextInt(allSteps.length)];
+      // Their effect lasts for the rest of the walk; the exhaustive search covers them.
+      boolean persistent = step == Step.DESCRIPTOR_SHORTAGE || step == Step.FAIL_SYNCHRONOUSLY;
+      if (harness.enabled(step) && (!persistent || random.nextInt(200) == 0)) {
         harness.play(step);
-        played.add(step);
+        path.add(step);
       }
     }
-    Set<Invariant> violated = harness.runToRest();
-    if (violated.isEmpty()) {
+    Set<Invariant> violations = harness.runToRest();
+    if (violations.isEmpty()) {
       return null;
     }
-    Invariant first = violated.iterator().next();
+    Invariant first = violations.iterator().next();
     return new Explorer.Counterexample(
         first,
         config,
-        Explorer.shrink(played, order -> Explorer.play(config, order).contains(first)));
+        Explorer.shrink(path, steps -> Explorer.play(config, steps).contains(first)));
   }
 }
--- a/src/main/java/heathswitch/testbed/explore/Step.java
+++ b/src/main/java/heathswitch/testbed/explore/Step.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.explore;
 
-/** One event of a world, named so that a sequence of them can be read and pasted. */
+/** The events that the explorer plays; printed sequences of their names can be used in tests. */
 public enum Step {
   REQUEST_A,
   REQUEST_B,
-  /** The oldest attempt that is out ends so; the newest for those that say so. */
+  /** The oldest attempt in flight ends this way; steps named NEWEST end the newest attempt. */
   OK,
   ERROR,
   ERROR_WITH_ANSWER,
@@ -13,27 +13,28 @@
   RESET,
   OK_NEWEST,
   ERROR_NEWEST,
+  /** The answer of the oldest attempt starts streaming. */
   BEGIN_STREAMING,
-  /** A second end of an attempt that is over already. */
+  /** An attempt that has ended reports a second outcome. */
   LATE_OK,
   DISCONNECT_A,
   DISCONNECT_B,
-  /** The caller leaves, which has not been read yet when the next step comes. */
+  /** The caller disconnects, but this has not been read yet at the next step. */
   UNREAD_DISCONNECT_A,
-  /** The next timer comes due. */
+  /** The next timer expires. */
   TIMER,
-  /** The deadline of the oldest request that is open passes. */
+  /** The deadline of the oldest open request passes. */
   DEADLINE,
   DRAIN_SERVER,
   REMOVE_SERVER,
-  /** Server one is on the list again under its id, as a process that started anew. */
+  /** The drained or removed server is listed again under its id, as a restarted process. */
   RELIST_SERVER,
-  /** Other settings, in which the two kinds of requests have changed places. */
+  /** New settings swap the effects of the two kinds of requests. */
   RELOAD,
-  /** From now on no attempt gets a descriptor. */
+  /** From now on no descriptor is available for an attempt. */
   DESCRIPTOR_SHORTAGE,
   /** From now on attempts fail inside the call that starts them. */
   FAIL_SYNCHRONOUSLY,
-  /** From now on there is no other place to send to. */
+  /** From now on the other site is not available. */
   NO_OVERFLOW_SITE
 }
--- a/src/main/java/heathswitch/testbed/explore/VirtualEventLoop.java
+++ b/src/main/java/heathswitch/testbed/explore/VirtualEventLoop.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop whose time stands still until it is moved; on the explorer's own thread. */
+/** An event loop in virtual time that runs on the calling thread and advances only on demand. */
 final class VirtualEventLoop extends AbstractScheduledEventExecutor {
   private static final int MAX_TASKS = 100_000;
 
@@ -18,7 +18,7 @@
     return nowNanos;
   }
 
-  /** Runs what is due now, and all that follows from it at once. */
+  /** Runs all due tasks, including those they schedule for now. */
   void runDueTasks() {
     for (int i = 0; i < MAX_TASKS; i++) {
       Runnable due = pollScheduledTask(nowNanos);
@@ -28,15 +28,15 @@
       }
       next.run();
     }
-    throw new IllegalStateException("a turn of the loop does not end");
+    throw new IllegalStateException("event loop does not become idle");
   }
 
-  /** When the next timer is due, or -1 where there is none. */
+  /** The time of the next timer, or -1 if there is none. */
   long nextDeadlineNanos() {
     return nextScheduledTaskDeadlineNanos();
   }
 
-  /** Moves the clock and runs the timers on the way, each at its time. */
+  /** Advances the clock and runs each timer at its time. */
   void advanceTo(long nanos) {
     for (long due = nextDeadlineNanos(); due >= 0 && due <= nanos; due = nextDeadlineNanos()) {
       nowNanos = Math.max(nowNanos, due);
--- a/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/explore/ExplorerTest.java
@@ -13,38 +13,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The real dispatcher and module in every order of events, and faults put into copies of them. */
+/**
+ * Model-checks the real dispatcher and decision module, and verifies by mutation testing that the
+ * checks detect injected faults.
+ */
 @Timeout(400)
 class ExplorerTest {
   @Test
-  void everyOrderOfFourEventsKeepsTheProperties() {
+  void holdsInvariantsForAllSequencesOfFourEvents() {
     Explorer explorer = new Explorer(4, false).run();
     assertEquals(List.of(), explorer.counterexamples());
     assertTrue(explorer.states() > 100_000, "played " + explorer.states());
   }
 
   @Test
-  void longWalksKeepThem() {
+  void holdsInvariantsForLongRandomWalks() {
     for (long seed = 1; seed <= 300; seed++) {
       assertNull(RandomWalk.walk(seed, 400), "seed " + seed);
     }
   }
 
   @Test
-  void everyFaultIsFound() throws Exception {
+  void detectsEveryInjectedFault() throws Exception {
     MutantRun run = new MutantRun();
-    List<String> unseen = new ArrayList<>();
+    List<String> undetected = new ArrayList<>();
     for (Mutant mutant : Mutants.ALL) {
       if (run.shortestDetection(mutant, 4) < 0) {
-        unseen.add(mutant.toString());
+        undetected.add(mutant.toString());
       }
     }
-    assertEquals(List.of(), unseen);
+    assertEquals(List.of(), undetected);
   }
 
-  /** A test that was printed by the explorer has this form. */
+  /** The explorer prints counterexamples as tests of this form. */
   @Test
-  void anOrderCanBePasted() {
+  void playsPastedSequence() {
     assertEquals(
         Set.of(),
         Explorer.play(
@@ -53,20 +56,22 @@
             List.of(Step.REQUEST_A, Step.RESET, Step.REQUEST_B, Step.DEADLINE)));
   }
 
-  /** Where nothing may be called off, the copy that loses may be answered well, too. */
+  /**
+   * If attempts may not be cancelled, the slower of two hedged attempts may also succeed. The
+   * overflow router must still be told of one local answer only.
+   */
   @Test
-  void oneRequestIsToldAsServedOnce() {
-    DispatchHarness.Config setup =
+  void reportsHedgedRequestAsServedOnce() {
+    DispatchHarness.Config config =
         new DispatchHarness.Config(
             Effect.SAFE, Effect.SAFE, RequestProtocol.HTTP1, 2, 0, true, true);
-    List<Step> order = List.of(Step.RELOAD, Step.REQUEST_B, Step.TIMER, Step.OK_NEWEST, Step.OK);
-    assertEquals(Set.of(), Explorer.play(setup, order));
+    List<Step> path = List.of(Step.RELOAD, Step.REQUEST_B, Step.TIMER, Step.OK_NEWEST, Step.OK);
+    assertEquals(Set.of(), Explorer.play(config, path));
   }
 
-  /** What is not needed for the fault is left out of what is printed. */
   @Test
-  void anOrderIsMadeAsShortAsItCanBe() {
-    List<Step> order =
+  void shrinksSequenceToNecessarySteps() {
+    List<Step> path =
         List.of(
             Step.TIMER,
             Step.REQUEST_A,
@@ -78,10 +83,10 @@
     assertEquals(
         List.of(Step.REQUEST_A, Step.RESET),
         Explorer.shrink(
-            order,
+            path,
             steps -> {
-              int ask = steps.indexOf(Step.REQUEST_A);
-              return ask >= 0 && steps.indexOf(Step.RESET) > ask;
+              int request = steps.indexOf(Step.REQUEST_A);
+              return request >= 0 && steps.indexOf(Step.RESET) > request;
             }));
   }
 }
