--- a/src/main/java/heathswitch/proxy/http2/InboundConnection.java
+++ b/src/main/java/heathswitch/proxy/http2/InboundConnection.java
@@ -7,16 +7,17 @@
 import java.util.List;
 
 /**
- * A connection that others began, with their calls on it: left in good order, and rid of calls
- * whose other side has stopped. Both bounds are needed, as its PINGs may go on all the while.
+ * A connection opened by the peer, with the calls that the peer starts on it. Supports graceful
+ * shutdown and aborting calls on which the peer has stalled. The latter is needed because a peer
+ * may keep answering PINGs while a call makes no progress.
  */
 public abstract class InboundConnection extends MultiplexedConnection {
-  /** A call of the other side. */
+  /** A call started by the peer. */
   public interface Call extends StreamHandler {
-    /** Whether it is the other side's turn, and has been since then. */
+    /** Whether the call has been waiting for the peer since before the given time. */
     boolean stalledSinceBefore(long beforeNanos);
 
-    /** Gives the call up; its stream ends with it. */
+    /** Aborts the call and closes its stream. */
     void abort();
   }
 
@@ -29,7 +30,7 @@
     super(decoder, encoder, settings);
   }
 
-  /** Whoever takes a call that begins. */
+  /** Creates the handler of a new call. */
   protected abstract Call createCall(int id);
 
   @Override
@@ -38,7 +39,7 @@
     return createCall(id);
   }
 
-  /** To be called once for each call, when its stream is gone. */
+  /** Must be called once for each call, when its stream is closed. */
   public void callClosed() {
     openCalls--;
     closeIfIdle();
@@ -48,7 +49,7 @@
     return openCalls;
   }
 
-  /** No new calls; those that are on end by themselves. */
+  /** Sends GOAWAY and closes the connection after the last open call. */
   public final void closeGracefully() {
     if (!goAwayStarted) {
       goAwayStarted = true;
@@ -66,7 +67,7 @@
     }
   }
 
-  /** Cuts the calls that are stuck since before then. */
+  /** Aborts the calls that have been stalled since before the given time. */
   protected final void abortStalledCalls(long beforeNanos) {
     List<Call> stalled =
         new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
--- a/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
+++ b/src/main/java/heathswitch/proxy/http2/MultiplexedConnection.java
@@ -28,52 +28,54 @@
 import java.util.function.Consumer;
 
 /**
- * One HTTP/2 connection, of either side. Frames go from Netty's codec straight to the handler of
- * their stream, without a channel or an object for each: that is what made a gRPC call cost more of
- * the loop than one over HTTP/1.1.
+ * An HTTP/2 connection in the client or the server role. Frames go directly from Netty's codec to
+ * the handler of their stream, without a child channel per stream or an object per frame; with
+ * those, a gRPC call took more event loop time than a call over HTTP/1.1.
  *
- * <p>A stream's window is given back only for bytes that have been used up, so that a slow reader
- * holds back its sender and nobody else: the connection's own window refills by itself, and what
- * all streams hold together is for the protocol above to bound.
+ * <p>Flow control: the window of a stream is only returned for bytes that have been processed, so
+ * that a slow reader holds back its own sender and no other stream. The window of the connection is
+ * refilled automatically; the protocol above must limit the bytes held by all streams together.
  */
 public abstract class MultiplexedConnection extends Http2ConnectionHandler {
-  /** What the other side may send ahead on a stream. */
+  /** Initial flow control window of a stream. */
   public static final int STREAM_WINDOW_BYTES = 256 << 10;
 
-  /** Between the two steps of a GOAWAY: calls that cross the first are still taken. */
+  /** Time between the two GOAWAY frames; calls in flight during the first are still accepted. */
   private static final long GOAWAY_GRACE_MILLIS = 550;
 
   private static final int MAX_EMPTY_FRAMES = 8;
   private static final int MAX_SMALL_CONTINUATIONS = 16;
 
   /**
-   * Resets that a client may send within the window below: more is a rapid reset. A client that
-   * gives up or hedges sends one for each call, and losing its connection would lose all others.
+   * RST_STREAM frames that a client may send per {@link #RESET_WINDOW_SECONDS}; more counts as a
+   * rapid reset attack. The limit is high because a client that cancels or hedges sends one for
+   * each call, and closing its connection would lose all its other calls.
    */
   private static final int MAX_RESETS_PER_WINDOW = 2000;
 
   private static final int RESET_WINDOW_SECONDS = 10;
 
-  /** What a stream is for. All calls come on the loop. */
+  /** Receives the events of one stream, on the event loop. */
   public interface StreamHandler {
     void onHeaders(Http2Headers headers, boolean last);
 
     /**
-     * A piece of data, valid during the call.
+     * Called for each DATA frame.
      *
-     * @return bytes of its window that are used up already; the others are given back by {@link
-     *     Link#consume}
+     * @param data valid only during the call
+     * @return how many bytes of the stream window can be returned at once; the handler returns the
+     *     others later with {@link #returnWindow}
      */
     int onData(ByteBuf data, boolean last);
 
-    /** The other side has reset the stream; {@link #onClosed} follows. */
+    /** The peer has reset the stream; {@link #onClosed} follows. */
     void onReset(long code);
 
-    /** The stream is gone, in whatever way. */
+    /** The stream is closed, for whatever reason. */
     void onClosed(Http2Stream stream);
   }
 
-  /** Makes a connection's handler from the codec's two halves. */
+  /** Creates a connection from the decoder and the encoder of the codec. */
   public interface Factory<T extends MultiplexedConnection> {
     T create(
         Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings);
@@ -102,12 +104,14 @@
   }
 
   /**
-   * Puts a connection together.
+   * Builds a connection.
    *
-   * @param mostStreams that the other side may have open at a time; of no matter for a client
-   * @param mostHeaders bytes of the headers of one message, as RFC 9113 section 6.5.2 counts them
-   * @param changing names of headers that are another in every message: indexed, they would push
-   *     all else out of the table. Compared by identity.
+   * @param server whether this side is the server
+   * @param maxStreams concurrent streams that the peer may open; ignored for a client
+   * @param maxHeaderListBytes limit for the headers of a message, as counted by RFC 9113, section
+   *     6.5.2
+   * @param neverIndexed names of headers that differ in every message and would evict all other
+   *     entries from the HPACK table if they were indexed. Compared by identity.
    */
   public static <T extends MultiplexedConnection> T build(
       boolean server,
@@ -153,8 +157,9 @@
       gracefulShutdownTimeoutMillis(0);
       decoderEnforceMaxConsecutiveEmptyDataFrames(MAX_EMPTY_FRAMES);
       decoderEnforceMaxSmallContinuationFrames(MAX_SMALL_CONTINUATIONS);
-      // An upstream may refuse and be told to stop as many streams as it takes; a client may make
-      // neither side send resets without end.
+      // Resets are unlimited towards upstreams, which may refuse streams and have streams
+      // cancelled.
+      // Clients must not be able to cause unlimited resets in either direction.
       int resets = server ? MAX_RESETS_PER_WINDOW : 0;
       decoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
       encoderEnforceMaxRstFramesPerWindow(resets, RESET_WINDOW_SECONDS);
@@ -191,12 +196,12 @@
     return ctx;
   }
 
-  /** Whether another stream may be opened from this side. */
+  /** Whether this side can open another stream. */
   public final boolean canOpenStream() {
     return connection().local().canOpenStream() && !connection().goAwayReceived();
   }
 
-  /** Opens a stream with its headers; its id, or -1 where none could be had and nothing is sent. */
+  /** Opens a stream with its headers; returns its id, or -1 if that is impossible. */
   public final int openStream(StreamHandler handler, Http2Headers headers, boolean last) {
     int id = canOpenStream() ? connection().local().incrementAndGetNextStreamId() : -1;
     if (id <= 0) {
@@ -217,7 +222,7 @@
     return encoder().writeHeaders(ctx, id, headers, 0, last, ctx.newPromise());
   }
 
-  /** Takes over the data; done when it has been written to the socket. */
+  /** Takes ownership of the data; the future completes when it is written to the socket. */
   public final ChannelFuture writeData(int id, ByteBuf data, boolean last) {
     scheduleFlush();
     return encoder().writeData(ctx, id, data, 0, last, ctx.newPromise());
@@ -235,7 +240,7 @@
     encoder().writePing(ctx, false, content, ctx.newPromise());
   }
 
-  /** Bytes of a stream's window have been used up. */
+  /** Returns processed bytes to the window of a stream. */
   public final void returnWindow(int id, int bytes) {
     Http2Stream stream = connection().stream(id);
     if (stream == null || bytes == 0) {
@@ -250,7 +255,7 @@
     }
   }
 
-  /** One flush for all that is written in a turn of the loop: each alone is a system call. */
+  /** Flushes once per turn of the event loop, because each flush is a system call. */
   private void scheduleFlush() {
     if (!flushScheduled) {
       flushScheduled = true;
@@ -267,7 +272,7 @@
     ctx.close();
   }
 
-  /** Says that no stream after this one is taken; done when it is written. */
+  /** Sends GOAWAY with the last accepted stream id; the future completes when it is written. */
   public final ChannelFuture sendGoAway(int lastId, Http2Error error) {
     ChannelFuture writing =
         goAway(ctx, lastId, error.code(), Unpooled.EMPTY_BUFFER, ctx.newPromise());
@@ -276,10 +281,10 @@
   }
 
   /**
-   * GOAWAY in two steps (RFC 9113, section 6.8): first with the greatest id, so that calls on their
-   * way are still taken, then with that of the last one.
+   * Sends two GOAWAY frames (RFC 9113, section 6.8): the first with the greatest stream id, so that
+   * calls in flight are still accepted, the second with the id of the last stream.
    *
-   * @param left called after the second step, unless the connection is closed by then
+   * @param onSecondGoAway called after the second frame, unless the connection is closed by then
    */
   public final void sendGracefulGoAway(Runnable onSecondGoAway) {
     sendGoAway(Integer.MAX_VALUE, Http2Error.NO_ERROR);
@@ -314,7 +319,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) throws Exception {
     if (Http2CodecUtil.getEmbeddedHttp2Exception(cause) == null) {
-      context.channel().close(); // Its socket is broken.
+      context.channel().close(); // An error of the socket, not of the protocol.
     } else {
       super.exceptionCaught(context, cause);
     }
@@ -331,23 +336,23 @@
     super.onConnectionError(context, outbound, cause, known);
   }
 
-  /** The first headers of a stream that the other side opens; null turns the frame down. */
+  /** Called when the peer opens a stream; returns its handler, or null to ignore the stream. */
   protected StreamHandler onStreamOpened(int id) {
     return null;
   }
 
-  /** Any frame has come but the answer to a PING. */
+  /** Called for every frame except the acknowledgement of a PING. */
   protected void onFrameRead() {}
 
-  /** Headers or data have come. */
+  /** Called for each HEADERS or DATA frame. */
   protected void onHeadersOrDataRead() {}
 
   protected void onSettings(Http2Settings settings) {}
 
   /**
-   * A PING has come, or the answer to one.
+   * Called for a PING or its acknowledgement.
    *
-   * @param content what it carries; an answer brings back what was sent
+   * @param content the opaque data; an acknowledgement returns the data of the PING
    */
   protected void onPing(boolean ack, long content) {}
 
--- a/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
+++ b/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
@@ -32,24 +32,24 @@
 import java.util.function.Consumer;
 
 /**
- * The second address: a call to a connection, in HTTP/1.1, answered with a status and a line. It
- * shares the balancer's loop. Connections on which no call is finished are bounded in number and in
- * time, so that those who connect and say nothing keep nobody else from being heard.
+ * HTTP/1.1 server on the operators' address. Each connection carries one request, which is answered
+ * with a status and one line of text. The server runs on the balancer's event loop. The number and
+ * the lifetime of connections are limited, so that silent connections do not block other operators.
  */
 final class ConsoleServer {
-  /** The operators' calls; each answers once, on the loop. */
+  /** The commands of operators; called on the event loop, where each is also answered once. */
   interface Commands {
-    /** Whether the balancer takes clients. */
+    /** Whether the balancer accepts clients. */
     boolean isReady();
 
-    /** Takes an upstream out, or puts it back; the status to answer. */
+    /** Suspends or resumes an upstream; {@code done} gets the status to answer. */
     void setSuspended(String id, boolean suspended, Consumer<HttpResponseStatus> done);
 
-    /** Empties the balancer, or takes it into use again. */
+    /** Starts or ends draining the balancer. */
     void setDraining(boolean draining);
   }
 
-  /** The oldest goes where there would be more. */
+  /** Above this number the oldest connection is closed. */
   static final int MAX_CONNECTIONS = 24;
 
   private static final int CONNECTION_TIMEOUT_SECONDS = 8;
@@ -68,7 +68,7 @@
     this.commands = commands;
   }
 
-  /** Listens; fails if the address cannot be had. Must not be called on the loop. */
+  /** Binds the address; fails if it is not available. Must not be called on the event loop. */
   void start(InetSocketAddress address) throws InterruptedException {
     listener = Listeners.on(loop, this::onAccepted).bind(address).sync().channel();
   }
@@ -135,7 +135,7 @@
         default -> routeUpstream(request, path, reply);
       }
     } catch (IllegalArgumentException e) {
-      reply.accept(HttpResponseStatus.BAD_REQUEST); // Also an id that is wrongly escaped.
+      reply.accept(HttpResponseStatus.BAD_REQUEST); // Includes invalid escapes in an id.
     }
   }
 
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -12,14 +12,17 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Lays the marks of operators over the lists of discovery. On the loop alone. */
+/**
+ * Applies the marks of operators to the lists from discovery: a suspended upstream counts as
+ * draining, whatever discovery says. Used on the event loop only.
+ */
 final class MarkOverlay implements Dispatcher.Overlay {
   private final Rotation rotation = new Rotation();
 
-  /** Unix time that goes on evenly when the machine's clock is set. */
+  /** Unix time that advances monotonically even if the system clock is changed. */
   private final LongSupplier clockMillis;
 
-  /** As discovery listed them last; as long as its list. */
+  /** The upstreams as discovery listed them last; no larger than its list. */
   private final Map<String, Member> listed = new HashMap<>();
 
   MarkOverlay(LongSupplier clockMillis) {
@@ -50,7 +53,7 @@
     return entry.with(standing.health(), standing.startedMillis());
   }
 
-  /** Takes the marks as they are now and tells the dispatcher of whatever that changes. */
+  /** Replaces the marks and reports the upstreams that change to the dispatcher. */
   void update(Map<String, Mark> marks, Dispatcher dispatcher) {
     long now = clockMillis.getAsLong();
     List<Member> changed = new ArrayList<>();
@@ -65,7 +68,7 @@
     }
   }
 
-  /** Whether an upstream is listed, or marked though it no longer is. */
+  /** Whether an upstream is listed, or has a mark although it is no longer listed. */
   boolean isKnown(String id) {
     return Mark.markable(id) && (listed.containsKey(id) || rotation.mark(id) != null);
   }
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkStore.java
@@ -17,8 +17,9 @@
 import java.util.Map;
 
 /**
- * The marks of operators, a file for each, in a folder that all processes of one balancer share.
- * Without a folder they are kept in memory alone. Used by one thread, never the loop's.
+ * Stores the marks of operators, one file per marked upstream, in a folder that is shared by all
+ * processes of a balancer. Without a folder the marks are kept in memory only. Used by a single
+ * thread, which is not the event loop.
  */
 final class MarkStore {
   private static final int MAX_FILE_BYTES = 1024;
@@ -26,12 +27,12 @@
   private final Path folder;
   private Map<String, Mark> marks = new HashMap<>();
 
-  /** Uses the folder, which is made if it is not there; null for none. */
+  /** Uses the folder, which is created if it does not exist; null for none. */
   MarkStore(Path folder) {
     this.folder = folder;
   }
 
-  /** What stands now, in the folder of both processes. */
+  /** Reads the current marks, including those of the other process during an upgrade. */
   Map<String, Mark> read(long nowMillis) {
     if (folder != null) {
       Map<String, Mark> current = new HashMap<>();
@@ -46,14 +47,14 @@
       } catch (NoSuchFileException e) {
         marks = current;
       } catch (IOException | RuntimeException e) {
-        Log.warn("marks", "left as they were: " + e);
+        Log.warn("marks", "marks could not be read and stay as they were: " + e);
       }
     }
     removeSettled(nowMillis);
     return Map.copyOf(marks);
   }
 
-  /** A file that cannot be read now says what it said before, or that its upstream is out. */
+  /** Returns null for an invalid file, and the fallback for one that cannot be read now. */
   private Mark readFile(Path file, long nowMillis) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
@@ -62,9 +63,9 @@
       String[] lines = Files.readString(file).split("\n");
       return new Mark(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
     } catch (NoSuchFileException e) {
-      return null; // The other process has just taken it away.
+      return null; // Deleted by the other process in the meantime.
     } catch (CharacterCodingException | RuntimeException e) {
-      Log.warn("marks", file.getFileName() + " is not used: " + e);
+      Log.warn("marks", file.getFileName() + " is ignored: " + e);
       return null;
     } catch (IOException e) {
       Log.warn("marks", file.getFileName() + " cannot be read: " + e);
@@ -72,6 +73,7 @@
     }
   }
 
+  /** The mark that was read last or, without one, a mark that suspends the upstream. */
   private Mark fallbackMark(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
@@ -79,7 +81,7 @@
       Mark lastRead = marks.get(id);
       return lastRead != null ? lastRead : Mark.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
-      return null; // Its name is none of ours.
+      return null; // Not the name of a file of marks.
     }
   }
 
@@ -91,23 +93,23 @@
           try {
             Files.deleteIfExists(file(mark.id()));
           } catch (IOException e) {
-            Log.warn("marks", "a settled one stays: " + e);
+            Log.warn("marks", "file of a settled mark could not be deleted: " + e);
           }
         }
       }
     }
   }
 
-  /** Takes an upstream out; returns only once every process of the balancer will know. */
+  /** Suspends an upstream; when this returns, all processes of the balancer can see the mark. */
   void suspend(String id, long nowMillis) throws IOException {
     Map<String, Mark> current = read(nowMillis);
     if (current.size() >= Rotation.MOST_MARKS && !current.containsKey(id)) {
-      throw new IOException("more than " + Rotation.MOST_MARKS + " are out");
+      throw new IOException("more than " + Rotation.MOST_MARKS + " upstreams are suspended");
     }
     write(Mark.suspend(current.get(id), id, nowMillis));
   }
 
-  /** Puts an upstream back that may be out. */
+  /** Resumes an upstream if it is suspended. */
   void resume(String id, long nowMillis) throws IOException {
     Mark resumed = Mark.resume(read(nowMillis).get(id), nowMillis);
     if (resumed != null) {
@@ -124,7 +126,7 @@
     marks.put(mark.id(), mark);
   }
 
-  /** Ids come from discovery and may hold anything; a name of a file may not. */
+  /** The id is encoded because it may contain characters that a file name may not. */
   private Path file(String id) {
     byte[] bytes = id.getBytes(UTF_8);
     return folder.resolve("u-" + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
--- a/src/main/java/heathswitch/proxy/operations/OperationsService.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -16,15 +16,17 @@
 import java.util.function.Consumer;
 
 /**
- * What operators do with a running balancer. Files are read and written by a thread of their own,
- * in order, and the loop takes what that thread has seen: a mark is in force only when every
- * process of the balancer will know of it, and a yes is said after that.
+ * Executes the commands of operators on a running balancer. A separate thread reads and writes all
+ * files in order, and the event loop applies what that thread has read. A mark is therefore applied
+ * only once all processes of the balancer can see it, and success is answered after that.
  */
 public final class OperationsService implements ConsoleServer.Commands {
-  /** How soon one process of an upgrade hears what the other was told. */
+  /**
+   * Delay after which a process sees the marks that the other process of an upgrade has written.
+   */
   static final long POLL_MILLIS = 200;
 
-  /** Calls that may wait for their files; one more is told no. */
+  /** Commands that may wait for file access; further ones are rejected. */
   private static final int MAX_QUEUED_COMMANDS = 64;
 
   private final Node node;
@@ -37,9 +39,10 @@
   private volatile int heldDescriptors = Budget.RESERVED_DESCRIPTORS;
 
   /**
-   * Lays itself over the node's lists; before its start.
+   * Registers the overlay of marks at the dispatcher of the node. Must be called before the node is
+   * started.
    *
-   * @param folder shared by all processes of this balancer and by nobody else; null for none
+   * @param folder shared by the processes of this balancer only; null for none
    */
   public OperationsService(Node node, Path folder) {
     this.node = node;
@@ -60,12 +63,12 @@
     overlay.update(marks.read(node.nowMillis()), node.dispatcher());
   }
 
-  /** Whether another process serves this balancer when this one starts. */
+  /** Whether another process was serving this balancer when this one started. */
   public boolean hasPredecessor() {
     return generation.hasPredecessor();
   }
 
-  /** Opens the console; fails if the address cannot be had. Must not be called on the loop. */
+  /** Opens the console; fails if its address is in use. Must not be called on the event loop. */
   public void start(InetSocketAddress address) throws InterruptedException {
     int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
     node.loop().execute(() -> node.budget().heldElsewhere(heldByOthers));
@@ -73,7 +76,7 @@
     fileExecutor.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, MILLISECONDS);
   }
 
-  /** Clients can connect: from now on the console says so, and a later process can tell. */
+  /** Called once clients can connect: reports ready and becomes visible to later processes. */
   public void announceServing() {
     generation.writeHeartbeat(Budget.RESERVED_DESCRIPTORS);
     node.loop().execute(() -> serving = true);
@@ -83,12 +86,12 @@
     return console.address();
   }
 
-  /** Ends the thread of files; the console ends with the loop. */
+  /** Stops the file thread; the console ends with the event loop. */
   public void stop() {
     fileExecutor.shutdownNow();
   }
 
-  // ---- the thread of files ----
+  // ---- on the file thread ----
 
   private void poll() {
     try {
@@ -105,9 +108,9 @@
                 heldDescriptors = node.budget().held();
               });
     } catch (RejectedExecutionException e) {
-      fileExecutor.shutdown(); // The node has ended.
+      fileExecutor.shutdown(); // The event loop has been shut down.
     } catch (RuntimeException e) {
-      Log.error("operations", "marks could not be read", e); // Thrown on, it would be the last.
+      Log.error("operations", "marks could not be read", e); // An exception would cancel polling.
     }
   }
 
@@ -121,7 +124,7 @@
         marks.resume(id, now);
       }
     } catch (IOException | RuntimeException e) {
-      Log.error("operations", "a mark could not be written", e);
+      Log.error("operations", "mark could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
     Map<String, Mark> current = marks.read(now);
@@ -134,7 +137,7 @@
             });
   }
 
-  // ---- the operators' calls, on the loop ----
+  // ---- commands, on the event loop ----
 
   @Override
   public boolean isReady() {
@@ -148,10 +151,10 @@
       return;
     }
     if (fileExecutor.getQueue().size() >= MAX_QUEUED_COMMANDS) {
-      done.accept(HttpResponseStatus.SERVICE_UNAVAILABLE); // The disk does not keep up.
+      done.accept(HttpResponseStatus.SERVICE_UNAVAILABLE); // The disk is too slow.
       return;
     }
-    Log.info("operations", (suspended ? "taken out: " : "put back: ") + id);
+    Log.info("operations", (suspended ? "upstream suspended: " : "upstream resumed: ") + id);
     fileExecutor.execute(() -> writeMark(id, suspended, done));
   }
 
--- a/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
+++ b/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
@@ -12,58 +12,62 @@
 import java.util.Map;
 
 /**
- * The number of this process among those that have served this balancer, one after the other, since
- * its folder was last empty. Without a folder there is none before and none after.
+ * The sequence number of this process among the processes that have served this balancer since its
+ * folder was last empty. During an upgrade it tells a process whether it has a predecessor or a
+ * successor. Each process periodically writes a file as its heartbeat. Without a folder there are
+ * no other processes.
  */
 public final class ProcessGeneration {
   private static final String FILE_PREFIX = "process-";
 
-  /** One that has said nothing for so long has ended. */
+  /** A process without a heartbeat for this long has ended. */
   static final long HEARTBEAT_TIMEOUT_NANOS = 2_000_000_000L;
 
-  /** What another process said last, and when this one saw that for the first time. */
+  /** The last heartbeat of another process, and when this process first saw it. */
   private record Heartbeat(FileTime modified, long firstSeenNanos, int heldDescriptors) {}
 
   private final Path folder;
   private final int number;
 
-  /** The newest sign of each other process that has a file here. */
+  /** The newest heartbeat of each other process that has a file, by its number. */
   private final Map<Integer, Heartbeat> heartbeats = new HashMap<>();
 
-  /** Follows on whatever the folder shows; null for no folder. */
+  /** Takes the next number after those in the folder; null for no folder. */
   public ProcessGeneration(Path folder) {
     this.folder = folder;
     this.number = highestNumber() + 1;
   }
 
-  /** Whether another process served before this one and may still do so. */
+  /** Whether another process served before this one and may still be serving. */
   public boolean hasPredecessor() {
     return number > 1;
   }
 
-  /** Whether another process has begun to serve after this one. */
+  /** Whether another process has started to serve after this one. */
   public boolean hasSuccessor() {
     return highestNumber() > number;
   }
 
-  /** This process serves, and holds so many descriptors; to be said again and again. */
+  /** Reports that this process serves and how many descriptors it holds; called periodically. */
   public void writeHeartbeat(int heldDescriptors) {
     if (folder != null) {
       try {
         Files.createDirectories(folder);
         Files.writeString(folder.resolve(FILE_PREFIX + number), Integer.toString(heldDescriptors));
       } catch (IOException e) {
-        Log.warn("upgrade", "another process will not know of this one: " + e);
+        Log.warn(
+            "upgrade",
+            "heartbeat could not be written, other processes will not see this one: " + e);
       }
     }
   }
 
   /**
-   * Descriptors that other processes of this balancer hold, as far as they have said. Whether one
-   * still lives is judged by when its file was seen to change: the times of files are of a clock
-   * that may be set.
+   * The number of descriptors held by other live processes of this balancer, according to their
+   * heartbeats. Whether a process is alive is judged by when its file was last seen to change,
+   * because file times come from the system clock, which may be changed.
    *
-   * @param nowNanos of a clock that cannot be set
+   * @param nowNanos time of a monotonic clock
    */
   public int descriptorsHeldByOthers(long nowNanos) {
     int held = 0;
@@ -81,14 +85,14 @@
     Heartbeat heartbeat = heartbeats.get(other);
     try {
       FileTime written = Files.getLastModifiedTime(file);
-      String text = Files.readString(file); // Empty while it is being written.
+      String text = Files.readString(file); // Empty if it is just being written.
       boolean updated = heartbeat == null || !heartbeat.modified().equals(written);
       int lastHeld = heartbeat == null ? 0 : heartbeat.heldDescriptors();
       int held = text.matches("[0-9]{1,7}") ? Integer.parseInt(text) : lastHeld;
       heartbeat = new Heartbeat(written, updated ? nowNanos : heartbeat.firstSeenNanos(), held);
       heartbeats.put(other, heartbeat);
     } catch (IOException e) {
-      Log.warn("upgrade", "what another process holds cannot be read: " + e);
+      Log.warn("upgrade", "heartbeat of another process could not be read: " + e);
     }
     boolean alive =
         heartbeat != null && nowNanos - heartbeat.firstSeenNanos() < HEARTBEAT_TIMEOUT_NANOS;
@@ -99,7 +103,7 @@
     return processes().keySet().stream().mapToInt(Integer::intValue).max().orElse(0);
   }
 
-  /** All that have served, by their numbers. */
+  /** The files of all processes that have served, by their numbers. */
   private Map<Integer, Path> processes() {
     Map<Integer, Path> processes = new HashMap<>();
     if (folder != null) {
@@ -111,9 +115,9 @@
           }
         }
       } catch (NoSuchFileException e) {
-        return processes; // Nobody has served yet.
+        return processes; // No process has served yet.
       } catch (IOException | DirectoryIteratorException e) {
-        Log.warn("upgrade", "whether there is another process is not known: " + e);
+        Log.warn("upgrade", "folder of the processes could not be read: " + e);
       }
     }
     return processes;
--- a/src/main/java/heathswitch/proxy/operations/package-info.java
+++ b/src/main/java/heathswitch/proxy/operations/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators do with a running balancer on the platform: the console, upstreams taken out,
- * emptying, and the processes that follow one another.
+ * Operating a running balancer on the platform: the HTTP console, suspending upstreams, draining,
+ * and upgrades, in which one process of the balancer takes over from another.
  */
 package heathswitch.proxy.operations;
--- a/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is kept behind a request is bounded, and every buffer is released. */
+/** The queue of pipelined parts is bounded, and every buffer is released exactly once. */
 class PipelineQueueTest {
   private final PipelineQueue parts = new PipelineQueue();
   private final List<HttpContent> added = new ArrayList<>();
@@ -24,21 +24,21 @@
   }
 
   @Test
-  void aFewAreServedInTurn() {
+  void pollReturnsPartsInOrderAndPassesOwnership() {
     for (int i = 0; i < PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
     assertFalse(parts.hasOverflowed());
     for (HttpContent part : added) {
       assertSame(part, parts.poll());
-      assertEquals(1, part.refCnt(), "it belongs to the caller");
+      assertEquals(1, part.refCnt(), "ownership has passed to the caller");
       part.release();
     }
     assertTrue(parts.isEmpty());
   }
 
   @Test
-  void oneTooManyDropsAll() {
+  void releasesAllPartsOnOverflow() {
     for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void whatFollowsIsReleasedAndCounted() {
+  void releasesAndCountsPartsAfterOverflow() {
     for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void whatIsKeptIsReleasedAtTheEnd() {
+  void releaseFreesQueuedParts() {
     add(10);
     add(10);
     parts.release();
--- a/src/test/java/heathswitch/proxy/operations/MarkStoreTest.java
+++ b/src/test/java/heathswitch/proxy/operations/MarkStoreTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A mark whose file cannot be read for a moment stands as before. */
+/** A mark whose file is temporarily unreadable stays in force. */
 class MarkStoreTest {
   private static final long NOW = 1_000_000;
 
   @TempDir Path folder;
 
-  /** A link to itself in the place of the file: it is there, and its reading fails. */
+  /** Replaces each file with a symbolic link to itself, which exists but cannot be read. */
   private void makeUnreadable() throws IOException {
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
       for (Path file : files) {
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void anUpstreamThatIsOutStaysOutWhileItsMarkCannotBeRead() throws IOException {
+  void keepsUpstreamSuspendedWhileItsMarkIsUnreadable() throws IOException {
     MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
     Mark before = marks.read(NOW).get("s/1");
@@ -38,9 +38,9 @@
     assertEquals(before, marks.read(NOW + 1000).get("s/1"));
   }
 
-  /** By the name of the file alone an upstream that has a mark is taken for out. */
+  /** The name of the file alone is enough to treat its upstream as suspended. */
   @Test
-  void aProcessThatHasNeverReadAMarkTakesItsUpstreamForOut() throws IOException {
+  void suspendsUpstreamOfUnreadableMarkNeverReadBefore() throws IOException {
     new MarkStore(folder).suspend("s/1", NOW);
     makeUnreadable();
     Map<String, Mark> seen = new MarkStore(folder).read(NOW + 1000);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aMarkThatWasTakenAwayIsGone() throws IOException {
+  void dropsMarkWhoseFileWasDeleted() throws IOException {
     MarkStore marks = new MarkStore(folder);
     marks.suspend("s/1", NOW);
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
--- a/src/test/java/heathswitch/proxy/operations/ProcessGenerationTest.java
+++ b/src/test/java/heathswitch/proxy/operations/ProcessGenerationTest.java
@@ -12,29 +12,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Processes of one balancer know of one another by the folder that they share. */
+/** The processes of one balancer detect each other through a shared folder. */
 class ProcessGenerationTest {
   @TempDir Path folder;
 
   @Test
-  void eachKnowsOfTheOneBeforeAndAfter() {
+  void detectsPredecessorAndSuccessor() {
     ProcessGeneration first = new ProcessGeneration(folder.resolve("p"));
     assertFalse(first.hasPredecessor());
     first.writeHeartbeat(60);
     assertFalse(first.hasSuccessor());
     ProcessGeneration second = new ProcessGeneration(folder.resolve("p"));
     assertTrue(second.hasPredecessor());
-    assertFalse(first.hasSuccessor(), "it does not serve yet");
+    assertFalse(first.hasSuccessor(), "the second process does not serve yet");
     second.writeHeartbeat(50);
     assertTrue(first.hasSuccessor());
     assertFalse(second.hasSuccessor());
   }
 
   /**
-   * They share one limit: what one holds the other must leave to it, and no longer than it lives.
+   * The processes share one limit of descriptors: those held by another process are not available,
+   * but only as long as that process is alive.
    */
   @Test
-  void descriptorsOfOthersCountWhileTheyLive() throws Exception {
+  void countsDescriptorsOfOtherProcessesWhileTheyAreAlive() throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
     first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
@@ -47,9 +48,9 @@
     assertEquals(0, second.descriptorsHeldByOthers(ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS));
   }
 
-  /** A file that is being written, or cannot be read, says nothing new. */
+  /** A file that is being written or cannot be read does not change the last known number. */
   @Test
-  void whatAnotherHoldsStandsWhileItsFileCannotBeRead() throws Exception {
+  void keepsLastKnownDescriptorsWhileHeartbeatFileIsUnreadable() throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
     first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
@@ -63,10 +64,10 @@
     assertEquals(0, second.descriptorsHeldByOthers(2 + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS));
   }
 
-  /** The machine's clock is set by an hour, forward or back, while both live; then one ends. */
+  /** The system clock is set by an hour, forward or back, while both are alive; then one ends. */
   @ParameterizedTest
   @ValueSource(longs = {-3600, 3600})
-  void aClockThatIsSetChangesNothing(long seconds) throws Exception {
+  void ignoresChangesOfTheSystemClock(long seconds) throws Exception {
     ProcessGeneration first = new ProcessGeneration(folder);
     first.writeHeartbeat(60);
     ProcessGeneration second = new ProcessGeneration(folder);
@@ -76,17 +77,19 @@
     long now = ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS - 1;
     Files.setLastModifiedTime(file, FileTime.fromMillis(written + seconds * 1000));
     assertEquals(
-        60, second.descriptorsHeldByOthers(now), "it has written by the clock that was set");
+        60,
+        second.descriptorsHeldByOthers(now),
+        "the heartbeat was written with the changed clock");
     assertEquals(
         60, second.descriptorsHeldByOthers(now + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS - 1));
     assertEquals(
         0,
         second.descriptorsHeldByOthers(now + ProcessGeneration.HEARTBEAT_TIMEOUT_NANOS),
-        "it has ended");
+        "the other process has ended");
   }
 
   @Test
-  void withoutAFolderThereIsNobodyElse() {
+  void hasNoOtherProcessesWithoutFolder() {
     ProcessGeneration alone = new ProcessGeneration(null);
     alone.writeHeartbeat(60);
     assertFalse(alone.hasPredecessor());
