--- a/src/main/java/heathswitch/policy/adapter/Instance.java
+++ b/src/main/java/heathswitch/policy/adapter/Instance.java
@@ -4,7 +4,7 @@
 import heathswitch.policy.api.Settings;
 import heathswitch.policy.core.Balancer;
 
-/** One hosted balancer; writes its decisions as actions on the wire. */
+/** One balancer of the adapter; writes its actions to the wire. */
 final class Instance implements Actions {
   private static final byte[] FORWARD = WireWriter.quoted("FORWARD");
   private static final byte[] STOP_ATTEMPT = WireWriter.quoted("STOP_ATTEMPT");
@@ -26,47 +26,52 @@
     this.balancer = new Balancer(settings, seed, this);
   }
 
+  /** Reports an exception of an instance. */
   static void fault(String name, String text, WireWriter out) {
-    out.open(FAULT, WireWriter.quoted(name)).text(text).close();
+    out.openAction(FAULT, WireWriter.quoted(name)).text(text).closeAction();
   }
 
   @Override
-  public void send(long requestId, long serverId, long notPastNanos) {
-    out.open(FORWARD, name).number(requestId).number(serverId).number(notPastNanos).close();
+  public void send(long requestId, long serverId, long attemptDeadlineNanos) {
+    out.openAction(FORWARD, name)
+        .number(requestId)
+        .number(serverId)
+        .number(attemptDeadlineNanos)
+        .closeAction();
   }
 
   @Override
   public void cancel(long requestId, int attempt) {
-    out.open(STOP_ATTEMPT, name).number(requestId).number(attempt).close();
+    out.openAction(STOP_ATTEMPT, name).number(requestId).number(attempt).closeAction();
   }
 
   @Override
   public void refuse(long requestId, long retryAfterNanos) {
-    out.open(NOT_NOW, name).number(requestId).number(retryAfterNanos).close();
+    out.openAction(NOT_NOW, name).number(requestId).number(retryAfterNanos).closeAction();
   }
 
   @Override
   public void fail(long requestId) {
-    out.open(FAIL, name).number(requestId).close();
+    out.openAction(FAIL, name).number(requestId).closeAction();
   }
 
   @Override
   public void setTimer(long delayNanos, long token) {
-    out.open(SET_ALARM, name).number(delayNanos).number(token).close();
+    out.openAction(SET_ALARM, name).number(delayNanos).number(token).closeAction();
   }
 
   @Override
   public void watch(boolean enable) {
-    out.open(TAIL, name).bool(enable).close();
+    out.openAction(TAIL, name).bool(enable).closeAction();
   }
 
   @Override
   public void fetch() {
-    out.open(FETCH, name).close();
+    out.openAction(FETCH, name).closeAction();
   }
 
   @Override
   public void log(String message) {
-    out.open(NOTE_DOWN, name).text(message).close();
+    out.openAction(NOTE_DOWN, name).text(message).closeAction();
   }
 }
--- a/src/main/java/heathswitch/policy/api/ServerEntry.java
+++ b/src/main/java/heathswitch/policy/api/ServerEntry.java
@@ -1,11 +1,12 @@
 package heathswitch.policy.api;
 
 /**
- * One line of the server list.
+ * One entry of the server list.
  *
  * @param startedNanos clock time of the last start, or 0 for long ago
- * @param speaks the protocols that it takes, a {@link Form#protocol} bit for each
- * @param part whether this balancer is to use it
+ * @param protocols the protocols that it supports, one {@link RequestProtocol#protocolBit} bit for
+ *     each
+ * @param role its role for this balancer
  */
 public record ServerEntry(
     long id,
@@ -15,10 +16,10 @@
     Health health,
     double weight,
     long startedNanos,
-    int speaks,
-    Part part) {
+    int protocols,
+    SubsetRole role) {
 
-  /** One of which nothing is said who is to use it. */
+  /** An entry that is not assigned to a subset. */
   public ServerEntry(
       long id,
       String zone,
@@ -27,11 +28,11 @@
       Health health,
       double weight,
       long startedNanos,
-      int speaks) {
-    this(id, zone, kind, cell, health, weight, startedNanos, speaks, Part.ANY);
+      int protocols) {
+    this(id, zone, kind, cell, health, weight, startedNanos, protocols, SubsetRole.ANY);
   }
 
-  /** Likewise one that speaks HTTP/1.1 alone. */
+  /** An entry that is not assigned to a subset and supports HTTP/1.1 only. */
   public ServerEntry(
       long id,
       String zone,
@@ -40,10 +41,11 @@
       Health health,
       double weight,
       long startedNanos) {
-    this(id, zone, kind, cell, health, weight, startedNanos, Form.HTTP1.protocol());
+    this(id, zone, kind, cell, health, weight, startedNanos, RequestProtocol.HTTP1.protocolBit());
   }
 
   public ServerEntry {
-    Settings.require(speaks > 0 && speaks < Form.MIXES, "members[].speaks");
+    Settings.require(
+        protocols > 0 && protocols < RequestProtocol.PROTOCOL_SETS, "members[].speaks");
   }
 }
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -6,8 +6,8 @@
 import heathswitch.proxy.gossip.Peering;
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.logging.StructuredLog;
-import heathswitch.proxy.maintenance.WorkCheck;
-import heathswitch.proxy.maintenance.WorkOrders;
+import heathswitch.proxy.maintenance.MaintenanceConfigCheck;
+import heathswitch.proxy.maintenance.MaintenanceService;
 import heathswitch.proxy.members.MembersCheck;
 import heathswitch.proxy.members.MembersWatcher;
 import heathswitch.proxy.runtime.Log;
@@ -61,7 +61,7 @@
   int serve(
       @Option(names = "--config", required = true, paramLabel = "FILE", description = "TOML file")
           Path file) {
-    Log.setUp();
+    Log.installConsoleHandler();
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
       result.faults().forEach(fault -> err().println(fault));
@@ -73,18 +73,18 @@
       balancer = new StandaloneNode(file, result.config());
     } catch (MembersWatcher.CannotStart
         | SiteGateway.CannotStart
-        | WorkOrders.CannotStart
+        | MaintenanceService.StartException
         | Peering.CannotStart e) {
       err().println(file + ": " + e.getMessage());
       return 1;
     }
     Signals.onHangUp(balancer::reload); // Before it can be seen as ready.
-    balancer.node().shutdown().install();
+    balancer.node().shutdown().installHook();
     try {
       balancer.start();
     } catch (Exception e) { // Netty throws the cause of a failed bind undeclared.
       err().println(file + ": cannot listen: " + e.getMessage());
-      balancer.node().shutdown().uninstall();
+      balancer.node().shutdown().removeHook();
       balancer.stop();
       return 1;
     }
@@ -117,10 +117,10 @@
     if (unread != null) {
       out().println(unread);
     }
-    WorkCheck.Found floors =
+    MaintenanceConfigCheck.Found floors =
         result.config().work() == null || !report.faults().isEmpty()
-            ? new WorkCheck.Found(List.of(), List.of())
-            : WorkCheck.look(result.config().work(), report.servers());
+            ? new MaintenanceConfigCheck.Found(List.of(), List.of())
+            : MaintenanceConfigCheck.check(result.config().work(), report.servers());
     floors.faults().forEach(out()::println);
     floors.notes().forEach(out()::println);
     boolean good = report.good() && unusable == null && unread == null && floors.faults().isEmpty();
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -1,30 +1,30 @@
 package heathswitch.proxy.dispatch;
 
-import heathswitch.policy.api.GiveUp;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.UnservedReason;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
 import heathswitch.proxy.spi.Payload;
-import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.RequestHandle;
 import heathswitch.proxy.spi.Upstream;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that has been taken: what it says, its attempts, and whether it has been answered. */
-final class LiveRequest implements Ticket {
-  /** What becomes of the attempts. */
+/** An accepted request with its attempts and its completion state. */
+final class LiveRequest implements RequestHandle {
+  /** Receives the events of a request and its attempts. */
   interface Listener {
-    boolean begun(Attempt attempt);
+    boolean beginStreaming(Attempt attempt);
 
-    void ended(Attempt attempt, Outcome outcome, Answer answer);
+    void complete(Attempt attempt, Outcome outcome, Answer answer);
 
-    boolean mayBegin(Attempt attempt);
+    boolean maySend(Attempt attempt);
 
-    void gone(LiveRequest request);
+    void callerGone(LiveRequest request);
 
-    void whole(LiveRequest request, long ttlNanos);
+    void bodyComplete(LiveRequest request, long ttlNanos);
   }
 
   /** One attempt of a request. */
@@ -34,16 +34,16 @@
     final long sentNanos;
     private final Listener listener;
 
-    /** Whether it was made elsewhere, of which the module knows nothing. */
-    boolean away;
+    /** Whether the attempt was sent to another site; the decision module doesn't know of it. */
+    boolean overflow;
 
     boolean open = true;
 
-    /** How it ended; null while it is out. */
+    /** The outcome, or null while the attempt is in flight. */
     Outcome outcome;
 
-    /** Whether its answer goes on to the caller as it comes. */
-    boolean begun;
+    /** Whether the answer is streamed to the caller as it arrives. */
+    boolean streaming;
 
     Future<?> timeout;
 
@@ -66,64 +66,67 @@
     }
 
     @Override
-    public boolean mayBegin() {
-      return listener.mayBegin(this);
+    public boolean maySend() {
+      return listener.maySend(this);
     }
 
     @Override
-    public boolean begun() {
-      return listener.begun(this);
+    public boolean beginStreaming() {
+      return listener.beginStreaming(this);
     }
 
     @Override
-    public void ended(Outcome outcome, Answer answer) {
-      listener.ended(this, outcome, answer);
+    public void complete(Outcome outcome, Answer answer) {
+      listener.complete(this, outcome, answer);
     }
   }
 
   final long id;
 
-  /** The client's name for it, which no other open request may have. */
+  /** The client's id of the request, unique among the open requests. */
   final String name;
 
-  final Caller client;
+  final Caller caller;
   final RequestClass type;
   final Payload payload;
   final long arrivedNanos;
   long deadlineNanos;
 
-  /** When all of it had come. */
-  long wholeNanos;
+  /** When the request was received completely. */
+  long bodyCompleteNanos;
 
   private final Listener listener;
   final List<Attempt> attempts = new ArrayList<>(2);
   int openAttempts;
-  boolean over;
+  boolean completed;
 
-  /** Attempts that were made elsewhere; once there is one the module has let go of the request. */
-  int awayTries;
+  /**
+   * The number of attempts at other sites. Once there is one, the decision module has released the
+   * request.
+   */
+  int overflowAttempts;
 
-  /** Whether all attempts so far never ran. */
+  /** Whether no attempt so far can have been executed. */
   boolean neverRan = true;
 
-  /** By the settings that it was taken under. */
-  int mostTries;
+  /** The limit of the settings that were in force when the request was accepted. */
+  int maxAttempts;
 
-  /** Why it was given up; null if it was not. */
-  GiveUp givenUp;
+  /** Why the request was given up, or null if it was not. */
+  UnservedReason giveUpReason;
 
-  /** What its caller is told of when to come back, should it be turned away. */
+  /** The retry-after interval that the caller is told if the request is refused. */
   long retryAfterNanos;
 
   Future<?> deadline;
 
-  /** The last error that an upstream answered, to be passed on if nothing better comes. */
+  /** The last error answer from an upstream, forwarded if there is no better answer. */
   Answer lastError;
 
   LiveRequest(
       long id,
       String name,
-      Caller client,
+      Caller caller,
       RequestClass type,
       Payload payload,
       long nowNanos,
@@ -132,39 +135,39 @@
     this.listener = listener;
     this.id = id;
     this.name = name;
-    this.client = client;
+    this.caller = caller;
     this.type = type;
     this.payload = payload;
     this.arrivedNanos = nowNanos;
-    this.wholeNanos = nowNanos;
+    this.bodyCompleteNanos = nowNanos;
     this.deadlineNanos = nowNanos + ttlNanos;
   }
 
   @Override
-  public void whole(long ttlNanos) {
-    listener.whole(this, ttlNanos);
+  public void bodyComplete(long ttlNanos) {
+    listener.bodyComplete(this, ttlNanos);
   }
 
   @Override
-  public void gone() {
-    listener.gone(this);
+  public void callerGone() {
+    listener.callerGone(this);
   }
 
-  /** Nothing more can happen to the request. */
-  boolean finished() {
-    return over && openAttempts == 0;
+  /** Whether nothing more can happen to the request. */
+  boolean isFinished() {
+    return completed && openAttempts == 0;
   }
 
-  /** Keeps the answer of an error in place of an earlier one. */
-  void keep(Answer error) {
+  /** Stores an error answer and releases the previous one. */
+  void replaceLastError(Answer error) {
     if (lastError != null) {
       lastError.release();
     }
     lastError = error;
   }
 
-  /** Hands over the last error, or null. */
-  Answer takeError() {
+  /** Transfers ownership of the last error answer, or returns null. */
+  Answer takeLastError() {
     Answer error = lastError;
     lastError = null;
     return error;
@@ -172,6 +175,6 @@
 
   void release() {
     payload.release();
-    keep(null);
+    replaceLastError(null);
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/OutCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutCall.java
@@ -30,7 +30,7 @@
  * it cannot before its last byte was written, nor where the far site says that it refused it.
  */
 final class OutCall
-    implements MultiplexedConnection.StreamHandler, Attempt.Carrier, StreamedAnswerSource {
+    implements MultiplexedConnection.StreamHandler, Attempt.Exchange, StreamedAnswerSource {
   /** A longer answer goes on as it comes, as one of a server does. */
   private static final int GATHERED_BYTES = 64 << 10;
 
@@ -82,7 +82,7 @@
       body.release();
       return false;
     }
-    attempt.carriedBy(this);
+    attempt.attach(this);
     link.streamBegun();
     if (empty) {
       body.release();
@@ -201,7 +201,7 @@
   /** From here on the request has this answer and no other. */
   private void startPassing() {
     Attempt begun = attempt;
-    if (begun == null || !begun.begun()) {
+    if (begun == null || !begun.beginStreaming()) {
       return; // It has another one, and this one is about to be called off.
     }
     sink = payload.sink();
@@ -291,14 +291,14 @@
     Attempt over = attempt;
     attempt = null;
     if (over != null) {
-      over.ended(outcome, answer);
+      over.complete(outcome, answer);
     } else if (answer != null) {
       answer.release();
     }
   }
 
   @Override
-  public void abandon() {
+  public void cancel() {
     attempt = null;
     end(Outcome.CANCELLED, null);
     link.reset(id, Http2Error.CANCEL);
--- a/src/main/java/heathswitch/proxy/http1/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -2,14 +2,14 @@
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.spi.Answer;
 import heathswitch.proxy.spi.Caller;
-import heathswitch.proxy.spi.Ticket;
+import heathswitch.proxy.spi.RequestHandle;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -128,7 +128,7 @@
   private long bodyBytes;
   private long reservedBytes;
   private Object pendingReservation;
-  private Ticket ticket;
+  private RequestHandle ticket;
   private boolean replayingPipeline;
 
   /** Whether this connection is inside a read, when the socket must not be read again. */
@@ -199,7 +199,7 @@
    * reading was paused.
    */
   @Override
-  public boolean stillWaits() {
+  public boolean isStillWaiting() {
     if (!decoding && channel.isActive()) {
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
@@ -257,7 +257,7 @@
     listener.becameBusy(this);
     hadRequest = true;
     head = request;
-    settingsReloads = dispatcher.reloads();
+    settingsReloads = dispatcher.reloadCount();
     version = request.protocolVersion();
     keepAlive = HttpUtil.isKeepAlive(request);
     phase = Phase.READING_BODY;
@@ -299,11 +299,11 @@
    * head is validated against the new ones.
    */
   private String revalidateHead() {
-    if (settingsReloads != dispatcher.reloads()) {
-      settingsReloads = dispatcher.reloads();
+    if (settingsReloads != dispatcher.reloadCount()) {
+      settingsReloads = dispatcher.reloadCount();
       return validateHead(head);
     }
-    boolean idInUse = dispatcher.isOpen(head.headers().get(HeaderRules.REQUEST_ID));
+    boolean idInUse = dispatcher.isRequestOpen(head.headers().get(HeaderRules.REQUEST_ID));
     return idInUse ? RequestHead.duplicateIdError() : null;
   }
 
@@ -389,7 +389,7 @@
     head = null;
     phase = Phase.STREAMING_BODY;
     dispatch(
-        accepted, Unpooled.EMPTY_BUFFER, clientTimeoutNanos + MAX_UPLOAD_NANOS, Form.HTTP1_STREAM);
+        accepted, Unpooled.EMPTY_BUFFER, clientTimeoutNanos + MAX_UPLOAD_NANOS, RequestProtocol.HTTP1_STREAM);
   }
 
   private void readStreamedBody(HttpContent content) {
@@ -407,7 +407,7 @@
     phase = Phase.AWAITING_ANSWER;
     timerStartNanos = lastPieceNanos;
     if (ticket != null) {
-      ticket.whole(clientTimeoutNanos);
+      ticket.bodyComplete(clientTimeoutNanos);
     }
     lastBodyPiece = content.content().retain();
   }
@@ -420,7 +420,7 @@
   private void forwardLastBodyPiece() {
     ByteBuf piece = lastBodyPiece;
     lastBodyPiece = null;
-    if (stillWaits() && streamedBody != null) {
+    if (isStillWaiting() && streamedBody != null) {
       streamedBody.append(piece, true);
     } else {
       piece.release();
@@ -442,12 +442,12 @@
    * answered as refused and can safely be retried.
    */
   private void abortStalledUpload() {
-    Ticket openTicket = ticket;
+    RequestHandle openTicket = ticket;
     lingeringClose = LingeringClose.DURING_UPLOAD;
     reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
     if (openTicket != null) {
       ticket = null;
-      openTicket.gone();
+      openTicket.callerGone();
     }
   }
 
@@ -458,7 +458,7 @@
 
   private void onBodyComplete() {
     if (pendingReservation != null) {
-      listener.budget.giveUp(pendingReservation);
+      listener.budget.cancelReservation(pendingReservation);
       pendingReservation = null;
       channel.config().setAutoRead(true);
     } else if (reservedBytes > bodyBytes) {
@@ -489,11 +489,12 @@
       completeBody.release();
       answerReadinessProbe(accepted);
     } else {
-      dispatch(accepted, completeBody, clientTimeoutNanos, Form.HTTP1);
+      dispatch(accepted, completeBody, clientTimeoutNanos, RequestProtocol.HTTP1);
     }
   }
 
-  private void dispatch(HttpRequest accepted, ByteBuf bufferedBody, long timeoutNanos, Form form) {
+  private void dispatch(
+      HttpRequest accepted, ByteBuf bufferedBody, long timeoutNanos, RequestProtocol form) {
     HttpHeaders headers = accepted.headers();
     HttpHeaders forwarded = new DefaultHttpHeaders(false);
     HeaderRules.copyEndToEndHeaders(headers, forwarded);
@@ -517,7 +518,7 @@
 
   /** Called when the request is open, before it can be answered. */
   @Override
-  public void taken(Ticket accepted) {
+  public void accepted(RequestHandle accepted) {
     ticket = accepted;
   }
 
@@ -767,9 +768,9 @@
       source.clientDisconnected();
     }
     if (ticket != null) {
-      Ticket openTicket = ticket;
+      RequestHandle openTicket = ticket;
       ticket = null;
-      openTicket.gone();
+      openTicket.callerGone();
     }
     releaseReservation();
   }
@@ -785,7 +786,7 @@
   private void discardRequest() {
     head = null;
     if (pendingReservation != null) {
-      listener.budget.giveUp(pendingReservation);
+      listener.budget.cancelReservation(pendingReservation);
       pendingReservation = null;
     }
     if (body != null) {
--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -3,10 +3,10 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Listeners;
 import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.ResourceBudget;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -35,7 +35,7 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  final Budget budget;
+  final ResourceBudget budget;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** Longest idle first. */
@@ -59,7 +59,7 @@
   /** Name of a header that clients must not send, or null. */
   private String forbiddenHeader;
 
-  public ClientListener(EventLoop loop, Clock clock, Budget budget) {
+  public ClientListener(EventLoop loop, Clock clock, ResourceBudget budget) {
     this.loop = loop;
     this.clock = clock;
     this.budget = budget;
@@ -85,7 +85,7 @@
       return;
     }
     ServerBootstrap bootstrap =
-        Listeners.on(loop, this::onAccepted)
+        Listeners.bootstrap(loop, this::onAccepted)
             .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(16384, 65536));
@@ -127,25 +127,25 @@
     StrictRequestDecoder decoder = new StrictRequestDecoder();
     ClientConnection client = new ClientConnection(this, dispatcher, clock, channel, decoder);
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), client);
-    budget.opened();
+    budget.connectionOpened();
     connections.add(client);
     channel.closeFuture().addListener(closed -> onClosed(client));
     // Clients may hold half of the descriptors; the rest is left for attempts at upstreams.
-    if (connections.size() > budget.mostConnections() / 2) {
+    if (connections.size() > budget.maxConnections() / 2) {
       evictIdle();
     }
-    if (budget.connectionsLeft() <= 0) {
+    if (budget.availableConnections() <= 0) {
       pool.evictIdle();
     }
     unused.add(client);
-    if (budget.connectionsLeft() <= 0) {
+    if (budget.availableConnections() <= 0) {
       // Further connections wait in the accept backlog until a descriptor is free.
       listener.config().setAutoRead(false);
     }
   }
 
   private void onClosed(ClientConnection client) {
-    budget.closed();
+    budget.connectionClosed();
     connections.remove(client);
     lingering.remove(client);
     becameBusy(client);
@@ -153,7 +153,7 @@
   }
 
   private void resumeAccepting() {
-    if (listener != null && listener.isOpen() && budget.connectionsLeft() > 0) {
+    if (listener != null && listener.isOpen() && budget.availableConnections() > 0) {
       listener.config().setAutoRead(true);
     }
   }
@@ -182,7 +182,7 @@
    * before its first request.
    */
   public boolean evictIdle() {
-    boolean unusedFirst = unused.size() > budget.mostConnections() / 16;
+    boolean unusedFirst = unused.size() > budget.maxConnections() / 16;
     return evict(lingering)
         || (unusedFirst ? evict(unused) || evict(idle) : evict(idle) || evict(unused));
   }
@@ -232,7 +232,7 @@
     if (listener == null) {
       return;
     }
-    Listeners.end(listener, () -> budget.connectionsLeft() > 0);
+    Listeners.closeGracefully(listener, () -> budget.availableConnections() > 0);
   }
 
   /** Whether new connections can still be accepted. */
--- a/src/main/java/heathswitch/proxy/http1/HttpPayload.java
+++ b/src/main/java/heathswitch/proxy/http1/HttpPayload.java
@@ -104,7 +104,7 @@
   }
 
   @Override
-  public boolean repeatable() {
+  public boolean isRepeatable() {
     return streamedBody == null || streamedBody.canBeResent();
   }
 
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnection.java
@@ -34,7 +34,7 @@
  * counts as complete only if all of it was received.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
-    implements Attempt.Carrier, StreamedAnswerSource {
+    implements Attempt.Exchange, StreamedAnswerSource {
   /**
    * A longer answer is treated as invalid, or aborted if it was already being streamed without a
    * declared length. Upstreams send up to 32 MB.
@@ -129,7 +129,7 @@
     payload = requestPayload;
     channel = connectFuture.channel();
     attempt = firstAttempt;
-    firstAttempt.carriedBy(this);
+    firstAttempt.attach(this);
     phase = Phase.AWAITING_HEAD;
     requestWritten = false;
     if (connectFuture.isDone()) {
@@ -148,7 +148,7 @@
    */
   private void onDialTimeout() {
     dialTimeout = null;
-    if (upstream.dialTimedOut() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
+    if (upstream.recordDialTimeout() >= MAX_CONSECUTIVE_DIAL_TIMEOUTS) {
       pool.closeEstablished(upstream); // An unreachable machine is silent on these too.
     }
     pool.addUnclaimed(this);
@@ -167,7 +167,7 @@
     } else if (attempt != null) {
       writeRequest();
     } else if (!closed) {
-      upstream.heard(clock.nowNanos());
+      upstream.recordHeard(clock.nowNanos());
       reusable = true;
       finishExchange();
     }
@@ -177,7 +177,7 @@
   public void startExchange(Attempt nextAttempt, HttpPayload requestPayload) {
     payload = requestPayload;
     attempt = nextAttempt;
-    nextAttempt.carriedBy(this);
+    nextAttempt.attach(this);
     phase = Phase.AWAITING_HEAD;
     requestWritten = false;
     writeRequest();
@@ -188,7 +188,7 @@
     readsAtStart = decoder.readCount();
     sawInterimAnswer = false;
     Attempt current = attempt;
-    if (!current.mayBegin()) {
+    if (!current.maySend()) {
       endAttempt(Outcome.MOOT);
       close();
       return;
@@ -240,7 +240,7 @@
   }
 
   @Override
-  public void abandon() {
+  public void cancel() {
     attempt = null;
     if (connecting && !closed) {
       pool.addUnclaimed(this);
@@ -270,7 +270,7 @@
   /** Returns false, with the connection closed, if no client waits for the answer any more. */
   private boolean startStreaming() {
     Attempt current = attempt;
-    if (!current.begun() || closed) {
+    if (!current.beginStreaming() || closed) {
       attempt = null;
       close();
       return false;
@@ -288,7 +288,7 @@
     }
     buffered = null;
     // The upstream has done its work and its slot is free; the rest depends on the transfer only.
-    current.ended(Outcome.OK, null);
+    current.complete(Outcome.OK, null);
     watchStreamForStall();
     return !closed;
   }
@@ -331,7 +331,7 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
-      upstream.heard(clock.nowNanos());
+      upstream.recordHeard(clock.nowNanos());
       if (closed) {
         return;
       }
@@ -515,7 +515,7 @@
       attempt = null;
       finishExchange();
       if (served != null) {
-        served.ended(Outcome.OK, new HttpAnswer(head, body));
+        served.complete(Outcome.OK, new HttpAnswer(head, body));
       }
     }
   }
@@ -598,7 +598,7 @@
     attempt = null;
     close();
     if (failed != null) {
-      failed.ended(Outcome.ERROR, null);
+      failed.complete(Outcome.ERROR, null);
     }
   }
 
@@ -612,7 +612,7 @@
     attempt = null;
     close();
     if (failed != null) {
-      failed.ended(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+      failed.complete(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
   }
 
@@ -620,7 +620,7 @@
     Attempt ended = attempt;
     attempt = null;
     if (ended != null) {
-      ended.ended(outcome, null);
+      ended.complete(outcome, null);
     }
   }
 
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.http1;
 
 import heathswitch.policy.api.Settings;
-import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Channels;
 import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.ResourceBudget;
 import heathswitch.proxy.spi.Attempt;
 import heathswitch.proxy.spi.Transport;
 import heathswitch.proxy.spi.Upstream;
@@ -60,7 +60,7 @@
   private static final int MAX_DIAL_TIMEOUT_MILLIS = 60_000;
 
   private final Clock clock;
-  final Budget budget;
+  final ResourceBudget budget;
   private long keepAliveNanos;
   private final BooleanSupplier evictClient;
   private final Bootstrap bootstrap;
@@ -80,7 +80,7 @@
   public UpstreamConnectionPool(
       EventLoop loop,
       Clock clock,
-      Budget budget,
+      ResourceBudget budget,
       Settings.Limits limits,
       BooleanSupplier evictClient) {
     this.evictClient = evictClient;
@@ -114,7 +114,7 @@
 
   /** Keeps a dialing connection whose attempt has ended, for use by another attempt. */
   void addUnclaimed(UpstreamConnection connection) {
-    if (connection.upstream.unwanted || keepAliveNanos <= 0) {
+    if (connection.upstream.outOfService || keepAliveNanos <= 0) {
       connection.close();
     } else {
       unclaimedDials.add(connection);
@@ -127,7 +127,7 @@
     if (upstream.address == null) {
       return false;
     }
-    if (upstream.attempts++ == 0) {
+    if (upstream.inFlight++ == 0) {
       upstream.silentSinceNanos = clock.nowNanos();
     } else if (clock.nowNanos() - upstream.silentSinceNanos > SILENCE_LIMIT_NANOS) {
       closeEstablished(upstream);
@@ -137,8 +137,8 @@
       reused.startExchange(attempt, payload);
       return true;
     }
-    if (budget.connectionsLeft() <= 0 && !evictIdle() && !evictClient.getAsBoolean()) {
-      upstream.attempts--;
+    if (budget.availableConnections() <= 0 && !evictIdle() && !evictClient.getAsBoolean()) {
+      upstream.inFlight--;
       return false;
     }
     dial(attempt, payload);
@@ -147,7 +147,7 @@
 
   private void dial(Attempt attempt, HttpPayload payload) {
     UpstreamConnection connection = new UpstreamConnection(this, clock, attempt.upstream());
-    budget.opened();
+    budget.connectionOpened();
     ChannelFuture connectFuture =
         bootstrap
             .clone()
@@ -161,10 +161,11 @@
                   }
                 })
             .connect(attempt.upstream().address);
-    if (Channels.made(connectFuture.channel())) {
-      connectFuture.channel().closeFuture().addListener(closed -> budget.closed());
+    if (Channels.hasSocket(connectFuture.channel())) {
+      connectFuture.channel().closeFuture().addListener(closed -> budget.connectionClosed());
     } else {
-      budget.closed(); // Without a socket, Netty returns a failed channel that never closes.
+      budget.connectionClosed(); // Without a socket, Netty returns a failed channel that never
+      // closes.
     }
     connection.startConnecting(connectFuture, attempt, payload);
   }
@@ -213,7 +214,7 @@
   /** Takes back a connection that can carry another exchange. */
   public void release(UpstreamConnection connection) {
     unclaimedDials.remove(connection);
-    if (connection.upstream.unwanted || keepAliveNanos <= 0) {
+    if (connection.upstream.outOfService || keepAliveNanos <= 0) {
       connection.close();
     } else {
       idleByUpstream
@@ -264,7 +265,7 @@
   }
 
   @Override
-  public boolean holds(Upstream upstream) {
+  public boolean hasConnection(Upstream upstream) {
     return newestIdle(upstream) != null;
   }
 
--- a/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
+++ b/src/main/java/heathswitch/proxy/operations/ConsoleServer.java
@@ -3,9 +3,9 @@
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static java.util.concurrent.TimeUnit.SECONDS;
 
-import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Listeners;
 import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.ResourceBudget;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -57,12 +57,12 @@
   private static final String UPSTREAM_PATH_PREFIX = "/v1/upstreams/";
 
   private final EventLoop loop;
-  private final Budget budget;
+  private final ResourceBudget budget;
   private final Commands commands;
   private final Set<Channel> openConnections = new LinkedHashSet<>();
   private Channel listener;
 
-  ConsoleServer(EventLoop loop, Budget budget, Commands commands) {
+  ConsoleServer(EventLoop loop, ResourceBudget budget, Commands commands) {
     this.loop = loop;
     this.budget = budget;
     this.commands = commands;
@@ -70,7 +70,7 @@
 
   /** Binds the address; fails if it is not available. Must not be called on the event loop. */
   void start(InetSocketAddress address) throws InterruptedException {
-    listener = Listeners.on(loop, this::onAccepted).bind(address).sync().channel();
+    listener = Listeners.bootstrap(loop, this::onAccepted).bind(address).sync().channel();
   }
 
   InetSocketAddress address() {
@@ -78,13 +78,13 @@
   }
 
   private void onAccepted(Channel channel) {
-    budget.opened();
+    budget.connectionOpened();
     openConnections.add(channel);
     channel
         .closeFuture()
         .addListener(
             closed -> {
-              budget.closed();
+              budget.connectionClosed();
               openConnections.remove(channel);
             });
     if (openConnections.size() > MAX_CONNECTIONS) {
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.operations;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.rotation.Rotation;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
@@ -30,8 +30,8 @@
   }
 
   @Override
-  public List<Member> over(ListForm form, List<Member> entries) {
-    if (form.whole()) {
+  public List<Member> apply(ListUpdate form, List<Member> entries) {
+    if (form.isFull()) {
       listed.clear();
     }
     long now = clockMillis.getAsLong();
@@ -48,13 +48,13 @@
   }
 
   private Member applyMark(Member entry, long nowMillis) {
-    Rotation.Standing standing =
-        rotation.standing(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
-    return entry.with(standing.health(), standing.startedMillis());
+    Rotation.EffectiveState standing =
+        rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
+    return entry.withHealth(standing.health(), standing.startedMillis());
   }
 
   /** Replaces the marks and reports the upstreams that change to the dispatcher. */
-  void update(Map<String, Mark> marks, Dispatcher dispatcher) {
+  void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
     long now = clockMillis.getAsLong();
     List<Member> changed = new ArrayList<>();
     for (String id : rotation.update(marks, now)) {
@@ -64,13 +64,13 @@
       }
     }
     if (!changed.isEmpty()) {
-      dispatcher.onStanding(this, changed);
+      dispatcher.onOverlayChanged(this, changed);
     }
   }
 
   /** Whether an upstream is listed, or has a mark although it is no longer listed. */
   boolean isKnown(String id) {
-    return Mark.markable(id) && (listed.containsKey(id) || rotation.mark(id) != null);
+    return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
   }
 
   int listedCount() {
@@ -78,6 +78,6 @@
   }
 
   int suspendedCount() {
-    return rotation.out();
+    return rotation.suspendedCount();
   }
 }
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/MarkStore.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import heathswitch.policy.rotation.Mark;
 import heathswitch.policy.rotation.Rotation;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.files.AtomicFile;
 import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
@@ -25,7 +25,7 @@
   private static final int MAX_FILE_BYTES = 1024;
 
   private final Path folder;
-  private Map<String, Mark> marks = new HashMap<>();
+  private Map<String, Suspension> marks = new HashMap<>();
 
   /** Uses the folder, which is created if it does not exist; null for none. */
   MarkStore(Path folder) {
@@ -33,12 +33,13 @@
   }
 
   /** Reads the current marks, including those of the other process during an upgrade. */
-  Map<String, Mark> read(long nowMillis) {
+  Map<String, Suspension> read(long nowMillis) {
     if (folder != null) {
-      Map<String, Mark> current = new HashMap<>();
+      Map<String, Suspension> current = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
-          Mark mark = current.size() < Rotation.MOST_MARKS ? readFile(file, nowMillis) : null;
+          Suspension mark =
+              current.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
           if (mark != null) {
             current.put(mark.id(), mark);
           }
@@ -55,13 +56,13 @@
   }
 
   /** Returns null for an invalid file, and the fallback for one that cannot be read now. */
-  private Mark readFile(Path file, long nowMillis) {
+  private Suspension readFile(Path file, long nowMillis) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
         throw new IllegalArgumentException("too long");
       }
       String[] lines = Files.readString(file).split("\n");
-      return new Mark(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
+      return new Suspension(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
     } catch (NoSuchFileException e) {
       return null; // Deleted by the other process in the meantime.
     } catch (CharacterCodingException | RuntimeException e) {
@@ -74,20 +75,20 @@
   }
 
   /** The mark that was read last or, without one, a mark that suspends the upstream. */
-  private Mark fallbackMark(Path file, long nowMillis) {
+  private Suspension fallbackMark(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Mark lastRead = marks.get(id);
-      return lastRead != null ? lastRead : Mark.suspend(null, id, nowMillis);
+      Suspension lastRead = marks.get(id);
+      return lastRead != null ? lastRead : Suspension.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
       return null; // Not the name of a file of marks.
     }
   }
 
   private void removeSettled(long nowMillis) {
-    for (Mark mark : Map.copyOf(marks).values()) {
-      if (mark.settled(nowMillis)) {
+    for (Suspension mark : Map.copyOf(marks).values()) {
+      if (mark.isObsolete(nowMillis)) {
         marks.remove(mark.id());
         if (folder != null) {
           try {
@@ -102,25 +103,25 @@
 
   /** Suspends an upstream; when this returns, all processes of the balancer can see the mark. */
   void suspend(String id, long nowMillis) throws IOException {
-    Map<String, Mark> current = read(nowMillis);
-    if (current.size() >= Rotation.MOST_MARKS && !current.containsKey(id)) {
-      throw new IOException("more than " + Rotation.MOST_MARKS + " upstreams are suspended");
+    Map<String, Suspension> current = read(nowMillis);
+    if (current.size() >= Rotation.MAX_SUSPENSIONS && !current.containsKey(id)) {
+      throw new IOException("more than " + Rotation.MAX_SUSPENSIONS + " upstreams are suspended");
     }
-    write(Mark.suspend(current.get(id), id, nowMillis));
+    write(Suspension.suspend(current.get(id), id, nowMillis));
   }
 
   /** Resumes an upstream if it is suspended. */
   void resume(String id, long nowMillis) throws IOException {
-    Mark resumed = Mark.resume(read(nowMillis).get(id), nowMillis);
+    Suspension resumed = Suspension.resume(read(nowMillis).get(id), nowMillis);
     if (resumed != null) {
       write(resumed);
     }
   }
 
-  private void write(Mark mark) throws IOException {
+  private void write(Suspension mark) throws IOException {
     if (folder != null) {
       Files.createDirectories(folder);
-      String text = mark.outMillis() + "\n" + mark.backMillis() + "\n" + mark.id() + "\n";
+      String text = mark.suspendedMillis() + "\n" + mark.resumedMillis() + "\n" + mark.id() + "\n";
       AtomicFile.write(file(mark.id()), text.getBytes(UTF_8));
     }
     marks.put(mark.id(), mark);
--- a/src/main/java/heathswitch/proxy/operations/OperationsService.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -2,10 +2,10 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.policy.rotation.Mark;
+import heathswitch.policy.rotation.Suspension;
 import heathswitch.proxy.node.Node;
-import heathswitch.proxy.runtime.Budget;
 import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.runtime.ResourceBudget;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -36,7 +36,7 @@
   private final ConsoleServer console;
   private final ScheduledThreadPoolExecutor fileExecutor;
   private volatile boolean serving;
-  private volatile int heldDescriptors = Budget.RESERVED_DESCRIPTORS;
+  private volatile int heldDescriptors = ResourceBudget.RESERVED_DESCRIPTORS;
 
   /**
    * Registers the overlay of marks at the dispatcher of the node. Must be called before the node is
@@ -58,8 +58,8 @@
               return thread;
             });
     overlay = new MarkOverlay(node::nowMillis);
-    node.dispatcher().overlay(overlay);
-    node.shutdown().followed(generation::hasSuccessor);
+    node.dispatcher().addOverlay(overlay);
+    node.shutdown().setSuccessorCheck(generation::hasSuccessor);
     overlay.update(marks.read(node.nowMillis()), node.dispatcher());
   }
 
@@ -71,14 +71,14 @@
   /** Opens the console; fails if its address is in use. Must not be called on the event loop. */
   public void start(InetSocketAddress address) throws InterruptedException {
     int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
-    node.loop().execute(() -> node.budget().heldElsewhere(heldByOthers));
+    node.loop().execute(() -> node.budget().setDescriptorsOfOtherProcesses(heldByOthers));
     console.start(address);
     fileExecutor.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, MILLISECONDS);
   }
 
   /** Called once clients can connect: reports ready and becomes visible to later processes. */
   public void announceServing() {
-    generation.writeHeartbeat(Budget.RESERVED_DESCRIPTORS);
+    generation.writeHeartbeat(ResourceBudget.RESERVED_DESCRIPTORS);
     node.loop().execute(() -> serving = true);
   }
 
@@ -95,7 +95,7 @@
 
   private void poll() {
     try {
-      Map<String, Mark> current = marks.read(node.nowMillis());
+      Map<String, Suspension> current = marks.read(node.nowMillis());
       int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
       if (serving) {
         generation.writeHeartbeat(heldDescriptors);
@@ -104,8 +104,8 @@
           .execute(
               () -> {
                 overlay.update(current, node.dispatcher());
-                node.budget().heldElsewhere(heldByOthers);
-                heldDescriptors = node.budget().held();
+                node.budget().setDescriptorsOfOtherProcesses(heldByOthers);
+                heldDescriptors = node.budget().usedDescriptors();
               });
     } catch (RejectedExecutionException e) {
       fileExecutor.shutdown(); // The event loop has been shut down.
@@ -127,7 +127,7 @@
       Log.error("operations", "mark could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
-    Map<String, Mark> current = marks.read(now);
+    Map<String, Suspension> current = marks.read(now);
     HttpResponseStatus result = status;
     node.loop()
         .execute(
@@ -141,7 +141,7 @@
 
   @Override
   public boolean isReady() {
-    return serving && !node.emptying().on() && !node.shutdown().begun();
+    return serving && !node.operatorDrain().isDraining() && !node.shutdown().isDraining();
   }
 
   @Override
@@ -161,9 +161,9 @@
   @Override
   public void setDraining(boolean draining) {
     if (draining) {
-      node.emptying().begin();
+      node.operatorDrain().begin();
     } else {
-      node.emptying().end();
+      node.operatorDrain().end();
     }
   }
 }
--- a/src/test/java/heathswitch/policy/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -1,12 +1,12 @@
 package heathswitch.policy.core;
 
-import static heathswitch.policy.core.Harness.MS;
-import static heathswitch.policy.core.Harness.SECOND;
+import static heathswitch.policy.core.BalancerHarness.MS;
+import static heathswitch.policy.core.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.api.Form;
+import heathswitch.policy.api.RequestProtocol;
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
@@ -21,8 +21,9 @@
   }
 
   private static Request request(long now) {
-    RuleSet rules = new RuleSet(Harness.settings(0, Harness.safe("read")), null);
-    return new Request(1, rules, "read", Form.HTTP1, now, 4 * SECOND);
+    ActiveSettings rules =
+        new ActiveSettings(BalancerHarness.settings(0, BalancerHarness.safe("read")), null);
+    return new Request(1, rules, "read", RequestProtocol.HTTP1, now, 4 * SECOND);
   }
 
   private void end(long now) {
@@ -43,14 +44,14 @@
   @Test
   void shortDelaysNeverCut() {
     steady(0, 10 * SECOND, 10, 200 * MS);
-    assertTrue(window.window >= EntryWindow.START);
+    assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
   @Test
   void delaysNearTheAimCutToAPartOfWhatIsInFlight() {
     steady(0, 5 * SECOND, 20, 1500 * MS);
     assertTrue(window.window < 20, "window " + window.window);
-    assertTrue(window.window >= EntryWindow.LEAST);
+    assertTrue(window.window >= EntryWindow.MIN);
   }
 
   /** Rates of one call in some seconds: what one call takes is then all that is known. */
@@ -59,7 +60,7 @@
     for (long now = 0; now < 100 * SECOND; now += 3 * SECOND) {
       start(now);
       end(now + 700 * MS);
-      assertEquals(EntryWindow.START, window.window);
+      assertEquals(EntryWindow.INITIAL, window.window);
     }
   }
 
@@ -69,7 +70,7 @@
       start(now);
       end(now + 900 * MS);
     }
-    assertTrue(window.window < EntryWindow.START);
+    assertTrue(window.window < EntryWindow.INITIAL);
   }
 
   /** Nothing was known before they came, and each is soon over. */
@@ -83,7 +84,7 @@
         end(from + (300 - out.size()) * MS);
       }
     }
-    assertTrue(window.window >= EntryWindow.START);
+    assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
   /** The servers take five times as long: a cut must not wait for calls that have taken it. */
@@ -132,7 +133,7 @@
 
   @Test
   void whatIsWorthMostFindsRoomWhereTheLeastDoesNot() {
-    for (int i = 0; i < EntryWindow.START + 1; i++) {
+    for (int i = 0; i < EntryWindow.INITIAL + 1; i++) {
       window.onStart(0, request(0));
     }
     assertTrue(window.hasRoom(1));
