--- a/src/main/java/heathswitch/proxy/http2/InboundConnection.java
+++ b/src/main/java/heathswitch/proxy/http2/InboundConnection.java
@@ -69,8 +69,8 @@
 
   /** Aborts the calls that have been stalled since before the given time. */
   protected final void abortStalledCalls(long beforeNanos) {
-    List<Call> stalled =
-        new ArrayList<>(0); // Cut inside the walk, they would change what is walked.
+    // Collected first, because aborting a call changes the streams that are iterated over.
+    List<Call> stalled = new ArrayList<>(0);
     forEachStreamHandler(
         handler -> {
           if (handler instanceof Call call && call.stalledSinceBefore(beforeNanos)) {
--- a/src/main/java/heathswitch/proxy/operations/OperationsService.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -17,13 +17,11 @@
 
 /**
  * Executes the commands of operators on a running balancer. A separate thread reads and writes all
- * files in order, and the event loop applies what that thread has read. A mark is therefore applied
- * only once all processes of the balancer can see it, and success is answered after that.
+ * files in order, and the event loop applies what that thread has read. A suspension is therefore
+ * applied only once all processes of the balancer can see it, and success is answered after that.
  */
 public final class OperationsService implements ConsoleServer.Commands {
-  /**
-   * Delay after which a process sees the marks that the other process of an upgrade has written.
-   */
+  /** How often a process reads what another process of an upgrade has written. */
   static final long POLL_MILLIS = 200;
 
   /** Commands that may wait for file access; further ones are rejected. */
@@ -31,23 +29,23 @@
 
   private final Node node;
   private final ProcessGeneration generation;
-  private final MarkOverlay overlay;
-  private final MarkStore marks;
+  private final SuspensionOverlay overlay;
+  private final SuspensionStore suspensions;
   private final ConsoleServer console;
   private final ScheduledThreadPoolExecutor fileExecutor;
   private volatile boolean serving;
   private volatile int heldDescriptors = ResourceBudget.RESERVED_DESCRIPTORS;
 
   /**
-   * Registers the overlay of marks at the dispatcher of the node. Must be called before the node is
-   * started.
+   * Registers the overlay of suspensions at the dispatcher of the node. Must be called before the
+   * node is started.
    *
    * @param folder shared by the processes of this balancer only; null for none
    */
   public OperationsService(Node node, Path folder) {
     this.node = node;
     generation = new ProcessGeneration(folder == null ? null : folder.resolve("processes"));
-    marks = new MarkStore(folder == null ? null : folder.resolve("marks"));
+    suspensions = new SuspensionStore(folder == null ? null : folder.resolve("marks"));
     console = new ConsoleServer(node.loop(), node.budget(), this);
     fileExecutor =
         new ScheduledThreadPoolExecutor(
@@ -57,10 +55,10 @@
               thread.setDaemon(true);
               return thread;
             });
-    overlay = new MarkOverlay(node::nowMillis);
+    overlay = new SuspensionOverlay(node::nowMillis);
     node.dispatcher().addOverlay(overlay);
     node.shutdown().setSuccessorCheck(generation::hasSuccessor);
-    overlay.update(marks.read(node.nowMillis()), node.dispatcher());
+    overlay.update(suspensions.read(node.nowMillis()), node.dispatcher());
   }
 
   /** Whether another process was serving this balancer when this one started. */
@@ -95,7 +93,7 @@
 
   private void poll() {
     try {
-      Map<String, Suspension> current = marks.read(node.nowMillis());
+      Map<String, Suspension> current = suspensions.read(node.nowMillis());
       int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
       if (serving) {
         generation.writeHeartbeat(heldDescriptors);
@@ -110,24 +108,24 @@
     } catch (RejectedExecutionException e) {
       fileExecutor.shutdown(); // The event loop has been shut down.
     } catch (RuntimeException e) {
-      Log.error("operations", "marks could not be read", e); // An exception would cancel polling.
+      Log.error("operations", "polling the files failed", e); // An exception would cancel polling.
     }
   }
 
-  private void writeMark(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
+  private void writeSuspension(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
     HttpResponseStatus status = HttpResponseStatus.OK;
     long now = node.nowMillis();
     try {
       if (suspended) {
-        marks.suspend(id, now);
+        suspensions.suspend(id, now);
       } else {
-        marks.resume(id, now);
+        suspensions.resume(id, now);
       }
     } catch (IOException | RuntimeException e) {
-      Log.error("operations", "mark could not be written", e);
+      Log.error("operations", "suspension could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
-    Map<String, Suspension> current = marks.read(now);
+    Map<String, Suspension> current = suspensions.read(now);
     HttpResponseStatus result = status;
     node.loop()
         .execute(
@@ -155,7 +153,7 @@
       return;
     }
     Log.info("operations", (suspended ? "upstream suspended: " : "upstream resumed: ") + id);
-    fileExecutor.execute(() -> writeMark(id, suspended, done));
+    fileExecutor.execute(() -> writeSuspension(id, suspended, done));
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
+++ b/src/main/java/heathswitch/proxy/operations/ProcessGeneration.java
@@ -84,12 +84,12 @@
   private int readHeldDescriptors(int other, Path file, long nowNanos) {
     Heartbeat heartbeat = heartbeats.get(other);
     try {
-      FileTime written = Files.getLastModifiedTime(file);
+      FileTime modified = Files.getLastModifiedTime(file);
       String text = Files.readString(file); // Empty if it is just being written.
-      boolean updated = heartbeat == null || !heartbeat.modified().equals(written);
+      boolean updated = heartbeat == null || !heartbeat.modified().equals(modified);
       int lastHeld = heartbeat == null ? 0 : heartbeat.heldDescriptors();
       int held = text.matches("[0-9]{1,7}") ? Integer.parseInt(text) : lastHeld;
-      heartbeat = new Heartbeat(written, updated ? nowNanos : heartbeat.firstSeenNanos(), held);
+      heartbeat = new Heartbeat(modified, updated ? nowNanos : heartbeat.firstSeenNanos(), held);
       heartbeats.put(other, heartbeat);
     } catch (IOException e) {
       Log.warn("upgrade", "heartbeat of another process could not be read: " + e);
--- a/src/main/java/heathswitch/proxy/operations/MarkOverlay.java
+++ b/src/main/java/heathswitch/proxy/operations/SuspensionOverlay.java
@@ -13,10 +13,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Applies the marks of operators to the lists from discovery: a suspended upstream counts as
+ * Applies the suspensions of operators to the lists from discovery: a suspended upstream counts as
  * draining, whatever discovery says. Used on the event loop only.
  */
-final class MarkOverlay implements Dispatcher.Overlay {
+final class SuspensionOverlay implements Dispatcher.Overlay {
   private final Rotation rotation = new Rotation();
 
   /** Unix time that advances monotonically even if the system clock is changed. */
@@ -25,7 +25,7 @@
   /** The upstreams as discovery listed them last; no larger than its list. */
   private final Map<String, Member> listed = new HashMap<>();
 
-  MarkOverlay(LongSupplier clockMillis) {
+  SuspensionOverlay(LongSupplier clockMillis) {
     this.clockMillis = clockMillis;
   }
 
@@ -42,25 +42,25 @@
       } else {
         listed.put(entry.id(), entry);
       }
-      result.add(applyMark(entry, now));
+      result.add(applySuspension(entry, now));
     }
     return result;
   }
 
-  private Member applyMark(Member entry, long nowMillis) {
-    Rotation.EffectiveState standing =
+  private Member applySuspension(Member entry, long nowMillis) {
+    Rotation.EffectiveState state =
         rotation.effectiveState(entry.id(), entry.health(), entry.startedMillis(), nowMillis);
-    return entry.withHealth(standing.health(), standing.startedMillis());
+    return entry.withHealth(state.health(), state.startedMillis());
   }
 
-  /** Replaces the marks and reports the upstreams that change to the dispatcher. */
-  void update(Map<String, Suspension> marks, Dispatcher dispatcher) {
+  /** Replaces the suspensions and reports the upstreams that change to the dispatcher. */
+  void update(Map<String, Suspension> suspensions, Dispatcher dispatcher) {
     long now = clockMillis.getAsLong();
     List<Member> changed = new ArrayList<>();
-    for (String id : rotation.update(marks, now)) {
+    for (String id : rotation.update(suspensions, now)) {
       Member entry = listed.get(id);
       if (entry != null) {
-        changed.add(applyMark(entry, now));
+        changed.add(applySuspension(entry, now));
       }
     }
     if (!changed.isEmpty()) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Whether an upstream is listed, or has a mark although it is no longer listed. */
+  /** Whether an upstream is listed, or has a suspension although it is no longer listed. */
   boolean isKnown(String id) {
     return Suspension.isValidId(id) && (listed.containsKey(id) || rotation.suspension(id) != null);
   }
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/SuspensionStore.java
@@ -17,45 +17,45 @@
 import java.util.Map;
 
 /**
- * Stores the marks of operators, one file per marked upstream, in a folder that is shared by all
- * processes of a balancer. Without a folder the marks are kept in memory only. Used by a single
- * thread, which is not the event loop.
+ * Stores which upstreams operators have suspended, one file per upstream, in a folder shared by all
+ * processes of a balancer. Without a folder the suspensions are kept in memory only. Used by a
+ * single thread, which is not the event loop.
  */
-final class MarkStore {
+final class SuspensionStore {
   private static final int MAX_FILE_BYTES = 1024;
 
   private final Path folder;
-  private Map<String, Suspension> marks = new HashMap<>();
+  private Map<String, Suspension> suspensions = new HashMap<>();
 
   /** Uses the folder, which is created if it does not exist; null for none. */
-  MarkStore(Path folder) {
+  SuspensionStore(Path folder) {
     this.folder = folder;
   }
 
-  /** Reads the current marks, including those of the other process during an upgrade. */
+  /** Reads the current suspensions, including those written by another process. */
   Map<String, Suspension> read(long nowMillis) {
     if (folder != null) {
       Map<String, Suspension> current = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
-          Suspension mark =
+          Suspension suspension =
               current.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
-          if (mark != null) {
-            current.put(mark.id(), mark);
+          if (suspension != null) {
+            current.put(suspension.id(), suspension);
           }
         }
-        marks = current;
+        suspensions = current;
       } catch (NoSuchFileException e) {
-        marks = current;
+        suspensions = current;
       } catch (IOException | RuntimeException e) {
-        Log.warn("marks", "marks could not be read and stay as they were: " + e);
+        Log.warn("marks", "suspensions could not be read, the previous ones stay in force: " + e);
       }
     }
-    removeSettled(nowMillis);
-    return Map.copyOf(marks);
+    removeObsolete(nowMillis);
+    return Map.copyOf(suspensions);
   }
 
-  /** Returns null for an invalid file, and the fallback for one that cannot be read now. */
+  /** Returns null for an invalid or deleted file, and the fallback if reading fails. */
   private Suspension readFile(Path file, long nowMillis) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
@@ -70,38 +70,38 @@
       return null;
     } catch (IOException e) {
       Log.warn("marks", file.getFileName() + " cannot be read: " + e);
-      return fallbackMark(file, nowMillis);
+      return fallback(file, nowMillis);
     }
   }
 
-  /** The mark that was read last or, without one, a mark that suspends the upstream. */
-  private Suspension fallbackMark(Path file, long nowMillis) {
+  /** What was last read from the file or, if it was never read, that its upstream is suspended. */
+  private Suspension fallback(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Suspension lastRead = marks.get(id);
+      Suspension lastRead = suspensions.get(id);
       return lastRead != null ? lastRead : Suspension.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
-      return null; // Not the name of a file of marks.
+      return null; // Not a file written by this class.
     }
   }
 
-  private void removeSettled(long nowMillis) {
-    for (Suspension mark : Map.copyOf(marks).values()) {
-      if (mark.isObsolete(nowMillis)) {
-        marks.remove(mark.id());
+  private void removeObsolete(long nowMillis) {
+    for (Suspension suspension : Map.copyOf(suspensions).values()) {
+      if (suspension.isObsolete(nowMillis)) {
+        suspensions.remove(suspension.id());
         if (folder != null) {
           try {
-            Files.deleteIfExists(file(mark.id()));
+            Files.deleteIfExists(file(suspension.id()));
           } catch (IOException e) {
-            Log.warn("marks", "file of a settled mark could not be deleted: " + e);
+            Log.warn("marks", "file of an obsolete suspension could not be deleted: " + e);
           }
         }
       }
     }
   }
 
-  /** Suspends an upstream; when this returns, all processes of the balancer can see the mark. */
+  /** Suspends an upstream; all processes of the balancer can see it when this returns. */
   void suspend(String id, long nowMillis) throws IOException {
     Map<String, Suspension> current = read(nowMillis);
     if (current.size() >= Rotation.MAX_SUSPENSIONS && !current.containsKey(id)) {
@@ -118,13 +118,19 @@
     }
   }
 
-  private void write(Suspension mark) throws IOException {
+  private void write(Suspension suspension) throws IOException {
     if (folder != null) {
       Files.createDirectories(folder);
-      String text = mark.suspendedMillis() + "\n" + mark.resumedMillis() + "\n" + mark.id() + "\n";
-      AtomicFile.write(file(mark.id()), text.getBytes(UTF_8));
+      String text =
+          suspension.suspendedMillis()
+              + "\n"
+              + suspension.resumedMillis()
+              + "\n"
+              + suspension.id()
+              + "\n";
+      AtomicFile.write(file(suspension.id()), text.getBytes(UTF_8));
     }
-    marks.put(mark.id(), mark);
+    suspensions.put(suspension.id(), suspension);
   }
 
   /** The id is encoded because it may contain characters that a file name may not. */
--- a/src/test/java/heathswitch/proxy/operations/MarkStoreTest.java
+++ b/src/test/java/heathswitch/proxy/operations/SuspensionStoreTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A mark whose file is temporarily unreadable stays in force. */
-class MarkStoreTest {
+/** A suspension whose file is temporarily unreadable stays in force. */
+class SuspensionStoreTest {
   private static final long NOW = 1_000_000;
 
   @TempDir Path folder;
@@ -30,32 +30,32 @@
   }
 
   @Test
-  void keepsUpstreamSuspendedWhileItsMarkIsUnreadable() throws IOException {
-    MarkStore marks = new MarkStore(folder);
-    marks.suspend("s/1", NOW);
-    Suspension before = marks.read(NOW).get("s/1");
+  void keepsUpstreamSuspendedWhileItsFileIsUnreadable() throws IOException {
+    SuspensionStore store = new SuspensionStore(folder);
+    store.suspend("s/1", NOW);
+    Suspension before = store.read(NOW).get("s/1");
     makeUnreadable();
-    assertEquals(before, marks.read(NOW + 1000).get("s/1"));
+    assertEquals(before, store.read(NOW + 1000).get("s/1"));
   }
 
   /** The name of the file alone is enough to treat its upstream as suspended. */
   @Test
-  void suspendsUpstreamOfUnreadableMarkNeverReadBefore() throws IOException {
-    new MarkStore(folder).suspend("s/1", NOW);
+  void suspendsUpstreamOfUnreadableFileNeverReadBefore() throws IOException {
+    new SuspensionStore(folder).suspend("s/1", NOW);
     makeUnreadable();
-    Map<String, Suspension> seen = new MarkStore(folder).read(NOW + 1000);
+    Map<String, Suspension> seen = new SuspensionStore(folder).read(NOW + 1000);
     assertTrue(seen.get("s/1").isSuspended());
   }
 
   @Test
-  void dropsMarkWhoseFileWasDeleted() throws IOException {
-    MarkStore marks = new MarkStore(folder);
-    marks.suspend("s/1", NOW);
+  void dropsSuspensionWhoseFileWasDeleted() throws IOException {
+    SuspensionStore store = new SuspensionStore(folder);
+    store.suspend("s/1", NOW);
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
       for (Path file : files) {
         Files.delete(file);
       }
     }
-    assertFalse(marks.read(NOW + 1000).containsKey("s/1"));
+    assertFalse(store.read(NOW + 1000).containsKey("s/1"));
   }
 }
