--- a/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
@@ -187,11 +187,11 @@
   @Test
   void upstreamMissingFromWholeListGetsNoRequest() throws Exception {
     try (StubServer discovery = discovery();
-        StubServer left = StubServer.answering("left out");
+        StubServer removed = StubServer.answering("removed");
         StubServer listed = StubServer.answering("listed");
         BalancerFixture fixture =
-            new BalancerFixture().upstream(left).pushedBy(discovery).start()) {
-      assertServedBy(fixture, "left out");
+            new BalancerFixture().upstream(removed).pushedBy(discovery).start()) {
+      assertServedBy(fixture, "removed");
       StubServer.Connection watch = sendHead(nextWatch());
       try (EventLoopBlocker blocker = fixture.blockLoop();
           TestClient client = fixture.client()) {
--- a/src/test/java/heathswitch/proxy/platform/GracefulShutdownTest.java
+++ b/src/test/java/heathswitch/proxy/platform/GracefulShutdownTest.java
@@ -96,7 +96,7 @@
         return;
       }
     }
-    fail("no attempt was prompt enough to judge");
+    fail("no attempt was prompt enough to be conclusive");
   }
 
   /** A client that sends nothing must not keep the drain open until the kill. */
--- a/src/test/java/heathswitch/proxy/platform/UpstreamConnectionRaceTest.java
+++ b/src/test/java/heathswitch/proxy/platform/UpstreamConnectionRaceTest.java
@@ -77,9 +77,8 @@
       idle.answer(200, "", "first");
       assertEquals("first", client.read().text());
       try (EventLoopBlocker blocker = fixture.blockLoop()) {
-        client.send(
-            TestClient.post("publish", "", "x")
-                .replace("r1", "r2")); // The event loop reads this first.
+        // The event loop reads this first.
+        client.send(TestClient.post("publish", "", "x").replace("r1", "r2"));
         event.apply(idle);
       }
       StubServer.Connection other = calls.next();
@@ -104,7 +103,7 @@
 
   /**
    * The attempt that opened the connection has failed by then, but the connection itself is usable:
-   * the next call takes it.
+   * the next call uses it.
    */
   @Test
   void connectionEstablishedAfterFailedAttemptIsUsedByNextCall() throws Exception {
