--- a/src/test/java/heathswitch/proxy/platform/DiscoveryReloadTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryReloadTest.java
@@ -41,7 +41,7 @@
     }
   }
 
-  private static String json(StubServer third) {
+  private static String thirdMember(StubServer third) {
     return BalancerFixture.json("s-3", third.address(), "in_service");
   }
 
@@ -70,7 +70,8 @@
       assertEquals("GET /discovery/hosts?stream=1 HTTP/1.1", after.awaitRequest().startLine());
       String member = BalancerFixture.json("s-9", second.address(), "in_service");
       sendLine(watch, ""); // An empty line does not answer a request for the whole list.
-      sendLine(old, "{\"revision\":1000,\"complete\":false,\"members\":[" + json(third) + "]}");
+      sendLine(
+          old, "{\"revision\":1000,\"complete\":false,\"members\":[" + thirdMember(third) + "]}");
       Await.until("the old watch is still in use", () -> "third".equals(text(client)));
       sendLine(watch, "{\"revision\":1,\"complete\":true,\"members\":[" + member + "]}");
       assertTrue(before.ended.poll(30, TimeUnit.SECONDS) != null, "the old watch ends");
