--- a/src/main/java/heathswitch/proxy/platform/DiscoveryCall.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryCall.java
@@ -57,9 +57,9 @@
     /**
      * The call has ended; nothing follows.
      *
-     * @param how what its end shows about discovery
+     * @param outcome what the end of the call shows about discovery
      */
-    void onEnd(DiscoveryCall call, String reason, ListUpdate how);
+    void onEnd(DiscoveryCall call, String reason, ListUpdate outcome);
   }
 
   private static final int MAX_LINE_BYTES = 4 << 20;
@@ -300,10 +300,10 @@
   private void onSilence(long millis) {
     // An agent is silent while discovery is down, even after the start of a response.
     boolean cutShort = responseStarted && !lineReceived && !listener.timeouts().pushed();
-    end("silent for " + millis + " ms", silenceForm(cutShort));
+    end("silent for " + millis + " ms", silenceOutcome(cutShort));
   }
 
-  private ListUpdate silenceForm(boolean cutShort) {
+  private ListUpdate silenceOutcome(boolean cutShort) {
     if (cutShort) {
       return ListUpdate.TRUNCATED;
     }
@@ -314,11 +314,11 @@
     end(reason, responseStarted ? ListUpdate.TRUNCATED : ListUpdate.FAILED);
   }
 
-  private void end(String reason, ListUpdate how) {
+  private void end(String reason, ListUpdate outcome) {
     if (!closed) {
       close();
       log.onFailure(logEntry, reason, lineReceived);
-      listener.onEnd(this, reason, how);
+      listener.onEnd(this, reason, outcome);
     }
   }
 
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryTimeouts.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryTimeouts.java
@@ -22,7 +22,10 @@
   /** By how much a heartbeat may be late. */
   private static final long HEARTBEAT_DELAY_MILLIS = 700;
 
-  /** Discovery fails a queued call after 3 s, so a call without any answer by then is lost. */
+  /**
+   * Discovery fails a queued call after 3 s; a call that has not even failed by then gets no answer
+   * at all.
+   */
   private static final long QUEUED_FIRST_LINE_MILLIS = 3500;
 
   /**
