--- a/src/test/java/heathswitch/policy/EmbeddingTest.java
+++ b/src/test/java/heathswitch/policy/EmbeddingTest.java
@@ -40,13 +40,13 @@
   }
 
   @Test
-  void aRequestGoesToTheListedServer() {
-    List<String> seen = new ArrayList<>();
+  void sendsRequestToListedServer() {
+    List<String> calls = new ArrayList<>();
     Actions actions =
         new Actions() {
           @Override
           public void send(long requestId, long serverId, long notPastNanos) {
-            seen.add("send " + requestId + " to " + serverId);
+            calls.add("send " + requestId + " to " + serverId);
           }
 
           @Override
@@ -54,12 +54,12 @@
 
           @Override
           public void refuse(long requestId, long retryAfterNanos) {
-            seen.add("refuse " + requestId);
+            calls.add("refuse " + requestId);
           }
 
           @Override
           public void fail(long requestId) {
-            seen.add("fail " + requestId);
+            calls.add("fail " + requestId);
           }
 
           @Override
@@ -82,11 +82,11 @@
     balancer.onRequest(now, 1, "read", null, 4 * SECOND, false, RequestProtocol.HTTP1);
     long later = now + SECOND / 10;
     balancer.onOutcome(later, 1, 0, Outcome.OK, later - now, true);
-    assertEquals(List.of("send 1 to 9"), seen);
+    assertEquals(List.of("send 1 to 9"), calls);
   }
 
   @Test
-  void settingsThatCannotBeUsedNameTheField() {
+  void invalidSettingsNameTheField() {
     IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> settings(-1));
     assertEquals("invalid setting: classes[].aim_ns", e.getMessage());
   }
--- a/src/test/java/heathswitch/policy/adapter/AdapterTest.java
+++ b/src/test/java/heathswitch/policy/adapter/AdapterTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class AdapterTest {
-  private static final String ENV =
+  private static final String SETTINGS =
       "{\"classes\":[{\"name\":\"read\",\"aim_ns\":1000000000,\"hard_limit_ns\":4000000000,"
           + "\"idempotency\":\"read_like\",\"importance\":1.0,\"new_key\":[1,{\"x\":null}]}],"
           + "\"limits\":{\"most_tries\":3,\"may_duplicate\":false,\"cancelling\":true,"
@@ -18,7 +18,7 @@
           + "\"zone\":\"z\",\"replicas_of_me\":1}";
   private static final String BEGIN = "[\"BEGIN_BATCH\",1000]\n";
   private static final String COMMIT = "[\"COMMIT\"]\n";
-  private static final String CREATE = "[\"CREATE\",\"balancer_0\",5," + ENV + "]\n";
+  private static final String CREATE = "[\"CREATE\",\"balancer_0\",5," + SETTINGS + "]\n";
   private static final String LIST =
       "[\"ROSTER\",3,[[9,\"z\",\"k\",0,\"on\",1,null]]]\n"
           + "[\"ANNOUNCE\",\"balancer_0\",\"stale_copy\",1,3]\n";
@@ -44,20 +44,20 @@
   }
 
   @Test
-  void answersAnEmptyBatchWithNext() {
+  void repliesToEmptyBatch() {
     assertEquals("[\"NEXT\"]\n", run(BEGIN + COMMIT));
     assertEquals(0, code);
   }
 
   @Test
-  void sendsARequestToTheListedServer() {
+  void sendsRequestToListedServer() {
     assertEquals(
         "[\"FORWARD\",\"balancer_0\",4503599627370495,9,0]\n[\"NEXT\"]\n",
         run(BEGIN + CREATE + LIST + query(4503599627370495L) + COMMIT));
   }
 
   @Test
-  void aRosterNumberUsedAgainInOneBatchMeansTheNewerList() {
+  void redefinedListReplacesTheEarlierOneInTheSameBatch() {
     String other =
         "[\"ROSTER\",3,[[9,\"z\",\"k\",0,\"off\",1,0],[8,\"z\",\"k\",0,\"on\",1.5,0]]]\n"
             + "[\"ANNOUNCE\",\"balancer_0\",\"patch\",2,3]\n";
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void anInstanceStoppedAndCreatedAgainInOneBatchKnowsNothing() {
+  void recreatedInstanceHasNoState() {
     String again = "[\"POWER_OFF\",\"balancer_0\"]\n" + CREATE;
     assertEquals(
         "[\"NOT_NOW\",\"balancer_0\",1,250000000]\n[\"NEXT\"]\n",
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void theFirstAnswerEndsTheRequestAndUnknownOutcomesAreTolerated() {
+  void toleratesEventsAfterTheFinalAnswer() {
     String outcomes =
         "[\"RESPONSE\",\"balancer_0\",1,0,9,200,5000,true,{\"busy_reqs\":3}]\n"
             + "[\"RESPONSE\",\"balancer_0\",1,0,9,777,5000,true,null]\n"
@@ -88,7 +88,7 @@
     assertEquals(0, code);
   }
 
-  private void assertRefusedInput(String input, String expected) {
+  private void assertInvalidInput(String input, String expected) {
     assertEquals("", run(input));
     assertEquals(1, code);
     String message = err.toString(StandardCharsets.UTF_8);
@@ -97,48 +97,48 @@
   }
 
   @Test
-  void malformedJsonNamesItsLine() {
-    assertRefusedInput(BEGIN + "[\"WAKE\",,]\n", "line 2: JSON expected");
+  void malformedJsonIsReportedWithItsLine() {
+    assertInvalidInput(BEGIN + "[\"WAKE\",,]\n", "line 2: JSON expected");
   }
 
   @Test
-  void anUnknownEventNamesItsLine() {
-    assertRefusedInput(BEGIN + CREATE + "[\"JUMP\",\"balancer_0\"]\n", "line 3: an event's name");
+  void unknownEventIsReportedWithItsLine() {
+    assertInvalidInput(BEGIN + CREATE + "[\"JUMP\",\"balancer_0\"]\n", "line 3: an event's name");
   }
 
   @Test
-  void anUnknownInstanceIsAnError() {
-    assertRefusedInput(BEGIN + "[\"WAKE\",\"balancer_7\",1]\n", "line 2: an instance that runs");
+  void unknownInstanceIsAnError() {
+    assertInvalidInput(BEGIN + "[\"WAKE\",\"balancer_7\",1]\n", "line 2: an instance that runs");
   }
 
   @Test
   void wrongArityAndTypeAreErrors() {
-    assertRefusedInput(
+    assertInvalidInput(
         BEGIN + CREATE + "[\"WAKE\",\"balancer_0\"]\n", "line 3: handle as a whole number");
     err.reset();
-    assertRefusedInput(
+    assertInvalidInput(
         BEGIN + CREATE + "[\"WAKE\",\"balancer_0\",\"x\"]\n", "line 3: handle as a whole number");
     err.reset();
-    assertRefusedInput(
+    assertInvalidInput(
         BEGIN + CREATE + "[\"WAKE\",\"balancer_0\",1,2]\n", "line 3: the end of the message");
   }
 
   @Test
-  void aBatchCutOffByTheEndOfInputIsAnError() {
-    assertRefusedInput(BEGIN + CREATE, "COMMIT expected");
+  void truncatedBatchIsAnError() {
+    assertInvalidInput(BEGIN + CREATE, "COMMIT expected");
     err.reset();
-    assertRefusedInput(BEGIN + "[\"CREATE\",\"bal", "the input ends");
+    assertInvalidInput(BEGIN + "[\"CREATE\",\"bal", "the input ends");
   }
 
   @Test
-  void settingsThatCannotBeUsedBecomeAFault() {
+  void invalidSettingsAreReportedAsFault() {
     String reply = run(BEGIN + "[\"CREATE\",\"balancer_0\",5,{}]\n" + COMMIT);
     assertTrue(reply.startsWith("[\"FAULT\",\"balancer_0\",\""), reply);
     assertTrue(reply.contains("invalid setting: classes"), reply);
   }
 
   @Test
-  void aWrongCommandLineGivesTheUsage() {
+  void wrongCommandLinePrintsTheUsage() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     int result =
         Main.run(new String[] {}, new ByteArrayInputStream(new byte[0]), out, new PrintStream(err));
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void instancesTogetherActAsEachDoesAlone() {
+  void instancesDoNotInfluenceEachOther() {
     String second = (CREATE + LIST + query(2)).replace("balancer_0", "balancer_1");
     String alone0 = run(BEGIN + CREATE + LIST + query(1) + COMMIT);
     String alone1 = run(BEGIN + second + COMMIT);
--- a/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
+++ b/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
@@ -13,15 +13,15 @@
 class ActiveSettingsTest {
   private static final double[] DELAYS = {100, 400};
 
-  private static ActiveSettings worth(boolean byWork) {
-    Settings base = BalancerHarness.settings(0, type("light", 2), type("heavy", 4));
-    ActiveSettings rules =
+  private static ActiveSettings settings(boolean worthByWork) {
+    Settings base = BalancerHarness.settings(0, requestClass("light", 2), requestClass("heavy", 4));
+    ActiveSettings settings =
         new ActiveSettings(
             new Settings(
                 base.classes(),
                 List.of(new Tenant("one", 0.5, 8)),
                 0.05,
-                byWork,
+                worthByWork,
                 0,
                 0,
                 4,
@@ -30,12 +30,12 @@
                 base.limits(),
                 base.obligations()),
             null);
-    System.arraycopy(DELAYS, 0, rules.classDelayNanos, 0, DELAYS.length);
-    return rules;
+    System.arraycopy(DELAYS, 0, settings.classDelayNanos, 0, DELAYS.length);
+    return settings;
   }
 
-  private static RequestClass type(String name, double worth) {
-    RequestClass safe = BalancerHarness.safe(name);
+  private static RequestClass requestClass(String name, double settings) {
+    RequestClass safe = BalancerHarness.safeClass(name);
     return new RequestClass(
         name,
         safe.effect(),
@@ -43,46 +43,46 @@
         safe.aimNanos(),
         safe.deadlineNanos(),
         0,
-        worth,
+        settings,
         0,
         false);
   }
 
   @Test
-  void countsWorthForTheWorkWhereWorthIsByRequest() {
-    assertEquals(1, worth(false).relativeWorth(0, -1, SECOND), 1e-12);
-    assertEquals(0.5, worth(false).relativeWorth(1, -1, SECOND), 1e-12);
+  void dividesWorthByDelayWhenWorthIsPerRequest() {
+    assertEquals(1, settings(false).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(0.5, settings(false).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
-  void countsImportanceAloneWhereWorthIsByWork() {
-    assertEquals(0.5, worth(true).relativeWorth(0, -1, SECOND), 1e-12);
-    assertEquals(1, worth(true).relativeWorth(1, -1, SECOND), 1e-12);
+  void usesWorthAloneWhenWorthIsPerWork() {
+    assertEquals(0.5, settings(true).relativeWorth(0, -1, SECOND), 1e-12);
+    assertEquals(1, settings(true).relativeWorth(1, -1, SECOND), 1e-12);
   }
 
   @Test
-  void aTenantOverItsPartOfTheQuotaCountsAsTheSettingsSay() {
-    ActiveSettings worth = worth(true);
-    int tenant = worth.tenantIndexOf("one");
+  void appliesOverQuotaFactorToTenantOverItsQuota() {
+    ActiveSettings settings = settings(true);
+    int tenant = settings.tenantIndexOf("one");
     for (int i = 0; i < 2; i++) { // Two a second is this instance's part of eight.
-      assertEquals(1, worth.relativeWorth(1, tenant, SECOND), 1e-12);
-      worth.takeQuotaToken(tenant);
+      assertEquals(1, settings.relativeWorth(1, tenant, SECOND), 1e-12);
+      settings.takeQuotaToken(tenant);
     }
-    assertEquals(0.05, worth.relativeWorth(1, tenant, SECOND), 1e-12);
-    assertEquals(1, worth.relativeWorth(1, tenant, 2 * SECOND), 1e-12);
+    assertEquals(0.05, settings.relativeWorth(1, tenant, SECOND), 1e-12);
+    assertEquals(1, settings.relativeWorth(1, tenant, 2 * SECOND), 1e-12);
   }
 
   @Test
-  void refusedTriesTakeNothingFromTheQuota() {
-    ActiveSettings worth = worth(true);
+  void refusedRequestsDoNotUseQuota() {
+    ActiveSettings settings = settings(true);
     for (int i = 0; i < 50; i++) {
-      assertEquals(1, worth.relativeWorth(1, 0, SECOND), 1e-12);
+      assertEquals(1, settings.relativeWorth(1, 0, SECOND), 1e-12);
     }
   }
 
   @Test
-  void anUnknownTenantHasNoQuota() {
-    assertEquals(-1, worth(true).tenantIndexOf("nobody"));
-    assertTrue(worth(true).relativeWorth(1, -1, SECOND) > 0.99);
+  void unknownTenantHasNoQuota() {
+    assertEquals(-1, settings(true).tenantIndexOf("nobody"));
+    assertTrue(settings(true).relativeWorth(1, -1, SECOND) > 0.99);
   }
 }
--- a/src/test/java/heathswitch/policy/core/BalancerHarness.java
+++ b/src/test/java/heathswitch/policy/core/BalancerHarness.java
@@ -27,7 +27,7 @@
   final List<String> cancelled = new ArrayList<>();
   final List<Timer> timers = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
-  int watches;
+  int discoveryCalls;
   long now = 100 * SECOND;
   final Balancer balancer;
 
@@ -40,11 +40,12 @@
     balancer.start(now);
   }
 
-  static RequestClass safe(String name) {
-    return type(name, RequestClass.Effect.SAFE, RequestClass.Group.ALL);
+  static RequestClass safeClass(String name) {
+    return requestClass(name, RequestClass.Effect.SAFE, RequestClass.Group.ALL);
   }
 
-  static RequestClass type(String name, RequestClass.Effect effect, RequestClass.Group group) {
+  static RequestClass requestClass(
+      String name, RequestClass.Effect effect, RequestClass.Group group) {
     return new RequestClass(name, effect, group, 1000 * MS, 4000 * MS, 2000 * MS, 1, 0.2, false);
   }
 
@@ -52,7 +53,7 @@
     return settings(tier, true, false, classes);
   }
 
-  static Settings settings(int tier, boolean duplicate, boolean ask, RequestClass... classes) {
+  static Settings settings(int tier, boolean hedge, boolean subscribes, RequestClass... classes) {
     return new Settings(
         List.of(classes),
         List.<Tenant>of(),
@@ -62,42 +63,42 @@
         0,
         4,
         "a",
-        ask,
-        new Settings.Limits(4, duplicate, true, 5 * SECOND, 250 * MS, 2 * SECOND),
+        subscribes,
+        new Settings.Limits(4, hedge, true, 5 * SECOND, 250 * MS, 2 * SECOND),
         new Settings.Obligations(20 * MS, SECOND, 10 * SECOND, 0.15, 20 * SECOND, 2.5, 2 * SECOND));
   }
 
   /** The same settings, by which a balancer may leave off asking for so long only. */
-  static Settings mustAskWithin(Settings like, long nanos) {
-    return rules(like, like.obligations().stopSendingWithinNanos(), nanos);
+  static Settings withSubscribeLimit(Settings base, long limitNanos) {
+    return withObligations(base, base.obligations().stopSendingWithinNanos(), limitNanos);
   }
 
   /** The same settings with another grace for servers that drain. */
-  static Settings graceOf(Settings like, long nanos) {
-    return rules(like, nanos, like.obligations().subscribeWithinNanos());
+  static Settings withGrace(Settings base, long graceNanos) {
+    return withObligations(base, graceNanos, base.obligations().subscribeWithinNanos());
   }
 
-  private static Settings rules(Settings like, long graceNanos, long mustAskNanos) {
-    Settings.Obligations rules = like.obligations();
+  private static Settings withObligations(Settings base, long graceNanos, long subscribeNanos) {
+    Settings.Obligations obligations = base.obligations();
     return new Settings(
-        like.classes(),
-        like.tenants(),
-        like.overQuotaFactor(),
-        like.worthByWork(),
-        like.tier(),
-        like.instance(),
-        like.instances(),
-        like.zone(),
-        like.subscribes(),
-        like.limits(),
+        base.classes(),
+        base.tenants(),
+        base.overQuotaFactor(),
+        base.worthByWork(),
+        base.tier(),
+        base.instance(),
+        base.instances(),
+        base.zone(),
+        base.subscribes(),
+        base.limits(),
         new Settings.Obligations(
-            rules.answerGraceNanos(),
+            obligations.answerGraceNanos(),
             graceNanos,
-            mustAskNanos,
-            rules.startCapacity(),
-            rules.warmUpNanos(),
-            rules.coldBudgetMultiple(),
-            rules.coldBudgetWindowNanos()));
+            subscribeNanos,
+            obligations.startCapacity(),
+            obligations.warmUpNanos(),
+            obligations.coldBudgetMultiple(),
+            obligations.coldBudgetWindowNanos()));
   }
 
   static ServerEntry ready(long id) {
@@ -121,11 +122,11 @@
     return servers(entries);
   }
 
-  void request(long id, String type) {
-    balancer.onRequest(now, id, type, null, 4 * SECOND, false, RequestProtocol.HTTP1);
+  void request(long id, String className) {
+    balancer.onRequest(now, id, className, null, 4 * SECOND, false, RequestProtocol.HTTP1);
   }
 
-  Sent last() {
+  Sent lastSent() {
     return sent.get(sent.size() - 1);
   }
 
@@ -155,7 +156,7 @@
   }
 
   @Override
-  public void send(long requestId, long serverId, long notPastNanos) {
+  public void send(long requestId, long serverId, long attemptDeadlineNanos) {
     int number = (int) sent.stream().filter(s -> s.request() == requestId).count();
     sent.add(new Sent(requestId, number, serverId, now));
   }
@@ -182,7 +183,7 @@
 
   @Override
   public void watch(boolean enable) {
-    watches++;
+    discoveryCalls++;
   }
 
   @Override
--- a/src/test/java/heathswitch/policy/core/ColdServerBudgetTest.java
+++ b/src/test/java/heathswitch/policy/core/ColdServerBudgetTest.java
@@ -25,7 +25,7 @@
 class ColdServerBudgetTest {
   private static final int BALANCERS = 30;
   private static final int SERVERS = 12;
-  private static final long COLD = SERVERS;
+  private static final long COLD_SERVER = SERVERS;
 
   /** Calls a second that a warm server can do, and how long each takes there. */
   private static final double SERVER_RATE = 8;
@@ -34,15 +34,16 @@
   private static final long STEP_NANOS = 5 * MS;
   private static final long WARM_UP_SECONDS = 20;
 
-  private record End(long dueNanos, BalancerHarness at, BalancerHarness.Sent attempt) {}
+  private record Completion(
+      long dueNanos, BalancerHarness balancer, BalancerHarness.Sent attempt) {}
 
   private final SplittableRandom random;
-  private final List<BalancerHarness> fleet = new ArrayList<>();
-  private final PriorityQueue<End> ends =
+  private final List<BalancerHarness> balancers = new ArrayList<>();
+  private final PriorityQueue<Completion> completions =
       new PriorityQueue<>((one, other) -> Long.compare(one.dueNanos(), other.dueNanos()));
-  private final ArrayDeque<Long> toCold = new ArrayDeque<>();
-  private final Settings settings = BalancerHarness.settings(1, BalancerHarness.safe("read"));
-  private final int[] seen = new int[BALANCERS];
+  private final ArrayDeque<Long> coldCallTimes = new ArrayDeque<>();
+  private final Settings settings = BalancerHarness.settings(1, BalancerHarness.safeClass("read"));
+  private final int[] followed = new int[BALANCERS];
   private long nextId = 1;
   private long startedNanos;
 
@@ -53,7 +54,7 @@
   /** Calm, overload, and a burst of half as much again beside clients that come again and again. */
   @ParameterizedTest
   @CsvSource({"0.6, 1, 1", "0.6, 1, 2", "1.2, 1, 3", "1.4, 1.5, 4", "1.4, 2.5, 5"})
-  void theFleetKeepsToTheBudget(double load, double burst, long seed) {
+  void balancersTogetherStayWithinTheBudget(double load, double burst, long seed) {
     for (int i = 0; i < BALANCERS; i++) {
       BalancerHarness harness = new BalancerHarness(settings, seed * 1000 + i);
       List<ServerEntry> warm = new ArrayList<>();
@@ -61,72 +62,76 @@
         warm.add(BalancerHarness.ready(id));
       }
       harness.balancer.onListUpdate(harness.now, ListUpdate.FULL, warm);
-      fleet.add(harness);
+      balancers.add(harness);
     }
     run(5 * SECOND, load);
-    startedNanos = fleet.get(0).now;
-    for (BalancerHarness harness : fleet) {
+    startedNanos = balancers.get(0).now;
+    for (BalancerHarness harness : balancers) {
       harness.balancer.onListUpdate(
           harness.now,
           ListUpdate.DELTA,
-          List.of(BalancerHarness.entry(COLD, Health.READY, startedNanos)));
+          List.of(BalancerHarness.entry(COLD_SERVER, Health.READY, startedNanos)));
     }
     run(2 * SECOND, load);
     run((WARM_UP_SECONDS - 4) * SECOND, load * burst);
-    assertTrue(!toCold.isEmpty() || load < 1, "it warms up by what it gets");
+    assertTrue(!coldCallTimes.isEmpty() || load < 1, "it warms up by what it gets");
   }
 
   private void run(long nanos, double load) {
     double perStep = load * SERVER_RATE * SERVERS * STEP_NANOS / SECOND;
-    long until = fleet.get(0).now + nanos;
-    while (fleet.get(0).now < until) {
-      long now = fleet.get(0).now + STEP_NANOS;
-      fleet.forEach(harness -> harness.advance(STEP_NANOS));
-      while (!ends.isEmpty() && ends.peek().dueNanos() <= now) {
-        End end = ends.poll();
-        end.at().outcome(end.attempt(), Outcome.OK, true);
+    long until = balancers.get(0).now + nanos;
+    while (balancers.get(0).now < until) {
+      long now = balancers.get(0).now + STEP_NANOS;
+      balancers.forEach(harness -> harness.advance(STEP_NANOS));
+      while (!completions.isEmpty() && completions.peek().dueNanos() <= now) {
+        Completion completion = completions.poll();
+        completion.balancer().outcome(completion.attempt(), Outcome.OK, true);
       }
       int arrivals = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int i = 0; i < arrivals; i++) {
         // Some balancers get several times what others do.
-        int at = (int) (BALANCERS * random.nextDouble() * random.nextDouble());
-        fleet.get(at).request(nextId++, "read");
+        int index = (int) (BALANCERS * random.nextDouble() * random.nextDouble());
+        balancers.get(index).request(nextId++, "read");
       }
       for (int i = 0; i < BALANCERS; i++) {
-        follow(i, now);
+        trackSent(i, now);
       }
     }
   }
 
-  private void follow(int index, long now) {
-    BalancerHarness harness = fleet.get(index);
-    for (; seen[index] < harness.sent.size(); seen[index]++) {
-      BalancerHarness.Sent attempt = harness.sent.get(seen[index]);
+  private void trackSent(int index, long now) {
+    BalancerHarness harness = balancers.get(index);
+    for (; followed[index] < harness.sent.size(); followed[index]++) {
+      BalancerHarness.Sent attempt = harness.sent.get(followed[index]);
       long took = (long) (CALL_NANOS * (0.5 + random.nextDouble()));
-      if (attempt.server() == COLD) {
-        took = (long) (took / share(now));
-        toCold.add(now);
-        hold(now);
+      if (attempt.server() == COLD_SERVER) {
+        took = (long) (took / warmUpShare(now));
+        coldCallTimes.add(now);
+        assertWithinBudget(now);
       }
-      ends.add(new End(now + took, harness, attempt));
+      completions.add(new Completion(now + took, harness, attempt));
     }
   }
 
-  private double share(long now) {
+  private double warmUpShare(long now) {
     double start = settings.obligations().startCapacity();
     double age = (now - startedNanos) / (double) settings.obligations().warmUpNanos();
     return start + (1 - start) * Math.min(1, age);
   }
 
-  private void hold(long now) {
-    long window = settings.obligations().coldBudgetWindowNanos();
-    while (toCold.peek() <= now - window) {
-      toCold.poll();
+  private void assertWithinBudget(long now) {
+    long windowNanos = settings.obligations().coldBudgetWindowNanos();
+    while (coldCallTimes.peek() <= now - windowNanos) {
+      coldCallTimes.poll();
     }
     double budget =
-        settings.obligations().coldBudgetMultiple() * share(now) * SERVER_RATE * window / SECOND;
+        settings.obligations().coldBudgetMultiple()
+            * warmUpShare(now)
+            * SERVER_RATE
+            * windowNanos
+            / SECOND;
     assertTrue(
-        toCold.size() <= budget + 2 * Math.sqrt(budget) + 2,
-        toCold.size() + " calls where " + budget + " are allowed");
+        coldCallTimes.size() <= budget + 2 * Math.sqrt(budget) + 2,
+        coldCallTimes.size() + " calls where " + budget + " are allowed");
   }
 }
--- a/src/test/java/heathswitch/policy/core/DelayWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/DelayWindowTest.java
@@ -15,7 +15,7 @@
   }
 
   @Test
-  void slowStartGrowsByOneForEachCompletion() {
+  void slowStartGrowsByOnePerCompletion() {
     for (int i = 1; i <= 5; i++) {
       assertFalse(complete(i, 1));
       assertEquals(DelayWindow.INITIAL + i, window.window());
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void afterACutGrowsByOneToTheThresholdAndByOneOverWAfterIt() {
+  void growsByOneUpToThresholdAndByOneOverWindowBeyond() {
     complete(1, 2); // (2 + 3) / 4 = 1.25; 33
     complete(2, 1.9); // (3.9 + 2) / 4 = 1.475; 34
     assertTrue(complete(3, 2.4)); // bounded at 2: (5.9 + 1) / 4 = 1.725
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void meanOfExactlyTheBoundIsABreach() {
+  void cutsWhenMeanEqualsTheBound() {
     for (int i = 1; i <= 3; i++) {
       assertFalse(complete(i, 1.5)); // (1.5 i + 4 - i) / 4 < 1.5
     }
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void theFirstHeavyCallAloneIsNoBreach() {
+  void doesNotCutOnSingleSlowFirstCall() {
     assertFalse(complete(1, 2.9)); // (2.9 + 3) / 4 = 1.475
   }
 
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void theFlightThatWasCutGrowsTheWindowToTheThresholdIfItComesBackInTime() {
+  void fastCallsSentBeforeACutGrowTheWindowToTheThreshold() {
     window.cut(100);
     assertFalse(window.onCompletion(101, 1, 3, 31));
     assertEquals(1, window.window(), "a slow one proves nothing");
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void normalDelayIsLearnedFromBreachFreeIntervalsOnly() {
+  void normalDelayIsEstimatedFromIntervalsWithoutBreachOnly() {
     for (int i = 0; i < DelayWindow.INTERVAL_COMPLETIONS; i++) {
       complete(i, 1.2);
     }
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void oneHeavyRequestDoesNotCut() {
+  void doesNotCutOnSingleExpensiveRequest() {
     for (int i = 0; i < 5; i++) {
       complete(i, 0.9);
     }
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void anUnusedWindowDoesNotGrow() {
+  void doesNotGrowWhenWindowIsNotUsed() {
     for (int i = 0; i < 50; i++) {
       window.onCompletion(i, i, 1, 1);
     }
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aServerBetterThanItsPeersIsNotCutForComingBackToThem() {
+  void doesNotCutFastServerThatReturnsToFleetDelay() {
     for (int i = 1; i <= 200; i++) {
       complete(i, 0.6);
     }
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void slowStartGoesOnPastTheThresholdWhileBetterThanThePeers() {
+  void slowStartPassesThresholdWhileFasterThanFleet() {
     window.cut(1);
     window.cut(2);
     assertEquals(1, window.slowStartThreshold);
--- a/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
+++ b/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
@@ -21,15 +21,15 @@
   /**
    * One service for all: calls wait in turn, and one whose answer would take too long is refused.
    */
-  private static final class Queue {
+  private static final class DiscoveryQueue {
     private final long callNanos;
-    private final double turnedAwayCost;
+    private final double rejectionCost;
     private long busyUntil;
     private int calls;
 
-    Queue(long callNanos, double turnedAwayCost, long busyUntil) {
+    DiscoveryQueue(long callNanos, double rejectionCost, long busyUntil) {
       this.callNanos = callNanos;
-      this.turnedAwayCost = turnedAwayCost;
+      this.rejectionCost = rejectionCost;
       this.busyUntil = busyUntil;
     }
 
@@ -38,7 +38,7 @@
       calls++;
       long end = Math.max(now, busyUntil) + callNanos;
       if (end - now > TIMEOUT) {
-        busyUntil = Math.max(now, busyUntil) + (long) (turnedAwayCost * callNanos);
+        busyUntil = Math.max(now, busyUntil) + (long) (rejectionCost * callNanos);
         return -1;
       }
       busyUntil = end;
@@ -55,19 +55,19 @@
     Instance(int number) {
       harness =
           new BalancerHarness(
-              BalancerHarness.settings(0, true, true, BalancerHarness.safe("read")), number);
+              BalancerHarness.settings(0, true, true, BalancerHarness.safeClass("read")), number);
       harness.advance(7 * SECOND);
       harness.readyServers(3);
       harness.balancer.limitListAge(harness.now, 6 * SECOND);
       harness.balancer.onListConfirmed(harness.now);
-      calls = harness.watches;
+      calls = harness.discoveryCalls;
       harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
     }
 
-    void step(Queue queue) {
+    void step(DiscoveryQueue queue) {
       harness.advance(STEP);
-      if (harness.watches > calls) {
-        calls = harness.watches;
+      if (harness.discoveryCalls > calls) {
+        calls = harness.discoveryCalls;
         answerAt = queue.call(harness.now);
         if (answerAt < 0) {
           answerAt = Long.MAX_VALUE;
@@ -98,18 +98,20 @@
     "40, 8000, 0.25, 7000, 40",
     "40, 4000, 1.0, 7000, 60",
   })
-  void theQueueDrainsAndAllAreAnswered(
-      int instances, long allMillis, double cost, long busyMillis, long withinSeconds) {
-    List<Instance> all = new ArrayList<>();
+  void queueDrainsAndAllCallsAreAnswered(
+      int instances, long fleetMillis, double rejectionCost, long busyMillis, long withinSeconds) {
+    List<Instance> balancers = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      all.add(new Instance(i));
+      balancers.add(new Instance(i));
     }
-    long began = all.get(0).harness.now;
-    Queue queue = new Queue(allMillis * MS / instances, cost, began + busyMillis * MS);
-    while (all.get(0).harness.now < began + withinSeconds * SECOND) {
-      all.forEach(instance -> instance.step(queue));
+    long startNanos = balancers.get(0).harness.now;
+    DiscoveryQueue queue =
+        new DiscoveryQueue(
+            fleetMillis * MS / instances, rejectionCost, startNanos + busyMillis * MS);
+    while (balancers.get(0).harness.now < startNanos + withinSeconds * SECOND) {
+      balancers.forEach(instance -> instance.step(queue));
     }
-    long waiting = all.stream().filter(instance -> instance.answeredAt < 0).count();
+    long waiting = balancers.stream().filter(instance -> instance.answeredAt < 0).count();
     assertTrue(waiting == 0, waiting + " not answered, " + queue.calls + " calls");
   }
 }
--- a/src/test/java/heathswitch/policy/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -12,51 +12,51 @@
 
 class EntryWindowTest {
   private final EntryWindow window = new EntryWindow();
-  private final ArrayDeque<Request> out = new ArrayDeque<>();
+  private final ArrayDeque<Request> inFlight = new ArrayDeque<>();
 
   private void start(long now) {
     Request request = request(now);
     window.onStart(now, request);
-    out.add(request);
+    inFlight.add(request);
   }
 
   private static Request request(long now) {
     ActiveSettings rules =
-        new ActiveSettings(BalancerHarness.settings(0, BalancerHarness.safe("read")), null);
+        new ActiveSettings(BalancerHarness.settings(0, BalancerHarness.safeClass("read")), null);
     return new Request(1, rules, "read", RequestProtocol.HTTP1, now, 4 * SECOND);
   }
 
   private void end(long now) {
-    window.onEnd(now, out.poll(), true);
+    window.onEnd(now, inFlight.poll(), true);
   }
 
   /** So many in flight at any time, each of which takes so long; from a time on, until another. */
-  private void steady(long from, long until, int parallel, long tookNanos) {
-    long step = tookNanos / parallel;
-    for (long now = from; now < until; now += step) {
+  private void runSteadyLoad(long fromNanos, long untilNanos, int concurrency, long tookNanos) {
+    long step = tookNanos / concurrency;
+    for (long now = fromNanos; now < untilNanos; now += step) {
       start(now);
-      if (out.size() > parallel) {
+      if (inFlight.size() > concurrency) {
         end(now);
       }
     }
   }
 
   @Test
-  void shortDelaysNeverCut() {
-    steady(0, 10 * SECOND, 10, 200 * MS);
+  void doesNotCutWhenDelaysAreShort() {
+    runSteadyLoad(0, 10 * SECOND, 10, 200 * MS);
     assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
   @Test
-  void delaysNearTheAimCutToAPartOfWhatIsInFlight() {
-    steady(0, 5 * SECOND, 20, 1500 * MS);
+  void cutsBelowInFlightWhenDelaysExceedTheAim() {
+    runSteadyLoad(0, 5 * SECOND, 20, 1500 * MS);
     assertTrue(window.window < 20, "window " + window.window);
     assertTrue(window.window >= EntryWindow.MIN);
   }
 
   /** Rates of one call in some seconds: what one call takes is then all that is known. */
   @Test
-  void fewCallsThatAreInTimeNeverCut() {
+  void doesNotCutWhenRareRequestsAreInTime() {
     for (long now = 0; now < 100 * SECOND; now += 3 * SECOND) {
       start(now);
       end(now + 700 * MS);
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void fewCallsThatAreLateCut() {
+  void cutsWhenRareRequestsAreLate() {
     for (long now = 0; now < 30 * SECOND; now += 3 * SECOND) {
       start(now);
       end(now + 900 * MS);
@@ -75,13 +75,13 @@
 
   /** Nothing was known before they came, and each is soon over. */
   @Test
-  void manyCallsAtOnceAfterAPauseDoNotCut() {
+  void doesNotCutOnBurstAfterPause() {
     for (long from = 0; from < 60 * SECOND; from += 20 * SECOND) {
       for (int i = 0; i < 40; i++) {
         start(from + i * MS);
       }
-      while (!out.isEmpty()) {
-        end(from + (300 - out.size()) * MS);
+      while (!inFlight.isEmpty()) {
+        end(from + (300 - inFlight.size()) * MS);
       }
     }
     assertTrue(window.window >= EntryWindow.INITIAL);
@@ -89,13 +89,13 @@
 
   /** The servers take five times as long: a cut must not wait for calls that have taken it. */
   @Test
-  void aJamIsSeenBeforeTheCallsThatMakeItEnd() {
-    steady(0, 4 * SECOND, 10, 200 * MS);
+  void cutsBeforeSlowRequestsEnd() {
+    runSteadyLoad(0, 4 * SECOND, 10, 200 * MS);
     double before = window.window;
     int arrivals = 0;
     long now = 4 * SECOND;
     for (; window.window >= before; now += 20 * MS) {
-      assertTrue(now - out.peek().arrivedNanos < 800 * MS, "a call has taken 0.8 of its aim");
+      assertTrue(now - inFlight.peek().arrivedNanos < 800 * MS, "a call has taken 0.8 of its aim");
       start(now);
       if (++arrivals % 5 == 0) {
         end(now);
@@ -106,18 +106,18 @@
 
   /** What the calls of a jam took is no measure of those that come after it. */
   @Test
-  void theWindowOpensAsSoonAsCallsEndInTimeAgain() {
-    steady(0, 5 * SECOND, 20, 1500 * MS);
-    while (!out.isEmpty()) {
+  void growsAsSoonAsDelaysAreShortAgain() {
+    runSteadyLoad(0, 5 * SECOND, 20, 1500 * MS);
+    while (!inFlight.isEmpty()) {
       end(5 * SECOND);
     }
     assertTrue(window.window < 20, "cut to " + window.window);
-    steady(5 * SECOND, 7 * SECOND, 10, 200 * MS);
+    runSteadyLoad(5 * SECOND, 7 * SECOND, 10, 200 * MS);
     assertTrue(window.window > 20, "grown to " + window.window);
   }
 
   @Test
-  void callsSentBeforeTheCutDoNotCutAgain() {
+  void cutsOncePerFlight() {
     for (int i = 0; i < 100; i++) {
       start(i);
     }
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void whatIsWorthMostFindsRoomWhereTheLeastDoesNot() {
+  void admitsHighestWorthWhereLowestIsRefused() {
     for (int i = 0; i < EntryWindow.INITIAL + 1; i++) {
       window.onStart(0, request(0));
     }
--- a/src/test/java/heathswitch/policy/core/ListLeaseTest.java
+++ b/src/test/java/heathswitch/policy/core/ListLeaseTest.java
@@ -19,156 +19,156 @@
 
 /** A list that is not confirmed holds for a limited time, and is asked for until it is. */
 class ListLeaseTest {
-  private static final long TOLD = 6 * SECOND;
-  private static final long DOWN_CALL = 3 * SECOND;
+  private static final long DELIVERY = 6 * SECOND;
+  private static final long HELD_CALL = 3 * SECOND;
 
   /** From one request to the next, so that each of three servers serves within the grace. */
-  private static final long EVERY = 200 * MS;
+  private static final long REQUEST_INTERVAL = 200 * MS;
 
   private final Settings settings =
-      BalancerHarness.settings(0, true, true, BalancerHarness.safe("read"));
-  private BalancerHarness h;
-  private final long holds =
-      TOLD + settings.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
+      BalancerHarness.settings(0, true, true, BalancerHarness.safeClass("read"));
+  private BalancerHarness harness;
+  private final long validNanos =
+      DELIVERY + settings.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
   private long requests;
 
   @BeforeEach
-  void begin() {
-    begin(settings);
+  void start() {
+    start(settings);
   }
 
   /** A balancer whose list has just been confirmed. */
-  private void begin(Settings of) {
-    h = new BalancerHarness(of);
-    h.balancer.limitListAge(h.now, TOLD);
-    while (of.subscribes() && h.watches == 0) {
-      h.advance(10 * MS);
+  private void start(Settings balancerSettings) {
+    harness = new BalancerHarness(balancerSettings);
+    harness.balancer.limitListAge(harness.now, DELIVERY);
+    while (balancerSettings.subscribes() && harness.discoveryCalls == 0) {
+      harness.advance(10 * MS);
     }
-    h.readyServers(3);
-    h.balancer.onListConfirmed(h.now);
+    harness.readyServers(3);
+    harness.balancer.onListConfirmed(harness.now);
   }
 
-  private boolean sends() {
-    int before = h.sent.size();
-    h.request(++requests, "read");
-    if (h.sent.size() == before) {
+  private boolean isSent() {
+    int before = harness.sent.size();
+    harness.request(++requests, "read");
+    if (harness.sent.size() == before) {
       return false;
     }
-    h.now += MS;
-    h.outcome(h.last(), Outcome.OK, true);
+    harness.now += MS;
+    harness.outcome(harness.lastSent(), Outcome.OK, true);
     return true;
   }
 
-  private void fail(ListUpdate form) {
-    h.balancer.onListUpdate(h.now, form, List.of());
+  private void failDiscovery(ListUpdate failure) {
+    harness.balancer.onListUpdate(harness.now, failure, List.of());
   }
 
   /** Fails each call so long after it was made, until a time; the last one may end after it. */
-  private void failCalls(ListUpdate form, long afterNanos, long untilNanos) {
-    while (h.now < untilNanos) {
-      int calls = h.watches;
-      while (h.watches == calls && h.now < untilNanos) {
-        h.advance(Math.min(10 * MS, untilNanos - h.now));
+  private void failCalls(ListUpdate failure, long afterNanos, long untilNanos) {
+    while (harness.now < untilNanos) {
+      int calls = harness.discoveryCalls;
+      while (harness.discoveryCalls == calls && harness.now < untilNanos) {
+        harness.advance(Math.min(10 * MS, untilNanos - harness.now));
       }
-      if (h.watches > calls) {
-        h.advance(afterNanos);
-        fail(form);
+      if (harness.discoveryCalls > calls) {
+        harness.advance(afterNanos);
+        failDiscovery(failure);
       }
     }
   }
 
   @Test
-  void aListThatIsConfirmedHolds() {
+  void confirmedListStaysValid() {
     for (int i = 0; i < 30; i++) {
-      h.advance(2 * SECOND);
-      h.balancer.onListConfirmed(h.now);
+      harness.advance(2 * SECOND);
+      harness.balancer.onListConfirmed(harness.now);
     }
-    h.advance(holds - MS);
-    assertTrue(sends());
+    harness.advance(validNanos - MS);
+    assertTrue(isSent());
   }
 
   @Test
-  void nothingIsSentOnceTheTimeIsOverThoughAllCallsWereTurnedAway() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds - 25 * MS);
-    assertTrue(sends());
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
-    assertFalse(sends());
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds + 20 * SECOND);
-    assertFalse(sends());
+  void sendsNothingAfterExpiryWhenAllCallsAreRejected() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos - 25 * MS);
+    assertTrue(isSent());
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos);
+    assertFalse(isSent());
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos + 20 * SECOND);
+    assertFalse(isSent());
   }
 
   /** What is turned away costs discovery, too: repeated at once it would keep the queue full. */
   @Test
-  void callsThatAreTurnedAwayBecomeRarer() {
-    fail(ListUpdate.FAILED);
-    int before = h.watches;
-    failCalls(ListUpdate.REJECTED, 20 * MS, h.now + 10 * SECOND);
-    int calls = h.watches - before;
+  void backsOffAfterRejectedCalls() {
+    failDiscovery(ListUpdate.FAILED);
+    int before = harness.discoveryCalls;
+    failCalls(ListUpdate.REJECTED, 20 * MS, harness.now + 10 * SECOND);
+    int calls = harness.discoveryCalls - before;
     assertTrue(calls >= 3 && calls <= 6, "calls in 10 s: " + calls);
-    failCalls(ListUpdate.REJECTED, 20 * MS, h.now + 60 * SECOND);
-    int later = h.watches - before - calls;
+    failCalls(ListUpdate.REJECTED, 20 * MS, harness.now + 60 * SECOND);
+    int later = harness.discoveryCalls - before - calls;
     assertTrue(later >= 6 && later <= 20, "calls in the minute after it: " + later);
   }
 
   @Test
-  void requestsWaitAndAreSentWhenTheListIsConfirmed() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
-    int before = h.sent.size();
-    h.request(++requests, "read");
-    h.advance(SECOND);
-    assertEquals(List.of(), h.refused);
-    h.balancer.onListUpdate(
-        h.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
-    assertEquals(before, h.sent.size(), "news alone confirm nothing");
-    h.balancer.onListConfirmed(h.now);
-    assertEquals(before + 1, h.sent.size());
-    assertTrue(h.last().server() != 1);
+  void queuedRequestsAreSentWhenTheListIsConfirmed() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos);
+    int before = harness.sent.size();
+    harness.request(++requests, "read");
+    harness.advance(SECOND);
+    assertEquals(List.of(), harness.refused);
+    harness.balancer.onListUpdate(
+        harness.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
+    assertEquals(before, harness.sent.size(), "news alone confirm nothing");
+    harness.balancer.onListConfirmed(harness.now);
+    assertEquals(before + 1, harness.sent.size());
+    assertTrue(harness.lastSent().server() != 1);
   }
 
   @Test
-  void aRequestThatWaitsInVainIsRefusedInTime() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
-    h.request(++requests, "read");
-    h.advance(2 * SECOND);
-    assertEquals(List.of(requests), h.refused);
+  void queuedRequestIsRefusedBeforeItsDeadline() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos);
+    harness.request(++requests, "read");
+    harness.advance(2 * SECOND);
+    assertEquals(List.of(requests), harness.refused);
   }
 
   /** An attempt that was decided before may not begin either. */
   @Test
-  void whatWasChosenBeforeDoesNotBeginAfterwards() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    h.now = confirmed + holds - MS;
-    h.request(++requests, "read");
-    BalancerHarness.Sent attempt = h.last();
-    assertTrue(h.balancer.mayBegin(h.now, attempt.request(), attempt.attempt()));
-    assertFalse(h.balancer.mayBegin(h.now + MS, attempt.request(), attempt.attempt()));
+  void chosenAttemptMayNotBeginAfterExpiry() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    harness.now = confirmedNanos + validNanos - MS;
+    harness.request(++requests, "read");
+    BalancerHarness.Sent attempt = harness.lastSent();
+    assertTrue(harness.balancer.mayBegin(harness.now, attempt.request(), attempt.attempt()));
+    assertFalse(harness.balancer.mayBegin(harness.now + MS, attempt.request(), attempt.attempt()));
   }
 
   /** Sends a request every so often and fails each call so long after it was made. */
-  private int sentThrough(ListUpdate form, long afterNanos, long forNanos) {
-    long until = h.now + forNanos;
-    long calledNanos = -1;
-    int calls = h.watches;
+  private int countSent(ListUpdate failure, long afterNanos, long forNanos) {
+    long untilNanos = harness.now + forNanos;
+    long callNanos = -1;
+    int calls = harness.discoveryCalls;
     int sent = 0;
-    for (long next = h.now; h.now < until; h.advance(10 * MS)) {
-      if (h.watches > calls) {
-        calls = h.watches;
-        calledNanos = h.now;
+    for (long nextNanos = harness.now; harness.now < untilNanos; harness.advance(10 * MS)) {
+      if (harness.discoveryCalls > calls) {
+        calls = harness.discoveryCalls;
+        callNanos = harness.now;
       }
-      if (calledNanos >= 0 && h.now - calledNanos >= afterNanos) {
-        fail(form);
-        calledNanos = -1;
+      if (callNanos >= 0 && harness.now - callNanos >= afterNanos) {
+        failDiscovery(failure);
+        callNanos = -1;
       }
-      if (h.now >= next) {
-        sent += sends() ? 1 : 0;
-        next += EVERY;
+      if (harness.now >= nextNanos) {
+        sent += isSent() ? 1 : 0;
+        nextNanos += REQUEST_INTERVAL;
       }
     }
     return sent;
@@ -180,109 +180,111 @@
    */
   @ParameterizedTest
   @EnumSource(names = {"REJECTED", "FAILED"})
-  void whileDiscoveryCannotBeReachedServersThatServeAreUsed(ListUpdate form) {
-    begin(BalancerHarness.graceOf(settings, 2 * SECOND));
-    fail(ListUpdate.FAILED);
-    long lasts = 60 * SECOND;
-    assertEquals(lasts / EVERY, sentThrough(form, DOWN_CALL, lasts));
+  void usesServingServersWhileDiscoveryIsUnreachable(ListUpdate failure) {
+    start(BalancerHarness.withGrace(settings, 2 * SECOND));
+    failDiscovery(ListUpdate.FAILED);
+    long durationNanos = 60 * SECOND;
+    assertEquals(durationNanos / REQUEST_INTERVAL, countSent(failure, HELD_CALL, durationNanos));
   }
 
   @Test
-  void soTheyAreWhereConnectionsAreRefused() {
-    fail(ListUpdate.FAILED);
-    long lasts = 60 * SECOND;
-    assertEquals(lasts / EVERY, sentThrough(ListUpdate.FAILED, 0, lasts));
+  void usesServingServersWhileConnectionsAreRefused() {
+    failDiscovery(ListUpdate.FAILED);
+    long durationNanos = 60 * SECOND;
+    assertEquals(durationNanos / REQUEST_INTERVAL, countSent(ListUpdate.FAILED, 0, durationNanos));
   }
 
   /** Nothing shows an outage where a watch has broken and the call after it is still out. */
   @Test
-  void whileNoCallHasFailedNothingIsSentOnceTheTimeIsOver() {
-    fail(ListUpdate.FAILED);
-    sendUntil(h.now + holds - 10 * MS);
-    h.advance(20 * MS);
-    assertFalse(sends());
+  void sendsNothingAfterExpiryWhenNoCallHasFailed() {
+    failDiscovery(ListUpdate.FAILED);
+    sendUntil(harness.now + validNanos - 10 * MS);
+    harness.advance(20 * MS);
+    assertFalse(isSent());
   }
 
   /** What a call that failed once showed of discovery grows old, too. */
   @Test
-  void anOutageThatNoFurtherCallShowsIsTakenForOver() {
-    fail(ListUpdate.FAILED);
-    int calls = h.watches;
-    while (h.watches == calls) {
-      h.advance(10 * MS);
+  void outageEndsWhenNoFurtherCallShowsIt() {
+    failDiscovery(ListUpdate.FAILED);
+    int calls = harness.discoveryCalls;
+    while (harness.discoveryCalls == calls) {
+      harness.advance(10 * MS);
     }
-    long called = h.now;
-    h.advance(DOWN_CALL);
-    fail(ListUpdate.REJECTED);
-    sendUntil(called + holds - 10 * MS);
-    h.advance(20 * MS);
-    assertFalse(sends());
+    long calledNanos = harness.now;
+    harness.advance(HELD_CALL);
+    failDiscovery(ListUpdate.REJECTED);
+    sendUntil(calledNanos + validNanos - 10 * MS);
+    harness.advance(20 * MS);
+    assertFalse(isSent());
   }
 
   /** Sends a request every so often until a time; each is sent and served. */
   private void sendUntil(long untilNanos) {
-    while (h.now + EVERY < untilNanos) {
-      h.advance(EVERY);
-      assertTrue(sends());
+    while (harness.now + REQUEST_INTERVAL < untilNanos) {
+      harness.advance(REQUEST_INTERVAL);
+      assertTrue(isSent());
     }
-    h.advance(untilNanos - h.now);
-    assertTrue(sends());
+    harness.advance(untilNanos - harness.now);
+    assertTrue(isSent());
   }
 
   /** However often calls fail, and however: it is no word of discovery that the list is current. */
   @ParameterizedTest
-  @ValueSource(longs = {0, DOWN_CALL})
-  void noFailedCallLengthensTheTimeOfAList(long afterNanos) {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.FAILED, afterNanos, confirmed + holds);
-    assertFalse(sends());
-    failCalls(ListUpdate.FAILED, afterNanos, h.now + 30 * SECOND);
-    assertFalse(sends());
+  @ValueSource(longs = {0, HELD_CALL})
+  void failedCallsDoNotExtendTheLease(long afterNanos) {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.FAILED, afterNanos, confirmedNanos + validNanos);
+    assertFalse(isSent());
+    failCalls(ListUpdate.FAILED, afterNanos, harness.now + 30 * SECOND);
+    assertFalse(isSent());
   }
 
   /** A server that turns new work away may drain, and the grace lasts from its last service. */
   @Test
-  void aServerThatNoLongerServesIsNotSentToPastTheGrace() {
-    fail(ListUpdate.FAILED);
-    long since = h.now;
-    long grace = settings.obligations().stopSendingWithinNanos();
-    long latest = since;
-    int calls = h.watches;
-    while (h.now < since + 40 * SECOND) {
-      h.advance(EVERY / 4);
-      if (h.watches > calls) {
-        calls = h.watches;
-        fail(ListUpdate.FAILED);
+  void refusingServerGetsNothingAfterTheGracePeriod() {
+    failDiscovery(ListUpdate.FAILED);
+    long sinceNanos = harness.now;
+    long graceNanos = settings.obligations().stopSendingWithinNanos();
+    long latestNanos = sinceNanos;
+    int calls = harness.discoveryCalls;
+    while (harness.now < sinceNanos + 40 * SECOND) {
+      harness.advance(REQUEST_INTERVAL / 4);
+      if (harness.discoveryCalls > calls) {
+        calls = harness.discoveryCalls;
+        failDiscovery(ListUpdate.FAILED);
       }
-      h.request(++requests, "read");
-      BalancerHarness.Sent attempt = h.last();
-      boolean drains = attempt.server() == 1 && h.now >= since + 10 * SECOND;
+      harness.request(++requests, "read");
+      BalancerHarness.Sent attempt = harness.lastSent();
+      boolean drains = attempt.server() == 1 && harness.now >= sinceNanos + 10 * SECOND;
       if (drains) {
-        latest = Math.max(latest, h.now);
+        latestNanos = Math.max(latestNanos, harness.now);
       }
-      h.now += MS;
-      h.outcome(attempt, drains ? Outcome.REFUSED : Outcome.OK, !drains);
+      harness.now += MS;
+      harness.outcome(attempt, drains ? Outcome.REFUSED : Outcome.OK, !drains);
     }
-    assertEquals(ListTrust.SERVING_ONLY.name(), trusted(), "to the end");
-    assertTrue(latest <= since + 10 * SECOND + grace, "last sent there " + (latest - since));
+    assertEquals(ListTrust.SERVING_ONLY.name(), loggedTrust(), "to the end");
+    assertTrue(
+        latestNanos <= sinceNanos + 10 * SECOND + graceNanos,
+        "last sent there " + (latestNanos - sinceNanos));
   }
 
   /** How far the list is trusted, as the newest line of the log says. */
-  private String trusted() {
-    String line = h.logs.get(h.logs.size() - 1);
+  private String loggedTrust() {
+    String line = harness.logs.get(harness.logs.size() - 1);
     return line.replaceAll(".*from now on ([A-Z_]+);.*", "$1");
   }
 
   @Test
-  void withNoWatchAListHoldsNoLongerThanABalancerMayLeaveOffAsking() {
-    Settings often = BalancerHarness.mustAskWithin(settings, 2 * SECOND);
-    BalancerHarness harness = new BalancerHarness(often);
-    harness.balancer.limitListAge(harness.now, TOLD);
+  void listWithoutWatchExpiresAfterTheSubscribeLimit() {
+    Settings frequent = BalancerHarness.withSubscribeLimit(settings, 2 * SECOND);
+    BalancerHarness harness = new BalancerHarness(frequent);
+    harness.balancer.limitListAge(harness.now, DELIVERY);
     harness.readyServers(3);
-    long ends =
-        2 * SECOND + often.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
-    harness.now += ends - MS;
+    long endNanos =
+        2 * SECOND + frequent.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS;
+    harness.now += endNanos - MS;
     harness.request(1, "read");
     assertEquals(1, harness.sent.size());
     harness.now += MS;
@@ -292,24 +294,24 @@
 
   /** Settings may let a balancer ask seldom; a change counts as told after 6 s all the same. */
   @Test
-  void theFirstCallComesBeforeAChangeCanCountAsTold() {
+  void firstCallPrecedesDeliveryTime() {
     int late = 0;
     for (long seed = 0; seed < 20; seed++) {
       BalancerHarness harness =
-          new BalancerHarness(BalancerHarness.mustAskWithin(settings, 60 * SECOND), seed);
-      harness.balancer.limitListAge(harness.now, TOLD);
-      harness.advance(TOLD);
-      late += harness.watches == 0 ? 1 : 0;
+          new BalancerHarness(BalancerHarness.withSubscribeLimit(settings, 60 * SECOND), seed);
+      harness.balancer.limitListAge(harness.now, DELIVERY);
+      harness.advance(DELIVERY);
+      late += harness.discoveryCalls == 0 ? 1 : 0;
     }
     assertEquals(0, late);
   }
 
   /** What an agent has counts as told whether or not a watch is open. */
   @Test
-  void aPushedListHoldsForTheGraceOnceItsWatchHasBroken() {
-    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safe("read"));
+  void pushedListExpiresAfterTheGracePeriodWhenItsWatchBreaks() {
+    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safeClass("read"));
     BalancerHarness harness = new BalancerHarness(pushed);
-    harness.balancer.limitListAge(harness.now, TOLD);
+    harness.balancer.limitListAge(harness.now, DELIVERY);
     harness.readyServers(3);
     harness.balancer.onListConfirmed(harness.now);
     harness.advance(2 * SECOND);
@@ -321,150 +323,151 @@
     harness.now += MS;
     harness.request(2, "read");
     assertEquals(1, harness.sent.size());
-    assertEquals(0, harness.watches, "the host keeps the watch up");
+    assertEquals(0, harness.discoveryCalls, "the host keeps the watch up");
     harness.balancer.onListConfirmed(harness.now);
     assertEquals(2, harness.sent.size());
   }
 
   /** A call that had its place and was not answered in time is no outage. */
   @Test
-  void aLongWaitAmongCallsThatAreTurnedAwayCounts() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 3 * SECOND);
-    failCalls(ListUpdate.REJECTED, DOWN_CALL, h.now + SECOND);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
-    assertFalse(sends());
+  void heldCallAfterPromptRejectionsIsNoOutage() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + 3 * SECOND);
+    failCalls(ListUpdate.REJECTED, HELD_CALL, harness.now + SECOND);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos);
+    assertFalse(isSent());
   }
 
   /** Calls that fail on this machine, for want of a socket say, show nothing of discovery. */
   @Test
-  void callsThatCannotBeMadeAreNoOutage() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 2 * SECOND);
-    failCalls(ListUpdate.NOT_SENT, MS, confirmed + holds);
-    assertFalse(sends());
+  void localFailuresAreNoOutage() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + 2 * SECOND);
+    failCalls(ListUpdate.NOT_SENT, MS, confirmedNanos + validNanos);
+    assertFalse(isSent());
   }
 
   /** What had counted as told before discovery went away has been told. */
   @Test
-  void anOutageDoesNotBringBackAListWhoseTimeWasOver() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + holds);
-    assertFalse(sends());
-    failCalls(ListUpdate.REJECTED, DOWN_CALL, h.now + 20 * SECOND);
-    assertFalse(sends());
+  void outageDoesNotRevalidateAnExpiredList() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + validNanos);
+    assertFalse(isSent());
+    failCalls(ListUpdate.REJECTED, HELD_CALL, harness.now + 20 * SECOND);
+    assertFalse(isSent());
   }
 
   /** Nor one whose changes had counted as told, with only the grace left. */
   @Test
-  void anOutageDoesNotLengthenTheGrace() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + TOLD);
-    failCalls(ListUpdate.REJECTED, DOWN_CALL, confirmed + holds + 8 * SECOND);
-    assertFalse(sends());
+  void outageDoesNotExtendTheGracePeriod() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + DELIVERY);
+    failCalls(ListUpdate.REJECTED, HELD_CALL, confirmedNanos + validNanos + 8 * SECOND);
+    assertFalse(isSent());
   }
 
   /** An operator's mark, or news of the watch before, is no answer to the call that is out. */
   @Test
-  void changesThatNobodyAskedForAnswerNoCall() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.REJECTED, 20 * MS, confirmed + 3 * SECOND);
-    int before = h.watches;
-    while (h.watches == before) {
-      h.advance(10 * MS);
+  void unsolicitedDeltaDoesNotAnswerTheCall() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.REJECTED, 20 * MS, confirmedNanos + 3 * SECOND);
+    int before = harness.discoveryCalls;
+    while (harness.discoveryCalls == before) {
+      harness.advance(10 * MS);
     }
-    h.balancer.onListUpdate(h.now, ListUpdate.UNSOLICITED_DELTA, List.of());
-    h.advance(DOWN_CALL);
-    fail(ListUpdate.REJECTED);
-    failCalls(ListUpdate.REJECTED, DOWN_CALL, confirmed + holds);
-    assertFalse(sends());
+    harness.balancer.onListUpdate(harness.now, ListUpdate.UNSOLICITED_DELTA, List.of());
+    harness.advance(HELD_CALL);
+    failDiscovery(ListUpdate.REJECTED);
+    failCalls(ListUpdate.REJECTED, HELD_CALL, confirmedNanos + validNanos);
+    assertFalse(isSent());
   }
 
   /** It is still missing, and the next call comes when it is due. */
   @Test
-  void changesThatNobodyAskedForAreNoSubscription() {
-    fail(ListUpdate.FAILED);
-    int before = h.watches;
-    while (h.watches == before) {
-      h.advance(10 * MS);
+  void unsolicitedDeltaIsNoSubscription() {
+    failDiscovery(ListUpdate.FAILED);
+    int before = harness.discoveryCalls;
+    while (harness.discoveryCalls == before) {
+      harness.advance(10 * MS);
     }
-    h.balancer.onListUpdate(h.now, ListUpdate.UNSOLICITED_DELTA, List.of());
-    h.advance(60 * SECOND);
-    assertTrue(h.watches > before + 1);
+    harness.balancer.onListUpdate(harness.now, ListUpdate.UNSOLICITED_DELTA, List.of());
+    harness.advance(60 * SECOND);
+    assertTrue(harness.discoveryCalls > before + 1);
   }
 
   /** The head of an answer has come: discovery runs, whatever became of the rest. */
   @Test
-  void anAnswerThatBreaksOffIsNoOutage() {
-    long confirmed = h.now;
-    fail(ListUpdate.FAILED);
-    failCalls(ListUpdate.TRUNCATED, 500 * MS, confirmed + holds);
-    assertFalse(sends());
+  void truncatedAnswerIsNoOutage() {
+    long confirmedNanos = harness.now;
+    failDiscovery(ListUpdate.FAILED);
+    failCalls(ListUpdate.TRUNCATED, 500 * MS, confirmedNanos + validNanos);
+    assertFalse(isSent());
   }
 
   /** Its agent learns nothing while it is silent; one that is not there may have been told. */
   @Test
-  void aPushedListHoldsWhileItsAgentIsSilentAndNotWhileNobodyListens() {
-    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safe("read"));
-    begin(pushed);
+  void pushedListStaysValidWhileAgentIsSilentButNotWithoutWatch() {
+    Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safeClass("read"));
+    start(pushed);
     for (int i = 0; i < 30; i++) {
-      h.advance(2 * SECOND);
-      fail(ListUpdate.SILENT);
-      assertTrue(sends());
+      harness.advance(2 * SECOND);
+      failDiscovery(ListUpdate.SILENT);
+      assertTrue(isSent());
     }
-    fail(ListUpdate.FAILED);
-    h.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS);
-    assertFalse(sends());
-    fail(ListUpdate.SILENT); // It may have been told before it fell silent.
-    assertFalse(sends());
+    failDiscovery(ListUpdate.FAILED);
+    harness.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS);
+    assertFalse(isSent());
+    failDiscovery(ListUpdate.SILENT); // It may have been told before it fell silent.
+    assertFalse(isSent());
   }
 
   @Test
-  void aMoveIsFollowedByOneCallSoon() {
-    int before = h.watches;
-    h.balancer.onDiscoveryMoved(h.now);
-    h.advance(DiscoveryBackoff.MAX_MOVE_NANOS);
-    assertEquals(before + 1, h.watches);
+  void callsOnceSoonAfterAddressChange() {
+    int before = harness.discoveryCalls;
+    harness.balancer.onDiscoveryMoved(harness.now);
+    harness.advance(DiscoveryBackoff.MAX_MOVE_NANOS);
+    assertEquals(before + 1, harness.discoveryCalls);
   }
 
   /** What has changed before it counts as told 4 s after a new configuration. */
   @Test
-  void aListHoldsForFourSecondsAndTheGraceAfterAMove() {
-    long moved = h.now;
-    long grace = settings.obligations().stopSendingWithinNanos();
-    long ends = moved + ListLease.MOVE_DELIVERY_NANOS + grace - ListLease.SEND_MARGIN_NANOS;
-    h.balancer.onDiscoveryMoved(moved);
-    h.advance(SECOND);
-    h.balancer.onDiscoveryMoved(h.now); // The second one gives no time back.
-    h.advance(ends - MS - h.now);
-    assertTrue(sends());
-    h.advance(SECOND);
-    assertFalse(sends());
-    h.balancer.onListConfirmed(h.now);
-    assertTrue(sends());
+  void listExpiresFourSecondsAndTheGracePeriodAfterAddressChange() {
+    long movedNanos = harness.now;
+    long graceNanos = settings.obligations().stopSendingWithinNanos();
+    long endNanos =
+        movedNanos + ListLease.MOVE_DELIVERY_NANOS + graceNanos - ListLease.SEND_MARGIN_NANOS;
+    harness.balancer.onDiscoveryMoved(movedNanos);
+    harness.advance(SECOND);
+    harness.balancer.onDiscoveryMoved(harness.now); // The second one gives no time back.
+    harness.advance(endNanos - MS - harness.now);
+    assertTrue(isSent());
+    harness.advance(SECOND);
+    assertFalse(isSent());
+    harness.balancer.onListConfirmed(harness.now);
+    assertTrue(isSent());
   }
 
   /** Each call at an address that is left again at once would be one for nothing. */
   @Test
-  void aSeriesOfMovesIsFollowedByOneCallInTime() {
-    int before = h.watches;
-    long first = h.now;
+  void callsOnceAfterSeriesOfAddressChanges() {
+    int before = harness.discoveryCalls;
+    long first = harness.now;
     for (int i = 0; i < 4; i++) {
-      h.balancer.onDiscoveryMoved(h.now);
-      fail(ListUpdate.FAILED); // The watch at the address before ends.
-      h.advance(400 * MS);
+      harness.balancer.onDiscoveryMoved(harness.now);
+      failDiscovery(ListUpdate.FAILED); // The watch at the address before ends.
+      harness.advance(400 * MS);
     }
-    h.advance(first + DiscoveryBackoff.MAX_MOVE_NANOS - h.now);
-    assertEquals(before + 1, h.watches);
+    harness.advance(first + DiscoveryBackoff.MAX_MOVE_NANOS - harness.now);
+    assertEquals(before + 1, harness.discoveryCalls);
   }
 
   @Test
-  void whereNoLimitIsSetAListHolds() {
+  void listStaysValidWithoutLimit() {
     BalancerHarness unlimited = new BalancerHarness(settings).readyServers(3);
     unlimited.balancer.onListUpdate(unlimited.now, ListUpdate.FAILED, List.of());
     unlimited.advance(100 * SECOND);
--- a/src/test/java/heathswitch/policy/core/MembershipTest.java
+++ b/src/test/java/heathswitch/policy/core/MembershipTest.java
@@ -13,34 +13,34 @@
 
 /** Machines are replaced under new ids for as long as a balancer runs. */
 class MembershipTest {
-  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safe("view"));
+  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safeClass("view"));
   private final Membership members =
       new Membership(settings, new BalancerHarness(settings), new SplittableRandom(1));
 
-  private void news(ListUpdate form, Health health, long... ids) {
+  private void update(ListUpdate update, Health health, long... ids) {
     List<ServerEntry> entries =
         java.util.Arrays.stream(ids).mapToObj(id -> entry(id, health)).toList();
-    members.onListUpdate(0, form, entries);
+    members.onListUpdate(0, update, entries);
   }
 
   @Test
-  void theGoneAreForgotten() {
-    news(ListUpdate.FULL, Health.READY, 1, 2, 3);
-    news(ListUpdate.DELTA, Health.GONE, 1);
+  void forgetsRemovedServers() {
+    update(ListUpdate.FULL, Health.READY, 1, 2, 3);
+    update(ListUpdate.DELTA, Health.GONE, 1);
     assertNull(members.servers.get(1L));
-    news(ListUpdate.FULL, Health.READY, 3);
+    update(ListUpdate.FULL, Health.READY, 3);
     assertNull(members.servers.get(2L));
     assertNotNull(members.servers.get(3L));
   }
 
   @Test
-  void butNotBeforeTheirLastCallHasEnded() {
-    news(ListUpdate.FULL, Health.READY, 1, 2);
+  void keepsRemovedServerUntilItsLastCallEnds() {
+    update(ListUpdate.FULL, Health.READY, 1, 2);
     members.servers.get(1L).inFlight = 1;
-    news(ListUpdate.FULL, Health.READY, 2);
+    update(ListUpdate.FULL, Health.READY, 2);
     assertNotNull(members.servers.get(1L));
     members.servers.get(1L).inFlight = 0;
-    news(ListUpdate.DELTA, Health.READY, 2);
+    update(ListUpdate.DELTA, Health.READY, 2);
     assertNull(members.servers.get(1L));
   }
 
--- a/src/test/java/heathswitch/policy/core/ReplayTest.java
+++ b/src/test/java/heathswitch/policy/core/ReplayTest.java
@@ -28,8 +28,8 @@
  */
 class ReplayTest {
   private static final int EVENTS = 30_000;
-  private static final int EVENTS_A_LINE = 500;
-  private static final String RECORD = "/replay/equal-weights.txt";
+  private static final int EVENTS_PER_LINE = 500;
+  private static final String RECORDING = "/replay/equal-weights.txt";
 
   private static final String[] CLASSES = {"a", "k", "u"};
 
@@ -39,36 +39,38 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {1, 3, 0.1, 0.7})
-  void equalWeightsChangeNoAction(double weight) throws Exception {
-    try (InputStream recorded = ReplayTest.class.getResourceAsStream(RECORD)) {
+  void equalWeightsDoNotChangeActions(double weight) throws Exception {
+    try (InputStream recorded = ReplayTest.class.getResourceAsStream(RECORDING)) {
       String expected = new String(recorded.readAllBytes(), StandardCharsets.US_ASCII);
-      assertEquals(expected, play(new double[] {weight}));
+      assertEquals(expected, replay(new double[] {weight}));
     }
   }
 
   /** Or the comparison above would hold for any module that never looks at weights. */
   @Test
-  void unequalWeightsChangeSome() throws Exception {
-    assertNotEquals(play(new double[] {1}), play(new double[] {1, 2}));
+  void unequalWeightsChangeActions() throws Exception {
+    assertNotEquals(replay(new double[] {1}), replay(new double[] {1, 2}));
   }
 
   /** Written only when asked for, from the module as it was. */
   public static void main(String[] args) throws Exception {
-    Files.writeString(Path.of(args[0]), play(new double[] {1}));
+    Files.writeString(Path.of(args[0]), replay(new double[] {1}));
   }
 
-  private static String play(double[] weights) throws Exception {
+  private static String replay(double[] weights) throws Exception {
     BalancerHarness harness =
         new BalancerHarness(
             BalancerHarness.settings(
                 0,
-                BalancerHarness.safe("a"),
-                BalancerHarness.type("k", RequestClass.Effect.KEYED, RequestClass.Group.CELL),
-                BalancerHarness.type("u", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL)),
+                BalancerHarness.safeClass("a"),
+                BalancerHarness.requestClass(
+                    "k", RequestClass.Effect.KEYED, RequestClass.Group.CELL),
+                BalancerHarness.requestClass(
+                    "u", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL)),
             7);
     SplittableRandom random = new SplittableRandom(11);
-    List<BalancerHarness.Sent> out = new ArrayList<>();
-    int taken = 0;
+    List<BalancerHarness.Sent> inFlight = new ArrayList<>();
+    int recorded = 0;
     long requests = 0;
     StringBuilder lines = new StringBuilder();
     StringBuilder actions = new StringBuilder();
@@ -77,22 +79,22 @@
       harness.advance(random.nextInt(1, 8_000_000));
       int event = random.nextInt(1000);
       if (event < 2) {
-        ListUpdate form = random.nextBoolean() ? ListUpdate.FULL : ListUpdate.DELTA;
+        ListUpdate update = random.nextBoolean() ? ListUpdate.FULL : ListUpdate.DELTA;
         ServerEntry[] entries = list(1 + random.nextInt(40), random, harness.now, weights);
-        harness.balancer.onListUpdate(harness.now, form, List.of(entries));
+        harness.balancer.onListUpdate(harness.now, update, List.of(entries));
       } else if (event < 500) {
         harness.request(++requests, CLASSES[(int) (requests % CLASSES.length)]);
-      } else if (!out.isEmpty()) {
-        BalancerHarness.Sent sent = out.remove(random.nextInt(Math.min(out.size(), 20)));
+      } else if (!inFlight.isEmpty()) {
+        BalancerHarness.Sent sent = inFlight.remove(random.nextInt(Math.min(inFlight.size(), 20)));
         boolean ok = random.nextInt(12) > 0;
         harness.outcome(sent, ok ? Outcome.OK : OUTCOMES[random.nextInt(OUTCOMES.length)], ok);
       }
-      for (; taken < harness.sent.size(); taken++) {
-        BalancerHarness.Sent sent = harness.sent.get(taken);
-        out.add(sent);
+      for (; recorded < harness.sent.size(); recorded++) {
+        BalancerHarness.Sent sent = harness.sent.get(recorded);
+        inFlight.add(sent);
         actions.append(sent).append('\n');
       }
-      if (i % EVENTS_A_LINE == 0) {
+      if (i % EVENTS_PER_LINE == 0) {
         actions.append(harness.refused).append(harness.failed).append(harness.cancelled);
         byte[] digest =
             MessageDigest.getInstance("SHA-256")
--- a/src/test/java/heathswitch/policy/core/ServerProtocolTest.java
+++ b/src/test/java/heathswitch/policy/core/ServerProtocolTest.java
@@ -21,35 +21,36 @@
   private static final int HTTP1 = 1;
   private static final int GRPC = 2;
 
-  private static ServerEntry server(long id, int speaks) {
-    return new ServerEntry(id, "a", "kind", 0, Health.READY, 1, 0, speaks);
+  private static ServerEntry server(long id, int protocols) {
+    return new ServerEntry(id, "a", "kind", 0, Health.READY, 1, 0, protocols);
   }
 
   /** Also where one in a hundred speaks it, and after every way in which an attempt can fail. */
   @ParameterizedTest
   @EnumSource(RequestProtocol.class)
-  void onlyThoseThatSpeakItAreAsked(RequestProtocol form) {
-    for (int speakers : new int[] {1, 2, 50}) {
+  void sendsOnlyToServersThatSupportTheProtocol(RequestProtocol protocol) {
+    for (int supporting : new int[] {1, 2, 50}) {
       BalancerHarness h =
-          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")));
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")));
       List<ServerEntry> list = new ArrayList<>();
-      Set<Long> able = new HashSet<>();
+      Set<Long> supportingIds = new HashSet<>();
       for (int i = 1; i <= 200; i++) {
-        boolean speaks = i <= speakers;
-        int other = form.protocolBit() == HTTP1 ? GRPC : HTTP1;
-        list.add(server(i, !speaks ? other : i % 2 == 0 ? HTTP1 | GRPC : form.protocolBit()));
-        if (speaks) {
-          able.add((long) i);
+        boolean supported = i <= supporting;
+        int other = protocol.protocolBit() == HTTP1 ? GRPC : HTTP1;
+        list.add(
+            server(i, !supported ? other : i % 2 == 0 ? HTTP1 | GRPC : protocol.protocolBit()));
+        if (supported) {
+          supportingIds.add((long) i);
         }
       }
       h.balancer.onListUpdate(h.now, ListUpdate.FULL, list);
       for (int i = 1; i <= 20; i++) {
-        h.balancer.onRequest(h.now, i, "read", null, 4 * BalancerHarness.SECOND, false, form);
+        h.balancer.onRequest(h.now, i, "read", null, 4 * BalancerHarness.SECOND, false, protocol);
       }
-      assertEquals(20, h.sent.size(), "each found a server among " + speakers);
+      assertEquals(20, h.sent.size(), "each found a server among " + supporting);
       for (int i = 0; i < h.sent.size(); i++) {
         BalancerHarness.Sent send = h.sent.get(i);
-        assertTrue(able.contains(send.server()), "sent to " + send.server());
+        assertTrue(supportingIds.contains(send.server()), "sent to " + send.server());
         if (i < 40) {
           h.outcome(send, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.ERROR, false);
         }
@@ -59,15 +60,15 @@
 
   /** More of it is still to come: two servers cannot both have that. */
   @Test
-  void aCallThatGoesOnGetsNoCopy() {
-    for (RequestProtocol form : RequestProtocol.values()) {
+  void doesNotHedgeStreamingRequests() {
+    for (RequestProtocol protocol : RequestProtocol.values()) {
       BalancerHarness h =
-          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")));
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")));
       h.balancer.onListUpdate(
           h.now, ListUpdate.FULL, List.of(server(1, HTTP1 | GRPC), server(2, HTTP1 | GRPC)));
-      h.balancer.onRequest(h.now, 1, "read", null, 40 * BalancerHarness.SECOND, false, form);
+      h.balancer.onRequest(h.now, 1, "read", null, 40 * BalancerHarness.SECOND, false, protocol);
       h.advance(30 * BalancerHarness.SECOND);
-      assertEquals(form.hedgeable() ? 2 : 1, Math.min(2, h.sent.size()), form.toString());
+      assertEquals(protocol.hedgeable() ? 2 : 1, Math.min(2, h.sent.size()), protocol.toString());
     }
   }
 }
--- a/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
+++ b/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
@@ -13,7 +13,7 @@
 /** Two hundred calls that fail together, as the streams of one connection do. */
 class SimultaneousFailuresTest {
   /** Out to one server, after waves of answers that have opened its window. */
-  private static List<BalancerHarness.Sent> flight(BalancerHarness harness, int size) {
+  private static List<BalancerHarness.Sent> openFlight(BalancerHarness harness, int size) {
     harness.readyServers(1);
     long id = 0;
     while (true) {
@@ -21,13 +21,13 @@
       for (int i = 0; i < size; i++) {
         harness.request(id++, "a");
       }
-      List<BalancerHarness.Sent> out =
+      List<BalancerHarness.Sent> attempts =
           new ArrayList<>(harness.sent.subList(before, harness.sent.size()));
-      if (out.size() == size) {
-        return out;
+      if (attempts.size() == size) {
+        return attempts;
       }
       harness.advance(10 * BalancerHarness.MS);
-      out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
+      attempts.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
       assertTrue(id < 100_000, "the window opens");
     }
   }
@@ -37,32 +37,32 @@
   @EnumSource(
       value = Outcome.class,
       names = {"REFUSED", "CONNECT_FAILED"})
-  void aFlightIsOneCut(Outcome outcome) {
+  void ejectsServerOnceWhenAFlightFails(Outcome outcome) {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-    List<BalancerHarness.Sent> flight = flight(harness, 200);
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+    List<BalancerHarness.Sent> flight = openFlight(harness, 200);
     harness.advance(10 * BalancerHarness.MS);
     int before = harness.sent.size();
     int refused = harness.refused.size();
     flight.forEach(sent -> harness.outcome(sent, outcome, false));
-    int again = harness.sent.size() - before;
-    assertTrue(again <= 1, "asked again " + again);
-    assertTrue(harness.refused.size() >= refused + 200 - 2 * again - 1, "answered at once");
+    int retried = harness.sent.size() - before;
+    assertTrue(retried <= 1, "asked again " + retried);
+    assertTrue(harness.refused.size() >= refused + 200 - 2 * retried - 1, "answered at once");
     harness.advance(10 * BalancerHarness.MS);
-    for (int i = before; i < before + again; i++) {
+    for (int i = before; i < before + retried; i++) {
       harness.outcome(harness.sent.get(i), Outcome.OK, true);
     }
     harness.advance(Server.EJECTION_NANOS * 3 / 2 + BalancerHarness.MS);
-    int rested = harness.sent.size();
+    int sentBefore = harness.sent.size();
     harness.request(1_000_000, "a");
-    assertEquals(rested + 1, harness.sent.size());
+    assertEquals(sentBefore + 1, harness.sent.size());
   }
 
   @Test
-  void aFlightLandsOnAServerThatHasRoom() {
+  void retriesFailedFlightOnServersWithRoom() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-    List<BalancerHarness.Sent> flight = flight(harness, 200);
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+    List<BalancerHarness.Sent> flight = openFlight(harness, 200);
     harness.readyServers(8);
     harness.advance(10 * BalancerHarness.MS);
     int before = harness.sent.size();
--- a/src/test/java/heathswitch/policy/core/StaleDecisionTest.java
+++ b/src/test/java/heathswitch/policy/core/StaleDecisionTest.java
@@ -18,7 +18,7 @@
 /** What was decided a while ago may not begin any more; what was taken keeps its settings. */
 class StaleDecisionTest {
   private static RequestClass keyed() {
-    return BalancerHarness.type("keyed", RequestClass.Effect.KEYED, RequestClass.Group.ALL);
+    return BalancerHarness.requestClass("keyed", RequestClass.Effect.KEYED, RequestClass.Group.ALL);
   }
 
   private static boolean mayBegin(BalancerHarness harness, Sent attempt) {
@@ -26,65 +26,65 @@
   }
 
   @Test
-  void aKeyedRepeatMayNotBeginWhenItsTimeIsOver() {
+  void keyedRetryMayNotBeginAfterTheDedupWindow() {
     BalancerHarness harness =
         new BalancerHarness(BalancerHarness.settings(0, keyed())).readyServers(2);
     harness.request(1, "keyed");
     harness.advance(keyed().dedupWindowNanos() - MS);
     harness.outcome(harness.sent.get(0), Outcome.RESET, false);
-    Sent repeat = harness.last();
-    assertEquals(1, repeat.attempt());
-    assertTrue(mayBegin(harness, repeat));
+    Sent retry = harness.lastSent();
+    assertEquals(1, retry.attempt());
+    assertTrue(mayBegin(harness, retry));
     harness.now += MS; // Its connection comes up late.
-    assertFalse(mayBegin(harness, repeat));
+    assertFalse(mayBegin(harness, retry));
   }
 
   @Test
-  void theFirstAttemptOfAKeyedRequestIsBoundByNoTime() {
+  void firstAttemptOfKeyedRequestMayBeginAtAnyTime() {
     BalancerHarness harness =
         new BalancerHarness(BalancerHarness.settings(0, keyed())).readyServers(2);
     harness.request(1, "keyed");
     harness.now += keyed().dedupWindowNanos();
-    assertTrue(mayBegin(harness, harness.last()));
+    assertTrue(mayBegin(harness, harness.lastSent()));
   }
 
   @Test
-  void nothingMayBeginAtAServerThatHasBeenToldToDrain() {
+  void attemptMayNotBeginAtDrainingServer() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(1);
     harness.request(1, "read");
-    assertTrue(mayBegin(harness, harness.last()));
+    assertTrue(mayBegin(harness, harness.lastSent()));
     harness.balancer.onListUpdate(
         harness.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
-    assertFalse(mayBegin(harness, harness.last()));
+    assertFalse(mayBegin(harness, harness.lastSent()));
   }
 
   @Test
-  void nothingMayBeginAtAServerThatAWholeListLeavesOut() {
+  void attemptMayNotBeginAtServerMissingFromFullList() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(1);
     harness.request(1, "read");
     harness.balancer.onListUpdate(harness.now, ListUpdate.FULL, List.of(BalancerHarness.ready(2)));
-    assertFalse(mayBegin(harness, harness.last()));
+    assertFalse(mayBegin(harness, harness.lastSent()));
   }
 
   @Test
-  void nothingMayBeginForARequestThatIsOver() {
+  void attemptMayNotBeginForFinishedRequest() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(1);
     harness.request(1, "read");
     harness.balancer.onClientGone(harness.now, 1);
-    assertFalse(mayBegin(harness, harness.last()));
+    assertFalse(mayBegin(harness, harness.lastSent()));
   }
 
   /** Where a part of all connections comes up late, nobody would be left to send to. */
   @Test
-  void aServerWhoseConnectionsFailAsOftenAsItsPeersStaysInService() {
+  void keepsServersWhoseConnectionsFailAsOftenAsTheFleet() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(2);
     int attempts = 0;
     int next = 0;
@@ -102,39 +102,40 @@
   }
 
   @Test
-  void aServerThatCannotBeReachedAtAllIsTakenOut() {
+  void ejectsUnreachableServer() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(3);
-    int toDead = 0;
+    int sentToDead = 0;
     for (int i = 0; i < 60; i++) {
       harness.request(i, "read");
       for (int sent = harness.sent.size() - 1; sent < harness.sent.size(); sent++) {
         Sent attempt = harness.sent.get(sent);
         boolean dead = attempt.server() == 1;
-        toDead += dead ? 1 : 0;
+        sentToDead += dead ? 1 : 0;
         harness.advance(10 * MS);
         harness.outcome(attempt, dead ? Outcome.CONNECT_FAILED : Outcome.OK, !dead);
       }
     }
     assertEquals(List.of(), harness.refused);
-    assertTrue(toDead < 6, "calls to a server that is not there: " + toDead);
+    assertTrue(sentToDead < 6, "calls to a server that is not there: " + sentToDead);
   }
 
   /** Or each failure would add a call to those of all balancers, and drown discovery with them. */
   @Test
-  void aFailedCallIsFollowedByOneCallAtATime() {
+  void failedDiscoveryCallsAreRepeatedOneAtATime() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, true, true, BalancerHarness.safe("read")));
+        new BalancerHarness(
+            BalancerHarness.settings(0, true, true, BalancerHarness.safeClass("read")));
     long endsNanos = 0;
     int calls = 0;
     long calledNanos = 0;
     for (int step = 0; step < 1200; step++) {
       harness.advance(50 * MS);
-      if (harness.watches > calls) {
-        assertEquals(calls + 1, harness.watches, "a call while another is out");
+      if (harness.discoveryCalls > calls) {
+        assertEquals(calls + 1, harness.discoveryCalls, "a call while another is out");
         assertEquals(0, endsNanos, "a call while another is out");
-        calls = harness.watches;
+        calls = harness.discoveryCalls;
         calledNanos = harness.now;
         endsNanos =
             harness.now + 3 * SECOND; // Discovery lets it wait for so long, and then fails it.
@@ -149,14 +150,14 @@
 
   /** What was safe to repeat when it was taken stays so, and what comes later is not. */
   @Test
-  void aRequestKeepsTheSettingsThatItWasTakenUnder() {
+  void requestKeepsTheSettingsAtItsArrival() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("read")))
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")))
             .readyServers(3);
     harness.request(1, "read");
     RequestClass unsafe =
-        BalancerHarness.type("read", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL);
-    Settings later = BalancerHarness.settings(0, BalancerHarness.safe("other"), unsafe);
+        BalancerHarness.requestClass("read", RequestClass.Effect.UNSAFE, RequestClass.Group.ALL);
+    Settings later = BalancerHarness.settings(0, BalancerHarness.safeClass("other"), unsafe);
     harness.balancer.reload(later);
     harness.request(2, "read");
     Sent before = harness.sent.get(0);
@@ -165,7 +166,7 @@
     harness.now += 10 * MS;
     harness.outcome(before, Outcome.RESET, false);
     assertEquals(3, harness.sent.size(), "repeated, as it could be when it was taken");
-    assertEquals(1, harness.last().request());
+    assertEquals(1, harness.lastSent().request());
     harness.outcome(after, Outcome.RESET, false);
     assertEquals(3, harness.sent.size());
     assertEquals(List.of(2L), harness.failed);
@@ -173,8 +174,8 @@
 
   /** Between two attempts, and under fewer attempts than it was promised. */
   @Test
-  void limitsOfAttemptsAreThoseOfItsOwnSettings() {
-    Settings first = BalancerHarness.settings(0, BalancerHarness.safe("read"));
+  void requestKeepsItsAttemptLimitAfterReload() {
+    Settings first = BalancerHarness.settings(0, BalancerHarness.safeClass("read"));
     BalancerHarness harness = new BalancerHarness(first).readyServers(4);
     harness.request(1, "read");
     Settings.Limits limits = first.limits();
@@ -202,7 +203,7 @@
     harness.outcome(harness.sent.get(0), Outcome.REFUSED, false);
     assertEquals(2, harness.sent.size());
     harness.request(2, "read");
-    harness.outcome(harness.last(), Outcome.REFUSED, false);
+    harness.outcome(harness.lastSent(), Outcome.REFUSED, false);
     assertEquals(List.of(2L), harness.refused);
     harness.advance(4 * SECOND);
   }
--- a/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
+++ b/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
@@ -20,7 +20,7 @@
   private static final long HOUR = 3600 * SECOND;
   private static final long NOW = 100_000 * SECOND;
 
-  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safe("view"));
+  private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safeClass("view"));
   private final long warmUp = settings.obligations().warmUpNanos();
   private final Membership members =
       new Membership(settings, new BalancerHarness(settings), new SplittableRandom(1));
@@ -34,20 +34,20 @@
   }
 
   /** Twelve that have run for long, and one that has just started by discovery's clock. */
-  private void tell(ListUpdate form, long nowNanos, long startedNanos) {
+  private void listServers(ListUpdate update, long nowNanos, long startedNanos) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 12; id++) {
       entries.add(entry(id, startedNanos - HOUR / 2));
     }
     entries.add(entry(13, startedNanos));
-    members.onListUpdate(nowNanos, form, entries);
+    members.onListUpdate(nowNanos, update, entries);
   }
 
   /** Steps of the machine's own clock before its start, by so many seconds. */
   @ParameterizedTest
   @ValueSource(longs = {-3600, -7, 0, 7, 3600})
-  void whatTheFirstListTellsIsColdByTheNewestStart(long seconds) {
-    tell(ListUpdate.STALE_FULL, NOW, NOW - seconds * SECOND);
+  void newestServersOfTheFirstListAreCold(long seconds) {
+    listServers(ListUpdate.STALE_FULL, NOW, NOW - seconds * SECOND);
     assertTrue(cold(13, NOW), "the newest");
     assertFalse(cold(13, NOW + warmUp), "and for one warm-up only");
     assertTrue(seconds < 0 || !cold(1, NOW), "those that have run for long");
@@ -55,8 +55,8 @@
 
   @ParameterizedTest
   @ValueSource(longs = {-3600, -60, -7, 0, 3600})
-  void whatALaterListTellsIsColdFromThenOn(long seconds) {
-    tell(ListUpdate.FULL, NOW, 0);
+  void startInALaterListIsColdFromThenOn(long seconds) {
+    listServers(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
     members.onListConfirmed(later - SECOND);
     members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(5, later + seconds * SECOND)));
@@ -68,8 +68,8 @@
   /** Where the clocks agree, a server is not held to be colder than it is. */
   @ParameterizedTest
   @ValueSource(longs = {0, 1, 2, 3})
-  void aStartSinceTheListBeforeIsAsOldAsTheClocksSay(long seconds) {
-    tell(ListUpdate.FULL, NOW, 0);
+  void startSinceThePreviousListHasItsReportedAge(long seconds) {
+    listServers(ListUpdate.FULL, NOW, 0);
     long later = NOW + 30 * SECOND;
     members.onListConfirmed(later - SECOND);
     members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(5, later - seconds * SECOND)));
@@ -80,8 +80,8 @@
 
   /** Discovery's own clock may be set back between two starts of one server. */
   @Test
-  void aStartThatIsToldAsOlderIsAStart() {
-    tell(ListUpdate.FULL, NOW, NOW);
+  void earlierStartTimeCountsAsRestart() {
+    listServers(ListUpdate.FULL, NOW, NOW);
     long later = NOW + HOUR;
     members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(13, NOW - HOUR)));
     assertTrue(cold(13, later));
@@ -89,8 +89,8 @@
 
   /** Presumed to have restarted while it was out of use, and then found not to have. */
   @Test
-  void aPresumedStartThatIsTakenBackIsNoStart() {
-    tell(ListUpdate.FULL, NOW, NOW - HOUR);
+  void withdrawnPresumedStartIsNoRestart() {
+    listServers(ListUpdate.FULL, NOW, NOW - HOUR);
     long later = NOW + 60 * SECOND;
     members.onListUpdate(later, ListUpdate.DELTA, List.of(entry(13, later)));
     assertTrue(cold(13, later));
@@ -100,7 +100,7 @@
 
   /** Where all have started together, and long ago, nothing is presumed. */
   @Test
-  void aFleetThatStartedTogetherIsWarm() {
+  void fleetThatStartedTogetherIsWarm() {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 10; id++) {
       entries.add(entry(id, NOW - HOUR + id));
--- a/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
+++ b/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
@@ -9,51 +9,52 @@
 /** Answers that go on as they come, at the pace of whoever reads them. */
 class StreamingAnswerTest {
   private final BalancerHarness harness =
-      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a"))).readyServers(1);
-  private long id;
+      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")))
+          .readyServers(1);
+  private long nextId;
 
-  private BalancerHarness.Sent sent() {
+  private BalancerHarness.Sent sendOne() {
     int before = harness.sent.size();
-    harness.request(id++, "a");
+    harness.request(nextId++, "a");
     assertEquals(before + 1, harness.sent.size(), "sent at once");
-    return harness.last();
+    return harness.lastSent();
   }
 
-  private BalancerHarness.Sent begun() {
-    BalancerHarness.Sent sent = sent();
+  private BalancerHarness.Sent sendAndBeginAnswer() {
+    BalancerHarness.Sent sent = sendOne();
     harness.advance(10 * BalancerHarness.MS);
     harness.balancer.onAnswerBegun(harness.now, sent.request(), 0, 10 * BalancerHarness.MS);
     return sent;
   }
 
   @Test
-  void aCutServerHasRoomBesideThem() {
-    begun(); // Nobody reads it.
-    BalancerHarness.Sent turnedAway = sent();
-    harness.outcome(turnedAway, Outcome.REFUSED, true);
+  void serverHasRoomAfterCutWhileAnswersStream() {
+    sendAndBeginAnswer(); // Nobody reads it.
+    BalancerHarness.Sent refused = sendOne();
+    harness.outcome(refused, Outcome.REFUSED, true);
     harness.advance(2 * Server.EJECTION_NANOS);
     for (int i = 0; i < 40; i++) {
-      BalancerHarness.Sent next = sent();
+      BalancerHarness.Sent next = sendOne();
       harness.advance(10 * BalancerHarness.MS);
       harness.outcome(next, Outcome.OK, true);
     }
   }
 
   @Test
-  void oneThatBeginsInGoodTimeOpensACutWindow() {
-    harness.outcome(sent(), Outcome.REFUSED, true);
+  void promptAnswerBeginningsGrowTheWindowAfterCut() {
+    harness.outcome(sendOne(), Outcome.REFUSED, true);
     harness.advance(2 * Server.EJECTION_NANOS);
     for (int i = 0; i < 10; i++) { // None of them ends.
-      begun();
+      sendAndBeginAnswer();
     }
   }
 
   /** They take turns: all that read slowly have their answers of the one server. */
   @Test
-  void aSlowReaderIsNoSlowServer() {
+  void slowClientDoesNotCutTheWindow() {
     harness.readyServers(2);
     for (int i = 0; i < 40; i++) {
-      BalancerHarness.Sent slow = begun();
+      BalancerHarness.Sent slow = sendAndBeginAnswer();
       harness.advance((slow.server() == 1 ? 300 : 3) * BalancerHarness.MS);
       harness.outcome(slow, Outcome.OK, true);
     }
@@ -62,22 +63,22 @@
   }
 
   @Test
-  void itsServerIsNotSilent() {
-    begun();
+  void serverWithStreamingAnswerIsNotUnresponsive() {
+    sendAndBeginAnswer();
     harness.advance(3600 * BalancerHarness.SECOND);
-    String figures = harness.balancer.summary(harness.now);
-    assertTrue(figures.contains("silent 0"), figures);
+    String summary = harness.balancer.summary(harness.now);
+    assertTrue(summary.contains("silent 0"), summary);
   }
 
   @Test
-  void oneThatBreaksOffIsAnError() {
+  void brokenAnswerCountsAsError() {
     harness.readyServers(4);
     for (int i = 0; i < 12; i++) {
-      BalancerHarness.Sent broken = begun();
+      BalancerHarness.Sent broken = sendAndBeginAnswer();
       harness.advance(10 * BalancerHarness.MS);
       harness.outcome(broken, Outcome.RESET, true);
     }
-    String figures = harness.balancer.summary(harness.now);
-    assertTrue(!figures.contains("errors 0.00"), figures);
+    String summary = harness.balancer.summary(harness.now);
+    assertTrue(!summary.contains("errors 0.00"), summary);
   }
 }
--- a/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
+++ b/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
@@ -20,11 +20,11 @@
 /** A balancer among others that is told which servers are its own. */
 class SubsetRoleTest {
   private final BalancerHarness harness =
-      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-  private long calls;
+      new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+  private long nextId;
 
   private static ServerEntry entry(
-      long id, SubsetRole part, double weight, String zone, long started) {
+      long id, SubsetRole role, double weight, String zone, long started) {
     return new ServerEntry(
         id,
         zone,
@@ -34,27 +34,27 @@
         weight,
         started,
         RequestProtocol.HTTP1.protocolBit(),
-        part);
+        role);
   }
 
-  private void servers(int own, int spare, long started) {
+  private void listServers(int own, int spare, long started) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= own + spare; id++) {
-      SubsetRole part = id <= own ? SubsetRole.OWN : SubsetRole.SPARE;
-      entries.add(entry(id, part, 1, id % 2 == 0 ? "a" : "b", id <= own ? 0 : started));
+      SubsetRole role = id <= own ? SubsetRole.OWN : SubsetRole.SPARE;
+      entries.add(entry(id, role, 1, id % 2 == 0 ? "a" : "b", id <= own ? 0 : started));
     }
     harness.servers(entries.toArray(ServerEntry[]::new));
   }
 
   private BalancerHarness.Sent call() {
     harness.advance(5 * BalancerHarness.MS);
-    harness.request(calls++, "a");
-    return harness.last();
+    harness.request(nextId++, "a");
+    return harness.lastSent();
   }
 
-  private Map<Long, Integer> answered(int many) {
+  private Map<Long, Integer> sharesOf(int count) {
     Map<Long, Integer> shares = new TreeMap<>();
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       BalancerHarness.Sent sent = call();
       shares.merge(sent.server(), 1, Integer::sum);
       harness.advance(20 * BalancerHarness.MS);
@@ -65,76 +65,77 @@
 
   /** More than the least and the most of a balancer that chooses by itself, in two zones. */
   @Test
-  void allOfItsOwnAreUsedAlikeWhereverTheyAreAndNoOther() {
-    servers(60, 200, 0);
-    answered(2000); // All of them join by and by.
-    Map<Long, Integer> shares = answered(6000);
+  void usesAllOwnServersEquallyAndNoOther() {
+    listServers(60, 200, 0);
+    sharesOf(2000); // All of them join by and by.
+    Map<Long, Integer> shares = sharesOf(6000);
     assertEquals(60, shares.size());
     assertTrue(shares.keySet().stream().allMatch(id -> id <= 60), shares::toString);
     shares.values().forEach(each -> assertEquals(100, each, 10));
   }
 
   @Test
-  void itsOwnGetCallsByTheirWeights() {
+  void ownServersGetCallsByWeight() {
     harness.servers(
         entry(1, SubsetRole.OWN, 0.4, "a", 0),
         entry(2, SubsetRole.OWN, 1.6, "b", 0),
         entry(3, SubsetRole.SPARE, 1, "a", 0));
-    Map<Long, Integer> shares = answered(2000);
+    Map<Long, Integer> shares = sharesOf(2000);
     assertEquals(Set.of(1L, 2L), shares.keySet());
     assertEquals(1600, shares.get(2L), 80);
   }
 
   /** Rather than refuse, it goes to others, and is back when its own have room again. */
   @Test
-  void whatItsOwnHaveNoRoomForGoesToOthers() {
-    servers(2, 50, 0);
-    List<BalancerHarness.Sent> out = new ArrayList<>();
-    while (out.size() < 90) {
-      out.add(call());
+  void spareServersGetCallsWhenOwnAreFull() {
+    listServers(2, 50, 0);
+    List<BalancerHarness.Sent> inFlight = new ArrayList<>();
+    while (inFlight.size() < 90) {
+      inFlight.add(call());
     }
     assertEquals(List.of(), harness.refused);
-    long beyond = out.stream().filter(sent -> sent.server() > 2).count();
-    assertEquals(90 - 2 * (long) DelayWindow.INITIAL, beyond);
-    out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
-    Set<Long> used = new TreeSet<>(answered(200).keySet());
+    long toSpare = inFlight.stream().filter(sent -> sent.server() > 2).count();
+    assertEquals(90 - 2 * (long) DelayWindow.INITIAL, toSpare);
+    inFlight.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
+    Set<Long> used = new TreeSet<>(sharesOf(200).keySet());
     assertEquals(Set.of(1L, 2L), used);
   }
 
   /** With nothing to compare them with, their errors would pass for those of a tier below. */
   @Test
-  void whereAllOfItsOwnFailOthersAreTriedAndTakeTheCalls() {
-    servers(3, 20, 0);
-    int beyond = 0;
+  void spareServersGetCallsWhenAllOwnFail() {
+    listServers(3, 20, 0);
+    int toSpare = 0;
     for (int i = 0; i < 400; i++) {
       BalancerHarness.Sent sent = call();
       harness.advance(20 * BalancerHarness.MS);
-      beyond += i >= 200 && sent.server() > 3 ? 1 : 0;
+      toSpare += i >= 200 && sent.server() > 3 ? 1 : 0;
       harness.outcome(sent, sent.server() > 3 ? Outcome.OK : Outcome.ERROR, true);
     }
-    assertTrue(beyond > 150, beyond + " of 200 to others");
-    assertTrue(answered(600).keySet().containsAll(Set.of(1L, 2L, 3L)), "back when they are well");
-    assertEquals(Set.of(1L, 2L, 3L), answered(400).keySet());
+    assertTrue(toSpare > 150, toSpare + " of 200 to others");
+    assertTrue(sharesOf(600).keySet().containsAll(Set.of(1L, 2L, 3L)), "back when they are well");
+    assertEquals(Set.of(1L, 2L, 3L), sharesOf(400).keySet());
   }
 
   @Test
-  void aColdServerOfOthersIsNotWarmedByIt() {
-    servers(2, 5, harness.now - BalancerHarness.SECOND);
-    assertEquals(Set.of(1L, 2L), answered(2000).keySet());
+  void coldSpareServerGetsNoCalls() {
+    listServers(2, 5, harness.now - BalancerHarness.SECOND);
+    assertEquals(Set.of(1L, 2L), sharesOf(2000).keySet());
   }
 
   @Test
-  void whichAreItsOwnMayChangeWhileCallsAreOut() {
-    servers(2, 4, 0);
-    List<BalancerHarness.Sent> out = List.of(call(), call());
+  void rolesMayChangeWhileCallsAreInFlight() {
+    listServers(2, 4, 0);
+    List<BalancerHarness.Sent> inFlight = List.of(call(), call());
     harness.servers(
         entry(1, SubsetRole.SPARE, 1, "a", 0),
         entry(2, SubsetRole.SPARE, 1, "a", 0),
         entry(5, SubsetRole.OWN, 1, "b", 0));
     assertEquals(
-        Set.of(1L, 2L), out.stream().map(BalancerHarness.Sent::server).collect(Collectors.toSet()));
+        Set.of(1L, 2L),
+        inFlight.stream().map(BalancerHarness.Sent::server).collect(Collectors.toSet()));
     harness.advance(20 * BalancerHarness.MS);
-    out.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
-    assertEquals(Set.of(5L), answered(50).keySet());
+    inFlight.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
+    assertEquals(Set.of(5L), sharesOf(50).keySet());
   }
 }
--- a/src/test/java/heathswitch/policy/core/WeightTest.java
+++ b/src/test/java/heathswitch/policy/core/WeightTest.java
@@ -17,22 +17,22 @@
 class WeightTest {
   private static final int CALLS = 7000;
 
-  private static ServerEntry weighing(long id, double weight, long startedNanos) {
+  private static ServerEntry entry(long id, double weight, long startedNanos) {
     return new ServerEntry(id, "a", "kind", 0, Health.READY, weight, startedNanos);
   }
 
   /** Shares of the calls by server, with so many always out and answered in turn. */
-  private static Map<Long, Integer> shares(BalancerHarness harness, int out) {
-    ArrayDeque<BalancerHarness.Sent> flight = new ArrayDeque<>();
+  private static Map<Long, Integer> sharesOf(BalancerHarness harness, int inFlight) {
+    ArrayDeque<BalancerHarness.Sent> attempts = new ArrayDeque<>();
     Map<Long, Integer> shares = new HashMap<>();
     for (int i = 0; i < CALLS; i++) {
       harness.advance(10 * BalancerHarness.MS);
       harness.request(i, "a");
-      flight.add(harness.last());
-      shares.merge(harness.last().server(), 1, Integer::sum);
+      attempts.add(harness.lastSent());
+      shares.merge(harness.lastSent().server(), 1, Integer::sum);
       harness.advance(10 * BalancerHarness.MS);
-      if (flight.size() > out) {
-        harness.outcome(flight.poll(), Outcome.OK, true);
+      if (attempts.size() > inFlight) {
+        harness.outcome(attempts.poll(), Outcome.OK, true);
       }
     }
     return shares;
@@ -40,50 +40,50 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 3})
-  void sharesFollowWeightsUnderLightLoad(int out) {
+  void sharesFollowWeightsUnderLightLoad(int inFlight) {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-    harness.servers(weighing(1, 1, 0), weighing(2, 2, 0), weighing(3, 4, 0));
-    Map<Long, Integer> shares = shares(harness, out);
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+    harness.servers(entry(1, 1, 0), entry(2, 2, 0), entry(3, 4, 0));
+    Map<Long, Integer> shares = sharesOf(harness, inFlight);
     for (long id = 1; id <= 3; id++) {
-      double due = CALLS * (1 << (id - 1)) / 7.0;
-      assertEquals(due, shares.get(id), 0.05 * due, "server " + id);
+      double expected = CALLS * (1 << (id - 1)) / 7.0;
+      assertEquals(expected, shares.get(id), 0.05 * expected, "server " + id);
     }
   }
 
   @Test
-  void oneLightServerAmongEqualsLeavesThemEqual() {
+  void lightServerDoesNotSkewEqualServers() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-    harness.servers(weighing(1, 0.1, 0), weighing(2, 1, 0), weighing(3, 1, 0));
-    Map<Long, Integer> shares = shares(harness, 0);
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+    harness.servers(entry(1, 0.1, 0), entry(2, 1, 0), entry(3, 1, 0));
+    Map<Long, Integer> shares = sharesOf(harness, 0);
     assertEquals(shares.get(2L), shares.get(3L), 2);
     assertEquals(CALLS / 21.0, shares.get(1L), 0.05 * CALLS / 21);
   }
 
   @Test
-  void callsInFlightCountForTheWeight() {
+  void callsInFlightFollowWeights() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-    harness.servers(weighing(1, 1, 0), weighing(2, 4, 0));
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+    harness.servers(entry(1, 1, 0), entry(2, 4, 0));
     Map<Long, Integer> held = new HashMap<>();
     for (int i = 0; i < 25; i++) {
       harness.request(i, "a");
-      held.merge(harness.last().server(), 1, Integer::sum);
+      held.merge(harness.lastSent().server(), 1, Integer::sum);
     }
     assertEquals(20, held.get(2L), 2);
   }
 
   @Test
-  void weightsThatAreNoneCountAsOne() {
+  void invalidWeightsCountAsOne() {
     BalancerHarness harness =
-        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
+        new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
     harness.servers(
-        weighing(1, Double.NaN, 0),
-        weighing(2, -4, 0),
-        weighing(3, 0, 0),
-        weighing(4, Double.POSITIVE_INFINITY, 0));
-    Map<Long, Integer> shares = shares(harness, 0);
+        entry(1, Double.NaN, 0),
+        entry(2, -4, 0),
+        entry(3, 0, 0),
+        entry(4, Double.POSITIVE_INFINITY, 0));
+    Map<Long, Integer> shares = sharesOf(harness, 0);
     for (long id = 1; id <= 4; id++) {
       assertEquals(CALLS / 4.0, shares.get(id), 1);
     }
@@ -91,19 +91,18 @@
 
   /** What a light server can take while cold is less by its weight. */
   @Test
-  void aLightServerStartsWithLess() {
+  void coldServerWithLowWeightGetsFewerCalls() {
     int[] early = new int[2];
     for (int light = 0; light < 2; light++) {
       BalancerHarness harness =
-          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safe("a")));
-      harness.servers(
-          weighing(1, 1, 0), weighing(2, 1, 0), weighing(3, light == 0 ? 1 : 0.25, harness.now));
+          new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
+      harness.servers(entry(1, 1, 0), entry(2, 1, 0), entry(3, light == 0 ? 1 : 0.25, harness.now));
       for (int i = 0; i < 1000; i++) {
         harness.advance(10 * BalancerHarness.MS);
         harness.request(i, "a");
-        early[light] += harness.last().server() == 3 ? 1 : 0;
+        early[light] += harness.lastSent().server() == 3 ? 1 : 0;
         harness.advance(10 * BalancerHarness.MS);
-        harness.outcome(harness.last(), Outcome.OK, true);
+        harness.outcome(harness.lastSent(), Outcome.OK, true);
       }
     }
     assertTrue(early[1] > 0 && early[1] < early[0] / 3, early[1] + " against " + early[0]);
--- a/src/test/java/heathswitch/policy/rotation/RotationTest.java
+++ b/src/test/java/heathswitch/policy/rotation/RotationTest.java
@@ -14,21 +14,21 @@
 
 /** What a listing means while operators have taken its upstream out, and after they put it back. */
 class RotationTest {
-  private static final Suspension OUT = Suspension.suspend(null, "s-1", 1000);
-  private static final Suspension BACK = Suspension.resume(OUT, 5000);
+  private static final Suspension SUSPENDED = Suspension.suspend(null, "s-1", 1000);
+  private static final Suspension RESUMED = Suspension.resume(SUSPENDED, 5000);
 
   private final Rotation rotation = new Rotation();
 
-  private EffectiveState ready(long startedMillis, long nowMillis) {
+  private EffectiveState stateOfReady(long startedMillis, long nowMillis) {
     return rotation.effectiveState("s-1", Health.READY, startedMillis, nowMillis);
   }
 
   @Test
-  void outIsDrainingWhateverIsListed() {
-    assertEquals(new EffectiveState(Health.READY, 7), ready(7, 900));
-    assertEquals(Set.of("s-1"), rotation.update(Map.of("s-1", OUT), 1000));
-    assertEquals(new EffectiveState(Health.DRAINING, 7), ready(7, 1001));
-    assertEquals(new EffectiveState(Health.DRAINING, 2000), ready(2000, 900_000));
+  void suspendedUpstreamIsDraining() {
+    assertEquals(new EffectiveState(Health.READY, 7), stateOfReady(7, 900));
+    assertEquals(Set.of("s-1"), rotation.update(Map.of("s-1", SUSPENDED), 1000));
+    assertEquals(new EffectiveState(Health.DRAINING, 7), stateOfReady(7, 1001));
+    assertEquals(new EffectiveState(Health.DRAINING, 2000), stateOfReady(2000, 900_000));
     assertEquals(Health.GONE, rotation.effectiveState("s-1", Health.GONE, 0, 1).health());
     assertEquals(Health.READY, rotation.effectiveState("s-2", Health.READY, 0, 1).health());
     assertEquals(1, rotation.suspendedCount());
@@ -36,22 +36,22 @@
 
   /** It comes back cold, and discovery may not know that yet. */
   @Test
-  void backIsColdUntilDiscoveryCouldHaveTold() {
-    rotation.update(Map.of("s-1", BACK), 5000);
-    assertEquals(new EffectiveState(Health.READY, 5000), ready(7, 5001));
+  void resumedUpstreamIsColdUntilDiscoveryCouldReportItsStart() {
+    rotation.update(Map.of("s-1", RESUMED), 5000);
+    assertEquals(new EffectiveState(Health.READY, 5000), stateOfReady(7, 5001));
     assertEquals(
-        Set.of(), rotation.update(Map.of("s-1", BACK), 5000 + Rotation.DISCOVERY_LAG_MILLIS));
+        Set.of(), rotation.update(Map.of("s-1", RESUMED), 5000 + Rotation.DISCOVERY_LAG_MILLIS));
     long later = 5001 + Rotation.DISCOVERY_LAG_MILLIS;
-    assertEquals(Set.of("s-1"), rotation.update(Map.of("s-1", BACK), later));
-    assertEquals(new EffectiveState(Health.READY, 7), ready(7, later));
-    assertEquals(Set.of(), rotation.update(Map.of("s-1", BACK), later));
+    assertEquals(Set.of("s-1"), rotation.update(Map.of("s-1", RESUMED), later));
+    assertEquals(new EffectiveState(Health.READY, 7), stateOfReady(7, later));
+    assertEquals(Set.of(), rotation.update(Map.of("s-1", RESUMED), later));
   }
 
   /** Machines come and go under new ids for as long as a balancer runs. */
   @Test
-  void oneThatGoesWhileItIsHeldColdIsForgotten() {
-    rotation.update(Map.of("s-1", BACK), 5000);
-    ready(7, 5001);
+  void forgetsPresumedRestartWhenSuspensionIsRemoved() {
+    rotation.update(Map.of("s-1", RESUMED), 5000);
+    stateOfReady(7, 5001);
     assertEquals(1, rotation.presumedCount());
     assertEquals(Set.of("s-1"), rotation.update(Map.of(), 5002));
     assertEquals(0, rotation.presumedCount());
@@ -59,37 +59,37 @@
   }
 
   @Test
-  void aListedStartIsBelievedOnceItIsLaterThanTheMark() {
-    rotation.update(Map.of("s-1", BACK), 5000);
-    assertEquals(new EffectiveState(Health.READY, 3000), ready(3000, 5001));
-    assertEquals(Set.of(), rotation.update(Map.of("s-1", BACK), 99_000), "nothing is presumed");
+  void reportedStartAfterSuspensionIsUsed() {
+    rotation.update(Map.of("s-1", RESUMED), 5000);
+    assertEquals(new EffectiveState(Health.READY, 3000), stateOfReady(3000, 5001));
+    assertEquals(Set.of(), rotation.update(Map.of("s-1", RESUMED), 99_000), "nothing is presumed");
   }
 
   @Test
-  void aMarkThatIsGoneChangesTheStanding() {
-    rotation.update(Map.of("s-1", OUT), 1000);
+  void removedSuspensionRestoresListedState() {
+    rotation.update(Map.of("s-1", SUSPENDED), 1000);
     assertEquals(Set.of("s-1"), rotation.update(Map.of(), 1001));
-    assertEquals(new EffectiveState(Health.READY, 7), ready(7, 1002));
+    assertEquals(new EffectiveState(Health.READY, 7), stateOfReady(7, 1002));
   }
 
   @Test
-  void oneCallBackUndoesTwoOut() {
-    Suspension twice = Suspension.suspend(OUT, "s-1", 3000);
-    assertEquals(OUT, twice);
+  void oneResumeUndoesRepeatedSuspends() {
+    Suspension twice = Suspension.suspend(SUSPENDED, "s-1", 3000);
+    assertEquals(SUSPENDED, twice);
     assertFalse(Suspension.resume(twice, 5000).isSuspended());
-    assertEquals(BACK, Suspension.resume(BACK, 9000), "back twice is back once");
+    assertEquals(RESUMED, Suspension.resume(RESUMED, 9000), "back twice is back once");
     assertNull(Suspension.resume(null, 9000));
-    assertTrue(Suspension.suspend(BACK, "s-1", 9000).isSuspended());
+    assertTrue(Suspension.suspend(RESUMED, "s-1", 9000).isSuspended());
   }
 
   /** A clock that was set back in between must not make it look older than its mark. */
   @Test
-  void backIsNeverBeforeOut() {
-    assertEquals(1000, Suspension.resume(OUT, 10).resumedMillis());
+  void resumeIsNeverBeforeSuspend() {
+    assertEquals(1000, Suspension.resume(SUSPENDED, 10).resumedMillis());
   }
 
   @Test
-  void idsThatNameNoFileAreNoMarks() {
+  void invalidIdsAreRejected() {
     assertFalse(Suspension.isValidId(""));
     assertFalse(Suspension.isValidId("a\nb"));
     assertFalse(Suspension.isValidId("é"));
