--- a/src/main/java/heathswitch/policy/adapter/SettingsReader.java
+++ b/src/main/java/heathswitch/policy/adapter/SettingsReader.java
@@ -102,7 +102,7 @@
     if (value instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new IllegalArgumentException("invalid setting: " + field + " is no object");
+    throw new IllegalArgumentException("invalid setting: " + field + " is not an object");
   }
 
   private static List<?> list(Map<String, Object> map, String key) {
@@ -113,7 +113,7 @@
     if (value instanceof List<?> list) {
       return list;
     }
-    throw new IllegalArgumentException("invalid setting: " + key + " is no list");
+    throw new IllegalArgumentException("invalid setting: " + key + " is not a list");
   }
 
   private static String text(Map<String, Object> map, String key, String defaultValue) {
--- a/src/main/java/heathswitch/policy/adapter/WireReader.java
+++ b/src/main/java/heathswitch/policy/adapter/WireReader.java
@@ -78,7 +78,7 @@
       case "POWER_OFF" -> {
         String id = text("balancer_id");
         end();
-        check(instances.remove(id) != null, "an instance that runs expected, not " + id);
+        check(instances.remove(id) != null, "a running instance expected, not " + id);
       }
       case "ANNOUNCE" -> announce(instance());
       case "QUERY" -> query(instance());
@@ -88,7 +88,7 @@
       case "WAKE" -> wake(instance());
       case "PING_RESULT" -> pingResult(instance());
       case "PEER" -> peer(instance());
-      default -> throw error("an event's name expected, not " + name);
+      default -> throw error("an event name expected, not " + name);
     }
   }
 
@@ -159,7 +159,7 @@
     if (update != ListUpdate.FAILED) {
       check(slot >= 0 && slot < LIST_SLOTS, "a sheet from 0 to 15 expected, not " + slot);
       entries = lists.get((int) slot);
-      check(entries != null, "a sheet that was defined expected, not " + slot);
+      check(entries != null, "a defined sheet expected, not " + slot);
     }
     List<ServerEntry> listed = entries;
     runOrReportFault(() -> instance.balancer.onListUpdate(nowNanos, update, listed));
@@ -276,7 +276,7 @@
     currentInstance = text("balancer_id");
     Instance instance = instances.get(currentInstance);
     if (instance == null) {
-      throw error("an instance that runs expected, not " + currentInstance);
+      throw error("a running instance expected, not " + currentInstance);
     }
     return instance;
   }
@@ -296,7 +296,7 @@
 
   private long wholeValue(String what) throws IOException, ProtocolException {
     if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      // A seed may have more than 63 bits; its low 64 bits are used.
+      // A seed may exceed the range of a long; its low 64 bits are used.
       check(what.equals("seed"), what + " expected below 2^63");
       return parser.getBigIntegerValue().longValue();
     }
--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -342,7 +342,7 @@
     return request.maySendTo(server, nowNanos) ? server : null;
   }
 
-  /** Share of its full capacity that a cold server has at least, from its start to its warm-up. */
+  /** Share of its full capacity that a cold server is assumed to have at present. */
   private double warmUpShare(Server server, long nowNanos) {
     double start = settings.obligations().startCapacity();
     double age = (double) (nowNanos - server.coldSinceNanos) / settings.obligations().warmUpNanos();
--- a/src/main/java/heathswitch/policy/rotation/Suspension.java
+++ b/src/main/java/heathswitch/policy/rotation/Suspension.java
@@ -41,7 +41,8 @@
   /**
    * Puts an upstream back into rotation.
    *
-   * @param previous its last suspension, or null; null is returned then
+   * @param previous its last suspension, or null
+   * @return the suspension with its end; null if there was none
    */
   public static Suspension resume(Suspension previous, long nowMillis) {
     return previous == null || !previous.isSuspended()
--- a/src/test/java/heathswitch/policy/EmbeddingTest.java
+++ b/src/test/java/heathswitch/policy/EmbeddingTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example. */
+/** Embeds the policy as the example in the README does. */
 class EmbeddingTest {
   private static final long SECOND = 1_000_000_000L;
 
--- a/src/test/java/heathswitch/policy/adapter/AdapterTest.java
+++ b/src/test/java/heathswitch/policy/adapter/AdapterTest.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Replies and error reports of the adapter for batches of events. */
 class AdapterTest {
   private static final String SETTINGS =
       "{\"classes\":[{\"name\":\"read\",\"aim_ns\":1000000000,\"hard_limit_ns\":4000000000,"
@@ -103,12 +104,12 @@
 
   @Test
   void unknownEventIsReportedWithItsLine() {
-    assertInvalidInput(BEGIN + CREATE + "[\"JUMP\",\"balancer_0\"]\n", "line 3: an event's name");
+    assertInvalidInput(BEGIN + CREATE + "[\"JUMP\",\"balancer_0\"]\n", "line 3: an event name");
   }
 
   @Test
   void unknownInstanceIsAnError() {
-    assertInvalidInput(BEGIN + "[\"WAKE\",\"balancer_7\",1]\n", "line 2: an instance that runs");
+    assertInvalidInput(BEGIN + "[\"WAKE\",\"balancer_7\",1]\n", "line 2: a running instance");
   }
 
   @Test
--- a/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
+++ b/src/test/java/heathswitch/policy/core/ActiveSettingsTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Worth of requests and quotas of tenants. */
 class ActiveSettingsTest {
   private static final double[] DELAYS = {100, 400};
 
@@ -64,7 +65,7 @@
   void appliesOverQuotaFactorToTenantOverItsQuota() {
     ActiveSettings settings = settings(true);
     int tenant = settings.tenantIndexOf("one");
-    for (int i = 0; i < 2; i++) { // Two a second is this instance's part of eight.
+    for (int i = 0; i < 2; i++) { // A quota of 8 per second over 4 balancers.
       assertEquals(1, settings.relativeWorth(1, tenant, SECOND), 1e-12);
       settings.takeQuotaToken(tenant);
     }
--- a/src/test/java/heathswitch/policy/core/BalancerHarness.java
+++ b/src/test/java/heathswitch/policy/core/BalancerHarness.java
@@ -12,13 +12,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A balancer under test with a clock that the test moves and actions that it can read. */
+/** A balancer with a clock that the test advances; records its actions. */
 final class BalancerHarness implements Actions {
   static final long MS = 1_000_000L;
   static final long SECOND = 1000 * MS;
 
+  /** A sent attempt. ReplayTest compares its text form with a recording. */
   record Sent(long request, int attempt, long server, long atNanos) {}
 
+  /** A timer that has been set and has not fired. */
   record Timer(long dueNanos, long token) {}
 
   final List<Sent> sent = new ArrayList<>();
@@ -68,12 +70,12 @@
         new Settings.Obligations(20 * MS, SECOND, 10 * SECOND, 0.15, 20 * SECOND, 2.5, 2 * SECOND));
   }
 
-  /** The same settings, by which a balancer may leave off asking for so long only. */
+  /** The same settings with another limit for subscribing at discovery. */
   static Settings withSubscribeLimit(Settings base, long limitNanos) {
     return withObligations(base, base.obligations().stopSendingWithinNanos(), limitNanos);
   }
 
-  /** The same settings with another grace for servers that drain. */
+  /** The same settings with another grace period for draining servers. */
   static Settings withGrace(Settings base, long graceNanos) {
     return withObligations(base, graceNanos, base.obligations().subscribeWithinNanos());
   }
@@ -135,7 +137,7 @@
         now, attempt.request(), attempt.attempt(), outcome, now - attempt.atNanos(), terminal);
   }
 
-  /** Moves the clock, firing timers that come due on the way. */
+  /** Advances the clock and fires the timers that are due on the way. */
   void advance(long nanos) {
     long until = now + nanos;
     while (true) {
--- a/src/test/java/heathswitch/policy/core/BalancerTest.java
+++ b/src/test/java/heathswitch/policy/core/BalancerTest.java
@@ -23,6 +23,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Decisions of a balancer for single requests. */
 class BalancerTest {
   @Test
   void refusesAtOnceAtTierZeroWhenNoServerIsKnown() {
@@ -87,7 +88,7 @@
     harness.request(1, "read");
     BalancerHarness.Timer timer = harness.timers.get(0);
     harness.timers.clear();
-    harness.now = timer.dueNanos() - 300; // The bench's clock counts in microseconds.
+    harness.now = timer.dueNanos() - 300; // As on a host whose clock counts in microseconds.
     harness.balancer.onTimer(harness.now, timer.token());
     harness.advance(4 * SECOND);
     assertEquals(List.of(1L), harness.refused);
@@ -172,11 +173,12 @@
             .readyServers(6);
     harness.request(1, "key");
     BalancerHarness.Sent first = harness.lastSent();
-    harness.advance(1500 * MS); // overdue: a second copy goes out
+    harness.advance(1500 * MS); // Overdue: the request is hedged.
     BalancerHarness.Sent second = harness.lastSent();
     assertEquals(2, harness.sent.size());
     harness.outcome(second, Outcome.ERROR, false);
-    harness.advance(700 * MS); // the window runs from the first send and has passed
+    harness.advance(
+        700 * MS); // The deduplication window has run from the first attempt and is over.
     harness.outcome(first, Outcome.ERROR, false);
     assertEquals(2, harness.sent.size());
   }
@@ -271,8 +273,8 @@
       harness.advance(5 * MS);
       harness.outcome(harness.lastSent(), Outcome.OK, true);
     }
-    // 200 calls a second for two seconds: its fair share would be 100 calls; at most about a
-    // fifth of its capacity is up in that time.
+    // 200 calls per second for two seconds: its fair share would be 100 calls, but it has at most
+    // about a fifth of its capacity in that time.
     long cold = harness.sent.stream().filter(sent -> sent.server() == 4).count();
     assertTrue(cold >= 5 && cold <= 25, "cold server got " + cold);
   }
@@ -309,7 +311,7 @@
   void repeatsCallsWithinTheLimitWhenDiscoveryNeverAnswers() {
     BalancerHarness harness = new BalancerHarness(settings(0, true, true, safeClass("read")));
     harness.advance(60 * SECOND);
-    assertTrue(harness.discoveryCalls >= 6, "asked " + harness.discoveryCalls);
+    assertTrue(harness.discoveryCalls >= 6, "calls " + harness.discoveryCalls);
   }
 
   @Test
@@ -389,7 +391,7 @@
     for (BalancerHarness.Sent sent : List.copyOf(harness.sent)) {
       harness.outcome(sent, sent.server() == 1 ? Outcome.CONNECT_FAILED : Outcome.OK, true);
     }
-    harness.advance(800 * MS); // Past the longest first rest, before the shortest third one.
+    harness.advance(800 * MS); // Longer than any first ejection, shorter than any third one.
     int before = harness.sent.size();
     for (int i = 9; i <= 12; i++) {
       harness.request(i, "pay");
--- a/src/test/java/heathswitch/policy/core/ColdServerBudgetTest.java
+++ b/src/test/java/heathswitch/policy/core/ColdServerBudgetTest.java
@@ -18,19 +18,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What thirty processes together send to a server that has just started, with no message between
- * them: in no stretch of the time that the settings name more than the budget of N calls and what
- * is put down to chance, 2 x root of N + 2.
+ * Thirty balancers that exchange no messages must together stay within the budget of a server that
+ * has just started: in no period of the length in the settings may they send it more than the N
+ * calls of the budget, plus 2 x root of N + 2 as an allowance for chance.
  */
 class ColdServerBudgetTest {
   private static final int BALANCERS = 30;
   private static final int SERVERS = 12;
   private static final long COLD_SERVER = SERVERS;
 
-  /** Calls a second that a warm server can do, and how long each takes there. */
+  /** Calls per second that a warm server can serve. */
   private static final double SERVER_RATE = 8;
 
+  /** Mean duration of a call at a warm server. */
   private static final long CALL_NANOS = 250 * MS;
+
   private static final long STEP_NANOS = 5 * MS;
   private static final long WARM_UP_SECONDS = 20;
 
@@ -51,7 +53,7 @@
     random = new SplittableRandom(11);
   }
 
-  /** Calm, overload, and a burst of half as much again beside clients that come again and again. */
+  /** Normal load, overload, a burst of half as much again, and client retries on top of it. */
   @ParameterizedTest
   @CsvSource({"0.6, 1, 1", "0.6, 1, 2", "1.2, 1, 3", "1.4, 1.5, 4", "1.4, 2.5, 5"})
   void balancersTogetherStayWithinTheBudget(double load, double burst, long seed) {
@@ -74,7 +76,7 @@
     }
     run(2 * SECOND, load);
     run((WARM_UP_SECONDS - 4) * SECOND, load * burst);
-    assertTrue(!coldCallTimes.isEmpty() || load < 1, "it warms up by what it gets");
+    assertTrue(!coldCallTimes.isEmpty() || load < 1, "the cold server gets calls to warm up");
   }
 
   private void run(long nanos, double load) {
@@ -89,7 +91,7 @@
       }
       int arrivals = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int i = 0; i < arrivals; i++) {
-        // Some balancers get several times what others do.
+        // Unequal on purpose: some balancers get several times the load of others.
         int index = (int) (BALANCERS * random.nextDouble() * random.nextDouble());
         balancers.get(index).request(nextId++, "read");
       }
@@ -132,6 +134,6 @@
             / SECOND;
     assertTrue(
         coldCallTimes.size() <= budget + 2 * Math.sqrt(budget) + 2,
-        coldCallTimes.size() + " calls where " + budget + " are allowed");
+        coldCallTimes.size() + " calls, budget " + budget);
   }
 }
--- a/src/test/java/heathswitch/policy/core/DelayWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/DelayWindowTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Sequences worked out by hand from Equation 2. */
+/** Sequences calculated by hand from Equation 2 of the paper. */
 class DelayWindowTest {
   private final DelayWindow window = new DelayWindow();
 
@@ -77,7 +77,7 @@
   void fastCallsSentBeforeACutGrowTheWindowToTheThreshold() {
     window.cut(100);
     assertFalse(window.onCompletion(101, 1, 3, 31));
-    assertEquals(1, window.window(), "a slow one proves nothing");
+    assertEquals(1, window.window(), "a slow call does not grow the window");
     for (int i = 2; i <= 40; i++) {
       assertFalse(window.onCompletion(101, i, 1, 31 - i));
     }
@@ -122,7 +122,8 @@
     }
     assertTrue(window.normalDelay < 0.7);
     for (int i = 201; i <= 220; i++) {
-      assertFalse(complete(i, 1.1)); // Above 1.5 times its own normal delay, yet the fleet's level.
+      assertFalse(
+          complete(i, 1.1)); // Above 1.5 times its own normal delay, but near the fleet's delay.
     }
   }
 
--- a/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
+++ b/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
@@ -11,16 +11,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many balancers lose their watches at once while discovery is busy: their calls for the list may
- * not keep its queue full, whatever a call costs that is turned away.
+ * Many balancers lose their watches at once while discovery is busy. Their repeated calls must not
+ * keep its queue full, whatever a rejected call costs.
  */
 class DiscoveryCallHerdTest {
   private static final long STEP = 5 * MS;
   private static final long TIMEOUT = 3 * SECOND;
 
-  /**
-   * One service for all: calls wait in turn, and one whose answer would take too long is refused.
-   */
+  /** Discovery as one queue; a call that would not be answered in time is rejected. */
   private static final class DiscoveryQueue {
     private final long callNanos;
     private final double rejectionCost;
@@ -33,7 +31,7 @@
       this.busyUntil = busyUntil;
     }
 
-    /** When the call is answered, or -1. */
+    /** When the call is answered; -1 if it is rejected. */
     long call(long now) {
       calls++;
       long end = Math.max(now, busyUntil) + callNanos;
@@ -46,6 +44,7 @@
     }
   }
 
+  /** A balancer that has just lost its watch. */
   private static final class Instance {
     private final BalancerHarness harness;
     private int calls;
@@ -83,11 +82,11 @@
   }
 
   /**
-   * All are answered within a time.
+   * All balancers are answered within a time limit.
    *
-   * @param allMillis in which it can answer one call of each
-   * @param cost of a call that is turned away, as a part of one that is answered
-   * @param busyMillis of work that lies in its queue at the beginning
+   * @param fleetMillis time in which discovery can answer one call of each balancer
+   * @param rejectionCost cost of a rejected call as a share of an answered one
+   * @param busyMillis work in the queue at the beginning
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/heathswitch/policy/core/EntryWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/EntryWindowTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
+/** Growth and cuts of the entry window. */
 class EntryWindowTest {
   private final EntryWindow window = new EntryWindow();
   private final ArrayDeque<Request> inFlight = new ArrayDeque<>();
@@ -30,7 +31,7 @@
     window.onEnd(now, inFlight.poll(), true);
   }
 
-  /** So many in flight at any time, each of which takes so long; from a time on, until another. */
+  /** Keeps the given number of requests in flight, each of which takes the given time. */
   private void runSteadyLoad(long fromNanos, long untilNanos, int concurrency, long tookNanos) {
     long step = tookNanos / concurrency;
     for (long now = fromNanos; now < untilNanos; now += step) {
@@ -54,7 +55,7 @@
     assertTrue(window.window >= EntryWindow.MIN);
   }
 
-  /** Rates of one call in some seconds: what one call takes is then all that is known. */
+  /** With one request in several seconds, the delay of a single request is all that is known. */
   @Test
   void doesNotCutWhenRareRequestsAreInTime() {
     for (long now = 0; now < 100 * SECOND; now += 3 * SECOND) {
@@ -73,7 +74,7 @@
     assertTrue(window.window < EntryWindow.INITIAL);
   }
 
-  /** Nothing was known before they came, and each is soon over. */
+  /** There are no earlier measurements, and each request of the burst is fast. */
   @Test
   void doesNotCutOnBurstAfterPause() {
     for (long from = 0; from < 60 * SECOND; from += 20 * SECOND) {
@@ -87,7 +88,7 @@
     assertTrue(window.window >= EntryWindow.INITIAL);
   }
 
-  /** The servers take five times as long: a cut must not wait for calls that have taken it. */
+  /** Delays grow to five times as long; the cut must come before slow requests have ended. */
   @Test
   void cutsBeforeSlowRequestsEnd() {
     runSteadyLoad(0, 4 * SECOND, 10, 200 * MS);
@@ -95,7 +96,9 @@
     int arrivals = 0;
     long now = 4 * SECOND;
     for (; window.window >= before; now += 20 * MS) {
-      assertTrue(now - inFlight.peek().arrivedNanos < 800 * MS, "a call has taken 0.8 of its aim");
+      assertTrue(
+          now - inFlight.peek().arrivedNanos < 800 * MS,
+          "the oldest request has taken 0.8 of its aim");
       start(now);
       if (++arrivals % 5 == 0) {
         end(now);
@@ -104,7 +107,7 @@
     assertTrue(now < 5 * SECOND, "cut at " + now);
   }
 
-  /** What the calls of a jam took is no measure of those that come after it. */
+  /** Delays during congestion must not count against requests that arrive after it. */
   @Test
   void growsAsSoonAsDelaysAreShortAgain() {
     runSteadyLoad(0, 5 * SECOND, 20, 1500 * MS);
--- a/src/test/java/heathswitch/policy/core/ListLeaseTest.java
+++ b/src/test/java/heathswitch/policy/core/ListLeaseTest.java
@@ -17,12 +17,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A list that is not confirmed holds for a limited time, and is asked for until it is. */
+/** A list that is not confirmed is valid for a limited time; discovery is called until it is. */
 class ListLeaseTest {
   private static final long DELIVERY = 6 * SECOND;
+
+  /** Time after which a call fails that discovery has held. */
   private static final long HELD_CALL = 3 * SECOND;
 
-  /** From one request to the next, so that each of three servers serves within the grace. */
+  /** Time between requests, short enough for each of three servers to serve within the grace. */
   private static final long REQUEST_INTERVAL = 200 * MS;
 
   private final Settings settings =
@@ -37,7 +39,7 @@
     start(settings);
   }
 
-  /** A balancer whose list has just been confirmed. */
+  /** Creates a balancer whose list has just been confirmed. */
   private void start(Settings balancerSettings) {
     harness = new BalancerHarness(balancerSettings);
     harness.balancer.limitListAge(harness.now, DELIVERY);
@@ -63,7 +65,7 @@
     harness.balancer.onListUpdate(harness.now, failure, List.of());
   }
 
-  /** Fails each call so long after it was made, until a time; the last one may end after it. */
+  /** Fails each call the given time after it was made; the last one may end after the limit. */
   private void failCalls(ListUpdate failure, long afterNanos, long untilNanos) {
     while (harness.now < untilNanos) {
       int calls = harness.discoveryCalls;
@@ -99,7 +101,7 @@
     assertFalse(isSent());
   }
 
-  /** What is turned away costs discovery, too: repeated at once it would keep the queue full. */
+  /** A rejected call costs discovery work too; calls repeated at once would keep its queue full. */
   @Test
   void backsOffAfterRejectedCalls() {
     failDiscovery(ListUpdate.FAILED);
@@ -123,7 +125,7 @@
     assertEquals(List.of(), harness.refused);
     harness.balancer.onListUpdate(
         harness.now, ListUpdate.DELTA, List.of(BalancerHarness.entry(1, Health.DRAINING, 0)));
-    assertEquals(before, harness.sent.size(), "news alone confirm nothing");
+    assertEquals(before, harness.sent.size(), "a delta does not confirm the list");
     harness.balancer.onListConfirmed(harness.now);
     assertEquals(before + 1, harness.sent.size());
     assertTrue(harness.lastSent().server() != 1);
@@ -139,7 +141,7 @@
     assertEquals(List.of(requests), harness.refused);
   }
 
-  /** An attempt that was decided before may not begin either. */
+  /** An attempt that was chosen while the list was valid may not begin after it has expired. */
   @Test
   void chosenAttemptMayNotBeginAfterExpiry() {
     long confirmedNanos = harness.now;
@@ -151,7 +153,7 @@
     assertFalse(harness.balancer.mayBegin(harness.now + MS, attempt.request(), attempt.attempt()));
   }
 
-  /** Sends a request every so often and fails each call so long after it was made. */
+  /** Sends requests at the interval and fails each call the given time after it was made. */
   private int countSent(ListUpdate failure, long afterNanos, long forNanos) {
     long untilNanos = harness.now + forNanos;
     long callNanos = -1;
@@ -175,8 +177,8 @@
   }
 
   /**
-   * From here an outage of discovery, in which nothing is told, cannot be told from an address that
-   * cannot be reached: servers that go on serving are used, and no others.
+   * A balancer cannot distinguish an outage of discovery, in which no change is delivered, from an
+   * unreachable address. It uses servers that keep serving, and no others.
    */
   @ParameterizedTest
   @EnumSource(names = {"REJECTED", "FAILED"})
@@ -194,7 +196,7 @@
     assertEquals(durationNanos / REQUEST_INTERVAL, countSent(ListUpdate.FAILED, 0, durationNanos));
   }
 
-  /** Nothing shows an outage where a watch has broken and the call after it is still out. */
+  /** A broken watch with the next call still in flight is no sign of an outage. */
   @Test
   void sendsNothingAfterExpiryWhenNoCallHasFailed() {
     failDiscovery(ListUpdate.FAILED);
@@ -203,7 +205,7 @@
     assertFalse(isSent());
   }
 
-  /** What a call that failed once showed of discovery grows old, too. */
+  /** The sign of an outage in one failed call loses its validity with time. */
   @Test
   void outageEndsWhenNoFurtherCallShowsIt() {
     failDiscovery(ListUpdate.FAILED);
@@ -219,7 +221,7 @@
     assertFalse(isSent());
   }
 
-  /** Sends a request every so often until a time; each is sent and served. */
+  /** Sends requests at the interval until the given time; each is served. */
   private void sendUntil(long untilNanos) {
     while (harness.now + REQUEST_INTERVAL < untilNanos) {
       harness.advance(REQUEST_INTERVAL);
@@ -229,7 +231,7 @@
     assertTrue(isSent());
   }
 
-  /** However often calls fail, and however: it is no word of discovery that the list is current. */
+  /** Failed calls do not confirm the list, however many there are and however they fail. */
   @ParameterizedTest
   @ValueSource(longs = {0, HELD_CALL})
   void failedCallsDoNotExtendTheLease(long afterNanos) {
@@ -241,7 +243,7 @@
     assertFalse(isSent());
   }
 
-  /** A server that turns new work away may drain, and the grace lasts from its last service. */
+  /** A server that refuses requests may be draining; its grace runs from its last success. */
   @Test
   void refusingServerGetsNothingAfterTheGracePeriod() {
     failDiscovery(ListUpdate.FAILED);
@@ -264,13 +266,13 @@
       harness.now += MS;
       harness.outcome(attempt, drains ? Outcome.REFUSED : Outcome.OK, !drains);
     }
-    assertEquals(ListTrust.SERVING_ONLY.name(), loggedTrust(), "to the end");
+    assertEquals(ListTrust.SERVING_ONLY.name(), loggedTrust(), "at the end");
     assertTrue(
         latestNanos <= sinceNanos + 10 * SECOND + graceNanos,
         "last sent there " + (latestNanos - sinceNanos));
   }
 
-  /** How far the list is trusted, as the newest line of the log says. */
+  /** The trust in the list, from the newest log line. */
   private String loggedTrust() {
     String line = harness.logs.get(harness.logs.size() - 1);
     return line.replaceAll(".*from now on ([A-Z_]+);.*", "$1");
@@ -292,7 +294,7 @@
     assertEquals(1, harness.sent.size());
   }
 
-  /** Settings may let a balancer ask seldom; a change counts as told after 6 s all the same. */
+  /** The subscribe limit may be long, but a change counts as delivered after 6 s all the same. */
   @Test
   void firstCallPrecedesDeliveryTime() {
     int late = 0;
@@ -306,7 +308,7 @@
     assertEquals(0, late);
   }
 
-  /** What an agent has counts as told whether or not a watch is open. */
+  /** Changes that an agent has count as delivered whether or not a watch is open. */
   @Test
   void pushedListExpiresAfterTheGracePeriodWhenItsWatchBreaks() {
     Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safeClass("read"));
@@ -323,12 +325,12 @@
     harness.now += MS;
     harness.request(2, "read");
     assertEquals(1, harness.sent.size());
-    assertEquals(0, harness.discoveryCalls, "the host keeps the watch up");
+    assertEquals(0, harness.discoveryCalls, "the host itself keeps the watch open");
     harness.balancer.onListConfirmed(harness.now);
     assertEquals(2, harness.sent.size());
   }
 
-  /** A call that had its place and was not answered in time is no outage. */
+  /** A call that was queued and not answered in time is no sign of an outage. */
   @Test
   void heldCallAfterPromptRejectionsIsNoOutage() {
     long confirmedNanos = harness.now;
@@ -339,7 +341,7 @@
     assertFalse(isSent());
   }
 
-  /** Calls that fail on this machine, for want of a socket say, show nothing of discovery. */
+  /** Calls that fail on this machine, for lack of sockets say, show nothing about discovery. */
   @Test
   void localFailuresAreNoOutage() {
     long confirmedNanos = harness.now;
@@ -349,7 +351,7 @@
     assertFalse(isSent());
   }
 
-  /** What had counted as told before discovery went away has been told. */
+  /** Changes that counted as delivered before the outage still do. */
   @Test
   void outageDoesNotRevalidateAnExpiredList() {
     long confirmedNanos = harness.now;
@@ -360,7 +362,7 @@
     assertFalse(isSent());
   }
 
-  /** Nor one whose changes had counted as told, with only the grace left. */
+  /** Changes already count as delivered; only the grace period is left when the outage begins. */
   @Test
   void outageDoesNotExtendTheGracePeriod() {
     long confirmedNanos = harness.now;
@@ -370,7 +372,7 @@
     assertFalse(isSent());
   }
 
-  /** An operator's mark, or news of the watch before, is no answer to the call that is out. */
+  /** A delta from an operator or an earlier watch does not answer the call in flight. */
   @Test
   void unsolicitedDeltaDoesNotAnswerTheCall() {
     long confirmedNanos = harness.now;
@@ -387,7 +389,7 @@
     assertFalse(isSent());
   }
 
-  /** It is still missing, and the next call comes when it is due. */
+  /** The subscription is still missing, and the next call is made when it is due. */
   @Test
   void unsolicitedDeltaIsNoSubscription() {
     failDiscovery(ListUpdate.FAILED);
@@ -400,7 +402,7 @@
     assertTrue(harness.discoveryCalls > before + 1);
   }
 
-  /** The head of an answer has come: discovery runs, whatever became of the rest. */
+  /** The head of an answer has arrived, so discovery is running. */
   @Test
   void truncatedAnswerIsNoOutage() {
     long confirmedNanos = harness.now;
@@ -409,7 +411,7 @@
     assertFalse(isSent());
   }
 
-  /** Its agent learns nothing while it is silent; one that is not there may have been told. */
+  /** A silent agent gets no changes. While no watch is open, the agent may have got one. */
   @Test
   void pushedListStaysValidWhileAgentIsSilentButNotWithoutWatch() {
     Settings pushed = BalancerHarness.settings(0, true, false, BalancerHarness.safeClass("read"));
@@ -422,7 +424,7 @@
     failDiscovery(ListUpdate.FAILED);
     harness.advance(pushed.obligations().stopSendingWithinNanos() - ListLease.SEND_MARGIN_NANOS);
     assertFalse(isSent());
-    failDiscovery(ListUpdate.SILENT); // It may have been told before it fell silent.
+    failDiscovery(ListUpdate.SILENT); // It may have got a change before it became silent.
     assertFalse(isSent());
   }
 
@@ -434,7 +436,7 @@
     assertEquals(before + 1, harness.discoveryCalls);
   }
 
-  /** What has changed before it counts as told 4 s after a new configuration. */
+  /** Changes made before a new configuration count as delivered 4 s after it. */
   @Test
   void listExpiresFourSecondsAndTheGracePeriodAfterAddressChange() {
     long movedNanos = harness.now;
@@ -443,7 +445,8 @@
         movedNanos + ListLease.MOVE_DELIVERY_NANOS + graceNanos - ListLease.SEND_MARGIN_NANOS;
     harness.balancer.onDiscoveryMoved(movedNanos);
     harness.advance(SECOND);
-    harness.balancer.onDiscoveryMoved(harness.now); // The second one gives no time back.
+    harness.balancer.onDiscoveryMoved(
+        harness.now); // A second change of address does not extend the time.
     harness.advance(endNanos - MS - harness.now);
     assertTrue(isSent());
     harness.advance(SECOND);
@@ -452,14 +455,14 @@
     assertTrue(isSent());
   }
 
-  /** Each call at an address that is left again at once would be one for nothing. */
+  /** Calls at addresses that are replaced at once would be wasted. */
   @Test
   void callsOnceAfterSeriesOfAddressChanges() {
     int before = harness.discoveryCalls;
     long first = harness.now;
     for (int i = 0; i < 4; i++) {
       harness.balancer.onDiscoveryMoved(harness.now);
-      failDiscovery(ListUpdate.FAILED); // The watch at the address before ends.
+      failDiscovery(ListUpdate.FAILED); // The watch at the previous address ends.
       harness.advance(400 * MS);
     }
     harness.advance(first + DiscoveryBackoff.MAX_MOVE_NANOS - harness.now);
--- a/src/test/java/heathswitch/policy/core/MembershipTest.java
+++ b/src/test/java/heathswitch/policy/core/MembershipTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Machines are replaced under new ids for as long as a balancer runs. */
+/** Servers are replaced under new ids while a balancer runs; old ones must not accumulate. */
 class MembershipTest {
   private final Settings settings = BalancerHarness.settings(0, BalancerHarness.safeClass("view"));
   private final Membership members =
--- a/src/test/java/heathswitch/policy/core/ReplayTest.java
+++ b/src/test/java/heathswitch/policy/core/ReplayTest.java
@@ -22,9 +22,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The module's actions for drawn events, held against those that were recorded with weights of one:
- * with all weights equal, whatever they are, not one action may differ. The record was first made
- * before servers had weights, and once more when a start began to count from when it is told.
+ * Compares the actions for a random sequence of events with a recording made with weights of one.
+ * While all weights are equal, whatever their value, no action may differ. The recording was first
+ * made before servers had weights, and made again when the warm-up of a server began to count from
+ * when its start is reported.
  */
 class ReplayTest {
   private static final int EVENTS = 30_000;
@@ -46,13 +47,13 @@
     }
   }
 
-  /** Or the comparison above would hold for any module that never looks at weights. */
+  /** Otherwise the comparison above would also pass for a balancer that ignores weights. */
   @Test
   void unequalWeightsChangeActions() throws Exception {
     assertNotEquals(replay(new double[] {1}), replay(new double[] {1, 2}));
   }
 
-  /** Written only when asked for, from the module as it was. */
+  /** Writes a new recording to the given file. */
   public static void main(String[] args) throws Exception {
     Files.writeString(Path.of(args[0]), replay(new double[] {1}));
   }
--- a/src/test/java/heathswitch/policy/core/ServerProtocolTest.java
+++ b/src/test/java/heathswitch/policy/core/ServerProtocolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** No attempt goes to a server that does not speak the request's protocol. */
+/** No attempt goes to a server that does not support the request's protocol. */
 class ServerProtocolTest {
   private static final int HTTP1 = 1;
   private static final int GRPC = 2;
@@ -25,12 +25,12 @@
     return new ServerEntry(id, "a", "kind", 0, Health.READY, 1, 0, protocols);
   }
 
-  /** Also where one in a hundred speaks it, and after every way in which an attempt can fail. */
+  /** Even if few of 200 servers support it, and after failed attempts. */
   @ParameterizedTest
   @EnumSource(RequestProtocol.class)
   void sendsOnlyToServersThatSupportTheProtocol(RequestProtocol protocol) {
     for (int supporting : new int[] {1, 2, 50}) {
-      BalancerHarness h =
+      BalancerHarness harness =
           new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")));
       List<ServerEntry> list = new ArrayList<>();
       Set<Long> supportingIds = new HashSet<>();
@@ -43,32 +43,35 @@
           supportingIds.add((long) i);
         }
       }
-      h.balancer.onListUpdate(h.now, ListUpdate.FULL, list);
+      harness.balancer.onListUpdate(harness.now, ListUpdate.FULL, list);
       for (int i = 1; i <= 20; i++) {
-        h.balancer.onRequest(h.now, i, "read", null, 4 * BalancerHarness.SECOND, false, protocol);
+        harness.balancer.onRequest(
+            harness.now, i, "read", null, 4 * BalancerHarness.SECOND, false, protocol);
       }
-      assertEquals(20, h.sent.size(), "each found a server among " + supporting);
-      for (int i = 0; i < h.sent.size(); i++) {
-        BalancerHarness.Sent send = h.sent.get(i);
+      assertEquals(20, harness.sent.size(), "all sent, servers with the protocol: " + supporting);
+      for (int i = 0; i < harness.sent.size(); i++) {
+        BalancerHarness.Sent send = harness.sent.get(i);
         assertTrue(supportingIds.contains(send.server()), "sent to " + send.server());
         if (i < 40) {
-          h.outcome(send, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.ERROR, false);
+          harness.outcome(send, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.ERROR, false);
         }
       }
     }
   }
 
-  /** More of it is still to come: two servers cannot both have that. */
+  /** The rest of a request that is still arriving cannot go to two servers. */
   @Test
   void doesNotHedgeStreamingRequests() {
     for (RequestProtocol protocol : RequestProtocol.values()) {
-      BalancerHarness h =
+      BalancerHarness harness =
           new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("read")));
-      h.balancer.onListUpdate(
-          h.now, ListUpdate.FULL, List.of(server(1, HTTP1 | GRPC), server(2, HTTP1 | GRPC)));
-      h.balancer.onRequest(h.now, 1, "read", null, 40 * BalancerHarness.SECOND, false, protocol);
-      h.advance(30 * BalancerHarness.SECOND);
-      assertEquals(protocol.hedgeable() ? 2 : 1, Math.min(2, h.sent.size()), protocol.toString());
+      harness.balancer.onListUpdate(
+          harness.now, ListUpdate.FULL, List.of(server(1, HTTP1 | GRPC), server(2, HTTP1 | GRPC)));
+      harness.balancer.onRequest(
+          harness.now, 1, "read", null, 40 * BalancerHarness.SECOND, false, protocol);
+      harness.advance(30 * BalancerHarness.SECOND);
+      assertEquals(
+          protocol.hedgeable() ? 2 : 1, Math.min(2, harness.sent.size()), protocol.toString());
     }
   }
 }
--- a/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
+++ b/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Two hundred calls that fail together, as the streams of one connection do. */
+/** 200 calls in flight to one server fail together, as the streams of one connection do. */
 class SimultaneousFailuresTest {
-  /** Out to one server, after waves of answers that have opened its window. */
+  /** Sends so many calls to one server at once, after enough answers to grow its window. */
   private static List<BalancerHarness.Sent> openFlight(BalancerHarness harness, int size) {
     harness.readyServers(1);
     long id = 0;
@@ -28,11 +28,11 @@
       }
       harness.advance(10 * BalancerHarness.MS);
       attempts.forEach(sent -> harness.outcome(sent, Outcome.OK, true));
-      assertTrue(id < 100_000, "the window opens");
+      assertTrue(id < 100_000, "the window does not grow");
     }
   }
 
-  /** Cut once and out for one rest; cut 200 times it would be out for eight seconds. */
+  /** Ejected once it is back after half a second; ejected 200 times, only after eight seconds. */
   @ParameterizedTest
   @EnumSource(
       value = Outcome.class,
@@ -46,8 +46,8 @@
     int refused = harness.refused.size();
     flight.forEach(sent -> harness.outcome(sent, outcome, false));
     int retried = harness.sent.size() - before;
-    assertTrue(retried <= 1, "asked again " + retried);
-    assertTrue(harness.refused.size() >= refused + 200 - 2 * retried - 1, "answered at once");
+    assertTrue(retried <= 1, "retried " + retried);
+    assertTrue(harness.refused.size() >= refused + 200 - 2 * retried - 1, "refused at once");
     harness.advance(10 * BalancerHarness.MS);
     for (int i = before; i < before + retried; i++) {
       harness.outcome(harness.sent.get(i), Outcome.OK, true);
--- a/src/test/java/heathswitch/policy/core/StaleDecisionTest.java
+++ b/src/test/java/heathswitch/policy/core/StaleDecisionTest.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What was decided a while ago may not begin any more; what was taken keeps its settings. */
+/**
+ * Decisions that events overtake: an attempt that may no longer begin, failures that affect all
+ * servers alike, and settings that change while a request is in progress.
+ */
 class StaleDecisionTest {
   private static RequestClass keyed() {
     return BalancerHarness.requestClass("keyed", RequestClass.Effect.KEYED, RequestClass.Group.ALL);
@@ -35,7 +38,7 @@
     Sent retry = harness.lastSent();
     assertEquals(1, retry.attempt());
     assertTrue(mayBegin(harness, retry));
-    harness.now += MS; // Its connection comes up late.
+    harness.now += MS; // The connection opens late.
     assertFalse(mayBegin(harness, retry));
   }
 
@@ -80,7 +83,7 @@
     assertFalse(mayBegin(harness, harness.lastSent()));
   }
 
-  /** Where a part of all connections comes up late, nobody would be left to send to. */
+  /** If some connections to every server are late, ejecting for it would leave no server. */
   @Test
   void keepsServersWhoseConnectionsFailAsOftenAsTheFleet() {
     BalancerHarness harness =
@@ -118,10 +121,10 @@
       }
     }
     assertEquals(List.of(), harness.refused);
-    assertTrue(sentToDead < 6, "calls to a server that is not there: " + sentToDead);
+    assertTrue(sentToDead < 6, "calls to the unreachable server: " + sentToDead);
   }
 
-  /** Or each failure would add a call to those of all balancers, and drown discovery with them. */
+  /** If each failure added a call, the calls of all balancers would overload discovery. */
   @Test
   void failedDiscoveryCallsAreRepeatedOneAtATime() {
     BalancerHarness harness =
@@ -133,22 +136,22 @@
     for (int step = 0; step < 1200; step++) {
       harness.advance(50 * MS);
       if (harness.discoveryCalls > calls) {
-        assertEquals(calls + 1, harness.discoveryCalls, "a call while another is out");
-        assertEquals(0, endsNanos, "a call while another is out");
+        assertEquals(calls + 1, harness.discoveryCalls, "a call while another is in flight");
+        assertEquals(0, endsNanos, "a call while another is in flight");
         calls = harness.discoveryCalls;
         calledNanos = harness.now;
         endsNanos =
-            harness.now + 3 * SECOND; // Discovery lets it wait for so long, and then fails it.
+            harness.now + 3 * SECOND; // Discovery holds the call this long and then rejects it.
       } else if (endsNanos > 0 && harness.now >= endsNanos) {
         harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
         endsNanos = 0;
       }
-      assertTrue(harness.now - calledNanos < 7 * SECOND || calls == 0, "a gap between two calls");
+      assertTrue(harness.now - calledNanos < 7 * SECOND || calls == 0, "too long without a call");
     }
     assertTrue(calls > 10, "calls " + calls);
   }
 
-  /** What was safe to repeat when it was taken stays so, and what comes later is not. */
+  /** A class becomes unsafe in a reload; the earlier request may still be repeated. */
   @Test
   void requestKeepsTheSettingsAtItsArrival() {
     BalancerHarness harness =
@@ -165,14 +168,14 @@
 
     harness.now += 10 * MS;
     harness.outcome(before, Outcome.RESET, false);
-    assertEquals(3, harness.sent.size(), "repeated, as it could be when it was taken");
+    assertEquals(3, harness.sent.size(), "retried under the settings at its arrival");
     assertEquals(1, harness.lastSent().request());
     harness.outcome(after, Outcome.RESET, false);
     assertEquals(3, harness.sent.size());
     assertEquals(List.of(2L), harness.failed);
   }
 
-  /** Between two attempts, and under fewer attempts than it was promised. */
+  /** The reload comes between two attempts and allows fewer of them. */
   @Test
   void requestKeepsItsAttemptLimitAfterReload() {
     Settings first = BalancerHarness.settings(0, BalancerHarness.safeClass("read"));
--- a/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
+++ b/src/test/java/heathswitch/policy/core/StartTimeEstimatorTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Slow start where the clock of this machine, or that of discovery, has been stepped by a lot. */
+/** Warm-up of servers when the clock of this machine or of discovery is wrong by a lot. */
 class StartTimeEstimatorTest {
   private static final long HOUR = 3600 * SECOND;
   private static final long NOW = 100_000 * SECOND;
@@ -33,7 +33,7 @@
     return members.isCold(members.servers.get(id), nowNanos);
   }
 
-  /** Twelve that have run for long, and one that has just started by discovery's clock. */
+  /** Lists 12 servers that have run for long, and one that started at the given time. */
   private void listServers(ListUpdate update, long nowNanos, long startedNanos) {
     List<ServerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 12; id++) {
@@ -43,14 +43,14 @@
     members.onListUpdate(nowNanos, update, entries);
   }
 
-  /** Steps of the machine's own clock before its start, by so many seconds. */
+  /** The clock of this machine is ahead of discovery's by the given seconds. */
   @ParameterizedTest
   @ValueSource(longs = {-3600, -7, 0, 7, 3600})
   void newestServersOfTheFirstListAreCold(long seconds) {
     listServers(ListUpdate.STALE_FULL, NOW, NOW - seconds * SECOND);
-    assertTrue(cold(13, NOW), "the newest");
-    assertFalse(cold(13, NOW + warmUp), "and for one warm-up only");
-    assertTrue(seconds < 0 || !cold(1, NOW), "those that have run for long");
+    assertTrue(cold(13, NOW), "newest server");
+    assertFalse(cold(13, NOW + warmUp), "newest server after its warm-up");
+    assertTrue(seconds < 0 || !cold(1, NOW), "servers that have run for long");
   }
 
   @ParameterizedTest
@@ -65,7 +65,7 @@
     assertFalse(cold(5, later + warmUp));
   }
 
-  /** Where the clocks agree, a server is not held to be colder than it is. */
+  /** If the clocks agree, a server is not presumed colder than it is. */
   @ParameterizedTest
   @ValueSource(longs = {0, 1, 2, 3})
   void startSinceThePreviousListHasItsReportedAge(long seconds) {
@@ -78,7 +78,7 @@
     assertFalse(cold(5, warm));
   }
 
-  /** Discovery's own clock may be set back between two starts of one server. */
+  /** The clock of discovery may be set back between two starts of one server. */
   @Test
   void earlierStartTimeCountsAsRestart() {
     listServers(ListUpdate.FULL, NOW, NOW);
@@ -87,7 +87,7 @@
     assertTrue(cold(13, later));
   }
 
-  /** Presumed to have restarted while it was out of use, and then found not to have. */
+  /** A server was presumed to have restarted while suspended, and then found not to have. */
   @Test
   void withdrawnPresumedStartIsNoRestart() {
     listServers(ListUpdate.FULL, NOW, NOW - HOUR);
@@ -98,7 +98,7 @@
     assertFalse(cold(13, later + SECOND));
   }
 
-  /** Where all have started together, and long ago, nothing is presumed. */
+  /** If all servers started together long ago, none is presumed cold. */
   @Test
   void fleetThatStartedTogetherIsWarm() {
     List<ServerEntry> entries = new ArrayList<>();
--- a/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
+++ b/src/test/java/heathswitch/policy/core/StreamingAnswerTest.java
@@ -6,7 +6,7 @@
 import heathswitch.policy.api.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Answers that go on as they come, at the pace of whoever reads them. */
+/** Answers that have begun and continue at the pace of the reading client. */
 class StreamingAnswerTest {
   private final BalancerHarness harness =
       new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")))
@@ -29,7 +29,7 @@
 
   @Test
   void serverHasRoomAfterCutWhileAnswersStream() {
-    sendAndBeginAnswer(); // Nobody reads it.
+    sendAndBeginAnswer(); // Never ends: the client does not read.
     BalancerHarness.Sent refused = sendOne();
     harness.outcome(refused, Outcome.REFUSED, true);
     harness.advance(2 * Server.EJECTION_NANOS);
@@ -44,12 +44,12 @@
   void promptAnswerBeginningsGrowTheWindowAfterCut() {
     harness.outcome(sendOne(), Outcome.REFUSED, true);
     harness.advance(2 * Server.EJECTION_NANOS);
-    for (int i = 0; i < 10; i++) { // None of them ends.
+    for (int i = 0; i < 10; i++) { // The answers do not end.
       sendAndBeginAnswer();
     }
   }
 
-  /** They take turns: all that read slowly have their answers of the one server. */
+  /** Servers alternate, so all slowly read answers come from server 1. */
   @Test
   void slowClientDoesNotCutTheWindow() {
     harness.readyServers(2);
--- a/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
+++ b/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** A balancer among others that is told which servers are its own. */
+/** A balancer that is assigned a subset of the servers. */
 class SubsetRoleTest {
   private final BalancerHarness harness =
       new BalancerHarness(BalancerHarness.settings(0, BalancerHarness.safeClass("a")));
@@ -63,11 +63,11 @@
     return shares;
   }
 
-  /** More than the least and the most of a balancer that chooses by itself, in two zones. */
+  /** A subset larger than the limits of a working set, in two zones. */
   @Test
   void usesAllOwnServersEquallyAndNoOther() {
     listServers(60, 200, 0);
-    sharesOf(2000); // All of them join by and by.
+    sharesOf(2000); // Enough for all of them to join.
     Map<Long, Integer> shares = sharesOf(6000);
     assertEquals(60, shares.size());
     assertTrue(shares.keySet().stream().allMatch(id -> id <= 60), shares::toString);
@@ -85,7 +85,7 @@
     assertEquals(1600, shares.get(2L), 80);
   }
 
-  /** Rather than refuse, it goes to others, and is back when its own have room again. */
+  /** Calls go to spare servers instead of being refused, until the own ones have room again. */
   @Test
   void spareServersGetCallsWhenOwnAreFull() {
     listServers(2, 50, 0);
@@ -101,7 +101,7 @@
     assertEquals(Set.of(1L, 2L), used);
   }
 
-  /** With nothing to compare them with, their errors would pass for those of a tier below. */
+  /** Without spare servers to compare with, the errors could come from the tier below. */
   @Test
   void spareServersGetCallsWhenAllOwnFail() {
     listServers(3, 20, 0);
@@ -113,7 +113,9 @@
       harness.outcome(sent, sent.server() > 3 ? Outcome.OK : Outcome.ERROR, true);
     }
     assertTrue(toSpare > 150, toSpare + " of 200 to others");
-    assertTrue(sharesOf(600).keySet().containsAll(Set.of(1L, 2L, 3L)), "back when they are well");
+    assertTrue(
+        sharesOf(600).keySet().containsAll(Set.of(1L, 2L, 3L)),
+        "own servers in use again after recovery");
     assertEquals(Set.of(1L, 2L, 3L), sharesOf(400).keySet());
   }
 
--- a/src/test/java/heathswitch/policy/core/WeightTest.java
+++ b/src/test/java/heathswitch/policy/core/WeightTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Servers get calls by their weights, and one that is lighter starts with less. */
+/** Servers get calls by weight, also while they are cold. */
 class WeightTest {
   private static final int CALLS = 7000;
 
@@ -21,7 +21,7 @@
     return new ServerEntry(id, "a", "kind", 0, Health.READY, weight, startedNanos);
   }
 
-  /** Shares of the calls by server, with so many always out and answered in turn. */
+  /** Calls by server, with the given number in flight that are answered in order. */
   private static Map<Long, Integer> sharesOf(BalancerHarness harness, int inFlight) {
     ArrayDeque<BalancerHarness.Sent> attempts = new ArrayDeque<>();
     Map<Long, Integer> shares = new HashMap<>();
@@ -89,7 +89,7 @@
     }
   }
 
-  /** What a light server can take while cold is less by its weight. */
+  /** The budget of a cold server is scaled by its weight. */
   @Test
   void coldServerWithLowWeightGetsFewerCalls() {
     int[] early = new int[2];
--- a/src/test/java/heathswitch/policy/rotation/RotationTest.java
+++ b/src/test/java/heathswitch/policy/rotation/RotationTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a listing means while operators have taken its upstream out, and after they put it back. */
+/** The state of an upstream while it is suspended and after it has been resumed. */
 class RotationTest {
   private static final Suspension SUSPENDED = Suspension.suspend(null, "s-1", 1000);
   private static final Suspension RESUMED = Suspension.resume(SUSPENDED, 5000);
@@ -34,7 +34,7 @@
     assertEquals(1, rotation.suspendedCount());
   }
 
-  /** It comes back cold, and discovery may not know that yet. */
+  /** A resumed upstream may have restarted, and discovery may not have reported it yet. */
   @Test
   void resumedUpstreamIsColdUntilDiscoveryCouldReportItsStart() {
     rotation.update(Map.of("s-1", RESUMED), 5000);
@@ -47,7 +47,7 @@
     assertEquals(Set.of(), rotation.update(Map.of("s-1", RESUMED), later));
   }
 
-  /** Machines come and go under new ids for as long as a balancer runs. */
+  /** Upstreams are replaced under new ids while a balancer runs; old ones must not accumulate. */
   @Test
   void forgetsPresumedRestartWhenSuspensionIsRemoved() {
     rotation.update(Map.of("s-1", RESUMED), 5000);
@@ -62,7 +62,8 @@
   void reportedStartAfterSuspensionIsUsed() {
     rotation.update(Map.of("s-1", RESUMED), 5000);
     assertEquals(new EffectiveState(Health.READY, 3000), stateOfReady(3000, 5001));
-    assertEquals(Set.of(), rotation.update(Map.of("s-1", RESUMED), 99_000), "nothing is presumed");
+    assertEquals(
+        Set.of(), rotation.update(Map.of("s-1", RESUMED), 99_000), "no restart is presumed");
   }
 
   @Test
@@ -77,12 +78,12 @@
     Suspension twice = Suspension.suspend(SUSPENDED, "s-1", 3000);
     assertEquals(SUSPENDED, twice);
     assertFalse(Suspension.resume(twice, 5000).isSuspended());
-    assertEquals(RESUMED, Suspension.resume(RESUMED, 9000), "back twice is back once");
+    assertEquals(RESUMED, Suspension.resume(RESUMED, 9000), "a second resume changes nothing");
     assertNull(Suspension.resume(null, 9000));
     assertTrue(Suspension.suspend(RESUMED, "s-1", 9000).isSuspended());
   }
 
-  /** A clock that was set back in between must not make it look older than its mark. */
+  /** If the clock is set back meanwhile, the resume still must not precede the suspension. */
   @Test
   void resumeIsNeverBeforeSuspend() {
     assertEquals(1000, Suspension.resume(SUSPENDED, 10).resumedMillis());
