--- a/src/main/java/heathswitch/policy/api/Tenant.java
+++ b/src/main/java/heathswitch/policy/api/Tenant.java
@@ -3,6 +3,7 @@
 /**
  * A tenant of the service.
  *
+ * @param portion its share of the service
  * @param quotaPerSecond requests per second, for all balancers together
  */
 public record Tenant(String name, double portion, double quotaPerSecond) {
--- a/src/main/java/heathswitch/policy/core/DelayWindow.java
+++ b/src/main/java/heathswitch/policy/core/DelayWindow.java
@@ -20,7 +20,7 @@
   /** The paper's alpha, as a share of the normal delay estimate. */
   static final double ALPHA_SCALE = 0.5;
 
-  /** Initial window: what a mid-sized server takes; the first cut finds the actual limit. */
+  /** Initial window: what a server of moderate size takes; the first cut finds the actual limit. */
   static final double INITIAL = 32;
 
   /** Largest window. */
--- a/src/main/java/heathswitch/policy/core/ListLease.java
+++ b/src/main/java/heathswitch/policy/core/ListLease.java
@@ -28,7 +28,7 @@
   static final long PROMPT_REJECTION_NANOS = 1_000_000_000L;
 
   /**
-   * Changes made before the address of discovery changed count as delivered so long after the new
+   * Changes made before the address of discovery changed count as delivered this long after the new
    * configuration.
    */
   static final long MOVE_DELIVERY_NANOS = 4_000_000_000L;
