--- a/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
+++ b/src/test/java/heathswitch/policy/core/DiscoveryCallHerdTest.java
@@ -11,34 +11,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many balancers lose their watches at once while discovery is busy: their calls for the list may
- * not keep its queue full, whatever a call costs that is turned away.
+ * Many balancers lose their watches at once while discovery is busy. Their repeated calls must not
+ * keep its queue full, whatever a rejected call costs.
  */
 class DiscoveryCallHerdTest {
   private static final long STEP = 5 * MS;
   private static final long TIMEOUT = 3 * SECOND;
 
-  /**
-   * One service for all: calls wait in turn, and one whose answer would take too long is refused.
-   */
-  private static final class Queue {
+  /** Discovery as one queue; a call that would not be answered in time is rejected. */
+  private static final class DiscoveryQueue {
     private final long callNanos;
-    private final double turnedAwayCost;
+    private final double rejectionCost;
     private long busyUntil;
     private int calls;
 
-    Queue(long callNanos, double turnedAwayCost, long busyUntil) {
+    DiscoveryQueue(long callNanos, double rejectionCost, long busyUntil) {
       this.callNanos = callNanos;
-      this.turnedAwayCost = turnedAwayCost;
+      this.rejectionCost = rejectionCost;
       this.busyUntil = busyUntil;
     }
 
-    /** When the call is answered, or -1. */
+    /** When the call is answered; -1 if it is rejected. */
     long call(long now) {
       calls++;
       long end = Math.max(now, busyUntil) + callNanos;
       if (end - now > TIMEOUT) {
-        busyUntil = Math.max(now, busyUntil) + (long) (turnedAwayCost * callNanos);
+        busyUntil = Math.max(now, busyUntil) + (long) (rejectionCost * callNanos);
         return -1;
       }
       busyUntil = end;
@@ -46,6 +44,7 @@
     }
   }
 
+  /** A balancer that has just lost its watch. */
   private static final class Instance {
     private final BalancerHarness harness;
     private int calls;
@@ -55,19 +54,19 @@
     Instance(int number) {
       harness =
           new BalancerHarness(
-              BalancerHarness.settings(0, true, true, BalancerHarness.safe("read")), number);
+              BalancerHarness.settings(0, true, true, BalancerHarness.safeClass("read")), number);
       harness.advance(7 * SECOND);
       harness.readyServers(3);
       harness.balancer.limitListAge(harness.now, 6 * SECOND);
       harness.balancer.onListConfirmed(harness.now);
-      calls = harness.watches;
+      calls = harness.discoveryCalls;
       harness.balancer.onListUpdate(harness.now, ListUpdate.FAILED, List.of());
     }
 
-    void step(Queue queue) {
+    void step(DiscoveryQueue queue) {
       harness.advance(STEP);
-      if (harness.watches > calls) {
-        calls = harness.watches;
+      if (harness.discoveryCalls > calls) {
+        calls = harness.discoveryCalls;
         answerAt = queue.call(harness.now);
         if (answerAt < 0) {
           answerAt = Long.MAX_VALUE;
@@ -83,11 +82,11 @@
   }
 
   /**
-   * All are answered within a time.
+   * All balancers are answered within a time limit.
    *
-   * @param allMillis in which it can answer one call of each
-   * @param cost of a call that is turned away, as a part of one that is answered
-   * @param busyMillis of work that lies in its queue at the beginning
+   * @param fleetMillis time in which discovery can answer one call of each balancer
+   * @param rejectionCost cost of a rejected call as a share of an answered one
+   * @param busyMillis work in the queue at the beginning
    */
   @ParameterizedTest
   @CsvSource({
@@ -98,18 +97,20 @@
     "40, 8000, 0.25, 7000, 40",
     "40, 4000, 1.0, 7000, 60",
   })
-  void theQueueDrainsAndAllAreAnswered(
-      int instances, long allMillis, double cost, long busyMillis, long withinSeconds) {
-    List<Instance> all = new ArrayList<>();
+  void queueDrainsAndAllCallsAreAnswered(
+      int instances, long fleetMillis, double rejectionCost, long busyMillis, long withinSeconds) {
+    List<Instance> balancers = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      all.add(new Instance(i));
+      balancers.add(new Instance(i));
     }
-    long began = all.get(0).harness.now;
-    Queue queue = new Queue(allMillis * MS / instances, cost, began + busyMillis * MS);
-    while (all.get(0).harness.now < began + withinSeconds * SECOND) {
-      all.forEach(instance -> instance.step(queue));
+    long startNanos = balancers.get(0).harness.now;
+    DiscoveryQueue queue =
+        new DiscoveryQueue(
+            fleetMillis * MS / instances, rejectionCost, startNanos + busyMillis * MS);
+    while (balancers.get(0).harness.now < startNanos + withinSeconds * SECOND) {
+      balancers.forEach(instance -> instance.step(queue));
     }
-    long waiting = all.stream().filter(instance -> instance.answeredAt < 0).count();
+    long waiting = balancers.stream().filter(instance -> instance.answeredAt < 0).count();
     assertTrue(waiting == 0, waiting + " not answered, " + queue.calls + " calls");
   }
 }
