--- a/src/main/java/heathswitch/proxy/operations/OperationsService.java
+++ b/src/main/java/heathswitch/proxy/operations/OperationsService.java
@@ -16,35 +16,36 @@
 import java.util.function.Consumer;
 
 /**
- * What operators do with a running balancer. Files are read and written by a thread of their own,
- * in order, and the loop takes what that thread has seen: a mark is in force only when every
- * process of the balancer will know of it, and a yes is said after that.
+ * Executes the commands of operators on a running balancer. A separate thread reads and writes all
+ * files in order, and the event loop applies what that thread has read. A suspension is therefore
+ * applied only once all processes of the balancer can see it, and success is answered after that.
  */
 public final class OperationsService implements ConsoleServer.Commands {
-  /** How soon one process of an upgrade hears what the other was told. */
+  /** How often a process reads what another process of an upgrade has written. */
   static final long POLL_MILLIS = 200;
 
-  /** Calls that may wait for their files; one more is told no. */
+  /** Commands that may wait for file access; further ones are rejected. */
   private static final int MAX_QUEUED_COMMANDS = 64;
 
   private final Node node;
   private final ProcessGeneration generation;
-  private final MarkOverlay overlay;
-  private final MarkStore marks;
+  private final SuspensionOverlay overlay;
+  private final SuspensionStore suspensions;
   private final ConsoleServer console;
   private final ScheduledThreadPoolExecutor fileExecutor;
   private volatile boolean serving;
   private volatile int heldDescriptors = ResourceBudget.RESERVED_DESCRIPTORS;
 
   /**
-   * Lays itself over the node's lists; before its start.
+   * Registers the overlay of suspensions at the dispatcher of the node. Must be called before the
+   * node is started.
    *
-   * @param folder shared by all processes of this balancer and by nobody else; null for none
+   * @param folder shared by the processes of this balancer only; null for none
    */
   public OperationsService(Node node, Path folder) {
     this.node = node;
     generation = new ProcessGeneration(folder == null ? null : folder.resolve("processes"));
-    marks = new MarkStore(folder == null ? null : folder.resolve("marks"));
+    suspensions = new SuspensionStore(folder == null ? null : folder.resolve("marks"));
     console = new ConsoleServer(node.loop(), node.budget(), this);
     fileExecutor =
         new ScheduledThreadPoolExecutor(
@@ -54,18 +55,18 @@
               thread.setDaemon(true);
               return thread;
             });
-    overlay = new MarkOverlay(node::nowMillis);
+    overlay = new SuspensionOverlay(node::nowMillis);
     node.dispatcher().addOverlay(overlay);
     node.shutdown().setSuccessorCheck(generation::hasSuccessor);
-    overlay.update(marks.read(node.nowMillis()), node.dispatcher());
+    overlay.update(suspensions.read(node.nowMillis()), node.dispatcher());
   }
 
-  /** Whether another process serves this balancer when this one starts. */
+  /** Whether another process was serving this balancer when this one started. */
   public boolean hasPredecessor() {
     return generation.hasPredecessor();
   }
 
-  /** Opens the console; fails if the address cannot be had. Must not be called on the loop. */
+  /** Opens the console; fails if its address is in use. Must not be called on the event loop. */
   public void start(InetSocketAddress address) throws InterruptedException {
     int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
     node.loop().execute(() -> node.budget().setDescriptorsOfOtherProcesses(heldByOthers));
@@ -73,7 +74,7 @@
     fileExecutor.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, MILLISECONDS);
   }
 
-  /** Clients can connect: from now on the console says so, and a later process can tell. */
+  /** Called once clients can connect: reports ready and becomes visible to later processes. */
   public void announceServing() {
     generation.writeHeartbeat(ResourceBudget.RESERVED_DESCRIPTORS);
     node.loop().execute(() -> serving = true);
@@ -83,16 +84,16 @@
     return console.address();
   }
 
-  /** Ends the thread of files; the console ends with the loop. */
+  /** Stops the file thread; the console ends with the event loop. */
   public void stop() {
     fileExecutor.shutdownNow();
   }
 
-  // ---- the thread of files ----
+  // ---- on the file thread ----
 
   private void poll() {
     try {
-      Map<String, Suspension> current = marks.read(node.nowMillis());
+      Map<String, Suspension> current = suspensions.read(node.nowMillis());
       int heldByOthers = generation.descriptorsHeldByOthers(System.nanoTime());
       if (serving) {
         generation.writeHeartbeat(heldDescriptors);
@@ -105,26 +106,26 @@
                 heldDescriptors = node.budget().usedDescriptors();
               });
     } catch (RejectedExecutionException e) {
-      fileExecutor.shutdown(); // The node has ended.
+      fileExecutor.shutdown(); // The event loop has been shut down.
     } catch (RuntimeException e) {
-      Log.error("operations", "marks could not be read", e); // Thrown on, it would be the last.
+      Log.error("operations", "polling the files failed", e); // An exception would cancel polling.
     }
   }
 
-  private void writeMark(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
+  private void writeSuspension(String id, boolean suspended, Consumer<HttpResponseStatus> done) {
     HttpResponseStatus status = HttpResponseStatus.OK;
     long now = node.nowMillis();
     try {
       if (suspended) {
-        marks.suspend(id, now);
+        suspensions.suspend(id, now);
       } else {
-        marks.resume(id, now);
+        suspensions.resume(id, now);
       }
     } catch (IOException | RuntimeException e) {
-      Log.error("operations", "a mark could not be written", e);
+      Log.error("operations", "suspension could not be written", e);
       status = HttpResponseStatus.INTERNAL_SERVER_ERROR;
     }
-    Map<String, Suspension> current = marks.read(now);
+    Map<String, Suspension> current = suspensions.read(now);
     HttpResponseStatus result = status;
     node.loop()
         .execute(
@@ -134,7 +135,7 @@
             });
   }
 
-  // ---- the operators' calls, on the loop ----
+  // ---- commands, on the event loop ----
 
   @Override
   public boolean isReady() {
@@ -148,11 +149,11 @@
       return;
     }
     if (fileExecutor.getQueue().size() >= MAX_QUEUED_COMMANDS) {
-      done.accept(HttpResponseStatus.SERVICE_UNAVAILABLE); // The disk does not keep up.
+      done.accept(HttpResponseStatus.SERVICE_UNAVAILABLE); // The disk is too slow.
       return;
     }
-    Log.info("operations", (suspended ? "taken out: " : "put back: ") + id);
-    fileExecutor.execute(() -> writeMark(id, suspended, done));
+    Log.info("operations", (suspended ? "upstream suspended: " : "upstream resumed: ") + id);
+    fileExecutor.execute(() -> writeSuspension(id, suspended, done));
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/operations/MarkStore.java
+++ b/src/main/java/heathswitch/proxy/operations/SuspensionStore.java
@@ -17,44 +17,45 @@
 import java.util.Map;
 
 /**
- * The marks of operators, a file for each, in a folder that all processes of one balancer share.
- * Without a folder they are kept in memory alone. Used by one thread, never the loop's.
+ * Stores which upstreams operators have suspended, one file per upstream, in a folder shared by all
+ * processes of a balancer. Without a folder the suspensions are kept in memory only. Used by a
+ * single thread, which is not the event loop.
  */
-final class MarkStore {
+final class SuspensionStore {
   private static final int MAX_FILE_BYTES = 1024;
 
   private final Path folder;
-  private Map<String, Suspension> marks = new HashMap<>();
+  private Map<String, Suspension> suspensions = new HashMap<>();
 
-  /** Uses the folder, which is made if it is not there; null for none. */
-  MarkStore(Path folder) {
+  /** Uses the folder, which is created if it does not exist; null for none. */
+  SuspensionStore(Path folder) {
     this.folder = folder;
   }
 
-  /** What stands now, in the folder of both processes. */
+  /** Reads the current suspensions, including those written by another process. */
   Map<String, Suspension> read(long nowMillis) {
     if (folder != null) {
       Map<String, Suspension> current = new HashMap<>();
       try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "u-*")) {
         for (Path file : files) {
-          Suspension mark =
+          Suspension suspension =
               current.size() < Rotation.MAX_SUSPENSIONS ? readFile(file, nowMillis) : null;
-          if (mark != null) {
-            current.put(mark.id(), mark);
+          if (suspension != null) {
+            current.put(suspension.id(), suspension);
           }
         }
-        marks = current;
+        suspensions = current;
       } catch (NoSuchFileException e) {
-        marks = current;
+        suspensions = current;
       } catch (IOException | RuntimeException e) {
-        Log.warn("marks", "left as they were: " + e);
+        Log.warn("marks", "suspensions could not be read, the previous ones stay in force: " + e);
       }
     }
-    removeSettled(nowMillis);
-    return Map.copyOf(marks);
+    removeObsolete(nowMillis);
+    return Map.copyOf(suspensions);
   }
 
-  /** A file that cannot be read now says what it said before, or that its upstream is out. */
+  /** Returns null for an invalid or deleted file, and the fallback if reading fails. */
   private Suspension readFile(Path file, long nowMillis) {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
@@ -63,52 +64,53 @@
       String[] lines = Files.readString(file).split("\n");
       return new Suspension(lines[2], Long.parseLong(lines[0]), Long.parseLong(lines[1]));
     } catch (NoSuchFileException e) {
-      return null; // The other process has just taken it away.
+      return null; // Deleted by the other process in the meantime.
     } catch (CharacterCodingException | RuntimeException e) {
-      Log.warn("marks", file.getFileName() + " is not used: " + e);
+      Log.warn("marks", file.getFileName() + " is ignored: " + e);
       return null;
     } catch (IOException e) {
       Log.warn("marks", file.getFileName() + " cannot be read: " + e);
-      return fallbackMark(file, nowMillis);
+      return fallback(file, nowMillis);
     }
   }
 
-  private Suspension fallbackMark(Path file, long nowMillis) {
+  /** What was last read from the file or, if it was never read, that its upstream is suspended. */
+  private Suspension fallback(Path file, long nowMillis) {
     try {
       byte[] bytes = Base64.getUrlDecoder().decode(file.getFileName().toString().substring(2));
       String id = new String(bytes, UTF_8);
-      Suspension lastRead = marks.get(id);
+      Suspension lastRead = suspensions.get(id);
       return lastRead != null ? lastRead : Suspension.suspend(null, id, nowMillis);
     } catch (IllegalArgumentException e) {
-      return null; // Its name is none of ours.
+      return null; // Not a file written by this class.
     }
   }
 
-  private void removeSettled(long nowMillis) {
-    for (Suspension mark : Map.copyOf(marks).values()) {
-      if (mark.isObsolete(nowMillis)) {
-        marks.remove(mark.id());
+  private void removeObsolete(long nowMillis) {
+    for (Suspension suspension : Map.copyOf(suspensions).values()) {
+      if (suspension.isObsolete(nowMillis)) {
+        suspensions.remove(suspension.id());
         if (folder != null) {
           try {
-            Files.deleteIfExists(file(mark.id()));
+            Files.deleteIfExists(file(suspension.id()));
           } catch (IOException e) {
-            Log.warn("marks", "a settled one stays: " + e);
+            Log.warn("marks", "file of an obsolete suspension could not be deleted: " + e);
           }
         }
       }
     }
   }
 
-  /** Takes an upstream out; returns only once every process of the balancer will know. */
+  /** Suspends an upstream; all processes of the balancer can see it when this returns. */
   void suspend(String id, long nowMillis) throws IOException {
     Map<String, Suspension> current = read(nowMillis);
     if (current.size() >= Rotation.MAX_SUSPENSIONS && !current.containsKey(id)) {
-      throw new IOException("more than " + Rotation.MAX_SUSPENSIONS + " are out");
+      throw new IOException("more than " + Rotation.MAX_SUSPENSIONS + " upstreams are suspended");
     }
     write(Suspension.suspend(current.get(id), id, nowMillis));
   }
 
-  /** Puts an upstream back that may be out. */
+  /** Resumes an upstream if it is suspended. */
   void resume(String id, long nowMillis) throws IOException {
     Suspension resumed = Suspension.resume(read(nowMillis).get(id), nowMillis);
     if (resumed != null) {
@@ -116,16 +118,22 @@
     }
   }
 
-  private void write(Suspension mark) throws IOException {
+  private void write(Suspension suspension) throws IOException {
     if (folder != null) {
       Files.createDirectories(folder);
-      String text = mark.suspendedMillis() + "\n" + mark.resumedMillis() + "\n" + mark.id() + "\n";
-      AtomicFile.write(file(mark.id()), text.getBytes(UTF_8));
+      String text =
+          suspension.suspendedMillis()
+              + "\n"
+              + suspension.resumedMillis()
+              + "\n"
+              + suspension.id()
+              + "\n";
+      AtomicFile.write(file(suspension.id()), text.getBytes(UTF_8));
     }
-    marks.put(mark.id(), mark);
+    suspensions.put(suspension.id(), suspension);
   }
 
-  /** Ids come from discovery and may hold anything; a name of a file may not. */
+  /** The id is encoded because it may contain characters that a file name may not. */
   private Path file(String id) {
     byte[] bytes = id.getBytes(UTF_8);
     return folder.resolve("u-" + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -212,11 +212,11 @@
   }
 
   @Override
-  public void onEnd(DiscoveryCall call, String reason, ListUpdate how) {
+  public void onEnd(DiscoveryCall call, String reason, ListUpdate outcome) {
     if (stopped || (call != watch && call != pendingWatch && call != fetch)) {
       return;
     }
-    boolean watchTimedOut = call == watch && how == ListUpdate.SILENT;
+    boolean watchTimedOut = call == watch && outcome == ListUpdate.SILENT;
     if (call == fetch) {
       fetch = null;
     } else if (call == watch) {
@@ -234,7 +234,7 @@
         return; // The list ages from its last line; the next call shows why the watch was silent.
       }
     }
-    dispatcher.onDiscoveryFailed(how);
+    dispatcher.onDiscoveryFailed(outcome);
   }
 
   private void reopenWatch() {
@@ -254,13 +254,13 @@
     if (call.isTo(address)) {
       revision = list.revision();
     }
-    dispatcher.onServers(form(call, list), list.entries());
+    dispatcher.onServers(updateType(call, list), list.entries());
     onConfirmed(call);
     firstList.countDown();
   }
 
   /** Changes from an address that is no longer in use answer no call of the module. */
-  private ListUpdate form(DiscoveryCall call, DiscoveryList list) {
+  private ListUpdate updateType(DiscoveryCall call, DiscoveryList list) {
     if (list.whole()) {
       return ListUpdate.FULL;
     }
