--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -19,7 +19,7 @@
  * discovery where the balancer has to subscribe itself.
  */
 final class Membership {
-  /** Share of its fair part of the traffic, scaled by its warm-up, that a cold server gets. */
+  /** A cold server gets at most this share of its fair part of the traffic, times its warm-up. */
   static final double COLD_BUDGET_SHARE = 0.9;
 
   Settings settings;
--- a/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
+++ b/src/test/java/heathswitch/policy/core/SimultaneousFailuresTest.java
@@ -12,7 +12,7 @@
 
 /** 200 calls in flight to one server fail together, as the streams of one connection do. */
 class SimultaneousFailuresTest {
-  /** Sends so many calls to one server at once, after enough answers to grow its window. */
+  /** Sends as many calls to one server at once, after enough answers to grow its window. */
   private static List<BalancerHarness.Sent> openFlight(BalancerHarness harness, int size) {
     harness.readyServers(1);
     long id = 0;
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Ejected once it is back after half a second; ejected 200 times, only after eight seconds. */
+  /** One ejection lasts half a second; 200 of them would keep the server out for eight seconds. */
   @ParameterizedTest
   @EnumSource(
       value = Outcome.class,
--- a/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
+++ b/src/test/java/heathswitch/policy/core/SubsetRoleTest.java
@@ -112,7 +112,7 @@
       toSpare += i >= 200 && sent.server() > 3 ? 1 : 0;
       harness.outcome(sent, sent.server() > 3 ? Outcome.OK : Outcome.ERROR, true);
     }
-    assertTrue(toSpare > 150, toSpare + " of 200 to others");
+    assertTrue(toSpare > 150, toSpare + " of 200 to spare servers");
     assertTrue(
         sharesOf(600).keySet().containsAll(Set.of(1L, 2L, 3L)),
         "own servers in use again after recovery");
