--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -19,7 +19,7 @@
  * discovery where the balancer has to subscribe itself.
  */
 final class Membership {
-  /** Share of its fair part of the traffic, scaled by its warm-up, that a cold server gets. */
+  /** A cold server gets at most this share of its fair part of the traffic, times its warm-up. */
   static final double COLD_BUDGET_SHARE = 0.9;
 
   Settings settings;
@@ -342,7 +342,7 @@
     return request.maySendTo(server, nowNanos) ? server : null;
   }
 
-  /** Share of its full capacity that a cold server has at least, from its start to its warm-up. */
+  /** Share of its full capacity that a cold server is assumed to have at present. */
   private double warmUpShare(Server server, long nowNanos) {
     double start = settings.obligations().startCapacity();
     double age = (double) (nowNanos - server.coldSinceNanos) / settings.obligations().warmUpNanos();
--- a/src/test/java/heathswitch/policy/core/DelayWindowTest.java
+++ b/src/test/java/heathswitch/policy/core/DelayWindowTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Sequences worked out by hand from Equation 2. */
+/** Sequences calculated by hand from Equation 2 of the paper. */
 class DelayWindowTest {
   private final DelayWindow window = new DelayWindow();
 
@@ -15,7 +15,7 @@
   }
 
   @Test
-  void slowStartGrowsByOneForEachCompletion() {
+  void slowStartGrowsByOnePerCompletion() {
     for (int i = 1; i <= 5; i++) {
       assertFalse(complete(i, 1));
       assertEquals(DelayWindow.INITIAL + i, window.window());
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void afterACutGrowsByOneToTheThresholdAndByOneOverWAfterIt() {
+  void growsByOneUpToThresholdAndByOneOverWindowBeyond() {
     complete(1, 2); // (2 + 3) / 4 = 1.25; 33
     complete(2, 1.9); // (3.9 + 2) / 4 = 1.475; 34
     assertTrue(complete(3, 2.4)); // bounded at 2: (5.9 + 1) / 4 = 1.725
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void meanOfExactlyTheBoundIsABreach() {
+  void cutsWhenMeanEqualsTheBound() {
     for (int i = 1; i <= 3; i++) {
       assertFalse(complete(i, 1.5)); // (1.5 i + 4 - i) / 4 < 1.5
     }
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void theFirstHeavyCallAloneIsNoBreach() {
+  void doesNotCutOnSingleSlowFirstCall() {
     assertFalse(complete(1, 2.9)); // (2.9 + 3) / 4 = 1.475
   }
 
@@ -74,10 +74,10 @@
   }
 
   @Test
-  void theFlightThatWasCutGrowsTheWindowToTheThresholdIfItComesBackInTime() {
+  void fastCallsSentBeforeACutGrowTheWindowToTheThreshold() {
     window.cut(100);
     assertFalse(window.onCompletion(101, 1, 3, 31));
-    assertEquals(1, window.window(), "a slow one proves nothing");
+    assertEquals(1, window.window(), "a slow call does not grow the window");
     for (int i = 2; i <= 40; i++) {
       assertFalse(window.onCompletion(101, i, 1, 31 - i));
     }
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void normalDelayIsLearnedFromBreachFreeIntervalsOnly() {
+  void normalDelayIsEstimatedFromIntervalsWithoutBreachOnly() {
     for (int i = 0; i < DelayWindow.INTERVAL_COMPLETIONS; i++) {
       complete(i, 1.2);
     }
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void oneHeavyRequestDoesNotCut() {
+  void doesNotCutOnSingleExpensiveRequest() {
     for (int i = 0; i < 5; i++) {
       complete(i, 0.9);
     }
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void anUnusedWindowDoesNotGrow() {
+  void doesNotGrowWhenWindowIsNotUsed() {
     for (int i = 0; i < 50; i++) {
       window.onCompletion(i, i, 1, 1);
     }
@@ -116,18 +116,19 @@
   }
 
   @Test
-  void aServerBetterThanItsPeersIsNotCutForComingBackToThem() {
+  void doesNotCutFastServerThatReturnsToFleetDelay() {
     for (int i = 1; i <= 200; i++) {
       complete(i, 0.6);
     }
     assertTrue(window.normalDelay < 0.7);
     for (int i = 201; i <= 220; i++) {
-      assertFalse(complete(i, 1.1)); // Above 1.5 times its own normal delay, yet the fleet's level.
+      assertFalse(
+          complete(i, 1.1)); // Above 1.5 times its own normal delay, but near the fleet's delay.
     }
   }
 
   @Test
-  void slowStartGoesOnPastTheThresholdWhileBetterThanThePeers() {
+  void slowStartPassesThresholdWhileFasterThanFleet() {
     window.cut(1);
     window.cut(2);
     assertEquals(1, window.slowStartThreshold);
