--- a/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -46,7 +46,7 @@
   /** Modifies the list entries from discovery before they are applied. */
   public interface Overlay {
     /** Returns the entries to use in place of the given ones. */
-    List<Member> apply(ListUpdate form, List<Member> entries);
+    List<Member> apply(ListUpdate update, List<Member> entries);
   }
 
   /** Blocks all sending while it is closed; checked right before the first byte of an attempt. */
@@ -128,7 +128,7 @@
   public void start(Discovery discovery, List<Member> knownMembers) {
     this.discovery = discovery;
     deliverEvent(null, () -> balancer.start(clock.nowNanos()));
-    onServers(ListUpdate.STALE_FULL, knownMembers);
+    onListUpdate(ListUpdate.STALE_FULL, knownMembers);
   }
 
   /** Replaces the settings for new requests. Open requests keep the settings they started with. */
@@ -251,7 +251,7 @@
    */
   public void onRequest(
       Caller caller,
-      RequestClass type,
+      RequestClass requestClass,
       String name,
       String tenant,
       boolean isRetry,
@@ -260,7 +260,7 @@
       Payload payload) {
     LiveRequest request =
         new LiveRequest(
-            nextRequestId++, name, caller, type, payload, clock.nowNanos(), ttlNanos, this);
+            nextRequestId++, name, caller, requestClass, payload, clock.nowNanos(), ttlNanos, this);
     request.maxAttempts = settings.limits().maxAttempts();
     request.retryAfterNanos =
         Math.min(DEFAULT_RETRY_AFTER_NANOS, settings.limits().maxRetryAfterNanos());
@@ -277,14 +277,14 @@
         request,
         () -> {
           balancer.onRequest(
-              clock.nowNanos(), request.id, type.name(), tenant, ttlNanos, isRetry, form);
+              clock.nowNanos(), request.id, requestClass.name(), tenant, ttlNanos, isRetry, form);
           overflowIfHeldBack(request);
         });
   }
 
   /** At the deadline, open attempts time out and the module decides on the answer. */
   private void onDeadline(LiveRequest request) {
-    for (LiveRequest.Attempt attempt : List.copyOf(request.attempts)) {
+    for (LiveRequest.DispatchedAttempt attempt : List.copyOf(request.attempts)) {
       timeOutAttempt(attempt);
     }
     if (!request.completed) {
@@ -300,7 +300,7 @@
    * when it resumes.
    */
   @Override
-  public boolean maySend(LiveRequest.Attempt attempt) {
+  public boolean maySend(LiveRequest.DispatchedAttempt attempt) {
     LiveRequest request = attempt.request;
     return attempt.open
         && !request.completed
@@ -311,7 +311,7 @@
         && (sendGate == null || sendGate.isOpen());
   }
 
-  private void timeOutAttempt(LiveRequest.Attempt attempt) {
+  private void timeOutAttempt(LiveRequest.DispatchedAttempt attempt) {
     if (!attempt.open) {
       return;
     }
@@ -341,8 +341,9 @@
   }
 
   /**
-   * Fails all requests because the process is about to be killed. Requests that are accepted from
-   * now on, for example after a slow upload, are refused at once, as nothing of them has run.
+   * Fails all requests without waiting for decisions, for example because the process is about to
+   * be killed. Requests that are accepted from now on, such as those whose body was slow to arrive,
+   * are refused at once, as nothing of them has run.
    */
   public void failAll() {
     refusingAll = true;
@@ -373,12 +374,12 @@
 
   private void cancelAllAttempts(LiveRequest request) {
     deliverEvent(null, () -> balancer.onClientGone(clock.nowNanos(), request.id));
-    for (LiveRequest.Attempt attempt : List.copyOf(request.attempts)) {
+    for (LiveRequest.DispatchedAttempt attempt : List.copyOf(request.attempts)) {
       cancelAttempt(attempt);
     }
   }
 
-  private void cancelAttempt(LiveRequest.Attempt attempt) {
+  private void cancelAttempt(LiveRequest.DispatchedAttempt attempt) {
     if (attempt.open) {
       complete(attempt, Outcome.CANCELLED, null);
       attempt.cancel();
@@ -387,7 +388,7 @@
 
   /** Starts streaming an answer: the request is completed, while its attempt remains open. */
   @Override
-  public boolean beginStreaming(LiveRequest.Attempt attempt) {
+  public boolean beginStreaming(LiveRequest.DispatchedAttempt attempt) {
     LiveRequest request = attempt.request;
     if (!attempt.open || request.completed) {
       return false;
@@ -396,14 +397,14 @@
     long tookNanos = now - Math.max(attempt.sentNanos, request.bodyCompleteNanos);
     attempt.streaming = true;
     if (overflowRouter != null && !attempt.overflow) {
-      overflowRouter.onLocalAnswer(request.type, now - request.bodyCompleteNanos);
+      overflowRouter.onLocalAnswer(request.requestClass, now - request.bodyCompleteNanos);
     }
     markCompleted(request);
     counters.served++;
     deliverEvent(request, () -> balancer.onAnswerBegun(now, request.id, attempt.number, tookNanos));
     // The module has to be told first: if it learned of another attempt's end while it considers
     // the request open, it would cancel this attempt too.
-    for (LiveRequest.Attempt other : List.copyOf(request.attempts)) {
+    for (LiveRequest.DispatchedAttempt other : List.copyOf(request.attempts)) {
       if (other != attempt) {
         cancelAttempt(other); // A caller must not get two answers.
       }
@@ -412,7 +413,7 @@
   }
 
   @Override
-  public void complete(LiveRequest.Attempt attempt, Outcome outcome, Answer answer) {
+  public void complete(LiveRequest.DispatchedAttempt attempt, Outcome outcome, Answer answer) {
     LiveRequest request = attempt.request;
     if (!attempt.open) {
       releaseAnswer(answer);
@@ -442,7 +443,7 @@
       return;
     }
     if (overflowRouter != null && isServed) {
-      overflowRouter.onLocalAnswer(request.type, endNanos - request.bodyCompleteNanos);
+      overflowRouter.onLocalAnswer(request.requestClass, endNanos - request.bodyCompleteNanos);
     }
     deliverEvent(
         request,
@@ -478,8 +479,8 @@
    */
   private boolean sendOverflow(LiveRequest request) {
     long now = clock.nowNanos();
-    // Any number of local attempts that never ran is fine: when a whole site is lost, all attempts
-    // fail within no time.
+    // The number of local attempts that never ran doesn't matter: if a whole site is lost, they
+    // all fail at once.
     if (overflowRouter == null || !request.neverRan || !request.caller.mayOverflow()) {
       return false;
     }
@@ -488,18 +489,21 @@
     }
     Upstream site =
         overflowRouter.chooseSite(
-            request.type, request.payload, request.deadlineNanos - now, request.overflowAttempts);
+            request.requestClass,
+            request.payload,
+            request.deadlineNanos - now,
+            request.overflowAttempts);
     if (site == null) {
       return false;
     }
-    LiveRequest.Attempt attempt =
-        new LiveRequest.Attempt(request, request.attempts.size(), site, now, this);
+    LiveRequest.DispatchedAttempt attempt =
+        new LiveRequest.DispatchedAttempt(request, request.attempts.size(), site, now, this);
     attempt.overflow = true;
     request.attempts.add(attempt);
     request.openAttempts++;
     request.overflowAttempts++;
     site.inFlight++;
-    if (!overflowRouter.start(attempt, request.type, request.payload)) {
+    if (!overflowRouter.start(attempt, request.requestClass, request.payload)) {
       complete(attempt, Outcome.MOOT, null);
     }
     return true;
@@ -509,10 +513,12 @@
    * Ends an attempt at another site. A request that never ran is forwarded once more or refused;
    * otherwise the request's effect decides between refusal and failure.
    */
-  private void onOverflowEnded(LiveRequest.Attempt attempt, Outcome outcome, long nowNanos) {
+  private void onOverflowEnded(
+      LiveRequest.DispatchedAttempt attempt, Outcome outcome, long nowNanos) {
     LiveRequest request = attempt.request;
     request.openAttempts--;
-    overflowRouter.onEnd(attempt.upstream(), request.type, outcome, nowNanos - attempt.sentNanos);
+    overflowRouter.onEnd(
+        attempt.upstream(), request.requestClass, outcome, nowNanos - attempt.sentNanos);
     if (!request.completed && outcome == Outcome.RESET && isSafe(request)) {
       request.neverRan = true; // A safe request may run twice, so it survives a lost link.
     }
@@ -527,7 +533,7 @@
   }
 
   private static boolean isSafe(LiveRequest request) {
-    return request.type.effect() == RequestClass.Effect.SAFE;
+    return request.requestClass.effect() == RequestClass.Effect.SAFE;
   }
 
   private static void releaseAnswer(Answer answer) {
@@ -552,8 +558,8 @@
 
   // ---- updates from discovery ----
 
-  public void onServers(ListUpdate form, List<Member> entries) {
-    applyOverlays(0, form, entries);
+  public void onListUpdate(ListUpdate update, List<Member> entries) {
+    applyOverlays(0, update, entries);
   }
 
   /**
@@ -565,15 +571,15 @@
     applyOverlays(overlays.indexOf(overlay) + 1, ListUpdate.UNSOLICITED_DELTA, entries);
   }
 
-  private void applyOverlays(int firstOverlay, ListUpdate form, List<Member> entries) {
+  private void applyOverlays(int firstOverlay, ListUpdate update, List<Member> entries) {
     List<Member> members = entries;
     for (Overlay overlay : overlays.subList(firstOverlay, overlays.size())) {
-      members = overlay.apply(form, members);
+      members = overlay.apply(update, members);
     }
-    applyList(form, members);
+    applyList(update, members);
   }
 
-  private void applyList(ListUpdate form, List<Member> entries) {
+  private void applyList(ListUpdate update, List<Member> entries) {
     Set<Upstream> listed = new HashSet<>();
     List<ServerEntry> serverEntries = new ArrayList<>();
     for (Member entry : entries) {
@@ -582,7 +588,7 @@
       updateUpstream(upstream, entry);
       serverEntries.add(entry.toServerEntry(upstream.id));
     }
-    if (form.isFull()) {
+    if (update.isFull()) {
       for (Upstream upstream : upstreams.values()) {
         if (!listed.contains(upstream)) {
           upstream.outOfService = true;
@@ -591,7 +597,7 @@
         }
       }
     }
-    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), form, serverEntries));
+    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), update, serverEntries));
     upstreams.values().removeIf(this::forgetIfUnused);
   }
 
@@ -634,10 +640,10 @@
   /**
    * Reports that a call to discovery failed or its watch broke.
    *
-   * @param form the kind of failure
+   * @param failure the kind of failure
    */
-  public void onDiscoveryFailed(ListUpdate form) {
-    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), form, List.of()));
+  public void onDiscoveryFailed(ListUpdate failure) {
+    deliverEvent(null, () -> balancer.onListUpdate(clock.nowNanos(), failure, List.of()));
   }
 
   /** Limits how long a list is valid without being confirmed. */
@@ -662,11 +668,12 @@
     LiveRequest request = requests.get(requestId);
     Upstream upstream = upstreamsById.get(serverId);
     if (request == null || upstream == null) {
-      throw new IllegalStateException("send of " + requestId + " to " + serverId);
+      throw new IllegalStateException(
+          "unknown request or server: send request " + requestId + " to server " + serverId);
     }
     long now = clock.nowNanos();
-    LiveRequest.Attempt attempt =
-        new LiveRequest.Attempt(request, request.attempts.size(), upstream, now, this);
+    LiveRequest.DispatchedAttempt attempt =
+        new LiveRequest.DispatchedAttempt(request, request.attempts.size(), upstream, now, this);
     request.attempts.add(attempt);
     request.openAttempts++;
     RequestLog.logRetry(request, now);
--- a/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
+++ b/src/main/java/heathswitch/proxy/dispatch/LiveRequest.java
@@ -16,11 +16,11 @@
 final class LiveRequest implements RequestHandle {
   /** Receives the events of a request and its attempts. */
   interface Listener {
-    boolean beginStreaming(Attempt attempt);
+    boolean beginStreaming(DispatchedAttempt attempt);
 
-    void complete(Attempt attempt, Outcome outcome, Answer answer);
+    void complete(DispatchedAttempt attempt, Outcome outcome, Answer answer);
 
-    boolean maySend(Attempt attempt);
+    boolean maySend(DispatchedAttempt attempt);
 
     void callerGone(LiveRequest request);
 
@@ -28,7 +28,7 @@
   }
 
   /** One attempt of a request. */
-  static final class Attempt extends heathswitch.proxy.spi.Attempt {
+  static final class DispatchedAttempt extends heathswitch.proxy.spi.Attempt {
     final LiveRequest request;
     final int number;
     final long sentNanos;
@@ -47,7 +47,8 @@
 
     Future<?> timeout;
 
-    Attempt(LiveRequest request, int number, Upstream upstream, long sentNanos, Listener listener) {
+    DispatchedAttempt(
+        LiveRequest request, int number, Upstream upstream, long sentNanos, Listener listener) {
       super(upstream);
       this.request = request;
       this.number = number;
@@ -87,7 +88,7 @@
   final String name;
 
   final Caller caller;
-  final RequestClass type;
+  final RequestClass requestClass;
   final Payload payload;
   final long arrivedNanos;
   long deadlineNanos;
@@ -96,7 +97,7 @@
   long bodyCompleteNanos;
 
   private final Listener listener;
-  final List<Attempt> attempts = new ArrayList<>(2);
+  final List<DispatchedAttempt> attempts = new ArrayList<>(2);
   int openAttempts;
   boolean completed;
 
@@ -127,7 +128,7 @@
       long id,
       String name,
       Caller caller,
-      RequestClass type,
+      RequestClass requestClass,
       Payload payload,
       long nowNanos,
       long ttlNanos,
@@ -136,7 +137,7 @@
     this.id = id;
     this.name = name;
     this.caller = caller;
-    this.type = type;
+    this.requestClass = requestClass;
     this.payload = payload;
     this.arrivedNanos = nowNanos;
     this.bodyCompleteNanos = nowNanos;
--- a/src/main/java/heathswitch/proxy/dispatch/OverflowRouter.java
+++ b/src/main/java/heathswitch/proxy/dispatch/OverflowRouter.java
@@ -16,15 +16,16 @@
    * Chooses a site for a request, or returns null for none.
    *
    * @param leftNanos the time left until the caller's deadline
-   * @param tries how often the request has been forwarded before
+   * @param earlierAttempts how often the request has been forwarded before
    */
-  Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries);
+  Upstream chooseSite(
+      RequestClass requestClass, Payload payload, long leftNanos, int earlierAttempts);
 
   /** Starts an attempt at a chosen site; returns false if nothing was sent. */
-  boolean start(Attempt attempt, RequestClass type, Payload payload);
+  boolean start(Attempt attempt, RequestClass requestClass, Payload payload);
 
   /** Reports the end of an attempt; called once for each chosen site. */
-  void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos);
+  void onEnd(Upstream site, RequestClass requestClass, Outcome outcome, long tookNanos);
 
   /**
    * Reports that a request was refused by the local servers.
@@ -38,5 +39,5 @@
    *
    * @param tookNanos the time since the request was complete
    */
-  void onLocalAnswer(RequestClass type, long tookNanos);
+  void onLocalAnswer(RequestClass requestClass, long tookNanos);
 }
--- a/src/main/java/heathswitch/proxy/dispatch/RequestLog.java
+++ b/src/main/java/heathswitch/proxy/dispatch/RequestLog.java
@@ -38,7 +38,7 @@
         request.attempts.stream().map(RequestLog::formatAttempt).collect(Collectors.joining(", "));
     return request.name.substring(0, Math.min(MAX_NAME_CHARS, request.name.length()))
         + " ("
-        + request.type.name()
+        + request.requestClass.name()
         + ") after "
         + TimeUnit.NANOSECONDS.toMillis(nowNanos - request.arrivedNanos)
         + " ms, left "
@@ -50,7 +50,8 @@
         + "]";
   }
 
-  private static String formatAttempt(LiveRequest.Attempt attempt) {
-    return attempt.upstream().name + (attempt.outcome == null ? " out" : " " + attempt.outcome);
+  private static String formatAttempt(LiveRequest.DispatchedAttempt attempt) {
+    return attempt.upstream().name
+        + (attempt.outcome == null ? " in flight" : " " + attempt.outcome);
   }
 }
--- a/src/main/java/heathswitch/proxy/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -177,7 +177,7 @@
       slice.add(queue.poll());
     }
     try {
-      dispatcher.onServers(ListUpdate.DELTA, slice);
+      dispatcher.onListUpdate(ListUpdate.DELTA, slice);
     } catch (RuntimeException e) {
       Log.error("members", "a slice could not be told", e);
     }
--- a/src/main/java/heathswitch/proxy/node/Shutdown.java
+++ b/src/main/java/heathswitch/proxy/node/Shutdown.java
@@ -19,7 +19,7 @@
  * answered in time. The process exits with code 0 when all accepted requests have been answered.
  */
 public final class Shutdown {
-  /** Longer than the load balancer in front may still send new connections. */
+  /** Exceeds the time for which the load balancer in front may still send new connections. */
   static final long STOP_LISTENING_MILLIS = 550;
 
   /**
--- a/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
+++ b/src/main/java/heathswitch/proxy/platform/DiscoveryClient.java
@@ -190,7 +190,7 @@
     }
     if (watch != null && watch.isTo(address)) {
       // The open watch goes on. It has received nothing just now that would confirm the list.
-      dispatcher.onServers(ListUpdate.DELTA, List.of());
+      dispatcher.onListUpdate(ListUpdate.DELTA, List.of());
       return;
     }
     String cause = keepsWatch ? "kept up" : "asked";
@@ -254,7 +254,7 @@
     if (call.isTo(address)) {
       revision = list.revision();
     }
-    dispatcher.onServers(updateType(call, list), list.entries());
+    dispatcher.onListUpdate(updateType(call, list), list.entries());
     onConfirmed(call);
     firstList.countDown();
   }
--- a/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
+++ b/src/main/java/heathswitch/testbed/explore/DispatchHarness.java
@@ -149,8 +149,9 @@
     private final Upstream site = new Upstream(-1, "far");
 
     @Override
-    public Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries) {
-      if (noOverflowSite || tries >= MAX_OVERFLOW_ATTEMPTS || leftNanos <= 0) {
+    public Upstream chooseSite(
+        RequestClass type, Payload payload, long leftNanos, int earlierAttempts) {
+      if (noOverflowSite || earlierAttempts >= MAX_OVERFLOW_ATTEMPTS || leftNanos <= 0) {
         return null;
       }
       overflowInFlight++;
@@ -163,7 +164,7 @@
     }
 
     @Override
-    public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
+    public void onEnd(Upstream endedSite, RequestClass type, Outcome outcome, long tookNanos) {
       if (--overflowInFlight < 0) {
         violations.add(Invariant.OVERFLOW_ROUTER_NOTIFIED);
       }
@@ -541,7 +542,7 @@
 
   private void updateFirstServer(Health newHealth) {
     health[0] = newHealth;
-    dispatcher.onServers(ListUpdate.DELTA, members().subList(0, 1));
+    dispatcher.onListUpdate(ListUpdate.DELTA, members().subList(0, 1));
   }
 
   // ---- at rest ----
