--- a/src/main/java/heathswitch/proxy/http1/ClientListener.java
+++ b/src/main/java/heathswitch/proxy/http1/ClientListener.java
@@ -27,9 +27,9 @@
   private static final long TICK_MILLIS = 200;
 
   /**
-   * How long a shutdown waits for the first request on a new connection. If a connection that
-   * already carried an answer is closed while a request is in flight, the client sends that request
-   * again; on a new connection the request would be lost.
+   * How long a drain or a shutdown waits for the first request on a new connection. If a connection
+   * that already carried an answer is closed while a request is in flight, the client sends that
+   * request again; on a new connection the request would be lost.
    */
   private static final long FIRST_REQUEST_GRACE_NANOS = 300_000_000L;
 
--- a/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/http1/UpstreamConnectionPool.java
@@ -164,8 +164,8 @@
     if (Channels.hasSocket(connectFuture.channel())) {
       connectFuture.channel().closeFuture().addListener(closed -> budget.connectionClosed());
     } else {
-      budget.connectionClosed(); // Without a socket, Netty returns a failed channel that never
-      // closes.
+      // Without a socket, Netty returns a failed channel that never closes.
+      budget.connectionClosed();
     }
     connection.startConnecting(connectFuture, attempt, payload);
   }
