--- a/src/main/java/heathswitch/policy/core/Balancer.java
+++ b/src/main/java/heathswitch/policy/core/Balancer.java
@@ -75,9 +75,16 @@
   private ActiveSettings settings;
   private final Map<Long, Request> requests = new HashMap<>();
   private final EntryWindow entryWindow = new EntryWindow();
+
+  /** Requests that wait for a server with room. */
   private final ArrayDeque<Request> queue = new ArrayDeque<>();
+
+  /** Attempts that may be hedged once they are overdue, oldest first. */
   private final ArrayDeque<Request.Attempt> hedgeCandidates = new ArrayDeque<>();
+
+  /** When the next sweep is due; Long.MAX_VALUE for none. */
   private long sweepDueNanos = Long.MAX_VALUE;
+
   private double retryTokens = RETRY_BUDGET_BURST;
   private double fleetErrorRate;
 
--- a/src/main/java/heathswitch/policy/core/Membership.java
+++ b/src/main/java/heathswitch/policy/core/Membership.java
@@ -27,9 +27,16 @@
   private final SplittableRandom random;
   final Map<Long, Server> servers = new HashMap<>();
   private final List<Server> cold = new ArrayList<>();
+
+  /** Servers in the balancer's zone or subset. */
   final WorkingSet near;
+
+  /** Servers in other zones. */
   final WorkingSet far;
+
+  /** Servers outside the balancer's subset. */
   final WorkingSet spare;
+
   private int coldIndex;
   private double maxWeight = 1;
   private final DiscoveryBackoff backoff;
@@ -38,7 +45,10 @@
   /** Null where a list is valid until the next one arrives. */
   private ListLease lease;
 
+  /** Whether discovery has answered a call and the subscription has not failed since. */
   private boolean subscribed;
+
+  /** Whether a call to discovery is in flight. */
   private boolean calling;
 
   /** Whether the address of discovery changed at firstMoveNanos and was not called since. */
--- a/src/main/java/heathswitch/policy/core/Request.java
+++ b/src/main/java/heathswitch/policy/core/Request.java
@@ -12,7 +12,10 @@
     final int number;
     final long sentNanos;
     final long overdueNanos;
+
+    /** Whether the attempt is in flight. */
     boolean open = true;
+
     boolean answerBegun;
     boolean mayHaveRun;
 
@@ -38,7 +41,10 @@
   Attempt[] attempts = new Attempt[2];
   int attemptCount;
   int openAttempts;
+
+  /** Whether the request has its final answer, or its answer has begun. */
   boolean finished;
+
   boolean queued;
   long queuedUntilNanos;
 
--- a/src/main/java/heathswitch/policy/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -20,7 +20,10 @@
   final long id;
   String zone;
   long cell;
+
+  /** Whether it is in the balancer's zone or subset. */
   boolean near;
+
   SubsetRole role = SubsetRole.ANY;
   Health health = Health.GONE;
 
@@ -57,7 +60,7 @@
 
   double errorRate;
 
-  /** Calls that the server may take now while it is cold. */
+  /** Token bucket of the calls that the server may take while it is cold. */
   double coldTokens;
 
   long coldFilledNanos;
--- a/src/test/java/heathswitch/policy/EmbeddingTest.java
+++ b/src/test/java/heathswitch/policy/EmbeddingTest.java
@@ -45,7 +45,7 @@
     Actions actions =
         new Actions() {
           @Override
-          public void send(long requestId, long serverId, long notPastNanos) {
+          public void send(long requestId, long serverId, long attemptDeadlineNanos) {
             calls.add("send " + requestId + " to " + serverId);
           }
 
