--- a/src/main/java/heathswitch/policy/gossip/Gossip.java
+++ b/src/main/java/heathswitch/policy/gossip/Gossip.java
@@ -56,7 +56,7 @@
   private static final int MOST_RELAYED = 256;
 
   private static final class Held {
-    Word word;
+    PeerRecord word;
     int told;
     long sinceNanos;
 
@@ -69,7 +69,7 @@
     /** Who suspects it, as far as was heard. */
     final Set<String> witnesses = new HashSet<>();
 
-    Held(Word word, long nowNanos) {
+    Held(PeerRecord word, long nowNanos) {
       this.word = word;
       sinceNanos = nowNanos;
       spanNanos = Long.MAX_VALUE;
@@ -94,7 +94,7 @@
   /** A probe on behalf of somebody. */
   private record Relayed(long number, String to, long untilNanos) {}
 
-  private final Pace pace;
+  private final GossipTiming pace;
   private final SplittableRandom random;
   private final List<String> seeds;
   private final Map<String, Held> peers = new TreeMap<>();
@@ -106,7 +106,7 @@
   private final ArrayDeque<String> round = new ArrayDeque<>();
 
   private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
-  private Word self;
+  private PeerRecord self;
   private int selfTold;
   private Probe probe;
   private long numbers;
@@ -128,7 +128,7 @@
    * @param self what it says of itself at first
    * @param seeds addresses to begin with; its own may be among them
    */
-  public Gossip(Pace pace, Word self, List<String> seeds, long seed) {
+  public Gossip(GossipTiming pace, PeerRecord self, List<String> seeds, long seed) {
     this.pace = pace;
     this.self = self;
     this.seeds = List.copyOf(seeds);
@@ -138,8 +138,8 @@
   // ---- what is asked of it ----
 
   /** Those that count as there, itself among them, by name. */
-  public List<Word> there() {
-    List<Word> there = new ArrayList<>();
+  public List<PeerRecord> presentPeers() {
+    List<PeerRecord> there = new ArrayList<>();
     for (Held each : peers.values()) {
       if (each.word.standing().there()) {
         there.add(each.word);
@@ -148,12 +148,12 @@
     if (!left) {
       there.add(self);
     }
-    there.sort(Comparator.comparing(Word::name));
+    there.sort(Comparator.comparing(PeerRecord::name));
     return there;
   }
 
   /** All that is held of others, those that are gone among them. */
-  public Collection<Word> held() {
+  public Collection<PeerRecord> held() {
     return peers.values().stream().map(each -> each.word).toList();
   }
 
@@ -164,7 +164,7 @@
    * @param suspects who said that they had no answer from it, while it is suspected
    * @param tripNanos its last answer took so long, or -1
    */
-  public record Seen(Word word, long sinceNanos, List<String> suspects, long tripNanos) {}
+  public record Seen(PeerRecord word, long sinceNanos, List<String> suspects, long tripNanos) {}
 
   /** All that is held of others, by name. */
   public List<Seen> seen() {
@@ -176,7 +176,7 @@
   }
 
   /** What it says of itself. */
-  public Word self() {
+  public PeerRecord self() {
     return self;
   }
 
@@ -191,14 +191,14 @@
   }
 
   /** Says something new of itself. */
-  public void facts(Facts facts) {
+  public void facts(PeerAttributes facts) {
     self =
-        new Word(
+        new PeerRecord(
             self.name(),
             self.address(),
             self.process(),
             self.incarnation() + 1,
-            Standing.ALIVE,
+            PeerStatus.ALIVE,
             facts);
     selfTold = 0;
   }
@@ -241,7 +241,7 @@
    */
   private void woke(long slept) {
     for (Held each : peers.values()) {
-      if (each.word.standing() == Standing.SUSPECT) {
+      if (each.word.standing() == PeerStatus.SUSPECT) {
         each.sinceNanos += slept + pace.periodNanos();
       }
     }
@@ -249,7 +249,7 @@
     relayed.clear();
     slowness = Math.min(MOST_SLOWNESS, slowness + 1);
     // It is likely suspected: it says that it is there before it is asked.
-    facts(self.facts());
+    facts(self.attributes());
     nextNanos = tickedNanos;
     probesToSync = 0;
   }
@@ -283,7 +283,7 @@
         }
       }
       List<String> names = new ArrayList<>();
-      there().forEach(each -> names.add(each.name()));
+      presentPeers().forEach(each -> names.add(each.name()));
       names.remove(self.name());
       for (int i = names.size() - 1; i > 0; i--) {
         Collections.swap(names, i, random.nextInt(i + 1));
@@ -315,7 +315,7 @@
   private List<Held> some(int many, String but) {
     List<Held> able = new ArrayList<>();
     for (Held each : peers.values()) {
-      if (each.word.standing() == Standing.ALIVE && !each.word.name().equals(but)) {
+      if (each.word.standing() == PeerStatus.ALIVE && !each.word.name().equals(but)) {
         able.add(each);
       }
     }
@@ -332,12 +332,12 @@
       return;
     }
     Held target = peers.get(probe.name);
-    int asked = Math.min(pace.relays(), Math.max(0, there().size() - 2));
+    int asked = Math.min(pace.relays(), Math.max(0, presentPeers().size() - 2));
     if (asked > 0 && probe.nacks < asked) {
       slowness = Math.min(MOST_SLOWNESS, slowness + 1); // Not even those who tried answer.
     }
-    if (target != null && target.word.standing() == Standing.ALIVE) {
-      take(target.word.as(Standing.SUSPECT), self.name(), tickedNanos);
+    if (target != null && target.word.standing() == PeerStatus.ALIVE) {
+      take(target.word.as(PeerStatus.SUSPECT), self.name(), tickedNanos);
     } else if (target != null) {
       witness(target, self.name());
     }
@@ -347,9 +347,9 @@
   private void suspicions(long nowNanos) {
     for (Held each : List.copyOf(peers.values())) {
       long age = nowNanos - each.sinceNanos;
-      if (each.word.standing() == Standing.SUSPECT) {
+      if (each.word.standing() == PeerStatus.SUSPECT) {
         if (age > each.spanNanos) {
-          take(each.word.as(Standing.DEAD), self.name(), nowNanos);
+          take(each.word.as(PeerStatus.DEAD), self.name(), nowNanos);
         }
       } else if (!each.word.standing().there() && age > pace.forgetNanos()) {
         peers.remove(each.word.name());
@@ -362,7 +362,7 @@
     if (held.witnesses.size() > WITNESSES || !held.witnesses.add(by)) {
       return false;
     }
-    int size = there().size();
+    int size = presentPeers().size();
     double least = pace.suspicionPeriods() * Math.max(1, Math.log10(size)) * pace.periodNanos();
     int wanted = Math.min(WITNESSES, Math.max(1, size - 2));
     int confirm = Math.min(wanted, held.witnesses.size() - 1);
@@ -387,7 +387,7 @@
     if (left) {
       return;
     }
-    for (Word word : message.news()) {
+    for (PeerRecord word : message.news()) {
       heard(word, from, nowNanos);
     }
     if (message instanceof Message.Ping ping) {
@@ -416,7 +416,7 @@
     if (differs || sync.wanted()) {
       probesToSync = 1; // What one did not know others may not know either.
       boolean back = differs;
-      for (List<Word> words : all()) {
+      for (List<PeerRecord> words : all()) {
         wire.send(from, new Message.Sync(0, back, words));
         back = false;
       }
@@ -433,7 +433,7 @@
     return digest == 0 ? 1 : digest;
   }
 
-  private static long mixed(Word word) {
+  private static long mixed(PeerRecord word) {
     long both = (long) word.name().hashCode() << 32 ^ word.process();
     return new SplittableRandom(both + word.incarnation() * 0x9e3779b97f4a7c15L).nextLong();
   }
@@ -452,7 +452,7 @@
     }
   }
 
-  private void heard(Word word, String from, long nowNanos) {
+  private void heard(PeerRecord word, String from, long nowNanos) {
     if (word.name().equals(self.name())) {
       ofMyself(word);
       return;
@@ -461,7 +461,7 @@
   }
 
   /** Only it can say that it is there; and it does so to whatever else is said of it. */
-  private void ofMyself(Word word) {
+  private void ofMyself(PeerRecord word) {
     boolean elsewhere = !word.address().equals(self.address());
     if (word.process() != self.process() && elsewhere && word.standing().there()) {
       // Another process by this name. One of the two keeps still until the other is gone.
@@ -471,7 +471,7 @@
         return; // Else it has to hear of this one, and others pass on the latest word alone.
       }
     }
-    boolean other = word.standing() != Standing.ALIVE || word.process() != self.process();
+    boolean other = word.standing() != PeerStatus.ALIVE || word.process() != self.process();
     if (doubled) {
       // The other one has gone, or it is this one that the others hold: it may be heard.
       doubled = false;
@@ -479,26 +479,26 @@
     }
     if (other && word.incarnation() >= self.incarnation()) {
       self =
-          new Word(
+          new PeerRecord(
               self.name(),
               self.address(),
               self.process(),
               word.incarnation() + 1,
-              Standing.ALIVE,
-              self.facts());
+              PeerStatus.ALIVE,
+              self.attributes());
       selfTold = 0;
       slowness = Math.min(MOST_SLOWNESS, slowness + 1);
     }
   }
 
-  private void take(Word word, String from, long nowNanos) {
+  private void take(PeerRecord word, String from, long nowNanos) {
     Held held = peers.get(word.name());
     if (held == null) {
       if (peers.size() < MOST_PEERS) {
         // One that is gone is held, too: older news of it may still be on their way.
         Held fresh = new Held(word, nowNanos);
         peers.put(word.name(), fresh);
-        if (word.standing() == Standing.SUSPECT) {
+        if (word.standing() == PeerStatus.SUSPECT) {
           witness(fresh, from);
         }
         // Asked soon, at a place in the round that nobody foresees.
@@ -515,12 +515,12 @@
         held.witnesses.clear();
         held.spanNanos = Long.MAX_VALUE;
       }
-      if (step && word.standing() == Standing.SUSPECT) {
+      if (step && word.standing() == PeerStatus.SUSPECT) {
         inRound(word.name(), true); // Asked next, and told: it may only have been slow.
       }
     }
-    if (word.standing() == Standing.SUSPECT
-        && held.word.standing() == Standing.SUSPECT
+    if (word.standing() == PeerStatus.SUSPECT
+        && held.word.standing() == PeerStatus.SUSPECT
         && word.incarnation() == held.word.incarnation()
         && witness(held, from)) {
       held.told = Math.min(held.told, 1); // Worth saying again: somebody else suspects it, too.
@@ -539,10 +539,10 @@
   // ---- what is said ----
 
   /** The least told first; of one that is suspected itself is told first of all. */
-  private List<Word> news(Word to) {
-    List<Word> words = new ArrayList<>();
-    int most = (int) Math.ceil(TIMES * Math.log(there().size() + 1) / Math.log(2));
-    if (to != null && to.standing() == Standing.SUSPECT) {
+  private List<PeerRecord> news(PeerRecord to) {
+    List<PeerRecord> words = new ArrayList<>();
+    int most = (int) Math.ceil(TIMES * Math.log(presentPeers().size() + 1) / Math.log(2));
+    if (to != null && to.standing() == PeerStatus.SUSPECT) {
       words.add(to);
     }
     if (selfTold < most && !doubled) {
@@ -569,13 +569,13 @@
   }
 
   /** All that is known, in messages of bounded size. */
-  private List<List<Word>> all() {
-    List<Word> words = new ArrayList<>();
+  private List<List<PeerRecord>> all() {
+    List<PeerRecord> words = new ArrayList<>();
     if (!doubled) {
       words.add(self);
     }
     peers.values().forEach(each -> words.add(each.word));
-    List<List<Word>> parts = new ArrayList<>();
+    List<List<PeerRecord>> parts = new ArrayList<>();
     for (int from = 0; from < words.size(); from += MOST_NEWS) {
       parts.add(words.subList(from, Math.min(words.size(), from + MOST_NEWS)));
     }
@@ -590,7 +590,7 @@
     List<String> absent = new ArrayList<>(seeds);
     absent.remove(self.address());
     for (Held each : peers.values()) {
-      if (each.word.standing() == Standing.DEAD) {
+      if (each.word.standing() == PeerStatus.DEAD) {
         absent.add(each.word.address());
       } else {
         absent.remove(each.word.address());
@@ -608,14 +608,14 @@
 
   /** Says that it goes; nothing more is sent after it. */
   public void leave(Wire wire) {
-    Word last =
-        new Word(
+    PeerRecord last =
+        new PeerRecord(
             self.name(),
             self.address(),
             self.process(),
             self.incarnation() + 1,
-            Standing.LEFT,
-            self.facts());
+            PeerStatus.LEFT,
+            self.attributes());
     for (Held each : some(pace.relays(), "")) {
       wire.send(each.word.address(), new Message.Sync(0, false, List.of(last)));
     }
--- a/src/main/java/heathswitch/policy/gossip/Pace.java
+++ b/src/main/java/heathswitch/policy/gossip/GossipTiming.java
@@ -11,8 +11,9 @@
  * @param forgetNanos for which one that died or left is remembered, so that old news of it do not
  *     bring it back
  */
-public record Pace(
+public record GossipTiming(
     long periodNanos, long answerNanos, int relays, double suspicionPeriods, long forgetNanos) {
   /** For ways of a few milliseconds. */
-  public static final Pace NEAR = new Pace(1_000_000_000L, 300_000_000L, 3, 6, 300_000_000_000L);
+  public static final GossipTiming NEAR =
+      new GossipTiming(1_000_000_000L, 300_000_000L, 3, 6, 300_000_000_000L);
 }
--- a/src/main/java/heathswitch/policy/gossip/Message.java
+++ b/src/main/java/heathswitch/policy/gossip/Message.java
@@ -4,31 +4,31 @@
 
 /** What peers send each other; every one carries news. */
 public sealed interface Message {
-  List<Word> news();
+  List<PeerRecord> news();
 
   /** Are you there? Meant for the peer of that name alone. */
-  record Ping(long number, String name, List<Word> news) implements Message {
+  record Ping(long number, String name, List<PeerRecord> news) implements Message {
     public Ping {
       news = List.copyOf(news);
     }
   }
 
   /** I am. */
-  record Ack(long number, List<Word> news) implements Message {
+  record Ack(long number, List<PeerRecord> news) implements Message {
     public Ack {
       news = List.copyOf(news);
     }
   }
 
   /** Ask that peer for me. */
-  record Relay(long number, String name, String address, List<Word> news) implements Message {
+  record Relay(long number, String name, String address, List<PeerRecord> news) implements Message {
     public Relay {
       news = List.copyOf(news);
     }
   }
 
   /** I have asked and was not answered in time; so at least my own way to you is good. */
-  record Nack(long number, List<Word> news) implements Message {
+  record Nack(long number, List<PeerRecord> news) implements Message {
     public Nack {
       news = List.copyOf(news);
     }
@@ -40,7 +40,7 @@
    * @param digest of all that is known: who knows other things sends them; 0 for no look
    * @param wanted whether all that the other knows is wanted
    */
-  record Sync(long digest, boolean wanted, List<Word> news) implements Message {
+  record Sync(long digest, boolean wanted, List<PeerRecord> news) implements Message {
     public Sync {
       news = List.copyOf(news);
     }
--- a/src/main/java/heathswitch/policy/gossip/Facts.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerAttributes.java
@@ -9,11 +9,11 @@
  *     counts as the nearest one
  * @param release the latest form that its program knows
  */
-public record Facts(String zone, int tier, double load, int release) {
+public record PeerAttributes(String zone, int tier, double load, int release) {
   /** More than any one process can take; who says more is not believed. */
   public static final double MOST_LOAD = 1e6;
 
-  public Facts {
+  public PeerAttributes {
     load = load >= 0 ? Math.min(load, MOST_LOAD) : 0;
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/Word.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerRecord.java
@@ -6,10 +6,15 @@
  * @param process drawn by each process: two that go by one name differ in it
  * @param incarnation grows with whatever the peer says anew of itself; it alone makes it grow
  */
-public record Word(
-    String name, String address, long process, long incarnation, Standing standing, Facts facts) {
+public record PeerRecord(
+    String name,
+    String address,
+    long process,
+    long incarnation,
+    PeerStatus standing,
+    PeerAttributes attributes) {
   /** Whether this word goes before another of the same peer. */
-  boolean before(Word other) {
+  boolean before(PeerRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
@@ -19,7 +24,7 @@
         : standing.compareTo(other.standing) > 0;
   }
 
-  Word as(Standing now) {
-    return new Word(name, address, process, incarnation, now, facts);
+  PeerRecord as(PeerStatus now) {
+    return new PeerRecord(name, address, process, incarnation, now, attributes);
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/Standing.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerStatus.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.gossip;
 
 /** What is held of a peer; of two words of one incarnation the later one here goes. */
-public enum Standing {
+public enum PeerStatus {
   /** It answers, or somebody says so. */
   ALIVE,
   /** Somebody had no answer from it; it has time to say that it is there. */
--- a/src/main/java/heathswitch/policy/gossip/Doors.java
+++ b/src/main/java/heathswitch/policy/gossip/ReplayGuard.java
@@ -14,7 +14,7 @@
  *
  * <p>The window behind the highest count is that of RFC 4303, appendix A2.
  */
-public final class Doors {
+public final class ReplayGuard {
   /** Senders that are remembered; with one more the door is drawn anew, and all knock again. */
   static final int MOST_SENDERS = 8192;
 
@@ -65,7 +65,7 @@
    *
    * @param draw a number that nobody can foresee, not 0
    */
-  public Doors(LongSupplier draw) {
+  public ReplayGuard(LongSupplier draw) {
     this.draw = draw;
     own = draw.getAsLong();
   }
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -3,7 +3,7 @@
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.gateway.GatewayTable;
 import heathswitch.proxy.gateway.SiteGateway;
-import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.logging.StructuredLog;
 import heathswitch.proxy.maintenance.MaintenanceConfigCheck;
@@ -74,7 +74,7 @@
     } catch (MembersWatcher.CannotStart
         | SiteGateway.CannotStart
         | MaintenanceService.StartException
-        | Peering.CannotStart e) {
+        | GossipService.StartException e) {
       err().println(file + ": " + e.getMessage());
       return 1;
     }
@@ -113,7 +113,7 @@
       out().println(unusable);
     }
     PeersTable peers = result.config().peers();
-    String unread = peers == null ? null : Peering.fault(peers);
+    String unread = peers == null ? null : GossipService.keyFileError(peers);
     if (unread != null) {
       out().println(unread);
     }
--- a/src/main/java/heathswitch/proxy/gossip/Datagram.java
+++ b/src/main/java/heathswitch/proxy/gossip/Datagram.java
@@ -1,11 +1,11 @@
 package heathswitch.proxy.gossip;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import heathswitch.policy.gossip.Doors.Stamp;
-import heathswitch.policy.gossip.Facts;
 import heathswitch.policy.gossip.Message;
-import heathswitch.policy.gossip.Standing;
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerAttributes;
+import heathswitch.policy.gossip.PeerRecord;
+import heathswitch.policy.gossip.PeerStatus;
+import heathswitch.policy.gossip.ReplayGuard.Stamp;
 import heathswitch.proxy.runtime.Addresses;
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
@@ -63,7 +63,7 @@
     }
   }
 
-  byte[] bytes(Keys keys) {
+  byte[] bytes(KeyRing keys) {
     byte[] key = keys.signs().getBytes(StandardCharsets.US_ASCII);
     byte[] body;
     try {
@@ -72,14 +72,14 @@
       throw new IllegalStateException(e); // Nothing but texts and numbers.
     }
     int length = 2 + key.length + 3 * Long.BYTES + body.length;
-    ByteBuffer bytes = ByteBuffer.allocate(length + Keys.SEAL_BYTES);
+    ByteBuffer bytes = ByteBuffer.allocate(length + KeyRing.SEAL_BYTES);
     bytes.put(VERSION).put((byte) key.length).put(key);
     bytes.putLong(stamp.sender()).putLong(stamp.count()).putLong(stamp.receiver()).put(body);
     bytes.put(keys.seal(bytes.array(), length));
     return bytes.array();
   }
 
-  static Datagram read(byte[] bytes, Keys keys) throws Refused {
+  static Datagram read(byte[] bytes, KeyRing keys) throws Refused {
     if (bytes.length > MOST_BYTES) {
       throw new Refused(Refusal.SIZE);
     }
@@ -91,7 +91,7 @@
       byte[] key = new byte[in.get() & 0x7f];
       in.get(key);
       Stamp stamp = new Stamp(in.getLong(), in.getLong(), in.getLong());
-      int length = bytes.length - Keys.SEAL_BYTES;
+      int length = bytes.length - KeyRing.SEAL_BYTES;
       if (in.position() > length) {
         throw new Refused(Refusal.SIZE);
       }
@@ -122,8 +122,8 @@
       list.addAll(List.of("sync", sync.digest(), sync.wanted()));
     }
     List<Object> words = new ArrayList<>();
-    for (Word word : message.news()) {
-      Facts facts = word.facts();
+    for (PeerRecord word : message.news()) {
+      PeerAttributes facts = word.attributes();
       words.add(
           List.of(
               word.name(),
@@ -156,18 +156,18 @@
     return new Datagram(stamp, message, message == null ? in.number() : 0);
   }
 
-  private static List<Word> words(Fields in) {
-    List<Word> words = new ArrayList<>();
+  private static List<PeerRecord> words(Fields in) {
+    List<PeerRecord> words = new ArrayList<>();
     for (Object each : in.list()) {
       Fields word = new Fields((List<?>) each);
       words.add(
-          new Word(
+          new PeerRecord(
               word.text(NAME),
               word.address(),
               word.number(),
               word.number(),
-              Standing.values()[(int) word.upTo(Standing.values().length - 1)],
-              new Facts(
+              PeerStatus.values()[(int) word.upTo(PeerStatus.values().length - 1)],
+              new PeerAttributes(
                   word.text(ZONE),
                   (int) word.upTo(Integer.MAX_VALUE),
                   word.decimal(),
--- a/src/main/java/heathswitch/proxy/gossip/Peering.java
+++ b/src/main/java/heathswitch/proxy/gossip/GossipService.java
@@ -2,12 +2,12 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.policy.gossip.Doors;
-import heathswitch.policy.gossip.Facts;
 import heathswitch.policy.gossip.Gossip;
 import heathswitch.policy.gossip.Message;
-import heathswitch.policy.gossip.Standing;
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerAttributes;
+import heathswitch.policy.gossip.PeerRecord;
+import heathswitch.policy.gossip.PeerStatus;
+import heathswitch.policy.gossip.ReplayGuard;
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.metrics.Metrics;
 import heathswitch.proxy.node.Node;
@@ -35,12 +35,12 @@
  * This balancer's part in the gossip: carries its messages in datagrams, gives it the time, and
  * tells it the load. All of it on the node's event loop but for reading the file of keys.
  */
-public final class Peering implements AutoCloseable {
-  /** Keys that cannot be used, or a socket that cannot be had; the message says why. */
-  public static final class CannotStart extends Exception {
+public final class GossipService implements AutoCloseable {
+  /** KeyRing that cannot be used, or a socket that cannot be had; the message says why. */
+  public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    CannotStart(String message) {
+    StartException(String message) {
       super(message);
     }
   }
@@ -79,10 +79,10 @@
   private final Node node;
   private final PeersTable table;
   private final SecureRandom chance = new SecureRandom();
-  private final Doors doors = new Doors(this::draw);
+  private final ReplayGuard doors = new ReplayGuard(this::draw);
   private final Gossip gossip;
   private final Gossip.Wire wire = this::send;
-  private final KeyFile file;
+  private final KeyFileWatcher file;
 
   /** The last message to each address that does not know this process yet. */
   private final Map<String, Message> waiting =
@@ -99,8 +99,8 @@
   private final Map<InetSocketAddress, String> reached = new LinkedHashMap<>();
 
   private final EnumMap<Datagram.Refusal, Long> refused = new EnumMap<>(Datagram.Refusal.class);
-  private final Map<String, Standing> told = new TreeMap<>();
-  private Keys keys;
+  private final Map<String, PeerStatus> told = new TreeMap<>();
+  private KeyRing keys;
   private Channel socket;
   private long sent;
   private long received;
@@ -113,29 +113,30 @@
   private boolean toldDouble;
 
   /** Reads the keys; {@link #start} must follow. */
-  public Peering(Node node, PeersTable table) throws CannotStart {
+  public GossipService(Node node, PeersTable table) throws StartException {
     this.node = node;
     this.table = table;
     try {
-      keys = Keys.read(table.keys());
-    } catch (Keys.Unusable e) {
-      throw new CannotStart(e.getMessage());
+      keys = KeyRing.read(table.keys());
+    } catch (KeyRing.Unusable e) {
+      throw new StartException(e.getMessage());
     }
-    Facts facts = new Facts(table.zone(), 0, 0, RELEASE);
-    Word self =
-        new Word(table.instance(), table.address(), draw() >>> 11 | 1, 0, Standing.ALIVE, facts);
+    PeerAttributes facts = new PeerAttributes(table.zone(), 0, 0, RELEASE);
+    PeerRecord self =
+        new PeerRecord(
+            table.instance(), table.address(), draw() >>> 11 | 1, 0, PeerStatus.ALIVE, facts);
     gossip = new Gossip(table.pace(), self, table.seeds(), draw());
-    file = new KeyFile(table.keys(), keys, this::rekey);
+    file = new KeyFileWatcher(table.keys(), keys, this::rekey);
     table.ways().forEach((to, by) -> reached.put(by, to));
     node.shutdown().addFinalTask(this::leaveAtEnd);
   }
 
   /** What is wrong with the file of keys, or null. */
-  public static String fault(PeersTable table) {
+  public static String keyFileError(PeersTable table) {
     try {
-      Keys.read(table.keys());
+      KeyRing.read(table.keys());
       return null;
-    } catch (Keys.Unusable e) {
+    } catch (KeyRing.Unusable e) {
       return e.getMessage();
     }
   }
@@ -145,7 +146,7 @@
     return drawn == 0 ? 1 : drawn;
   }
 
-  private void rekey(Keys next) {
+  private void rekey(KeyRing next) {
     try {
       node.loop().execute(() -> keys = next);
     } catch (RejectedExecutionException e) {
@@ -181,8 +182,8 @@
 
   /** Says in the log who comes and goes. */
   private void tell() {
-    for (Word word : gossip.held()) {
-      Standing before = told.put(word.name(), word.standing());
+    for (PeerRecord word : gossip.held()) {
+      PeerStatus before = told.put(word.name(), word.standing());
       if (before != word.standing()) {
         Log.info(
             "peers",
@@ -194,7 +195,7 @@
       }
     }
     if (told.size() > gossip.held().size()) {
-      told.keySet().retainAll(gossip.held().stream().map(Word::name).toList());
+      told.keySet().retainAll(gossip.held().stream().map(PeerRecord::name).toList());
     }
     if (gossip.doubled() != toldDouble) {
       toldDouble = gossip.doubled();
@@ -206,7 +207,7 @@
     }
   }
 
-  static String lower(Standing standing) {
+  static String lower(PeerStatus standing) {
     return standing.name().toLowerCase(java.util.Locale.ROOT);
   }
 
@@ -220,11 +221,11 @@
     if (Math.max(load, fastLoad) > FAST_CHANGE * least) {
       load = fastLoad;
     }
-    Facts facts = gossip.self().facts();
+    PeerAttributes facts = gossip.self().attributes();
     double from = Math.max(LEAST_LOAD, facts.load());
     double change = Math.abs(Math.max(LEAST_LOAD, load) - from) / from;
     if (change > LOAD_CHANGE && !left) {
-      gossip.facts(new Facts(facts.zone(), facts.tier(), load, facts.release()));
+      gossip.facts(new PeerAttributes(facts.zone(), facts.tier(), load, facts.release()));
     }
   }
 
@@ -299,18 +300,18 @@
   // ---- for others ----
 
   /** Those that count as there, this instance among them, by name; on the loop. */
-  public List<Word> there() {
-    return gossip.there();
+  public List<PeerRecord> presentPeers() {
+    return gossip.presentPeers();
   }
 
   /** What this instance says of itself; on the loop. */
-  public Word self() {
+  public PeerRecord self() {
     return gossip.self();
   }
 
   /** Those that were there and are not heard any more, as long as they are remembered. */
-  public int gone() {
-    return (int) gossip.held().stream().filter(each -> each.standing() == Standing.DEAD).count();
+  public int deadPeerCount() {
+    return (int) gossip.held().stream().filter(each -> each.standing() == PeerStatus.DEAD).count();
   }
 
   /** Adds the pages of peers to the admin listener. */
@@ -321,8 +322,11 @@
   /** Adds what can be read of peers to the figures. */
   public void addFigures(Metrics metrics) {
     metrics
-        .gauge("peers.there", "balancers that count as there", () -> gossip.there().size())
-        .gauge("peers.gone", "balancers that were there and are not heard any more", this::gone)
+        .gauge("peers.there", "balancers that count as there", () -> gossip.presentPeers().size())
+        .gauge(
+            "peers.gone",
+            "balancers that were there and are not heard any more",
+            this::deadPeerCount)
         .gauge("peers.slowness", "how slow this one finds itself", gossip::slowness)
         .counter("peers.datagrams.sent", "datagrams to peers", () -> sent)
         .counter("peers.datagrams.received", "datagrams that were taken", () -> received);
--- a/src/main/java/heathswitch/proxy/gossip/KeyFile.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyFileWatcher.java
@@ -13,14 +13,14 @@
  * Follows the file of keys: one that is replaced is taken whole once it has stayed as it is for a
  * look, else the keys stay as they were and the log says why. Reads on a thread of its own.
  */
-final class KeyFile implements AutoCloseable {
+final class KeyFileWatcher implements AutoCloseable {
   private static final long POLL_MILLIS = 500;
 
   private final Path path;
-  private final Consumer<Keys> taken;
+  private final Consumer<KeyRing> taken;
   private final ScheduledExecutorService poller;
   private BoundedFile.Stamp seen;
-  private Keys keys;
+  private KeyRing keys;
   private String told = "";
 
   /**
@@ -28,7 +28,7 @@
    *
    * @param taken told of each that is to be used from now on, on the poller's thread
    */
-  KeyFile(Path path, Keys keys, Consumer<Keys> taken) {
+  KeyFileWatcher(Path path, KeyRing keys, Consumer<KeyRing> taken) {
     this.path = path;
     this.keys = keys;
     this.taken = taken;
@@ -48,7 +48,7 @@
       boolean settled = now.equals(seen);
       seen = now;
       if (settled) {
-        Keys next = Keys.read(path); // At every look: two writes may leave one stamp.
+        KeyRing next = KeyRing.read(path); // At every look: two writes may leave one stamp.
         told = "";
         if (!next.like(keys)) {
           keys = next;
@@ -56,7 +56,7 @@
           taken.accept(next);
         }
       }
-    } catch (IOException | Keys.Unusable e) {
+    } catch (IOException | KeyRing.Unusable e) {
       if (!told.equals(e.getMessage())) {
         told = String.valueOf(e.getMessage());
         Log.warn("peer keys", "keys left as they were: " + told);
--- a/src/main/java/heathswitch/proxy/gossip/Keys.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyRing.java
@@ -18,7 +18,7 @@
  * signs, all are accepted; so one is replaced by adding the new one behind everywhere, then putting
  * it first everywhere, then taking the old one away. For the event loop's thread, once read.
  */
-final class Keys {
+final class KeyRing {
   /** HMAC-SHA256 (RFC 2104, FIPS 180-4), cut to its first 128 bits as RFC 4868 does. */
   static final int SEAL_BYTES = 16;
 
@@ -40,13 +40,13 @@
   private final Map<String, Mac> macs;
   private final String signs;
 
-  private Keys(Map<String, Mac> macs, String signs) {
+  private KeyRing(Map<String, Mac> macs, String signs) {
     this.macs = macs;
     this.signs = signs;
   }
 
   /** Reads a file; not for the event loop. */
-  static Keys read(Path path) throws Unusable {
+  static KeyRing read(Path path) throws Unusable {
     try {
       return parse(BoundedFile.text(BoundedFile.read(path, MOST_FILE_BYTES)));
     } catch (IOException e) {
@@ -57,7 +57,7 @@
   }
 
   /** Lines that are empty or begin with # say nothing. */
-  static Keys parse(String text) throws Unusable {
+  static KeyRing parse(String text) throws Unusable {
     Map<String, Mac> macs = new LinkedHashMap<>();
     int number = 0;
     for (String line : text.split("\n", -1)) {
@@ -79,7 +79,7 @@
     if (macs.isEmpty()) {
       throw new Unusable(": no key; a line with an id and a secret expected");
     }
-    return new Keys(macs, macs.keySet().iterator().next());
+    return new KeyRing(macs, macs.keySet().iterator().next());
   }
 
   private static Mac mac(String secret, int number) throws Unusable {
@@ -128,7 +128,7 @@
   }
 
   /** Whether it is the same secret by the same id that signs, and as many are held. */
-  boolean like(Keys other) {
+  boolean like(KeyRing other) {
     byte[] probe = signs.getBytes(StandardCharsets.US_ASCII);
     return signs.equals(other.signs)
         && macs.keySet().equals(other.macs.keySet())
--- a/src/main/java/heathswitch/proxy/gossip/PeersPages.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersPages.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.gossip;
 
 import heathswitch.policy.gossip.Gossip;
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerRecord;
 import heathswitch.proxy.admin.AdminServer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,10 +11,10 @@
 
 /** The pages of peers on the admin listener, answered on the loop. */
 final class PeersPages {
-  private final Peering peering;
+  private final GossipService peering;
   private final PeersTable table;
 
-  PeersPages(Peering peering, PeersTable table) {
+  PeersPages(GossipService peering, PeersTable table) {
     this.peering = peering;
     this.table = table;
   }
@@ -46,7 +46,7 @@
     Gossip gossip = peering.gossip();
     Map<String, Object> page = new LinkedHashMap<>();
     page.put("instance", table.instance());
-    page.put("there", gossip.there().size());
+    page.put("there", gossip.presentPeers().size());
     page.put("left", peering.hasLeft());
     page.put("doubled", gossip.doubled());
     page.put("slowness", gossip.slowness());
@@ -65,14 +65,14 @@
     return page;
   }
 
-  private static Map<String, Object> row(Word word) {
+  private static Map<String, Object> row(PeerRecord word) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("name", word.name());
-    row.put("standing", Peering.lower(word.standing()));
+    row.put("standing", GossipService.lower(word.standing()));
     row.put("address", word.address());
-    row.put("zone", word.facts().zone());
-    row.put("load", word.facts().load());
-    row.put("release", word.facts().release());
+    row.put("zone", word.attributes().zone());
+    row.put("load", word.attributes().load());
+    row.put("release", word.attributes().release());
     row.put("incarnation", word.incarnation());
     return row;
   }
--- a/src/main/java/heathswitch/proxy/gossip/PeersTable.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersTable.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.gossip;
 
-import heathswitch.policy.gossip.Pace;
+import heathswitch.policy.gossip.GossipTiming;
 import heathswitch.proxy.config.Document;
 import heathswitch.proxy.config.Section;
 import heathswitch.proxy.runtime.Addresses;
@@ -29,7 +29,7 @@
     List<String> seeds,
     Path keys,
     String zone,
-    Pace pace,
+    GossipTiming pace,
     Map<String, InetSocketAddress> ways) {
   private static final int MOST_SEEDS = 32;
   private static final int MOST_WAYS = 4096;
@@ -90,12 +90,12 @@
             seeds,
             document.resolve(keys),
             zone == null ? "" : zone,
-            new Pace(
+            new GossipTiming(
                 period,
                 answer,
-                Pace.NEAR.relays(),
-                Pace.NEAR.suspicionPeriods(),
-                Pace.NEAR.forgetNanos() / Pace.NEAR.periodNanos() * period),
+                GossipTiming.NEAR.relays(),
+                GossipTiming.NEAR.suspicionPeriods(),
+                GossipTiming.NEAR.forgetNanos() / GossipTiming.NEAR.periodNanos() * period),
             ways);
   }
 
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -3,7 +3,7 @@
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.gateway.SiteGateway;
-import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.grpc.GrpcServer;
 import heathswitch.proxy.maintenance.MaintenanceService;
 import heathswitch.proxy.members.MembersPages;
@@ -38,7 +38,7 @@
   private GrpcServer grpc;
   private SiteGateway gateway;
   private MaintenanceService work;
-  private Peering peers;
+  private GossipService peers;
   private Subsetting subsets;
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
@@ -46,7 +46,7 @@
       throws MembersWatcher.CannotStart,
           SiteGateway.CannotStart,
           MaintenanceService.StartException,
-          Peering.CannotStart {
+          GossipService.StartException {
     this.path = path;
     this.config = config;
     members = MembersWatcher.open(config.members());
@@ -71,7 +71,7 @@
       }
     }
     if (config.peers() != null) {
-      peers = new Peering(node, config.peers());
+      peers = new GossipService(node, config.peers());
     }
     if (config.work() != null) {
       work = new MaintenanceService(node, config.work());
--- a/src/main/java/heathswitch/proxy/subsetting/Subsetting.java
+++ b/src/main/java/heathswitch/proxy/subsetting/Subsetting.java
@@ -2,12 +2,12 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerRecord;
 import heathswitch.policy.subsetting.Census;
 import heathswitch.policy.subsetting.Plan;
 import heathswitch.policy.subsetting.Subset;
 import heathswitch.proxy.admin.AdminServer;
-import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.metrics.Metrics;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.runtime.Log;
@@ -40,7 +40,7 @@
   private record Seen(Census census, int unseen) {}
 
   private final Node node;
-  private final Peering peers;
+  private final GossipService peers;
   private final SubsetTable table;
   private final String instance;
   private final Narrowing narrowing = new Narrowing();
@@ -49,7 +49,7 @@
   private volatile Shown shown = new Shown(null, 1, 0, 0, 0, 0);
 
   /** Lays itself over the node's lists; before its start. */
-  public Subsetting(Node node, Peering peers, SubsetTable table, String instance, long seed) {
+  public Subsetting(Node node, GossipService peers, SubsetTable table, String instance, long seed) {
     this.node = node;
     this.peers = peers;
     this.table = table;
@@ -108,18 +108,20 @@
     List<Census.Instance> instances = new ArrayList<>();
     Set<String> addresses = new HashSet<>();
     boolean here = false;
-    for (Word each : peers.there()) {
+    for (PeerRecord each : peers.presentPeers()) {
       if (!addresses.add(each.address())) {
         continue; // By name the first one there: a process that goes by fifty names is one.
       }
       here |= each.name().equals(instance);
-      instances.add(new Census.Instance(each.name(), each.facts().zone(), each.facts().load()));
+      instances.add(
+          new Census.Instance(each.name(), each.attributes().zone(), each.attributes().load()));
     }
     if (!here) { // It has left, and goes on by itself with its own part.
-      Word self = peers.self();
-      instances.add(new Census.Instance(instance, self.facts().zone(), self.facts().load()));
+      PeerRecord self = peers.self();
+      instances.add(
+          new Census.Instance(instance, self.attributes().zone(), self.attributes().load()));
     }
-    return new Seen(new Census(instances, narrowing.servers()), peers.gone());
+    return new Seen(new Census(instances, narrowing.servers()), peers.deadPeerCount());
   }
 
   Shown shown() {
--- a/src/main/java/heathswitch/testbed/explore/MutantRun.java
+++ b/src/main/java/heathswitch/testbed/explore/MutantRun.java
@@ -1,14 +1,14 @@
 package heathswitch.testbed.explore;
 
-import heathswitch.testbed.mutants.Copies;
 import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.mutants.MutantLoader;
 import java.lang.reflect.Method;
 import java.util.List;
 
 /** Explores the worlds with a fault put into a copy of a class. */
 final class MutantRun {
-  private final Copies copies =
-      Copies.ofThisProgram(
+  private final MutantLoader copies =
+      MutantLoader.forThisProgram(
           List.of(
               "heathswitch.policy.",
               "heathswitch.proxy.dispatch.",
--- a/src/main/java/heathswitch/testbed/gossip/Colony.java
+++ b/src/main/java/heathswitch/testbed/gossip/GossipSimulation.java
@@ -1,11 +1,11 @@
 package heathswitch.testbed.gossip;
 
-import heathswitch.policy.gossip.Facts;
 import heathswitch.policy.gossip.Gossip;
+import heathswitch.policy.gossip.GossipTiming;
 import heathswitch.policy.gossip.Message;
-import heathswitch.policy.gossip.Pace;
-import heathswitch.policy.gossip.Standing;
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerAttributes;
+import heathswitch.policy.gossip.PeerRecord;
+import heathswitch.policy.gossip.PeerStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,7 +21,7 @@
  * and runs up to 2% apart; datagrams are lost, doubled and overtake each other; instances are
  * stopped, killed and started again, and ways are cut one way or both.
  */
-final class Colony {
+final class GossipSimulation {
   static final long MILLI = 1_000_000L;
   static final long TICK = 100 * MILLI;
 
@@ -47,7 +47,7 @@
     long sent;
 
     /** What it held last of each of the others. */
-    final Map<String, Word> heldLast = new HashMap<>();
+    final Map<String, PeerRecord> heldLast = new HashMap<>();
 
     Node(String name, String address, double rate, long offset) {
       this.name = name;
@@ -71,7 +71,7 @@
 
   private final Set<List<String>> cut = new HashSet<>();
   private final SplittableRandom random;
-  private Weather weather = Weather.FAIR;
+  private NetworkConditions weather = NetworkConditions.FAIR;
   private long now;
   private long orders;
 
@@ -83,7 +83,7 @@
 
   private final Set<String> unsuspected = new HashSet<>();
 
-  Colony(int size, long seed) {
+  GossipSimulation(int size, long seed) {
     random = new SplittableRandom(seed);
     for (int i = 0; i < size; i++) {
       double rate = 0.98 + 0.04 * random.nextDouble();
@@ -101,7 +101,7 @@
     return now / MILLI;
   }
 
-  void weather(Weather next) {
+  void weather(NetworkConditions next) {
     weather = next;
   }
 
@@ -110,16 +110,16 @@
     node.alive = true;
     node.paused = false;
     held.remove(node);
-    Word self =
-        new Word(
+    PeerRecord self =
+        new PeerRecord(
             node.name,
             node.address,
             random.nextLong(1, 1L << 52),
             0,
-            Standing.ALIVE,
-            new Facts(nodes.indexOf(node) % 2 == 0 ? "a" : "b", 0, 10, 1));
+            PeerStatus.ALIVE,
+            new PeerAttributes(nodes.indexOf(node) % 2 == 0 ? "a" : "b", 0, 10, 1));
     List<String> seeds = List.of(nodes.get(0).address, nodes.get(1).address);
-    node.gossip = new Gossip(Pace.NEAR, self, seeds, random.nextLong());
+    node.gossip = new Gossip(GossipTiming.NEAR, self, seeds, random.nextLong());
     node.heldLast.clear();
     schedule(node, now + random.nextLong(TICK));
   }
@@ -163,7 +163,7 @@
 
   void heal() {
     cut.clear();
-    weather = Weather.FAIR;
+    weather = NetworkConditions.FAIR;
     for (Node node : nodes) {
       if (node.paused) {
         wake(node);
@@ -264,8 +264,8 @@
   /** Whom it holds for less than there, and how. */
   private static Set<String> doubted(Node node) {
     Set<String> doubted = new TreeSet<>();
-    for (Word word : node.gossip.held()) {
-      if (word.standing() != Standing.ALIVE) {
+    for (PeerRecord word : node.gossip.held()) {
+      if (word.standing() != PeerStatus.ALIVE) {
         doubted.add(word.name() + word.standing());
       }
     }
@@ -273,19 +273,19 @@
   }
 
   private void watch(Node by) {
-    for (Word word : by.gossip.held()) {
-      if (word.standing() == Standing.DEAD && well.contains(word.name())
-          || word.standing() != Standing.ALIVE && unsuspected.contains(word.name())) {
+    for (PeerRecord word : by.gossip.held()) {
+      if (word.standing() == PeerStatus.DEAD && well.contains(word.name())
+          || word.standing() != PeerStatus.ALIVE && unsuspected.contains(word.name())) {
         broken(by.name + " holds " + word);
       }
-      Word before = by.heldLast.put(word.name(), word);
+      PeerRecord before = by.heldLast.put(word.name(), word);
       if (before != null && before != word && goesBack(before, word)) {
         broken(by.name + " went back from " + before + " to " + word);
       }
     }
   }
 
-  private static boolean goesBack(Word before, Word word) {
+  private static boolean goesBack(PeerRecord before, PeerRecord word) {
     return before.incarnation() > word.incarnation()
         || before.incarnation() == word.incarnation()
             && before.process() == word.process()
@@ -327,7 +327,7 @@
     return nodes.indexOf(other) < 2
         || node.gossip.held().stream()
             .anyMatch(
-                word -> word.address().equals(other.address) && word.standing() != Standing.LEFT);
+                word -> word.address().equals(other.address) && word.standing() != PeerStatus.LEFT);
   }
 
   private Set<String> alive() {
@@ -347,7 +347,7 @@
     for (Node node : nodes) {
       if (node.alive) {
         Set<String> seen = new TreeSet<>();
-        node.gossip.there().forEach(word -> seen.add(word.name()));
+        node.gossip.presentPeers().forEach(word -> seen.add(word.name()));
         if (!seen.equals(alive)) {
           Set<String> missing = new TreeSet<>(alive);
           missing.removeAll(seen);
@@ -355,8 +355,8 @@
           return node.name + " misses " + missing + " and holds " + seen;
         }
         for (Node other : nodes) {
-          Word self = other.alive ? other.gossip.self() : null;
-          if (self != null && node.gossip.there().stream().noneMatch(self::equals)) {
+          PeerRecord self = other.alive ? other.gossip.self() : null;
+          if (self != null && node.gossip.presentPeers().stream().noneMatch(self::equals)) {
             return node.name + " does not know what " + self + " says of itself";
           }
         }
@@ -385,7 +385,7 @@
   }
 
   private static boolean suspects(Node node) {
-    return node.gossip.held().stream().anyMatch(word -> word.standing() == Standing.SUSPECT);
+    return node.gossip.held().stream().anyMatch(word -> word.standing() == PeerStatus.SUSPECT);
   }
 
   /** Until all agree, or -1 after so long. */
--- a/src/main/java/heathswitch/testbed/gossip/Chatter.java
+++ b/src/main/java/heathswitch/testbed/gossip/GossipTraffic.java
@@ -1,14 +1,14 @@
 package heathswitch.testbed.gossip;
 
 /** What members of a fleet of any size send each other in calm. */
-public final class Chatter {
-  private static final long MINUTE = 60_000 * Colony.MILLI;
+public final class GossipTraffic {
+  private static final long MINUTE = 60_000 * GossipSimulation.MILLI;
 
-  private Chatter() {}
+  private GossipTraffic() {}
 
   /** Datagrams that a member sends a second, without those of first meetings. */
-  public static double perSecond(int members) {
-    Colony colony = new Colony(members, 7);
+  public static double messagesPerMemberPerSecond(int members) {
+    GossipSimulation colony = new GossipSimulation(members, 7);
     colony.nodes().forEach(colony::start);
     if (colony.untilSettled(10 * MINUTE) < 0) {
       throw new IllegalStateException("no agreement: " + colony.disagreement());
--- a/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.gossip;
 
-import heathswitch.testbed.gossip.Colony.Node;
+import heathswitch.testbed.gossip.GossipSimulation.Node;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -14,10 +14,10 @@
   private static final int STEPS = 30;
 
   /** After the last fault all who live see just those who live within this time. */
-  static final long CALM_NANOS = 120_000 * Colony.MILLI;
+  static final long CALM_NANOS = 120_000 * GossipSimulation.MILLI;
 
   /** No datagram is longer on its way. */
-  private static final long LATE_NANOS = 300 * Colony.MILLI;
+  private static final long LATE_NANOS = 300 * GossipSimulation.MILLI;
 
   /** Shorter than the least time to refute a suspicion. */
   private static final long SHORT_PAUSE_MILLIS = 3000;
@@ -51,15 +51,15 @@
     if (seed % 8 == 0) {
       return twins(seed, random, faults);
     }
-    Colony colony = new Colony(3 + random.nextInt(6), random.nextLong());
+    GossipSimulation colony = new GossipSimulation(3 + random.nextInt(6), random.nextLong());
     colony.nodes().forEach(colony::start);
     if (seed % 3 == 0) {
       mild(colony, random, faults);
     } else {
-      colony.pass(random.nextLong(20_000 * Colony.MILLI));
+      colony.pass(random.nextLong(20_000 * GossipSimulation.MILLI));
       for (int i = 0; i < STEPS && colony.broken() == null; i++) {
         fault(colony, random, faults);
-        colony.pass(random.nextLong(3000 * Colony.MILLI));
+        colony.pass(random.nextLong(3000 * GossipSimulation.MILLI));
       }
     }
     colony.heal();
@@ -73,7 +73,7 @@
     if (colony.untilSettled(CALM_NANOS) < 0) {
       return new Finding(seed, "no agreement: " + colony.disagreement(), faults);
     }
-    colony.pass(20_000 * Colony.MILLI);
+    colony.pass(20_000 * GossipSimulation.MILLI);
     return colony.agrees()
         ? null
         : new Finding(seed, "agreement lost: " + colony.disagreement(), faults);
@@ -81,13 +81,14 @@
 
   /** Two by one name: one of them keeps still, and speaks when the other has gone. */
   private static Finding twins(long seed, SplittableRandom random, List<String> faults) {
-    Colony colony = new Colony(4 + random.nextInt(4), random.nextLong());
+    GossipSimulation colony = new GossipSimulation(4 + random.nextInt(4), random.nextLong());
     colony.nodes().forEach(colony::start);
-    colony.pass(random.nextLong(20_000 * Colony.MILLI));
+    colony.pass(random.nextLong(20_000 * GossipSimulation.MILLI));
     Node one = colony.nodes().get(2);
     Node other = colony.nodes().get(3);
     for (int i = random.nextInt(4); i > 0; i--) {
-      one.gossip.facts(one.gossip.self().facts()); // It has said more of itself than the other.
+      one.gossip.facts(
+          one.gossip.self().attributes()); // It has said more of itself than the other.
     }
     colony.twin(other, one);
     faults.add(colony.nowMillis() + " ms two by the name " + one.name);
@@ -107,7 +108,7 @@
    * What a fleet lives through every day: one instance stops for a moment, one way at a time is
    * cut, in fair weather. Nobody dies of it, and nobody but the one that stopped is even suspected.
    */
-  private static void mild(Colony colony, SplittableRandom random, List<String> faults) {
+  private static void mild(GossipSimulation colony, SplittableRandom random, List<String> faults) {
     colony.untilSettled(CALM_NANOS);
     List<Node> nodes = colony.nodes();
     Node stops = nodes.get(random.nextInt(nodes.size()));
@@ -121,22 +122,22 @@
       if (random.nextBoolean()) {
         colony.pause(stops);
         faults.add(colony.nowMillis() + " ms stop " + stops.name);
-        colony.pass((500 + random.nextLong(SHORT_PAUSE_MILLIS - 500)) * Colony.MILLI);
+        colony.pass((500 + random.nextLong(SHORT_PAUSE_MILLIS - 500)) * GossipSimulation.MILLI);
         colony.wake(stops);
       } else {
         Node from = nodes.get(random.nextInt(nodes.size()));
         Node to = nodes.get(random.nextInt(nodes.size()));
         faults.add(colony.nowMillis() + " ms way " + from.name + " to " + to.name);
         colony.cut(from, to, true);
-        colony.pass((1000 + random.nextLong(20_000)) * Colony.MILLI);
+        colony.pass((1000 + random.nextLong(20_000)) * GossipSimulation.MILLI);
         colony.cut(from, to, false);
       }
       faults.add(colony.nowMillis() + " ms well");
-      colony.pass((12_000 + random.nextLong(8000)) * Colony.MILLI);
+      colony.pass((12_000 + random.nextLong(8000)) * GossipSimulation.MILLI);
     }
   }
 
-  private static void fault(Colony colony, SplittableRandom random, List<String> faults) {
+  private static void fault(GossipSimulation colony, SplittableRandom random, List<String> faults) {
     List<Node> nodes = colony.nodes();
     Node one = nodes.get(random.nextInt(nodes.size()));
     Node other = nodes.get(random.nextInt(nodes.size()));
@@ -183,7 +184,7 @@
             yield "at another address: " + one.name;
           }
           default -> {
-            colony.weather(random.nextBoolean() ? Weather.FOUL : Weather.FAIR);
+            colony.weather(random.nextBoolean() ? NetworkConditions.FOUL : NetworkConditions.FAIR);
             yield "weather";
           }
         };
--- a/src/main/java/heathswitch/testbed/gossip/PeersMutants.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersMutants.java
@@ -1,14 +1,14 @@
 package heathswitch.testbed.gossip;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 
 /** Faults in the gossip, and whether the schedules find them. */
 final class PeersMutants {
   private static final String GOSSIP = "heathswitch.policy.gossip.Gossip";
-  private static final String WORD = "heathswitch.policy.gossip.Word";
-  private static final String STANDING = "heathswitch.policy.gossip.Standing";
+  private static final String WORD = "heathswitch.policy.gossip.PeerRecord";
+  private static final String STANDING = "heathswitch.policy.gossip.PeerStatus";
 
   static final List<Mutant> ALL =
       List.of(
@@ -53,8 +53,8 @@
 
   private PeersMutants() {}
 
-  static Trials trials() {
-    return new Trials(
+  static MutantTrials trials() {
+    return new MutantTrials(
         List.of("heathswitch.policy.gossip.", "heathswitch.testbed.gossip."), PeersMutants.class);
   }
 
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -131,7 +131,7 @@
       }
     }
     List<Mutant> tried = brief ? WorkMutants.ALL.subList(0, 16) : WorkMutants.ALL;
-    List<Mutant> unseen = WorkMutants.trials().unseen(tried);
+    List<Mutant> unseen = WorkMutants.trials().undetected(tried);
     unseen.forEach(mutant -> Figures.progress("not found: " + mutant));
     double[] settle = with.settleMillis.stream().mapToDouble(each -> each).sorted().toArray();
     return new Figures()
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.maintenance;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 
 /** Faults in what settles work orders, and whether the schedules find them. */
@@ -79,8 +79,8 @@
 
   private WorkMutants() {}
 
-  static Trials trials() {
-    return new Trials(
+  static MutantTrials trials() {
+    return new MutantTrials(
         List.of("heathswitch.policy.maintenance.", "heathswitch.testbed.maintenance."),
         WorkMutants.class);
   }
--- a/src/main/java/heathswitch/testbed/mutants/Copies.java
+++ b/src/main/java/heathswitch/testbed/mutants/MutantLoader.java
@@ -20,7 +20,7 @@
 import javax.tools.ToolProvider;
 
 /** Compiles a copy of a class with a fault in it, and loads what is to meet that copy. */
-public final class Copies {
+public final class MutantLoader {
   private final Path sources;
   private final String classPath;
   private final List<String> again;
@@ -31,15 +31,15 @@
    * @param again what has to be loaded anew so that it meets the copy, by how its names begin; all
    *     else is shared
    */
-  public Copies(Path sources, String classPath, List<String> again) {
+  public MutantLoader(Path sources, String classPath, List<String> again) {
     this.sources = sources;
     this.classPath = classPath;
     this.again = List.copyOf(again);
   }
 
   /** Those of this program: its sources beside it, the classes that it runs with. */
-  public static Copies ofThisProgram(List<String> again) {
-    return new Copies(
+  public static MutantLoader forThisProgram(List<String> again) {
+    return new MutantLoader(
         Path.of(System.getProperty("heathswitch.root", "."), "src", "main", "java"),
         System.getProperty("java.class.path"),
         again);
@@ -103,7 +103,7 @@
     private final Map<String, byte[]> changed;
 
     Loader(Map<String, byte[]> changed) {
-      super(Copies.class.getClassLoader());
+      super(MutantLoader.class.getClassLoader());
       this.changed = changed;
     }
 
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.subsetting;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 
 /** Faults in the choice of subsets, and whether the schedules find them. */
@@ -44,8 +44,8 @@
 
   private SubsetMutants() {}
 
-  static Trials trials() {
-    return new Trials(
+  static MutantTrials trials() {
+    return new MutantTrials(
         List.of("heathswitch.policy.subsetting.", "heathswitch.testbed.subsetting."),
         SubsetMutants.class);
   }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -4,7 +4,7 @@
 import heathswitch.testbed.client.Tally;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
-import heathswitch.testbed.gossip.Chatter;
+import heathswitch.testbed.gossip.GossipTraffic;
 import heathswitch.testbed.measure.Figures;
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
@@ -89,7 +89,7 @@
       Figures.progress(played.finding().toString());
     }
     List<Mutant> tried = brief ? SubsetMutants.ALL.subList(0, 4) : SubsetMutants.ALL;
-    List<Mutant> unseen = SubsetMutants.trials().unseen(tried);
+    List<Mutant> unseen = SubsetMutants.trials().undetected(tried);
     unseen.forEach(mutant -> Figures.progress("not found: " + mutant));
     double[] detect = part.detectMillis.stream().mapToDouble(each -> each).sorted().toArray();
     int many = brief ? 100 : 1000;
@@ -119,8 +119,8 @@
             detect.length == 0
                 ? -1
                 : detect[(int) Math.min(detect.length - 1, detect.length * .99)])
-        .rounded("msgs_per_member_s_10", Chatter.perSecond(10))
-        .rounded("msgs_per_member_s_" + many, Chatter.perSecond(many))
+        .rounded("msgs_per_member_s_10", GossipTraffic.messagesPerMemberPerSecond(10))
+        .rounded("msgs_per_member_s_" + many, GossipTraffic.messagesPerMemberPerSecond(many))
         .add("sim_spread_worst", round(played.spreadWorst()))
         .add("schedules", schedules)
         .add("violations", played.finding() == null ? 0 : 1)
--- a/src/test/java/heathswitch/policy/gossip/DoorsTest.java
+++ b/src/test/java/heathswitch/policy/gossip/ReplayGuardTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.gossip.Doors.Stamp;
-import heathswitch.policy.gossip.Doors.Verdict;
+import heathswitch.policy.gossip.ReplayGuard.Stamp;
+import heathswitch.policy.gossip.ReplayGuard.Verdict;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What is taken once, and what never. */
-class DoorsTest {
+class ReplayGuardTest {
   private long drawn;
-  private final Doors here = new Doors(() -> ++drawn);
-  private final Doors there = new Doors(() -> ++drawn);
+  private final ReplayGuard here = new ReplayGuard(() -> ++drawn);
+  private final ReplayGuard there = new ReplayGuard(() -> ++drawn);
 
   /** Knocks, and tells whoever knocked; the first that can be taken. */
   private void meet() {
@@ -35,7 +35,7 @@
     Stamp stamp = here.next("there");
     assertEquals(Verdict.NEW, there.take(stamp));
     assertEquals(Verdict.OLD, there.take(stamp));
-    Doors next = new Doors(() -> ++drawn);
+    ReplayGuard next = new ReplayGuard(() -> ++drawn);
     assertEquals(Verdict.STRANGER, next.take(stamp), "a new process at the same place");
   }
 
@@ -82,9 +82,9 @@
   /** Those that were met are forgotten together with the door that they knew. */
   @Test
   void withTooManySendersTheDoorIsAnotherOne() {
-    Doors crowded = new Doors(() -> ++drawn);
+    ReplayGuard crowded = new ReplayGuard(() -> ++drawn);
     long door = drawn;
-    for (long sender = 1; sender <= Doors.MOST_SENDERS; sender++) {
+    for (long sender = 1; sender <= ReplayGuard.MOST_SENDERS; sender++) {
       assertEquals(Verdict.NEW, crowded.take(new Stamp(-sender, 1, door)));
     }
     Stamp one = new Stamp(-1, 2, door);
--- a/src/test/java/heathswitch/proxy/gossip/DatagramTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/DatagramTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.gossip.Doors.Stamp;
-import heathswitch.policy.gossip.Facts;
 import heathswitch.policy.gossip.Message;
-import heathswitch.policy.gossip.Standing;
-import heathswitch.policy.gossip.Word;
+import heathswitch.policy.gossip.PeerAttributes;
+import heathswitch.policy.gossip.PeerRecord;
+import heathswitch.policy.gossip.PeerStatus;
+import heathswitch.policy.gossip.ReplayGuard.Stamp;
 import heathswitch.proxy.gossip.Datagram.Refusal;
 import heathswitch.proxy.gossip.Datagram.Refused;
 import java.util.Arrays;
@@ -21,28 +21,28 @@
   private static final String SECRET = "b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0";
   private static final Stamp STAMP = new Stamp(-7, 1L << 40, Long.MIN_VALUE);
 
-  private static Keys keys(String text) {
+  private static KeyRing keys(String text) {
     try {
-      return Keys.parse(text);
-    } catch (Keys.Unusable e) {
+      return KeyRing.parse(text);
+    } catch (KeyRing.Unusable e) {
       throw new AssertionError(e);
     }
   }
 
-  private static final Keys KEYS = keys("a " + SECRET);
+  private static final KeyRing KEYS = keys("a " + SECRET);
 
-  private static Word word(String name, String address, String zone, double load) {
-    Facts facts = new Facts(zone, 2, load, 1);
-    return new Word(name, address, (1L << 53) - 1, 1L << 53, Standing.SUSPECT, facts);
+  private static PeerRecord word(String name, String address, String zone, double load) {
+    PeerAttributes facts = new PeerAttributes(zone, 2, load, 1);
+    return new PeerRecord(name, address, (1L << 53) - 1, 1L << 53, PeerStatus.SUSPECT, facts);
   }
 
-  private static Refusal refusal(byte[] bytes, Keys keys) {
+  private static Refusal refusal(byte[] bytes, KeyRing keys) {
     return assertThrows(Refused.class, () -> Datagram.read(bytes, keys)).why;
   }
 
   @Test
   void everyMessageIsReadAsItWasWritten() throws Refused {
-    List<Word> news =
+    List<PeerRecord> news =
         List.of(word("edge-1", "127.0.0.1:7000", "a", 12.345), word("b", "[::1]:1", "", 0));
     for (Message message :
         List.of(
@@ -63,7 +63,7 @@
   void theLongestOneFits() throws Refused {
     String name = "n".repeat(64);
     String address = "[2001:db8:1111:2222:3333:4444:5555:6666]:65535";
-    Word longest = word(name, address, "z".repeat(32), 999_999.999);
+    PeerRecord longest = word(name, address, "z".repeat(32), 999_999.999);
     Message message = new Message.Relay(1L << 53, name, address, Collections.nCopies(6, longest));
     Datagram sent = new Datagram(STAMP, message, 0);
     byte[] bytes = sent.bytes(keys("k".repeat(16) + ' ' + SECRET));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void whatIsWrongIsRefusedByItsReason() throws Keys.Unusable {
+  void whatIsWrongIsRefusedByItsReason() throws KeyRing.Unusable {
     byte[] good = new Datagram(STAMP, new Message.Ack(1, List.of()), 0).bytes(KEYS);
     assertEquals(Refusal.SEAL, refusal(good, keys("a " + SECRET.replace('b', 'c'))));
     assertEquals(Refusal.SEAL, refusal(good, keys("b " + SECRET)));
@@ -105,7 +105,8 @@
             List.of("a c2hvcnQ=", ":1: a secret of 5 bytes"),
             List.of("a !!!!", ":1: the secret is not in Base64"),
             List.of("a " + SECRET + "\n\na " + SECRET, ":3: the id \"a\" stands twice"))) {
-      String said = assertThrows(Keys.Unusable.class, () -> Keys.parse(each.get(0))).getMessage();
+      String said =
+          assertThrows(KeyRing.Unusable.class, () -> KeyRing.parse(each.get(0))).getMessage();
       assertTrue(said.startsWith(each.get(1)), said);
     }
   }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -299,8 +299,8 @@
         send(socket, victim, flipped);
         send(socket, victim, Arrays.copyOf(each, (int) (wrong * 11 % each.length)));
         byte[] forged =
-            new Datagram(new heathswitch.policy.gossip.Doors.Stamp(1, 1, 1), null, 1)
-                .bytes(Keys.parse("k1 " + "Zm9yZ2VkLWZvcmdlZC1mb3JnZWQtMTIzNA==\n"));
+            new Datagram(new heathswitch.policy.gossip.ReplayGuard.Stamp(1, 1, 1), null, 1)
+                .bytes(KeyRing.parse("k1 " + "Zm9yZ2VkLWZvcmdlZC1mb3JnZWQtMTIzNA==\n"));
         send(socket, victim, forged);
         wrong++;
       }
--- a/src/test/java/heathswitch/testbed/gossip/PeersExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/gossip/PeersExplorerTest.java
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Who is there, by gossip: the real module among many instances in virtual time. */
 class PeersExplorerTest {
-  private static final long MINUTE = 60_000 * Colony.MILLI;
+  private static final long MINUTE = 60_000 * GossipSimulation.MILLI;
 
   @Test
   void noScheduleOfFaultsBreaksAProperty() {
@@ -22,19 +22,19 @@
   /** The checker itself: faults put into copies are found, a copy without one is not. */
   @Test
   void everyFaultIsFound() {
-    Trials trials = PeersMutants.trials();
-    assertEquals(List.of(), trials.unseen(PeersMutants.ALL));
+    MutantTrials trials = PeersMutants.trials();
+    assertEquals(List.of(), trials.undetected(PeersMutants.ALL));
     Mutant none =
         new Mutant(
             "heathswitch.policy.gossip.Gossip", "private int slowness;", "private int slowness ;");
-    assertFalse(trials.found(none, 300, 1));
+    assertFalse(trials.isDetected(none, 300, 1));
   }
 
   @Test
   void thirtyThatStartInOneSecondKnowEachOtherInAFewMore() {
-    Colony colony = new Colony(30, 5);
+    GossipSimulation colony = new GossipSimulation(30, 5);
     colony.nodes().forEach(colony::start);
-    long millis = colony.untilAgreed(MINUTE) / Colony.MILLI;
+    long millis = colony.untilAgreed(MINUTE) / GossipSimulation.MILLI;
     assertTrue(millis >= 0 && millis < 10_000, "took " + millis + " ms");
   }
 
@@ -44,7 +44,7 @@
     double[] perSecond = new double[2];
     int[] sizes = {10, 100};
     for (int i = 0; i < sizes.length; i++) {
-      Colony colony = new Colony(sizes[i], 7);
+      GossipSimulation colony = new GossipSimulation(sizes[i], 7);
       colony.nodes().forEach(colony::start);
       assertTrue(colony.untilSettled(2 * MINUTE) >= 0, colony::disagreement);
       colony.pass(MINUTE / 6);
@@ -56,7 +56,7 @@
   /** Seven in ten die in one moment and are started again. */
   @Test
   void mostOfAFleetDiesAndComesBack() {
-    Colony colony = new Colony(20, 9);
+    GossipSimulation colony = new GossipSimulation(20, 9);
     colony.nodes().forEach(colony::start);
     assertTrue(colony.untilSettled(2 * MINUTE) >= 0, colony::disagreement);
     colony.nodes().subList(3, 17).forEach(colony::kill);
@@ -68,18 +68,18 @@
   /** Cut in two for long enough that each side holds the other for dead; then it heals. */
   @Test
   void twoHalvesFindEachOtherAgain() {
-    Colony colony = new Colony(8, 11);
+    GossipSimulation colony = new GossipSimulation(8, 11);
     colony.nodes().forEach(colony::start);
     assertTrue(colony.untilSettled(2 * MINUTE) >= 0, colony::disagreement);
-    for (Colony.Node one : colony.nodes().subList(0, 4)) {
-      for (Colony.Node other : colony.nodes().subList(4, 8)) {
+    for (GossipSimulation.Node one : colony.nodes().subList(0, 4)) {
+      for (GossipSimulation.Node other : colony.nodes().subList(4, 8)) {
         colony.cut(one, other, true);
         colony.cut(other, one, true);
       }
     }
     colony.pass(2 * MINUTE);
-    assertEquals(4, colony.nodes().get(0).gossip.there().size());
-    assertEquals(4, colony.nodes().get(7).gossip.there().size());
+    assertEquals(4, colony.nodes().get(0).gossip.presentPeers().size());
+    assertEquals(4, colony.nodes().get(7).gossip.presentPeers().size());
     colony.heal();
     assertTrue(colony.untilSettled(2 * MINUTE) >= 0, colony::disagreement);
   }
--- a/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -29,13 +29,13 @@
   /** The checker itself: faults put into copies are found, a copy without one is not. */
   @Test
   void everyFaultIsFound() {
-    Trials mutants = WorkMutants.trials();
-    assertEquals(List.of(), mutants.unseen(WorkMutants.ALL));
+    MutantTrials mutants = WorkMutants.trials();
+    assertEquals(List.of(), mutants.undetected(WorkMutants.ALL));
     Mutant none =
         new Mutant(
             "heathswitch.policy.maintenance.Order",
             "private int waiting;",
             "private int waiting ;");
-    assertFalse(mutants.found(none, 1000, 2));
+    assertFalse(mutants.isDetected(none, 1000, 2));
   }
 }
--- a/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.testbed.mutants.Mutant;
-import heathswitch.testbed.mutants.Trials;
+import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -30,13 +30,13 @@
   /** The checker itself: faults put into copies are found, a copy without one is not. */
   @Test
   void everyFaultIsFound() {
-    Trials trials = SubsetMutants.trials();
-    assertEquals(List.of(), trials.unseen(SubsetMutants.ALL));
+    MutantTrials trials = SubsetMutants.trials();
+    assertEquals(List.of(), trials.undetected(SubsetMutants.ALL));
     Mutant none =
         new Mutant(
             "heathswitch.policy.subsetting.Plan",
             "int wanted = users(rule);",
             "int wanted = (users(rule));");
-    assertFalse(trials.found(none, 100, 1));
+    assertFalse(trials.isDetected(none, 100, 1));
   }
 }
