--- a/src/main/java/heathswitch/policy/members/Placed.java
+++ b/src/main/java/heathswitch/policy/members/ListEntry.java
@@ -5,4 +5,4 @@
  *
  * @param place where it stands, in words for people, such as {@code members.txt:7}
  */
-public record Placed(ListedServer server, String place) {}
+public record ListEntry(ListedServer server, String place) {}
--- a/src/main/java/heathswitch/policy/members/ListJudge.java
+++ b/src/main/java/heathswitch/policy/members/ListValidator.java
@@ -15,22 +15,24 @@
  * of bounds. What is sound but would take away a whole kind, a whole zone or more than a stated
  * share of the servers is held back until a person confirms it. Single-threaded by contract.
  */
-public final class ListJudge {
+public final class ListValidator {
   /** Reasons given for one candidate; the rest are counted. */
   static final int MOST_REASONS = 12;
 
-  /** Departures remembered for each server that a list may have; beyond, all edits are held. */
+  /**
+   * ServerStateTracker remembered for each server that a list may have; beyond, all edits are held.
+   */
   static final int DEPARTURES_A_SERVER = 4;
 
   private ListPolicy policy;
-  private final History history = new History();
+  private final ServiceHistory history = new ServiceHistory();
   private List<ListedServer> current = List.of();
   private long version;
   private long lastNumber;
-  private Verdict.Held held;
+  private ListDecision.PendingConfirmation held;
   private List<ListedServer> heldList = List.of();
 
-  public ListJudge(ListPolicy policy) {
+  public ListValidator(ListPolicy policy) {
     this.policy = policy;
   }
 
@@ -45,7 +47,7 @@
       long lastNumber,
       List<ListedServer> list,
       Map<String, Long> joinedMillis,
-      List<History.Departure> left) {
+      List<ServiceHistory.Departure> left) {
     this.version = version;
     this.lastNumber = Math.max(version, lastNumber);
     current = List.copyOf(list);
@@ -67,26 +69,26 @@
   }
 
   /** The list that waits to be confirmed, or null. */
-  public Verdict.Held held() {
+  public ListDecision.PendingConfirmation pending() {
     return held;
   }
 
-  public History history() {
+  public ServiceHistory history() {
     return history;
   }
 
   /** Judges a candidate; if it is accepted, it is the current list when this returns. */
-  public Verdict judge(long nowMillis, List<Placed> candidate) {
+  public ListDecision judge(long nowMillis, List<ListEntry> candidate) {
     List<String> faults = faults(candidate);
     if (!faults.isEmpty()) {
       held = null;
-      return new Verdict.Refused(atMost(faults));
+      return new ListDecision.Refused(atMost(faults));
     }
-    List<ListedServer> list = candidate.stream().map(Placed::server).toList();
+    List<ListedServer> list = candidate.stream().map(ListEntry::server).toList();
     ListDiff diff = ListDiff.between(current, list);
     if (version > 0 && diff.isEmpty()) {
       held = null;
-      return new Verdict.Unchanged();
+      return new ListDecision.Unchanged();
     }
     if (held != null && ListDiff.between(heldList, list).isEmpty()) {
       return held;
@@ -98,26 +100,26 @@
       return accept(nowMillis, ++lastNumber, list, diff);
     }
     heldList = list;
-    held = new Verdict.Held(++lastNumber, atMost(doubts), diff);
+    held = new ListDecision.PendingConfirmation(++lastNumber, atMost(doubts), diff);
     return held;
   }
 
   /** A person says that the list that is held back is meant. */
-  public Verdict confirm(long nowMillis, long number) {
+  public ListDecision confirm(long nowMillis, long number) {
     if (held == null) {
-      return new Verdict.Refused(List.of("no list is held back"));
+      return new ListDecision.Refused(List.of("no list is held back"));
     }
     if (held.version() != number) {
-      return new Verdict.Refused(
+      return new ListDecision.Refused(
           List.of("the list that is held back has version " + held.version() + ", not " + number));
     }
     ListDiff diff = ListDiff.between(current, heldList);
-    Verdict accepted = accept(nowMillis, number, heldList, diff);
+    ListDecision accepted = accept(nowMillis, number, heldList, diff);
     history.forget();
     return accepted;
   }
 
-  private Verdict accept(long nowMillis, long number, List<ListedServer> list, ListDiff diff) {
+  private ListDecision accept(long nowMillis, long number, List<ListedServer> list, ListDiff diff) {
     if (version > 0) {
       history.replaced(nowMillis, current, list);
     }
@@ -125,12 +127,12 @@
     heldList = List.of();
     current = List.copyOf(list);
     version = number;
-    return new Verdict.Accepted(number, diff);
+    return new ListDecision.Accepted(number, diff);
   }
 
   // ---- what makes a list unsound ----
 
-  private List<String> faults(List<Placed> candidate) {
+  private List<String> faults(List<ListEntry> candidate) {
     List<String> faults = new ArrayList<>();
     if (candidate.isEmpty()) {
       faults.add("the list names no server at all");
@@ -146,7 +148,7 @@
     }
     twice(candidate, "id", ListedServer::id, faults);
     twice(candidate, "address", ListedServer::endpoint, faults);
-    for (Placed placed : candidate) {
+    for (ListEntry placed : candidate) {
       double weight = placed.server().weight();
       if (!(weight >= policy.leastWeight() && weight <= policy.mostWeight())) {
         faults.add(
@@ -166,13 +168,13 @@
   }
 
   private static void twice(
-      List<Placed> candidate,
+      List<ListEntry> candidate,
       String field,
       Function<ListedServer, String> value,
       List<String> faults) {
-    Map<String, Placed> seen = new HashMap<>();
-    for (Placed placed : candidate) {
-      Placed first = seen.putIfAbsent(value.apply(placed.server()), placed);
+    Map<String, ListEntry> seen = new HashMap<>();
+    for (ListEntry placed : candidate) {
+      ListEntry first = seen.putIfAbsent(value.apply(placed.server()), placed);
       if (first != null) {
         faults.add(
             placed.place()
@@ -189,7 +191,7 @@
   // ---- what a person is asked about ----
 
   private List<String> doubts(long nowMillis, List<ListedServer> list) {
-    History.Base base = history.base(nowMillis, policy.windowMillis(), current);
+    ServiceHistory.Base base = history.base(nowMillis, policy.windowMillis(), current);
     Set<String> processes = new HashSet<>();
     Set<String> zones = new HashSet<>();
     Set<String> kinds = new HashSet<>();
--- a/src/main/java/heathswitch/policy/members/ListedServer.java
+++ b/src/main/java/heathswitch/policy/members/ListedServer.java
@@ -3,8 +3,8 @@
 /**
  * One server as a list names it.
  *
- * @param address numeric address and port in canonical form, after {@link #GRPC_ALONE} for one that
- *     speaks gRPC there and nothing else; two servers never share one
+ * @param address numeric address and port in canonical form, after {@link #GRPC_ONLY_PREFIX} for
+ *     one that speaks gRPC there and nothing else; two servers never share one
  * @param weight part of the calls that it is due, against that of others
  * @param grpcPort port at which it speaks gRPC too, on the same address, or 0
  * @param inService false for one that finishes what it has and wants nothing new
@@ -20,7 +20,7 @@
     int grpcPort) {
 
   /** Stands before the address of a server that speaks gRPC alone. */
-  public static final String GRPC_ALONE = "grpc://";
+  public static final String GRPC_ONLY_PREFIX = "grpc://";
 
   /** One that speaks no gRPC beside what it speaks at its address. */
   public ListedServer(
@@ -35,13 +35,13 @@
   }
 
   /** Whether gRPC is all that it speaks. */
-  public boolean grpcAlone() {
-    return address.startsWith(GRPC_ALONE);
+  public boolean grpcOnly() {
+    return address.startsWith(GRPC_ONLY_PREFIX);
   }
 
   /** Numeric address and port, whatever is spoken there. */
   public String endpoint() {
-    return grpcAlone() ? address.substring(GRPC_ALONE.length()) : address;
+    return grpcOnly() ? address.substring(GRPC_ONLY_PREFIX.length()) : address;
   }
 
   /** One process: a server that comes back under its id at another address is another one. */
--- a/src/main/java/heathswitch/policy/members/Departures.java
+++ b/src/main/java/heathswitch/policy/members/ServerStateTracker.java
@@ -14,7 +14,7 @@
  * is first drained, and gone when its time for that is over. Holds one record for each server of
  * the list and each that drains. Single-threaded by contract.
  */
-public final class Departures {
+public final class ServerStateTracker {
   /** What is told of a server. */
   public enum State {
     READY,
@@ -27,7 +27,7 @@
    *
    * @param startedMillis Unix time of the start of its process, 0 for long ago
    */
-  public record News(ListedServer server, State state, long startedMillis) {}
+  public record Update(ListedServer server, State state, long startedMillis) {}
 
   private record Listed(ListedServer server, long startedMillis) {}
 
@@ -41,16 +41,16 @@
   private final int mostLeaving;
 
   /** At most so many drain at a time; beyond, those that left first are gone at once. */
-  public Departures(int mostLeaving) {
+  public ServerStateTracker(int mostLeaving) {
     this.mostLeaving = mostLeaving;
   }
 
   /** The list at the start: its servers have been there for long. */
-  public List<News> begin(List<ListedServer> list) {
-    List<News> news = new ArrayList<>(list.size());
+  public List<Update> begin(List<ListedServer> list) {
+    List<Update> news = new ArrayList<>(list.size());
     for (ListedServer server : list) {
       listed.put(server.id(), new Listed(server, 0));
-      news.add(new News(server, state(server), 0));
+      news.add(new Update(server, state(server), 0));
     }
     return news;
   }
@@ -60,8 +60,8 @@
    * started for all that is known and is warmed up; one that comes back while it drains goes on.
    * Arrivals come first in the news, so that the pool is at no time smaller than both lists allow.
    */
-  public List<News> accept(long nowMillis, long drainMillis, List<ListedServer> list) {
-    List<News> news = new ArrayList<>();
+  public List<Update> accept(long nowMillis, long drainMillis, List<ListedServer> list) {
+    List<Update> news = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (ListedServer server : list) {
       ids.add(server.id());
@@ -77,7 +77,7 @@
         started = back.startedMillis();
       }
       listed.put(server.id(), new Listed(server, started));
-      news.add(new News(server, state(server), started));
+      news.add(new Update(server, state(server), started));
     }
     for (Iterator<Listed> each = listed.values().iterator(); each.hasNext(); ) {
       Listed gone = each.next();
@@ -86,26 +86,26 @@
         each.remove();
         long until = nowMillis + drainMillis;
         leaving.put(server.id(), new Leaving(server, gone.startedMillis(), until));
-        news.add(new News(server, State.DRAINING, gone.startedMillis()));
+        news.add(new Update(server, State.DRAINING, gone.startedMillis()));
       }
     }
     Iterator<Leaving> first = leaving.values().iterator();
     while (leaving.size() > mostLeaving) {
       Leaving server = first.next();
       first.remove();
-      news.add(new News(server.server(), State.GONE, server.startedMillis()));
+      news.add(new Update(server.server(), State.GONE, server.startedMillis()));
     }
     return news;
   }
 
   /** Those whose time to drain is over. */
-  public List<News> tick(long nowMillis) {
-    List<News> news = new ArrayList<>();
+  public List<Update> tick(long nowMillis) {
+    List<Update> news = new ArrayList<>();
     for (Iterator<Leaving> each = leaving.values().iterator(); each.hasNext(); ) {
       Leaving server = each.next();
       if (server.goneMillis() <= nowMillis) {
         each.remove();
-        news.add(new News(server.server(), State.GONE, server.startedMillis()));
+        news.add(new Update(server.server(), State.GONE, server.startedMillis()));
       }
     }
     return news;
--- a/src/main/java/heathswitch/policy/members/History.java
+++ b/src/main/java/heathswitch/policy/members/ServiceHistory.java
@@ -11,7 +11,7 @@
  * one large edit that they add up to. Holds one record for each process in service and one for each
  * that left within the window; both end with the list and with the window.
  */
-public final class History {
+public final class ServiceHistory {
   /** A process that left service, in Unix milliseconds. */
   public record Departure(
       String process, String zone, String kind, long joinedMillis, long leftMillis) {}
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -71,7 +71,7 @@
     StandaloneNode balancer;
     try {
       balancer = new StandaloneNode(file, result.config());
-    } catch (MembersWatcher.CannotStart
+    } catch (MembersWatcher.StartException
         | SiteGateway.CannotStart
         | MaintenanceService.StartException
         | GossipService.StartException e) {
@@ -123,7 +123,8 @@
             : MaintenanceConfigCheck.check(result.config().work(), report.servers());
     floors.faults().forEach(out()::println);
     floors.notes().forEach(out()::println);
-    boolean good = report.good() && unusable == null && unread == null && floors.faults().isEmpty();
+    boolean good =
+        report.acceptable() && unusable == null && unread == null && floors.faults().isEmpty();
     if (good) {
       out().println(file + ": ok");
     }
--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -47,7 +47,7 @@
         MembersCheck.check(read.members(), files, System.currentTimeMillis());
     report.faults().forEach(out()::println);
     report.lines().forEach(out()::println);
-    return report.good() ? 0 : 1;
+    return report.acceptable() ? 0 : 1;
   }
 
   @Command(
@@ -56,8 +56,7 @@
   int seal(@Parameters(paramLabel = "FILE") Path file) {
     try {
       String text = BoundedFile.text(BoundedFile.read(file, MOST_SEALED_BYTES));
-      AtomicFile.write(
-          file.toRealPath(), MembersCheck.sealed(text).getBytes(StandardCharsets.UTF_8));
+      AtomicFile.write(file.toRealPath(), MembersCheck.seal(text).getBytes(StandardCharsets.UTF_8));
       return 0;
     } catch (IOException e) {
       err().println(file + ": " + e.getMessage());
--- a/src/main/java/heathswitch/proxy/members/MembersCheck.java
+++ b/src/main/java/heathswitch/proxy/members/MembersCheck.java
@@ -1,10 +1,10 @@
 package heathswitch.proxy.members;
 
+import heathswitch.policy.members.ListDecision;
 import heathswitch.policy.members.ListDiff;
-import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListEntry;
+import heathswitch.policy.members.ListValidator;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
-import heathswitch.policy.members.Verdict;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
@@ -30,20 +30,20 @@
    * @param servers the servers that the files name; empty where they have faults
    */
   public record Report(
-      boolean good, List<Fault> faults, List<String> lines, List<ListedServer> servers) {}
+      boolean acceptable, List<Fault> faults, List<String> lines, List<ListedServer> servers) {}
 
   private MembersCheck() {}
 
   /** Judges the files in place of those that the table names. */
-  public static Report check(MembersTable table, List<Path> files, long nowMillis) {
+  public static Report check(MembersConfig table, List<Path> files, long nowMillis) {
     List<Fault> faults = new ArrayList<>();
-    List<Placed> candidate = new ArrayList<>();
+    List<ListEntry> candidate = new ArrayList<>();
     for (Path file : files) {
       try {
         byte[] bytes = BoundedFile.read(file, table.mostBytes());
         MembersFormat.Parsed parsed = MembersFormat.parse(file.toString(), bytes);
         faults.addAll(parsed.faults());
-        candidate.addAll(parsed.servers());
+        candidate.addAll(parsed.entries());
       } catch (IOException e) {
         faults.add(new Fault(file.toString(), 0, 0, "", String.valueOf(e.getMessage())));
       }
@@ -52,35 +52,36 @@
       return new Report(false, faults, List.of(), List.of());
     }
     List<String> lines = new ArrayList<>();
-    ListJudge judge = new ListJudge(table.policy());
+    ListValidator judge = new ListValidator(table.policy());
     restore(table, judge, lines);
     List<ListedServer> before = judge.current();
-    Verdict verdict = judge.judge(nowMillis, candidate);
-    boolean good = verdict instanceof Verdict.Accepted || verdict instanceof Verdict.Unchanged;
-    if (verdict instanceof Verdict.Accepted accepted) {
+    ListDecision verdict = judge.judge(nowMillis, candidate);
+    boolean good =
+        verdict instanceof ListDecision.Accepted || verdict instanceof ListDecision.Unchanged;
+    if (verdict instanceof ListDecision.Accepted accepted) {
       lines.add("would be accepted as version " + accepted.version());
-    } else if (verdict instanceof Verdict.Held held) {
+    } else if (verdict instanceof ListDecision.PendingConfirmation held) {
       lines.add("would be held back until confirmed:");
       held.reasons().forEach(reason -> lines.add("  " + reason));
-    } else if (verdict instanceof Verdict.Refused refused) {
+    } else if (verdict instanceof ListDecision.Refused refused) {
       lines.add("would be refused:");
       refused.reasons().forEach(reason -> lines.add("  " + reason));
     } else {
       lines.add("says what the current list says");
     }
-    List<ListedServer> servers = candidate.stream().map(Placed::server).toList();
+    List<ListedServer> servers = candidate.stream().map(ListEntry::server).toList();
     differences(ListDiff.between(before, servers), lines);
     return new Report(good, faults, lines, servers);
   }
 
-  private static void restore(MembersTable table, ListJudge judge, List<String> lines) {
+  private static void restore(MembersConfig table, ListValidator judge, List<String> lines) {
     if (table.state() == null) {
       lines.add("no state folder is configured: judged as the first list of a new balancer");
       return;
     }
-    MembersState.Found found = new MembersState(table.state()).read();
+    MembersStateStore.Found found = new MembersStateStore(table.state()).read();
     if (found.kept() != null) {
-      MembersState.Kept kept = found.kept();
+      MembersStateStore.Kept kept = found.kept();
       judge.restore(kept.version(), kept.number(), kept.list(), kept.joined(), kept.left());
       lines.add("current list: version " + kept.version() + ", " + kept.list().size() + " servers");
     } else {
@@ -91,16 +92,16 @@
   }
 
   private static void differences(ListDiff diff, List<String> lines) {
-    shown("+ ", diff.added().stream().map(MembersFormat::line).toList(), lines);
-    shown("- ", diff.removed().stream().map(MembersFormat::line).toList(), lines);
+    shown("+ ", diff.added().stream().map(MembersFormat::formatLine).toList(), lines);
+    shown("- ", diff.removed().stream().map(MembersFormat::formatLine).toList(), lines);
     shown(
         "~ ",
         diff.changed().stream()
             .map(
                 change ->
-                    MembersFormat.line(change.before())
+                    MembersFormat.formatLine(change.before())
                         + "  ->  "
-                        + MembersFormat.line(change.after()))
+                        + MembersFormat.formatLine(change.after()))
             .toList(),
         lines);
   }
@@ -116,7 +117,7 @@
    * The file's content with its last line made right: the count, and a digest of the rest. A fault
    * of the servers stays one.
    */
-  public static String sealed(String text) {
+  public static String seal(String text) {
     StringBuilder lines = new StringBuilder();
     for (String line : text.split("\n", -1)) {
       String bare = line.strip();
@@ -132,6 +133,6 @@
             .map(line -> line.replaceFirst("#.*", "").strip())
             .filter(l -> !l.isEmpty())
             .count();
-    return body + "end " + servers + " sha256:" + Digests.sha256(bytes, 0, bytes.length) + '\n';
+    return body + "end " + servers + " sha256:" + Sha256.hex(bytes, 0, bytes.length) + '\n';
   }
 }
--- a/src/main/java/heathswitch/proxy/members/MembersTable.java
+++ b/src/main/java/heathswitch/proxy/members/MembersConfig.java
@@ -14,7 +14,7 @@
  * @param pollMillis between two looks at the files
  * @param settleMillis for which a file must have stayed as it is before it is read
  */
-public record MembersTable(
+public record MembersConfig(
     List<Path> files,
     Path state,
     long drainMillis,
@@ -23,7 +23,7 @@
     ListPolicy policy) {
 
   /** Reads and checks the table; null where it cannot be used, with faults in the document. */
-  public static MembersTable read(Document document) {
+  public static MembersConfig read(Document document) {
     Section root = document.root();
     Section table = root.table("members");
     if (table == null) {
@@ -43,8 +43,8 @@
       table.fault("least_weight", "is over most_weight; at most " + most + " expected");
       most = least;
     }
-    MembersTable members =
-        new MembersTable(
+    MembersConfig members =
+        new MembersConfig(
             files,
             state == null ? null : document.resolve(state),
             table.millis("drain", "30s", "0ms", "1h"),
--- a/src/main/java/heathswitch/proxy/members/MembersFormat.java
+++ b/src/main/java/heathswitch/proxy/members/MembersFormat.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.members;
 
+import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.files.BoundedFile;
 import heathswitch.proxy.files.FileFault;
@@ -46,12 +46,12 @@
   private static final Pattern DIGEST = Pattern.compile("sha256:[0-9a-f]{64}");
 
   /** What a file holds: its servers, of use only where it has no faults. */
-  public record Parsed(List<Placed> servers, List<Fault> faults) {}
+  public record Parsed(List<ListEntry> entries, List<Fault> faults) {}
 
   private record Word(String text, int column) {}
 
   private final String file;
-  private final List<Placed> servers = new ArrayList<>();
+  private final List<ListEntry> servers = new ArrayList<>();
   private final List<Fault> faults = new ArrayList<>();
   private boolean ended;
 
@@ -163,7 +163,7 @@
       return;
     }
     int length = before.getBytes(StandardCharsets.UTF_8).length;
-    if (!word.text().equals("sha256:" + Digests.sha256(bytes, 0, length))) {
+    if (!word.text().equals("sha256:" + Sha256.hex(bytes, 0, length))) {
       fault(number, word.column(), "end", "the digest is not that of the lines above");
     }
   }
@@ -189,14 +189,14 @@
     double weight = weight(number, words.get(5));
     boolean inService = phase(number, words.get(6));
     int grpcPort = words.size() > COLUMNS.length ? grpcPort(number, words.get(7)) : 0;
-    if (grpcPort > 0 && address.startsWith(ListedServer.GRPC_ALONE)) {
+    if (grpcPort > 0 && address.startsWith(ListedServer.GRPC_ONLY_PREFIX)) {
       fault(number, words.get(7).column(), "grpc", "stands beside a grpc:// address; one expected");
     }
     if (faults.size() == before) {
       ListedServer server =
           new ListedServer(
               id, address, zone, kind, Long.parseLong(cell.text()), weight, inService, grpcPort);
-      servers.add(new Placed(server, file + ':' + number));
+      servers.add(new ListEntry(server, file + ':' + number));
     }
   }
 
@@ -218,10 +218,10 @@
   }
 
   private String address(int number, Word word) {
-    boolean grpc = word.text().startsWith(ListedServer.GRPC_ALONE);
+    boolean grpc = word.text().startsWith(ListedServer.GRPC_ONLY_PREFIX);
     InetSocketAddress address =
         Addresses.parse(
-            grpc ? word.text().substring(ListedServer.GRPC_ALONE.length()) : word.text());
+            grpc ? word.text().substring(ListedServer.GRPC_ONLY_PREFIX.length()) : word.text());
     if (address == null || address.getPort() == 0) {
       fault(
           number,
@@ -230,7 +230,7 @@
           quoted(word) + "; a numeric address and port, such as 127.0.0.1:9101, expected");
       return "";
     }
-    return (grpc ? ListedServer.GRPC_ALONE : "") + Addresses.format(address);
+    return (grpc ? ListedServer.GRPC_ONLY_PREFIX : "") + Addresses.format(address);
   }
 
   /** Any number that Java writes; whether it is one that a server may have is judged elsewhere. */
@@ -274,19 +274,19 @@
   public static String write(List<ListedServer> servers) {
     StringBuilder text = new StringBuilder("# id address zone kind cell weight phase\n");
     for (ListedServer server : servers) {
-      text.append(line(server)).append('\n');
+      text.append(formatLine(server)).append('\n');
     }
     byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
     return text.append("end ")
         .append(servers.size())
         .append(" sha256:")
-        .append(Digests.sha256(bytes, 0, bytes.length))
+        .append(Sha256.hex(bytes, 0, bytes.length))
         .append('\n')
         .toString();
   }
 
   /** One server's line. */
-  public static String line(ListedServer server) {
+  public static String formatLine(ListedServer server) {
     return server.id()
         + ' '
         + server.address()
@@ -305,8 +305,9 @@
 
   /** Tells one list from another, whatever the order of its lines. */
   public static String digest(List<ListedServer> servers) {
-    String text = String.join("\n", servers.stream().map(MembersFormat::line).sorted().toList());
+    String text =
+        String.join("\n", servers.stream().map(MembersFormat::formatLine).sorted().toList());
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    return Digests.sha256(bytes, 0, bytes.length);
+    return Sha256.hex(bytes, 0, bytes.length);
   }
 }
--- a/src/main/java/heathswitch/proxy/members/MembersPages.java
+++ b/src/main/java/heathswitch/proxy/members/MembersPages.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.members;
 
-import heathswitch.policy.members.Verdict;
+import heathswitch.policy.members.ListDecision;
 import heathswitch.proxy.admin.AdminServer;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,12 +26,12 @@
         });
   }
 
-  private static AdminServer.Reply confirmed(Verdict verdict) {
-    if (verdict instanceof Verdict.Accepted accepted) {
+  private static AdminServer.Reply confirmed(ListDecision verdict) {
+    if (verdict instanceof ListDecision.Accepted accepted) {
       return AdminServer.Reply.ok(Map.of("accepted", accepted.version()));
     }
     List<String> reasons =
-        verdict instanceof Verdict.Refused refused ? refused.reasons() : List.of("not taken");
+        verdict instanceof ListDecision.Refused refused ? refused.reasons() : List.of("not taken");
     return AdminServer.Reply.error(409, String.join("; ", reasons));
   }
 
@@ -48,14 +48,14 @@
     json.put("draining", status.draining());
     json.put("accepted_total", status.acceptedTotal());
     json.put("refused_total", status.refusedTotal());
-    if (status.held() != null) {
+    if (status.pending() != null) {
       Map<String, Object> held = new LinkedHashMap<>();
-      held.put("version", status.held().version());
-      held.put("since_ms", status.held().sinceMillis());
-      held.put("reasons", status.held().reasons());
-      held.put("added", status.held().added());
-      held.put("removed", status.held().removed());
-      held.put("changed", status.held().changed());
+      held.put("version", status.pending().version());
+      held.put("since_ms", status.pending().sinceMillis());
+      held.put("reasons", status.pending().reasons());
+      held.put("added", status.pending().added());
+      held.put("removed", status.pending().removed());
+      held.put("changed", status.pending().changed());
       json.put("held", held);
     }
     json.put(
--- a/src/main/java/heathswitch/proxy/members/MembersKeeper.java
+++ b/src/main/java/heathswitch/proxy/members/MembersReloader.java
@@ -1,10 +1,10 @@
 package heathswitch.proxy.members;
 
-import heathswitch.policy.members.Departures;
-import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListDecision;
+import heathswitch.policy.members.ListEntry;
+import heathswitch.policy.members.ListValidator;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
-import heathswitch.policy.members.Verdict;
+import heathswitch.policy.members.ServerStateTracker;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
@@ -17,12 +17,12 @@
  * Follows the files: has each new content judged, keeps what was accepted on disk, and says what is
  * to be told of the servers. All calls come from one thread, and none on the event loop.
  */
-final class MembersKeeper implements AutoCloseable {
+final class MembersReloader implements AutoCloseable {
   /** A start that finds no list at all that it could serve with. */
-  static final class NoList extends Exception {
+  static final class NoUsableListException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    NoList(String message) {
+    NoUsableListException(String message) {
       super(message);
     }
   }
@@ -32,10 +32,10 @@
   /** A state that could not be written is tried again so long after. */
   private static final long SAVE_AGAIN_MILLIS = 5000;
 
-  private MembersTable table;
-  private final ListJudge judge;
-  private final Departures departures;
-  private final MembersState state;
+  private MembersConfig table;
+  private final ListValidator judge;
+  private final ServerStateTracker departures;
+  private final MembersStateStore state;
   private List<WatchedFile> files;
   private final ArrayDeque<MembersStatus.Refusal> refusals = new ArrayDeque<>();
   private String judged = "";
@@ -50,15 +50,15 @@
   private String stateTrouble;
   private long changes;
 
-  MembersKeeper(MembersTable table) {
+  MembersReloader(MembersConfig table) {
     this.table = table;
-    judge = new ListJudge(table.policy());
-    departures = new Departures(table.policy().mostServers());
-    state = table.state() == null ? null : new MembersState(table.state());
+    judge = new ListValidator(table.policy());
+    departures = new ServerStateTracker(table.policy().mostServers());
+    state = table.state() == null ? null : new MembersStateStore(table.state());
     files = watch(table);
   }
 
-  private static List<WatchedFile> watch(MembersTable table) {
+  private static List<WatchedFile> watch(MembersConfig table) {
     return table.files().stream().map(path -> new WatchedFile(path, table.mostBytes())).toList();
   }
 
@@ -66,7 +66,7 @@
    * The list to start with: that of the files, judged against the one that was kept, or else the
    * kept one.
    */
-  List<Departures.News> start(long nowMillis) throws NoList {
+  List<ServerStateTracker.Update> start(long nowMillis) throws NoUsableListException {
     List<String> why = new ArrayList<>();
     if (state != null) {
       takeUp(why);
@@ -74,21 +74,22 @@
     for (WatchedFile file : files) {
       file.look(nowMillis, 0);
     }
-    if (!(judgeFiles(nowMillis) instanceof Verdict.Accepted) && judge.version() == 0) {
+    if (!(judgeFiles(nowMillis) instanceof ListDecision.Accepted) && judge.version() == 0) {
       refusals.forEach(refusal -> why.addAll(refusal.reasons()));
-      throw new NoList("no list of servers to start with:\n  " + String.join("\n  ", why));
+      throw new NoUsableListException(
+          "no list of servers to start with:\n  " + String.join("\n  ", why));
     }
     keep(nowMillis);
     return departures.begin(judge.current());
   }
 
-  private void takeUp(List<String> why) throws NoList {
+  private void takeUp(List<String> why) throws NoUsableListException {
     try {
       state.lock();
     } catch (IOException e) {
-      throw new NoList("state folder " + table.state() + " " + e.getMessage());
+      throw new NoUsableListException("state folder " + table.state() + " " + e.getMessage());
     }
-    MembersState.Found found = state.read();
+    MembersStateStore.Found found = state.read();
     if (found.damage() != null) {
       why.add(found.damage());
       try {
@@ -98,7 +99,7 @@
         Log.warn("members", stateTrouble);
       }
     } else if (found.kept() != null) {
-      MembersState.Kept kept = found.kept();
+      MembersStateStore.Kept kept = found.kept();
       judge.restore(kept.version(), kept.number(), kept.list(), kept.joined(), kept.left());
       acceptedMillis = kept.acceptedMillis();
       source = List.of(state.file().toString());
@@ -109,16 +110,16 @@
   }
 
   /** Looks at the files once; what is to be told of the servers, which is mostly nothing. */
-  List<Departures.News> look(long nowMillis) {
+  List<ServerStateTracker.Update> look(long nowMillis) {
     boolean settled = true;
     for (WatchedFile file : files) {
       settled &= file.look(nowMillis, table.settleMillis());
     }
-    List<Departures.News> news = departures.tick(nowMillis);
+    List<ServerStateTracker.Update> news = departures.tick(nowMillis);
     changes += news.isEmpty() ? 0 : 1;
     if (settled && !marks().equals(judged)) {
-      Verdict verdict = judgeFiles(nowMillis);
-      if (verdict instanceof Verdict.Accepted) {
+      ListDecision verdict = judgeFiles(nowMillis);
+      if (verdict instanceof ListDecision.Accepted) {
         news = new ArrayList<>(news);
         news.addAll(departures.accept(nowMillis, table.drainMillis(), judge.current()));
       }
@@ -127,9 +128,9 @@
   }
 
   /** Takes the list that is held back; null where it was, else why not. */
-  Verdict confirm(long nowMillis, long version, List<Departures.News> news) {
-    Verdict verdict = judge.confirm(nowMillis, version);
-    if (verdict instanceof Verdict.Accepted accepted) {
+  ListDecision confirm(long nowMillis, long version, List<ServerStateTracker.Update> news) {
+    ListDecision verdict = judge.confirm(nowMillis, version);
+    if (verdict instanceof ListDecision.Accepted accepted) {
       accepted(nowMillis, accepted);
       news.addAll(departures.accept(nowMillis, table.drainMillis(), judge.current()));
     }
@@ -137,7 +138,7 @@
   }
 
   /** Other files or rules from now on; the state folder stays. */
-  void reconfigure(MembersTable next) {
+  void reconfigure(MembersConfig next) {
     if (!next.files().equals(table.files()) || next.mostBytes() != table.mostBytes()) {
       files = watch(next);
     }
@@ -152,26 +153,26 @@
     return marks.toString();
   }
 
-  private Verdict judgeFiles(long nowMillis) {
+  private ListDecision judgeFiles(long nowMillis) {
     judged = marks();
     changes++;
-    List<Placed> candidate = new ArrayList<>();
+    List<ListEntry> candidate = new ArrayList<>();
     List<String> faults = new ArrayList<>();
     for (WatchedFile file : files) {
       for (Fault fault : file.faults()) {
         faults.add(fault.toString());
       }
       if (faults.isEmpty()) {
-        candidate.addAll(file.parsed().servers());
+        candidate.addAll(file.parsed().entries());
       }
     }
-    Verdict verdict =
-        faults.isEmpty() ? judge.judge(nowMillis, candidate) : new Verdict.Refused(faults);
-    if (verdict instanceof Verdict.Accepted accepted) {
+    ListDecision verdict =
+        faults.isEmpty() ? judge.judge(nowMillis, candidate) : new ListDecision.Refused(faults);
+    if (verdict instanceof ListDecision.Accepted accepted) {
       accepted(nowMillis, accepted);
-    } else if (verdict instanceof Verdict.Refused refused) {
+    } else if (verdict instanceof ListDecision.Refused refused) {
       refused(nowMillis, refused.reasons());
-    } else if (verdict instanceof Verdict.Held held) {
+    } else if (verdict instanceof ListDecision.PendingConfirmation held) {
       heldMillis = nowMillis;
       unsaved = true; // Its number must not be given to another list after a restart.
       saveAgainMillis = 0;
@@ -187,7 +188,7 @@
     return verdict;
   }
 
-  private void accepted(long nowMillis, Verdict.Accepted accepted) {
+  private void accepted(long nowMillis, ListDecision.Accepted accepted) {
     changes++;
     acceptedMillis = nowMillis;
     acceptedTotal++;
@@ -247,7 +248,7 @@
   }
 
   MembersStatus status(boolean applied) {
-    Verdict.Held held = judge.held();
+    ListDecision.PendingConfirmation held = judge.pending();
     List<ListedServer> current = judge.current();
     return new MembersStatus(
         judge.version(),
@@ -262,7 +263,7 @@
         refusedTotal,
         held == null
             ? null
-            : new MembersStatus.HeldBack(
+            : new MembersStatus.PendingList(
                 held.version(),
                 heldMillis,
                 held.reasons(),
--- a/src/main/java/heathswitch/proxy/members/MembersState.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStateStore.java
@@ -1,9 +1,9 @@
 package heathswitch.proxy.members;
 
-import heathswitch.policy.members.History;
-import heathswitch.policy.members.ListJudge;
+import heathswitch.policy.members.ListEntry;
+import heathswitch.policy.members.ListValidator;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
+import heathswitch.policy.members.ServiceHistory;
 import heathswitch.proxy.files.AtomicFile;
 import heathswitch.proxy.files.BoundedFile;
 import heathswitch.proxy.files.FileFault;
@@ -26,7 +26,7 @@
  * and left of late. Written whole or not at all; what does not match its own digest is set aside
  * under another name and never used.
  */
-final class MembersState implements AutoCloseable {
+final class MembersStateStore implements AutoCloseable {
   static final String FILE = "members.state";
   private static final String FIRST_LINE = "heathswitch members state 1";
   private static final int MOST_BYTES = 128 << 20;
@@ -41,7 +41,7 @@
       long acceptedMillis,
       List<ListedServer> list,
       Map<String, Long> joined,
-      List<History.Departure> left) {}
+      List<ServiceHistory.Departure> left) {}
 
   /** What was found: a state, or why there is none that can be used; both null for none at all. */
   record Found(Kept kept, String damage) {}
@@ -49,7 +49,7 @@
   private final Path folder;
   private FileChannel channel;
 
-  MembersState(Path folder) {
+  MembersStateStore(Path folder) {
     this.folder = folder;
   }
 
@@ -110,7 +110,7 @@
     return Files.move(file(), oldest, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  void save(ListJudge judge, long acceptedMillis) throws IOException {
+  void save(ListValidator judge, long acceptedMillis) throws IOException {
     StringBuilder text = new StringBuilder();
     text.append("version ").append(judge.version()).append('\n');
     text.append("number ").append(judge.lastNumber()).append('\n');
@@ -121,7 +121,7 @@
         .forEach(
             (process, at) ->
                 text.append("joined ").append(at).append(' ').append(process).append('\n'));
-    for (History.Departure left : judge.history().departures()) {
+    for (ServiceHistory.Departure left : judge.history().departures()) {
       text.append("left ")
           .append(left.leftMillis())
           .append(' ')
@@ -136,7 +136,7 @@
     }
     text.append("servers\n").append(MembersFormat.write(judge.current()));
     byte[] rest = text.toString().getBytes(StandardCharsets.UTF_8);
-    String head = FIRST_LINE + "\nsha256 " + Digests.sha256(rest, 0, rest.length) + '\n';
+    String head = FIRST_LINE + "\nsha256 " + Sha256.hex(rest, 0, rest.length) + '\n';
     byte[] first = head.getBytes(StandardCharsets.UTF_8);
     byte[] whole = new byte[first.length + rest.length];
     System.arraycopy(first, 0, whole, 0, first.length);
@@ -151,7 +151,7 @@
       throw new FileFault("is no state of this version");
     }
     int start = second + 1;
-    String digest = "sha256 " + Digests.sha256(bytes, start, bytes.length - start);
+    String digest = "sha256 " + Sha256.hex(bytes, start, bytes.length - start);
     if (!string(bytes, first + 1, second).equals(digest)) {
       throw new FileFault("does not match its own digest");
     }
@@ -160,7 +160,7 @@
     long number = 0;
     long accepted = 0;
     Map<String, Long> joined = new HashMap<>();
-    List<History.Departure> left = new ArrayList<>();
+    List<ServiceHistory.Departure> left = new ArrayList<>();
     for (int at = start; ; ) {
       int end = indexOf(bytes, at);
       if (end < 0) {
@@ -175,7 +175,7 @@
         case "joined" -> joined.put(words[2], Long.parseLong(words[1]));
         case "left" ->
             left.add(
-                new History.Departure(
+                new ServiceHistory.Departure(
                     words[3],
                     words[4],
                     words[5],
@@ -187,7 +187,7 @@
           if (!parsed.faults().isEmpty() || version <= 0) {
             throw new FileFault("holds a list that cannot be read");
           }
-          List<ListedServer> list = parsed.servers().stream().map(Placed::server).toList();
+          List<ListedServer> list = parsed.entries().stream().map(ListEntry::server).toList();
           return new Kept(version, number, accepted, list, joined, left);
         }
         default -> throw new FileFault("has a line that is not known: " + words[0]);
--- a/src/main/java/heathswitch/proxy/members/MembersStatus.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStatus.java
@@ -23,7 +23,7 @@
     int draining,
     long acceptedTotal,
     long refusedTotal,
-    HeldBack held,
+    PendingList pending,
     List<Refusal> refusals,
     String stateTrouble) {
 
@@ -40,13 +40,13 @@
         draining,
         acceptedTotal,
         refusedTotal,
-        held,
+        pending,
         refusals,
         stateTrouble);
   }
 
   /** A list that waits for a person. */
-  public record HeldBack(
+  public record PendingList(
       long version, long sinceMillis, List<String> reasons, int added, int removed, int changed) {}
 
   /** One candidate that was not taken. */
--- a/src/main/java/heathswitch/proxy/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -4,8 +4,8 @@
 
 import heathswitch.policy.api.Health;
 import heathswitch.policy.api.ListUpdate;
-import heathswitch.policy.members.Departures;
-import heathswitch.policy.members.Verdict;
+import heathswitch.policy.members.ListDecision;
+import heathswitch.policy.members.ServerStateTracker;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import heathswitch.proxy.node.MemberSource;
@@ -31,10 +31,10 @@
  */
 public final class MembersWatcher implements MemberSource, Dispatcher.Discovery, AutoCloseable {
   /** A start that finds no list that it could serve with; the message says why. */
-  public static final class CannotStart extends Exception {
+  public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    CannotStart(String message) {
+    StartException(String message) {
       super(message);
     }
   }
@@ -43,7 +43,7 @@
   static final int SLICE = 512;
 
   private final Clock clock = new Clock();
-  private final MembersKeeper keeper;
+  private final MembersReloader keeper;
   private final ScheduledExecutorService thread =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
@@ -67,19 +67,19 @@
   private boolean telling;
   private boolean stopped;
 
-  private MembersWatcher(MembersKeeper keeper, long pollMillis) {
+  private MembersWatcher(MembersReloader keeper, long pollMillis) {
     this.keeper = keeper;
     this.pollMillis = pollMillis;
   }
 
   /** Reads and judges what is there now; {@link #on} must follow. */
-  public static MembersWatcher open(MembersTable table) throws CannotStart {
-    MembersWatcher watcher = new MembersWatcher(new MembersKeeper(table), table.pollMillis());
+  public static MembersWatcher open(MembersConfig table) throws StartException {
+    MembersWatcher watcher = new MembersWatcher(new MembersReloader(table), table.pollMillis());
     try {
       watcher.first = members(watcher.keeper.start(watcher.nowMillis()));
-    } catch (MembersKeeper.NoList e) {
+    } catch (MembersReloader.NoUsableListException e) {
       watcher.close();
-      throw new CannotStart(e.getMessage());
+      throw new StartException(e.getMessage());
     }
     watcher.status = watcher.keeper.status(true);
     return watcher;
@@ -89,9 +89,9 @@
     return clock.nowNanos() / 1_000_000;
   }
 
-  private static List<Member> members(List<Departures.News> news) {
+  private static List<Member> members(List<ServerStateTracker.Update> news) {
     List<Member> members = new ArrayList<>(news.size());
-    for (Departures.News each : news) {
+    for (ServerStateTracker.Update each : news) {
       Health health =
           switch (each.state()) {
             case READY -> Health.READY;
@@ -100,7 +100,7 @@
           };
       InetSocketAddress at =
           health == Health.GONE ? null : Addresses.parse(each.server().endpoint());
-      boolean alone = each.server().grpcAlone();
+      boolean alone = each.server().grpcOnly();
       int port = each.server().grpcPort();
       InetSocketAddress beside =
           at == null || port == 0 ? null : new InetSocketAddress(at.getAddress(), port);
@@ -214,7 +214,7 @@
    * Hands news to the loop, unless it is still busy with earlier news: the files are looked at
    * again only when it has taken all, so what waits for it is never more than one list.
    */
-  private void pass(List<Departures.News> news) {
+  private void pass(List<ServerStateTracker.Update> news) {
     if (!news.isEmpty()) {
       List<Member> members = members(news);
       told = new CountDownLatch(1);
@@ -242,18 +242,18 @@
   // ---- from any thread ----
 
   /** Takes the list that is held back under this version; the verdict comes on the own thread. */
-  public void confirm(long version, Consumer<Verdict> done) {
+  public void confirm(long version, Consumer<ListDecision> done) {
     thread.execute(
         () -> {
-          List<Departures.News> news = new ArrayList<>();
-          Verdict verdict = keeper.confirm(nowMillis(), version, news);
+          List<ServerStateTracker.Update> news = new ArrayList<>();
+          ListDecision verdict = keeper.confirm(nowMillis(), version, news);
           pass(news);
           done.accept(verdict);
         });
   }
 
   /** Watches other files or follows other rules from now on. */
-  public Future<?> reconfigure(MembersTable next) {
+  public Future<?> reconfigure(MembersConfig next) {
     return thread.submit(
         () -> {
           keeper.reconfigure(next);
--- a/src/main/java/heathswitch/proxy/members/Digests.java
+++ b/src/main/java/heathswitch/proxy/members/Sha256.java
@@ -5,10 +5,10 @@
 import java.util.HexFormat;
 
 /** SHA-256 (FIPS 180-4) in small hexadecimal letters. */
-final class Digests {
-  private Digests() {}
+final class Sha256 {
+  private Sha256() {}
 
-  static String sha256(byte[] bytes, int offset, int length) {
+  static String hex(byte[] bytes, int offset, int length) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       digest.update(bytes, offset, length);
--- a/src/main/java/heathswitch/proxy/members/WatchedFile.java
+++ b/src/main/java/heathswitch/proxy/members/WatchedFile.java
@@ -74,7 +74,7 @@
       return false; // It changed while it was read; the next look begins anew.
     }
     String before = digest;
-    digest = Digests.sha256(bytes, 0, bytes.length);
+    digest = Sha256.hex(bytes, 0, bytes.length);
     if (before != null && !before.equals(digest)) {
       changedMillis = nowMillis; // Another write under the same stamp.
       parsed = null;
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -9,7 +9,7 @@
 import heathswitch.proxy.grpc.GrpcTable;
 import heathswitch.proxy.logging.LogTable;
 import heathswitch.proxy.maintenance.MaintenanceConfig;
-import heathswitch.proxy.members.MembersTable;
+import heathswitch.proxy.members.MembersConfig;
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.subsetting.SubsetTable;
 import java.nio.file.Path;
@@ -29,7 +29,7 @@
  */
 public record StandaloneConfig(
     NodeSettings node,
-    MembersTable members,
+    MembersConfig members,
     AdminTable admin,
     GrpcTable grpc,
     GatewayTable gateway,
@@ -66,7 +66,7 @@
     StandaloneConfig config =
         new StandaloneConfig(
             node,
-            MembersTable.read(document),
+            MembersConfig.read(document),
             AdminTable.read(document.root()),
             GrpcTable.read(document.root(), node == null ? List.of() : node.settings().classes()),
             GatewayTable.read(document),
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -43,7 +43,7 @@
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
-      throws MembersWatcher.CannotStart,
+      throws MembersWatcher.StartException,
           SiteGateway.CannotStart,
           MaintenanceService.StartException,
           GossipService.StartException {
--- a/src/main/java/heathswitch/testbed/balancer/Workplace.java
+++ b/src/main/java/heathswitch/testbed/balancer/Workplace.java
@@ -35,7 +35,7 @@
 
   /** A list as a person would write it: with a count, without a digest. */
   public static String text(List<ListedServer> servers) {
-    return servers.stream().map(MembersFormat::line).collect(Collectors.joining("\n"))
+    return servers.stream().map(MembersFormat::formatLine).collect(Collectors.joining("\n"))
         + "\nend "
         + servers.size()
         + '\n';
--- a/src/main/java/heathswitch/testbed/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.demo;
 
+import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.members.MembersFormat;
 import heathswitch.proxy.runtime.Addresses;
@@ -75,7 +75,7 @@
     // The state of an earlier demo would hold back what has been edited since.
     Files.deleteIfExists(config.members().state().resolve("members.state"));
     Shape shape = Shape.warm(8, 64, ServiceTime.lognormal(15, 0.5));
-    for (Placed placed : parsed.servers()) {
+    for (ListEntry placed : parsed.entries()) {
       ListedServer listed = placed.server();
       StandIn server = new StandIn(group.next(), listed.id(), shape, servers.size(), null);
       servers.add(server.start(Addresses.parse(listed.address())));
--- a/src/test/java/heathswitch/policy/members/ListJudgeTest.java
+++ b/src/test/java/heathswitch/policy/members/ListValidatorTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What becomes of lists: sound, unsound, and sound but far-reaching. */
-class ListJudgeTest {
+class ListValidatorTest {
   private static final long MINUTE = 60_000;
   private static final ListPolicy POLICY = new ListPolicy(0.3, 10 * MINUTE, 0.01, 100, 1000);
 
-  private final ListJudge judge = new ListJudge(POLICY);
+  private final ListValidator judge = new ListValidator(POLICY);
   private long now = 1_000 * MINUTE;
 
   private static ListedServer server(String id, String zone, String kind) {
@@ -37,33 +37,34 @@
     return list;
   }
 
-  private static List<Placed> placed(List<ListedServer> list) {
-    List<Placed> placed = new ArrayList<>();
+  private static List<ListEntry> placed(List<ListedServer> list) {
+    List<ListEntry> placed = new ArrayList<>();
     for (int i = 0; i < list.size(); i++) {
-      placed.add(new Placed(list.get(i), "f:" + (i + 1)));
+      placed.add(new ListEntry(list.get(i), "f:" + (i + 1)));
     }
     return placed;
   }
 
-  private Verdict judge(List<ListedServer> list) {
+  private ListDecision judge(List<ListedServer> list) {
     return judge.judge(now, placed(list));
   }
 
   private void accepted(List<ListedServer> list) {
-    assertInstanceOf(Verdict.Accepted.class, judge(list));
+    assertInstanceOf(ListDecision.Accepted.class, judge(list));
     assertEquals(list, judge.current());
   }
 
   private List<String> refused(List<ListedServer> list) {
     List<ListedServer> before = judge.current();
-    Verdict.Refused refused = assertInstanceOf(Verdict.Refused.class, judge(list));
+    ListDecision.Refused refused = assertInstanceOf(ListDecision.Refused.class, judge(list));
     assertEquals(before, judge.current());
     return refused.reasons();
   }
 
-  private Verdict.Held held(List<ListedServer> list) {
+  private ListDecision.PendingConfirmation held(List<ListedServer> list) {
     List<ListedServer> before = judge.current();
-    Verdict.Held held = assertInstanceOf(Verdict.Held.class, judge(list));
+    ListDecision.PendingConfirmation held =
+        assertInstanceOf(ListDecision.PendingConfirmation.class, judge(list));
     assertEquals(before, judge.current());
     return held;
   }
@@ -133,8 +134,8 @@
     }
     List<String> reasons = refused(many);
     assertEquals("the list names 1001 servers; at most 1000 are allowed", reasons.get(0));
-    assertEquals(ListJudge.MOST_REASONS + 1, reasons.size());
-    assertTrue(reasons.get(ListJudge.MOST_REASONS).matches("and \\d+ more"));
+    assertEquals(ListValidator.MOST_REASONS + 1, reasons.size());
+    assertTrue(reasons.get(ListValidator.MOST_REASONS).matches("and \\d+ more"));
   }
 
   @Test
@@ -142,7 +143,7 @@
     accepted(twenty());
     List<ListedServer> other = new ArrayList<>(twenty());
     Collections.reverse(other);
-    assertInstanceOf(Verdict.Unchanged.class, judge(other));
+    assertInstanceOf(ListDecision.Unchanged.class, judge(other));
     assertEquals(1, judge.version());
   }
 
@@ -150,7 +151,7 @@
   void aWholeKindOrZoneWaitsForAPerson() {
     accepted(twenty());
     List<ListedServer> noStore = without(twenty(), 10, "store");
-    Verdict.Held held = held(noStore);
+    ListDecision.PendingConfirmation held = held(noStore);
     assertEquals("no server of kind store would be left in service", held.reasons().get(0));
     assertEquals(
         "10 of 20 servers would have left service within 10 min; 6 may without being asked about",
@@ -181,7 +182,7 @@
       now += MINUTE / 2;
       accepted(list);
     }
-    Verdict.Held held = held(without(list, 1, "store"));
+    ListDecision.PendingConfirmation held = held(without(list, 1, "store"));
     assertEquals(
         List.of(
             "7 of 20 servers would have left service within 10 min;"
@@ -216,7 +217,7 @@
     now += MINUTE;
     held(onlyNew);
     now += 20 * MINUTE;
-    assertInstanceOf(Verdict.Unchanged.class, judge(list));
+    assertInstanceOf(ListDecision.Unchanged.class, judge(list));
     // By now the added ones are as good as the others, and 20 of 220 may go.
     accepted(onlyNew);
   }
@@ -243,7 +244,7 @@
       moved.add(
           new ListedServer(s.id(), "10.0.0.1:" + moved.size(), s.zone(), s.kind(), 0, 1, true));
     }
-    Verdict.Held held = held(moved);
+    ListDecision.PendingConfirmation held = held(moved);
     assertEquals(20, held.diff().changed().size());
   }
 
@@ -258,14 +259,14 @@
   void aHeldListIsTakenWhenItsVersionIsConfirmed() {
     accepted(twenty());
     List<ListedServer> noStore = without(twenty(), 10, "store");
-    Verdict.Held held = held(noStore);
+    ListDecision.PendingConfirmation held = held(noStore);
     assertEquals(held, judge(noStore), "the same list keeps its number");
-    assertInstanceOf(Verdict.Refused.class, judge.confirm(now, held.version() + 1));
-    assertInstanceOf(Verdict.Accepted.class, judge.confirm(now, held.version()));
+    assertInstanceOf(ListDecision.Refused.class, judge.confirm(now, held.version() + 1));
+    assertInstanceOf(ListDecision.Accepted.class, judge.confirm(now, held.version()));
     assertEquals(noStore, judge.current());
     assertEquals(held.version(), judge.version());
-    assertNull(judge.held());
-    assertInstanceOf(Verdict.Refused.class, judge.confirm(now, held.version()));
+    assertNull(judge.pending());
+    assertInstanceOf(ListDecision.Refused.class, judge.confirm(now, held.version()));
     // What was confirmed is the new base: another small edit is not asked about.
     accepted(without(noStore, 1, "front"));
   }
@@ -275,13 +276,13 @@
     accepted(twenty());
     long first = held(without(twenty(), 10, "store")).version();
     refused(List.of());
-    assertNull(judge.held());
+    assertNull(judge.pending());
     long second = held(without(twenty(), 9, "store")).version();
     assertTrue(second > first);
-    assertInstanceOf(Verdict.Refused.class, judge.confirm(now, first));
-    assertNotNull(judge.held());
-    assertInstanceOf(Verdict.Unchanged.class, judge(twenty()));
-    assertNull(judge.held());
+    assertInstanceOf(ListDecision.Refused.class, judge.confirm(now, first));
+    assertNotNull(judge.pending());
+    assertInstanceOf(ListDecision.Unchanged.class, judge(twenty()));
+    assertNull(judge.pending());
   }
 
   @Test
@@ -290,7 +291,7 @@
     List<ListedServer> list = without(twenty(), 6, "store");
     now += MINUTE;
     accepted(list);
-    ListJudge next = new ListJudge(POLICY);
+    ListValidator next = new ListValidator(POLICY);
     next.restore(
         judge.version(),
         judge.lastNumber(),
@@ -298,9 +299,9 @@
         judge.history().joined(),
         judge.history().departures());
     now += MINUTE;
-    Verdict verdict = next.judge(now, placed(without(list, 1, "store")));
-    assertInstanceOf(Verdict.Held.class, verdict);
-    assertEquals(3, ((Verdict.Held) verdict).version());
+    ListDecision verdict = next.judge(now, placed(without(list, 1, "store")));
+    assertInstanceOf(ListDecision.PendingConfirmation.class, verdict);
+    assertEquals(3, ((ListDecision.PendingConfirmation) verdict).version());
   }
 
   /**
@@ -329,9 +330,9 @@
           list.add(server("n-" + next++, random.nextBoolean() ? "a" : "b", kind));
         }
       }
-      Verdict verdict = judge(list);
-      held += verdict instanceof Verdict.Held ? 1 : 0;
-      if (verdict instanceof Verdict.Accepted) {
+      ListDecision verdict = judge(list);
+      held += verdict instanceof ListDecision.PendingConfirmation ? 1 : 0;
+      if (verdict instanceof ListDecision.Accepted) {
         moments.add(new Moment(now, judge.current()));
         Moment base = moments.get(0);
         for (Moment moment : moments) {
--- a/src/test/java/heathswitch/policy/members/DeparturesTest.java
+++ b/src/test/java/heathswitch/policy/members/ServerStateTrackerTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import heathswitch.policy.members.Departures.News;
-import heathswitch.policy.members.Departures.State;
+import heathswitch.policy.members.ServerStateTracker.State;
+import heathswitch.policy.members.ServerStateTracker.Update;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
  * What is told of servers when lists change: drained first, then gone, and cold after a restart.
  */
-class DeparturesTest {
+class ServerStateTrackerTest {
   private static final long DRAIN = 1000;
 
-  private final Departures departures = new Departures(2);
+  private final ServerStateTracker departures = new ServerStateTracker(2);
 
   private static ListedServer server(String id, int port, boolean on) {
     return new ListedServer(id, "127.0.0.1:" + port, "a", "k", 0, 1, on);
@@ -27,7 +27,7 @@
   void theFirstListIsWarm() {
     ListedServer off = server("s-4", 4, false);
     assertEquals(
-        List.of(new News(ONE, State.READY, 0), new News(off, State.DRAINING, 0)),
+        List.of(new Update(ONE, State.READY, 0), new Update(off, State.DRAINING, 0)),
         departures.begin(List.of(ONE, off)));
   }
 
@@ -35,10 +35,10 @@
   void oneThatLeavesIsDrainedAndThenGone() {
     departures.begin(List.of(ONE, TWO));
     assertEquals(
-        List.of(new News(TWO, State.DRAINING, 0)), departures.accept(500, DRAIN, List.of(ONE)));
+        List.of(new Update(TWO, State.DRAINING, 0)), departures.accept(500, DRAIN, List.of(ONE)));
     assertEquals(1, departures.leaving());
     assertEquals(List.of(), departures.tick(1499));
-    assertEquals(List.of(new News(TWO, State.GONE, 0)), departures.tick(1500));
+    assertEquals(List.of(new Update(TWO, State.GONE, 0)), departures.tick(1500));
     assertEquals(List.of(), departures.tick(9999));
     assertEquals(0, departures.leaving());
   }
@@ -47,7 +47,7 @@
   void arrivalsAreColdAndComeBeforeThoseThatLeave() {
     departures.begin(List.of(ONE));
     assertEquals(
-        List.of(new News(TWO, State.READY, 500), new News(ONE, State.DRAINING, 0)),
+        List.of(new Update(TWO, State.READY, 500), new Update(ONE, State.DRAINING, 0)),
         departures.accept(500, DRAIN, List.of(TWO)));
   }
 
@@ -56,7 +56,7 @@
     departures.begin(List.of(ONE, TWO));
     departures.accept(500, DRAIN, List.of(ONE));
     assertEquals(
-        List.of(new News(TWO, State.READY, 0)), departures.accept(900, DRAIN, List.of(ONE, TWO)));
+        List.of(new Update(TWO, State.READY, 0)), departures.accept(900, DRAIN, List.of(ONE, TWO)));
     assertEquals(List.of(), departures.tick(9999));
   }
 
@@ -65,10 +65,11 @@
     departures.begin(List.of(ONE));
     ListedServer moved = server("s-1", 9, true);
     assertEquals(
-        List.of(new News(moved, State.READY, 700)), departures.accept(700, DRAIN, List.of(moved)));
+        List.of(new Update(moved, State.READY, 700)),
+        departures.accept(700, DRAIN, List.of(moved)));
     ListedServer heavier = new ListedServer("s-1", "127.0.0.1:9", "a", "k", 0, 3, true);
     assertEquals(
-        List.of(new News(heavier, State.READY, 700)),
+        List.of(new Update(heavier, State.READY, 700)),
         departures.accept(900, DRAIN, List.of(heavier)),
         "another weight is none");
   }
@@ -79,7 +80,7 @@
     departures.accept(500, DRAIN, List.of(ONE));
     ListedServer moved = server("s-2", 9, true);
     assertEquals(
-        List.of(new News(moved, State.READY, 600)),
+        List.of(new Update(moved, State.READY, 600)),
         departures.accept(600, DRAIN, List.of(ONE, moved)));
   }
 
@@ -89,8 +90,9 @@
     departures.begin(List.of(ONE, TWO, THREE, four));
     departures.accept(100, DRAIN, List.of(TWO, THREE, four));
     departures.accept(200, DRAIN, List.of(THREE, four));
-    List<News> news = departures.accept(300, DRAIN, List.of(four));
-    assertEquals(List.of(new News(THREE, State.DRAINING, 0), new News(ONE, State.GONE, 0)), news);
+    List<Update> news = departures.accept(300, DRAIN, List.of(four));
+    assertEquals(
+        List.of(new Update(THREE, State.DRAINING, 0), new Update(ONE, State.GONE, 0)), news);
     assertEquals(2, departures.leaving());
   }
 }
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -146,7 +146,7 @@
 
     void start(boolean tls) throws Exception {
       servers.forEach(
-          each -> lines.add(MembersFormat.line(Workplace.listed(each, "a", "front", 1))));
+          each -> lines.add(MembersFormat.formatLine(Workplace.listed(each, "a", "front", 1))));
       String members = String.join("\n", lines) + "\nend " + lines.size() + '\n';
       Files.writeString(workplace.members(), members);
       Path file = workplace.configure(ANY, ANY, 512, "");
--- a/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.policy.members.Placed;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -39,19 +39,19 @@
   }
 
   private static List<ListedServer> servers(MembersFormat.Parsed parsed) {
-    return parsed.servers().stream().map(Placed::server).toList();
+    return parsed.entries().stream().map(ListEntry::server).toList();
   }
 
   @Test
   void readsWhatPeopleWrite() {
     MembersFormat.Parsed parsed = parse(TABLE);
     assertEquals(List.of(), parsed.faults());
-    assertEquals(10, parsed.servers().size());
+    assertEquals(10, parsed.entries().size());
     assertEquals(
         new ListedServer("store-2", "127.0.0.1:9102", "bkk", "store", 2, 2.5, false),
-        parsed.servers().get(1).server());
-    assertEquals("m.txt:3", parsed.servers().get(1).place());
-    assertEquals("[::1]:9103", parsed.servers().get(2).server().address());
+        parsed.entries().get(1).server());
+    assertEquals("m.txt:3", parsed.entries().get(1).place());
+    assertEquals("[::1]:9103", parsed.entries().get(2).server().address());
   }
 
   /** A cut leaves nothing that could be taken, unless all that it cut was the last line's end. */
@@ -152,10 +152,10 @@
   void sealingMakesTheLastLineRight() {
     String wrong = TABLE.replace("end 10", "end 3");
     assertFalse(parse(wrong).faults().isEmpty());
-    String sealed = MembersCheck.sealed(wrong);
+    String sealed = MembersCheck.seal(wrong);
     assertEquals(List.of(), parse(sealed).faults());
     assertEquals(servers(parse(TABLE)), servers(parse(sealed)));
-    assertEquals(sealed, MembersCheck.sealed(sealed));
+    assertEquals(sealed, MembersCheck.seal(sealed));
     assertFalse(parse(sealed.replace("store-1 ", "store-x ")).faults().isEmpty());
   }
 }
--- a/src/test/java/heathswitch/proxy/members/MembersKeeperTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersReloaderTest.java
@@ -8,10 +8,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.members.Departures.News;
-import heathswitch.policy.members.Departures.State;
+import heathswitch.policy.members.ListDecision;
 import heathswitch.policy.members.ListPolicy;
-import heathswitch.policy.members.Verdict;
+import heathswitch.policy.members.ServerStateTracker.State;
+import heathswitch.policy.members.ServerStateTracker.Update;
 import heathswitch.proxy.files.BoundedFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -30,17 +30,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Files that are written in all the ways in which people and editors write them, or break them. */
-class MembersKeeperTest {
+class MembersReloaderTest {
   private static final long SETTLE = 100;
   private static final ListPolicy POLICY = new ListPolicy(0.5, 600_000, 0.01, 100, 50);
 
   @TempDir Path folder;
   private long now = System.currentTimeMillis();
-  private final List<MembersKeeper> keepers = new ArrayList<>();
+  private final List<MembersReloader> keepers = new ArrayList<>();
 
   @AfterEach
   void close() throws Exception {
-    for (MembersKeeper keeper : keepers) {
+    for (MembersReloader keeper : keepers) {
       keeper.close();
     }
   }
@@ -49,9 +49,9 @@
     return folder.resolve(name);
   }
 
-  private MembersKeeper keeper(Path state, Path... files) {
-    MembersKeeper keeper =
-        new MembersKeeper(new MembersTable(List.of(files), state, 1000, 10, SETTLE, POLICY));
+  private MembersReloader keeper(Path state, Path... files) {
+    MembersReloader keeper =
+        new MembersReloader(new MembersConfig(List.of(files), state, 1000, 10, SETTLE, POLICY));
     keepers.add(keeper);
     return keeper;
   }
@@ -71,8 +71,8 @@
   }
 
   /** Looks until whatever is there now has settled. */
-  private List<News> settled(MembersKeeper keeper) {
-    List<News> news = new ArrayList<>(keeper.look(now));
+  private List<Update> settled(MembersReloader keeper) {
+    List<Update> news = new ArrayList<>(keeper.look(now));
     now += SETTLE;
     news.addAll(keeper.look(now));
     now += SETTLE;
@@ -80,28 +80,28 @@
     return news;
   }
 
-  private MembersStatus status(MembersKeeper keeper) {
+  private MembersStatus status(MembersReloader keeper) {
     return keeper.status(true);
   }
 
-  private String refusal(MembersKeeper keeper) {
+  private String refusal(MembersReloader keeper) {
     return status(keeper).refusals().get(0).reasons().get(0);
   }
 
-  private MembersKeeper started(String text) throws Exception {
+  private MembersReloader started(String text) throws Exception {
     Files.writeString(file("m"), text);
-    MembersKeeper keeper = keeper(null, file("m"));
+    MembersReloader keeper = keeper(null, file("m"));
     keeper.start(now);
     return keeper;
   }
 
   @Test
   void aSettledChangeIsTakenWhole() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     Files.writeString(file("m"), table(1, 4));
     assertEquals(List.of(), keeper.look(now), "not yet settled");
     now += SETTLE;
-    List<News> news = keeper.look(now);
+    List<Update> news = keeper.look(now);
     assertEquals(1, news.size());
     assertEquals("s-4", news.get(0).server().id());
     assertEquals(State.READY, news.get(0).state());
@@ -110,7 +110,7 @@
 
   @Test
   void oneThatLeftIsDrainedAndThenGone() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     Files.writeString(file("m"), table(1, 2));
     assertEquals(State.DRAINING, settled(keeper).get(0).state());
     assertEquals(1, status(keeper).draining());
@@ -122,7 +122,7 @@
   /** Every cut of a good file is refused, and the list before it stays. */
   @Test
   void aFileCutAtAnyByteChangesNothing() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     byte[] next = table(1, 12).getBytes();
     for (int length = 0; length < next.length - 1; length++) {
       Files.write(file("m"), Arrays.copyOf(next, length));
@@ -130,7 +130,7 @@
     }
     assertEquals(1, status(keeper).version());
     assertEquals(next.length - 1, status(keeper).refusedTotal());
-    assertEquals(MembersKeeper.MOST_REFUSALS, status(keeper).refusals().size());
+    assertEquals(MembersReloader.MOST_REFUSALS, status(keeper).refusals().size());
     Files.write(file("m"), next);
     assertEquals(9, settled(keeper).size());
   }
@@ -138,7 +138,7 @@
   /** A file that goes on changing is not read before it has come to rest. */
   @Test
   void aFileThatGrowsIsWaitedFor() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     String next = table(1, 5);
     Files.writeString(file("m"), "");
     for (int i = 0; i < next.length(); i++) {
@@ -152,8 +152,8 @@
 
   @Test
   void aFileThatGrowsWithoutEndIsNotReadBeyondItsBound() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
-    int bound = new MembersTable(List.of(), null, 0, 0, 0, POLICY).mostBytes();
+    MembersReloader keeper = started(table(1, 3));
+    int bound = new MembersConfig(List.of(), null, 0, 0, 0, POLICY).mostBytes();
     Files.write(file("m"), new byte[bound + 1]);
     assertEquals(List.of(), settled(keeper));
     assertEquals("m: has over " + bound + " bytes; no more are read", refusal(keeper));
@@ -162,7 +162,7 @@
 
   @Test
   void renamedOverIsSeen() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     Path next = Files.writeString(file("next"), table(2, 4));
     // Of the same size and with the old file's time: only that it is another file tells.
     Files.setLastModifiedTime(next, Files.getLastModifiedTime(file("m")));
@@ -177,7 +177,7 @@
     Files.writeString(file("v1").resolve("m"), table(1, 3));
     Files.writeString(file("v2").resolve("m"), table(1, 4));
     Files.createSymbolicLink(file("now"), Path.of("v1"));
-    MembersKeeper keeper = keeper(null, file("now").resolve("m"));
+    MembersReloader keeper = keeper(null, file("now").resolve("m"));
     keeper.start(now);
     Files.createSymbolicLink(file("new"), Path.of("v2"));
     Files.move(file("new"), file("now"), StandardCopyOption.ATOMIC_MOVE);
@@ -187,7 +187,7 @@
   /** Two writes of one size within one tick of the file system's clock. */
   @Test
   void twoWritesUnderOneStampAreBothSeen() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     FileTime time = FileTime.fromMillis(now);
     String one = table(1, 3, "x-1 127.0.0.1:8001 a k 0 1 in_service\n");
     Files.writeString(file("m"), one);
@@ -195,7 +195,7 @@
     assertEquals(1, settled(keeper).size());
     Files.writeString(file("m"), one.replace("x-1", "x-2"));
     Files.setLastModifiedTime(file("m"), time);
-    List<News> news = settled(keeper);
+    List<Update> news = settled(keeper);
     assertEquals(List.of("x-2", "x-1"), news.stream().map(n -> n.server().id()).toList());
   }
 
@@ -212,17 +212,17 @@
     Files.writeString(path, table(2, 4));
     assertFalse(file.look(at + 25, 20), "not yet settled");
     assertTrue(file.look(at + 45, 20));
-    assertEquals("s-2", file.parsed().servers().get(0).server().id());
+    assertEquals("s-2", file.parsed().entries().get(0).server().id());
     // Much later a write would show in the stamp, and the file is not read any more.
     assertTrue(file.look(at + 2 * WatchedFile.TICK_MILLIS, 20));
     Files.delete(path);
     assertTrue(file.look(at + 3 * WatchedFile.TICK_MILLIS, 20));
-    assertEquals("s-2", file.parsed().servers().get(0).server().id());
+    assertEquals("s-2", file.parsed().entries().get(0).server().id());
   }
 
   @Test
   void aFolderADeviceAndNothingAreToldApart() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     Files.delete(file("m"));
     assertEquals(List.of(), settled(keeper));
     assertEquals("m: is not there", refusal(keeper));
@@ -241,7 +241,7 @@
 
   @Test
   void aFileThatMayNotBeReadIsToldApart() throws Exception {
-    MembersKeeper keeper = started(table(1, 3));
+    MembersReloader keeper = started(table(1, 3));
     Files.setPosixFilePermissions(file("m"), Set.of());
     Assumptions.assumeFalse(Files.isReadable(file("m")), "whoever tests may read everything");
     settled(keeper);
@@ -255,7 +255,7 @@
   void twoFilesThatContradictEachOtherChangeNothing() throws Exception {
     Files.writeString(file("m1"), table(1, 3));
     Files.writeString(file("m2"), table(11, 13));
-    MembersKeeper keeper = keeper(null, file("m1"), file("m2"));
+    MembersReloader keeper = keeper(null, file("m1"), file("m2"));
     assertEquals(6, keeper.start(now).size());
     Files.writeString(file("m2"), table(11, 14, "s-2 127.0.0.1:7 a k 0 1 in_service\n"));
     assertEquals(List.of(), settled(keeper));
@@ -274,17 +274,17 @@
 
   @Test
   void massRemovalIsHeldAndTakenWhenConfirmed() throws Exception {
-    MembersKeeper keeper = started(table(1, 8));
+    MembersReloader keeper = started(table(1, 8));
     Files.writeString(file("m"), table(1, 2));
     assertEquals(List.of(), settled(keeper));
-    MembersStatus.HeldBack held = status(keeper).held();
+    MembersStatus.PendingList held = status(keeper).pending();
     assertEquals(6, held.removed());
-    List<News> news = new ArrayList<>();
-    assertInstanceOf(Verdict.Refused.class, keeper.confirm(now, held.version() + 1, news));
+    List<Update> news = new ArrayList<>();
+    assertInstanceOf(ListDecision.Refused.class, keeper.confirm(now, held.version() + 1, news));
     assertEquals(0, news.size());
-    assertInstanceOf(Verdict.Accepted.class, keeper.confirm(now, held.version(), news));
+    assertInstanceOf(ListDecision.Accepted.class, keeper.confirm(now, held.version(), news));
     assertEquals(6, news.size());
-    assertNull(status(keeper).held());
+    assertNull(status(keeper).pending());
     assertEquals(List.of(), settled(keeper), "the file says nothing new");
   }
 
@@ -294,11 +294,11 @@
   void aBadFileAtTheStartFallsBackToTheKeptList() throws Exception {
     Path state = file("state");
     Files.writeString(file("m"), table(1, 3));
-    MembersKeeper first = keeper(state, file("m"));
+    MembersReloader first = keeper(state, file("m"));
     first.start(now);
     first.close();
     Files.writeString(file("m"), "s-1 127.0");
-    MembersKeeper next = keeper(state, file("m"));
+    MembersReloader next = keeper(state, file("m"));
     assertEquals(3, next.start(now).size());
     assertEquals(1, status(next).version());
     assertEquals(List.of(state.resolve("members.state").toString()), status(next).source());
@@ -313,31 +313,31 @@
   void massRemovalAcrossARestartIsHeld() throws Exception {
     Path state = file("state");
     Files.writeString(file("m"), table(1, 8));
-    MembersKeeper first = keeper(state, file("m"));
+    MembersReloader first = keeper(state, file("m"));
     first.start(now);
     Files.writeString(file("m"), table(1, 5));
     assertEquals(3, settled(first).size());
     first.keep(now);
     first.close();
     Files.writeString(file("m"), table(1, 3));
-    MembersKeeper next = keeper(state, file("m"));
+    MembersReloader next = keeper(state, file("m"));
     assertEquals(5, next.start(now).size());
-    MembersStatus.HeldBack held = status(next).held();
+    MembersStatus.PendingList held = status(next).pending();
     assertNotNull(held);
     assertTrue(held.reasons().get(0).startsWith("5 of 8 servers"), held.reasons().get(0));
     assertEquals(3, held.version());
     MembersCheck.Report report =
         MembersCheck.check(
-            new MembersTable(List.of(), state, 0, 0, 0, POLICY), List.of(file("m")), now);
+            new MembersConfig(List.of(), state, 0, 0, 0, POLICY), List.of(file("m")), now);
     assertEquals("  " + held.reasons().get(0), report.lines().get(2), "check says the same");
-    assertFalse(report.good());
+    assertFalse(report.acceptable());
   }
 
   @Test
   void aDamagedStateIsSetAsideAndNeverBelieved() throws Exception {
     Path state = file("state");
     Files.writeString(file("m"), table(1, 3));
-    MembersKeeper first = keeper(state, file("m"));
+    MembersReloader first = keeper(state, file("m"));
     first.start(now);
     first.close();
     Files.delete(file("m"));
@@ -346,9 +346,10 @@
       byte[] damaged = whole.clone();
       damaged[i] ^= 1;
       Files.write(state.resolve("members.state"), damaged);
-      MembersKeeper keeper = keeper(state, file("m"));
-      MembersKeeper.NoList none =
-          assertThrows(MembersKeeper.NoList.class, () -> keeper.start(now), "byte " + i);
+      MembersReloader keeper = keeper(state, file("m"));
+      MembersReloader.NoUsableListException none =
+          assertThrows(
+              MembersReloader.NoUsableListException.class, () -> keeper.start(now), "byte " + i);
       assertTrue(none.getMessage().contains("members.state"), none.getMessage());
       assertTrue(none.getMessage().contains("m: is not there"), none.getMessage());
       assertFalse(Files.exists(state.resolve("members.state")));
@@ -361,8 +362,9 @@
 
   @Test
   void withNeitherFileNorStateTheStartFailsAndSaysWhy() {
-    MembersKeeper keeper = keeper(file("state"), file("m"));
-    MembersKeeper.NoList none = assertThrows(MembersKeeper.NoList.class, () -> keeper.start(now));
+    MembersReloader keeper = keeper(file("state"), file("m"));
+    MembersReloader.NoUsableListException none =
+        assertThrows(MembersReloader.NoUsableListException.class, () -> keeper.start(now));
     assertEquals(
         "no list of servers to start with:\n  "
             + file("state").resolve("members.state")
@@ -377,7 +379,7 @@
     Path temporary = state.resolve(".members.state.tmp");
     Files.createSymbolicLink(temporary, Path.of("/dev/full"));
     Files.writeString(file("m"), table(1, 3));
-    MembersKeeper keeper = keeper(state, file("m"));
+    MembersReloader keeper = keeper(state, file("m"));
     assertEquals(3, keeper.start(now).size());
     assertTrue(status(keeper).stateTrouble().contains("could not be kept"));
     assertFalse(Files.exists(state.resolve("members.state")));
@@ -394,21 +396,22 @@
   void aStateFolderServesOneBalancer() throws Exception {
     Files.writeString(file("m"), table(1, 3));
     keeper(file("state"), file("m")).start(now);
-    MembersKeeper second = keeper(file("state"), file("m"));
-    MembersKeeper.NoList none = assertThrows(MembersKeeper.NoList.class, () -> second.start(now));
+    MembersReloader second = keeper(file("state"), file("m"));
+    MembersReloader.NoUsableListException none =
+        assertThrows(MembersReloader.NoUsableListException.class, () -> second.start(now));
     assertTrue(none.getMessage().contains("in use by another balancer"), none.getMessage());
   }
 
   @Test
   void otherFilesAndRulesAreFollowedAfterAReload() throws Exception {
-    MembersKeeper keeper = started(table(1, 8));
+    MembersReloader keeper = started(table(1, 8));
     Files.writeString(file("m"), table(1, 2));
     settled(keeper);
-    assertNotNull(status(keeper).held());
+    assertNotNull(status(keeper).pending());
     Files.writeString(file("n"), table(1, 9));
-    keeper.reconfigure(new MembersTable(List.of(file("n")), null, 1000, 10, SETTLE, POLICY));
+    keeper.reconfigure(new MembersConfig(List.of(file("n")), null, 1000, 10, SETTLE, POLICY));
     assertEquals(1, settled(keeper).size());
-    assertNull(status(keeper).held());
+    assertNull(status(keeper).pending());
     assertEquals(List.of(file("n").toString()), status(keeper).source());
   }
 }
--- a/src/test/java/heathswitch/proxy/standalone/AdminTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/AdminTest.java
@@ -55,7 +55,7 @@
       assertEquals(List.of(fixture.workplace.members().toString()), members.get("source"));
       fixture.write(fixture.table(0));
       var watcher = fixture.node().members();
-      Await.until("held", () -> watcher.status().held() != null);
+      Await.until("held", () -> watcher.status().pending() != null);
       members = json(ask(admin, "GET /members", ""));
       assertTrue(members.get("held").toString().contains("3 of 4 servers"), members.toString());
       String intent = "X-Heathswitch-Admin: test\r\nContent-Length: 0\r\n";
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -213,8 +213,8 @@
   @Test
   void aStartWithNoListFailsWithAllReasons() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture()) {
-      MembersWatcher.CannotStart fault =
-          assertThrows(MembersWatcher.CannotStart.class, () -> fixture.start(QUICK));
+      MembersWatcher.StartException fault =
+          assertThrows(MembersWatcher.StartException.class, () -> fixture.start(QUICK));
       assertTrue(fault.getMessage().contains("members.state is not there"), fault.getMessage());
       assertTrue(fault.getMessage().contains("members.txt: is not there"), fault.getMessage());
       assertNull(fixture.node());
