--- a/src/main/java/heathswitch/policy/members/ListDecision.java
+++ b/src/main/java/heathswitch/policy/members/ListDecision.java
@@ -2,22 +2,25 @@
 
 import java.util.List;
 
-/** What becomes of a candidate list. */
+/** The outcome of submitting a candidate list. */
 public sealed interface ListDecision {
-  /** Taken whole; it is the current list from now on. */
+  /** The candidate has replaced the current list as a whole. */
   record Accepted(long version, ListDiff diff) implements ListDecision {}
 
-  /** The candidate says what the current list says. */
+  /** The candidate equals the current list. */
   record Unchanged() implements ListDecision {}
 
-  /** Not taken; the reasons are for those who write the list. */
+  /** The candidate is not used; the reasons are meant for the authors of the list. */
   record Refused(List<String> reasons) implements ListDecision {
     public Refused {
       reasons = List.copyOf(reasons);
     }
   }
 
-  /** Sound, but so far-reaching that a person must confirm it under this version. */
+  /**
+   * The candidate is valid, but changes so much that an operator must confirm it under this version
+   * before it is used.
+   */
   record PendingConfirmation(long version, List<String> reasons, ListDiff diff)
       implements ListDecision {
     public PendingConfirmation {
--- a/src/main/java/heathswitch/policy/members/ListDiff.java
+++ b/src/main/java/heathswitch/policy/members/ListDiff.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** How one list differs from another. */
+/** The differences between two lists of servers. */
 public record ListDiff(List<ListedServer> added, List<ListedServer> removed, List<Change> changed) {
 
-  /** A server that both lists have, and not alike. */
+  /** A server whose entries in the two lists differ. */
   public record Change(ListedServer before, ListedServer after) {}
 
   public ListDiff {
@@ -17,14 +17,14 @@
     changed = List.copyOf(changed);
   }
 
-  /** Compares by id; the order of a list means nothing. */
+  /** Compares two lists by server id; the order of the entries is irrelevant. */
   public static ListDiff between(List<ListedServer> before, List<ListedServer> after) {
-    Map<String, ListedServer> left = new HashMap<>();
-    before.forEach(server -> left.put(server.id(), server));
+    Map<String, ListedServer> unmatched = new HashMap<>();
+    before.forEach(server -> unmatched.put(server.id(), server));
     List<ListedServer> added = new ArrayList<>();
     List<Change> changed = new ArrayList<>();
     for (ListedServer server : after) {
-      ListedServer old = left.remove(server.id());
+      ListedServer old = unmatched.remove(server.id());
       if (old == null) {
         added.add(server);
       } else if (!old.equals(server)) {
@@ -33,7 +33,7 @@
     }
     List<ListedServer> removed = new ArrayList<>();
     for (ListedServer server : before) {
-      if (left.containsKey(server.id())) {
+      if (unmatched.containsKey(server.id())) {
         removed.add(server);
       }
     }
--- a/src/main/java/heathswitch/policy/members/ListEntry.java
+++ b/src/main/java/heathswitch/policy/members/ListEntry.java
@@ -1,8 +1,8 @@
 package heathswitch.policy.members;
 
 /**
- * A line of a candidate list.
+ * A server in a candidate list, with its location in the source file.
  *
- * @param place where it stands, in words for people, such as {@code members.txt:7}
+ * @param location file and line for error messages, such as {@code members.txt:7}
  */
-public record ListEntry(ListedServer server, String place) {}
+public record ListEntry(ListedServer server, String location) {}
--- a/src/main/java/heathswitch/policy/members/ListPolicy.java
+++ b/src/main/java/heathswitch/policy/members/ListPolicy.java
@@ -1,33 +1,29 @@
 package heathswitch.policy.members;
 
 /**
- * What a new list may do without being asked about.
+ * Limits on the content of a list, and on how much a new list may change without confirmation.
  *
- * @param mostRemovedShare part of the servers in service at the window's start that may leave
+ * @param maxRemovedShare share of the servers in service at the start of the window that may leave
  *     service within it, above 0 and at most 1; one server may always leave
- * @param windowMillis time over which edits are summed up
- * @param leastWeight least weight, above 0
- * @param mostWeight greatest weight, finite
- * @param mostServers greatest number of servers in a list
+ * @param windowMillis time over which removals are summed up
+ * @param minWeight smallest allowed weight, above 0
+ * @param maxWeight largest allowed weight, finite
+ * @param maxServers largest allowed number of servers in a list
  */
 public record ListPolicy(
-    double mostRemovedShare,
-    long windowMillis,
-    double leastWeight,
-    double mostWeight,
-    int mostServers) {
+    double maxRemovedShare, long windowMillis, double minWeight, double maxWeight, int maxServers) {
 
-  /** Refuses figures that would make the rules void. */
+  /** Rejects values that would make the limits ineffective. */
   public ListPolicy {
-    require(mostRemovedShare > 0 && mostRemovedShare <= 1, "mostRemovedShare");
+    require(maxRemovedShare > 0 && maxRemovedShare <= 1, "maxRemovedShare");
     require(windowMillis >= 0, "windowMillis");
-    require(leastWeight > 0 && leastWeight <= mostWeight, "leastWeight");
-    require(mostWeight < Double.POSITIVE_INFINITY, "mostWeight");
-    require(mostServers >= 1, "mostServers");
+    require(minWeight > 0 && minWeight <= maxWeight, "minWeight");
+    require(maxWeight < Double.POSITIVE_INFINITY, "maxWeight");
+    require(maxServers >= 1, "maxServers");
   }
 
-  private static void require(boolean holds, String field) {
-    if (!holds) {
+  private static void require(boolean condition, String field) {
+    if (!condition) {
       throw new IllegalArgumentException("invalid policy: " + field);
     }
   }
--- a/src/main/java/heathswitch/policy/members/ListValidator.java
+++ b/src/main/java/heathswitch/policy/members/ListValidator.java
@@ -10,222 +10,230 @@
 import java.util.function.Function;
 
 /**
- * Keeps the current list of servers and judges each candidate for its place. What is unsound is
- * refused: a list that is empty, too long, names an id or an address twice or weighs a server out
- * of bounds. What is sound but would take away a whole kind, a whole zone or more than a stated
- * share of the servers is held back until a person confirms it. Single-threaded by contract.
+ * Holds the current list of servers and validates each candidate to replace it. Invalid candidates
+ * are refused: an empty or too long list, one without a server in service, with a duplicate id or
+ * address, or with a weight out of bounds. A valid candidate that would remove all servers of a
+ * kind or of a zone, or more than a configured share of the servers, is held back until an operator
+ * confirms it. Not thread-safe; must be used from a single thread.
  */
 public final class ListValidator {
-  /** Reasons given for one candidate; the rest are counted. */
-  static final int MOST_REASONS = 12;
+  /** Most reasons listed for one candidate; the others are only counted. */
+  static final int MAX_REASONS = 12;
 
   /**
-   * ServerStateTracker remembered for each server that a list may have; beyond, all edits are held.
+   * Departures remembered per allowed server of a list; if there are more, every edit needs
+   * confirmation.
    */
-  static final int DEPARTURES_A_SERVER = 4;
+  static final int DEPARTURES_PER_SERVER = 4;
 
   private ListPolicy policy;
   private final ServiceHistory history = new ServiceHistory();
   private List<ListedServer> current = List.of();
   private long version;
-  private long lastNumber;
-  private ListDecision.PendingConfirmation held;
-  private List<ListedServer> heldList = List.of();
+  private long lastAssignedVersion;
+  private ListDecision.PendingConfirmation pending;
+  private List<ListedServer> pendingList = List.of();
 
   public ListValidator(ListPolicy policy) {
     this.policy = policy;
   }
 
-  /** Other rules from now on; what is held stays so until the list changes. */
-  public void policy(ListPolicy next) {
+  /** Replaces the policy; a list that is held back stays so until the candidate changes. */
+  public void setPolicy(ListPolicy next) {
     policy = next;
   }
 
-  /** Takes up where an earlier process left off. */
+  /** Restores the state that an earlier process saved. */
   public void restore(
       long version,
-      long lastNumber,
+      long lastAssignedVersion,
       List<ListedServer> list,
       Map<String, Long> joinedMillis,
-      List<ServiceHistory.Departure> left) {
+      List<ServiceHistory.Departure> departures) {
     this.version = version;
-    this.lastNumber = Math.max(version, lastNumber);
+    this.lastAssignedVersion = Math.max(version, lastAssignedVersion);
     current = List.copyOf(list);
-    history.restore(joinedMillis, left);
+    history.restore(joinedMillis, departures);
   }
 
   public List<ListedServer> current() {
     return current;
   }
 
-  /** Number of the current list, or 0 where there is none yet. */
+  /** The version of the current list, or 0 if there is none yet. */
   public long version() {
     return version;
   }
 
-  /** The greatest number that a list was given, be it taken or held back. */
-  public long lastNumber() {
-    return lastNumber;
+  /** The highest version assigned to a list so far, whether accepted or held back. */
+  public long lastAssignedVersion() {
+    return lastAssignedVersion;
   }
 
-  /** The list that waits to be confirmed, or null. */
+  /** The list that is held back until confirmed, or null. */
   public ListDecision.PendingConfirmation pending() {
-    return held;
+    return pending;
   }
 
   public ServiceHistory history() {
     return history;
   }
 
-  /** Judges a candidate; if it is accepted, it is the current list when this returns. */
-  public ListDecision judge(long nowMillis, List<ListEntry> candidate) {
-    List<String> faults = faults(candidate);
-    if (!faults.isEmpty()) {
-      held = null;
-      return new ListDecision.Refused(atMost(faults));
+  /** Validates a candidate, and makes it the current list if it is accepted. */
+  public ListDecision submit(long nowMillis, List<ListEntry> candidate) {
+    List<String> errors = errors(candidate);
+    if (!errors.isEmpty()) {
+      pending = null;
+      return new ListDecision.Refused(truncate(errors));
     }
     List<ListedServer> list = candidate.stream().map(ListEntry::server).toList();
     ListDiff diff = ListDiff.between(current, list);
     if (version > 0 && diff.isEmpty()) {
-      held = null;
+      pending = null;
       return new ListDecision.Unchanged();
     }
-    if (held != null && ListDiff.between(heldList, list).isEmpty()) {
-      return held;
+    if (pending != null && ListDiff.between(pendingList, list).isEmpty()) {
+      return pending;
     }
-    held = null;
+    pending = null;
     history.expire(nowMillis, policy.windowMillis());
-    List<String> doubts = version == 0 ? List.of() : doubts(nowMillis, list);
-    if (doubts.isEmpty()) {
-      return accept(nowMillis, ++lastNumber, list, diff);
+    List<String> concerns = version == 0 ? List.of() : concerns(nowMillis, list);
+    if (concerns.isEmpty()) {
+      return accept(nowMillis, ++lastAssignedVersion, list, diff);
     }
-    heldList = list;
-    held = new ListDecision.PendingConfirmation(++lastNumber, atMost(doubts), diff);
-    return held;
+    pendingList = list;
+    pending = new ListDecision.PendingConfirmation(++lastAssignedVersion, truncate(concerns), diff);
+    return pending;
   }
 
-  /** A person says that the list that is held back is meant. */
-  public ListDecision confirm(long nowMillis, long number) {
-    if (held == null) {
+  /** Accepts the list that is held back, on behalf of an operator. */
+  public ListDecision confirm(long nowMillis, long expectedVersion) {
+    if (pending == null) {
       return new ListDecision.Refused(List.of("no list is held back"));
     }
-    if (held.version() != number) {
+    if (pending.version() != expectedVersion) {
       return new ListDecision.Refused(
-          List.of("the list that is held back has version " + held.version() + ", not " + number));
+          List.of(
+              "the list that is held back has version "
+                  + pending.version()
+                  + ", not "
+                  + expectedVersion));
     }
-    ListDiff diff = ListDiff.between(current, heldList);
-    ListDecision accepted = accept(nowMillis, number, heldList, diff);
-    history.forget();
+    ListDiff diff = ListDiff.between(current, pendingList);
+    ListDecision accepted = accept(nowMillis, expectedVersion, pendingList, diff);
+    history.clear();
     return accepted;
   }
 
-  private ListDecision accept(long nowMillis, long number, List<ListedServer> list, ListDiff diff) {
+  private ListDecision accept(
+      long nowMillis, long newVersion, List<ListedServer> list, ListDiff diff) {
     if (version > 0) {
-      history.replaced(nowMillis, current, list);
+      history.recordReplacement(nowMillis, current, list);
     }
-    held = null;
-    heldList = List.of();
+    pending = null;
+    pendingList = List.of();
     current = List.copyOf(list);
-    version = number;
-    return new ListDecision.Accepted(number, diff);
+    version = newVersion;
+    return new ListDecision.Accepted(newVersion, diff);
   }
 
-  // ---- what makes a list unsound ----
+  // ---- validation errors ----
 
-  private List<String> faults(List<ListEntry> candidate) {
-    List<String> faults = new ArrayList<>();
+  private List<String> errors(List<ListEntry> candidate) {
+    List<String> errors = new ArrayList<>();
     if (candidate.isEmpty()) {
-      faults.add("the list names no server at all");
-    } else if (candidate.size() > policy.mostServers()) {
-      faults.add(
-          "the list names "
+      errors.add("the list contains no servers");
+    } else if (candidate.size() > policy.maxServers()) {
+      errors.add(
+          "the list contains "
               + candidate.size()
               + " servers; at most "
-              + policy.mostServers()
+              + policy.maxServers()
               + " are allowed");
-    } else if (candidate.stream().noneMatch(placed -> placed.server().inService())) {
-      faults.add("no server of the list is in service");
+    } else if (candidate.stream().noneMatch(entry -> entry.server().inService())) {
+      errors.add("no server of the list is in service");
     }
-    twice(candidate, "id", ListedServer::id, faults);
-    twice(candidate, "address", ListedServer::endpoint, faults);
-    for (ListEntry placed : candidate) {
-      double weight = placed.server().weight();
-      if (!(weight >= policy.leastWeight() && weight <= policy.mostWeight())) {
-        faults.add(
-            placed.place()
+    checkUnique(candidate, "id", ListedServer::id, errors);
+    checkUnique(candidate, "address", ListedServer::endpoint, errors);
+    for (ListEntry entry : candidate) {
+      double weight = entry.server().weight();
+      if (!(weight >= policy.minWeight() && weight <= policy.maxWeight())) {
+        errors.add(
+            entry.location()
                 + ": "
-                + placed.server().id()
-                + " has the weight "
-                + plain(weight)
-                + "; one from "
-                + plain(policy.leastWeight())
+                + entry.server().id()
+                + " has weight "
+                + formatNumber(weight)
+                + "; a weight from "
+                + formatNumber(policy.minWeight())
                 + " to "
-                + plain(policy.mostWeight())
+                + formatNumber(policy.maxWeight())
                 + " is expected");
       }
     }
-    return faults;
+    return errors;
   }
 
-  private static void twice(
+  private static void checkUnique(
       List<ListEntry> candidate,
       String field,
       Function<ListedServer, String> value,
-      List<String> faults) {
+      List<String> errors) {
     Map<String, ListEntry> seen = new HashMap<>();
-    for (ListEntry placed : candidate) {
-      ListEntry first = seen.putIfAbsent(value.apply(placed.server()), placed);
+    for (ListEntry entry : candidate) {
+      ListEntry first = seen.putIfAbsent(value.apply(entry.server()), entry);
       if (first != null) {
-        faults.add(
-            placed.place()
-                + ": the "
+        errors.add(
+            entry.location()
+                + ": duplicate "
                 + field
                 + ' '
-                + value.apply(placed.server())
-                + " stands a second time; it is also at "
-                + first.place());
+                + value.apply(entry.server())
+                + "; first used at "
+                + first.location());
       }
     }
   }
 
-  // ---- what a person is asked about ----
+  // ---- reasons to require confirmation ----
 
-  private List<String> doubts(long nowMillis, List<ListedServer> list) {
-    ServiceHistory.Base base = history.base(nowMillis, policy.windowMillis(), current);
+  private List<String> concerns(long nowMillis, List<ListedServer> list) {
+    ServiceHistory.Baseline baseline = history.baseline(nowMillis, policy.windowMillis(), current);
     Set<String> processes = new HashSet<>();
     Set<String> zones = new HashSet<>();
     Set<String> kinds = new HashSet<>();
     for (ListedServer server : list) {
       if (server.inService()) {
-        processes.add(server.process());
+        processes.add(server.processKey());
         zones.add(server.zone());
         kinds.add(server.kind());
       }
     }
-    List<String> doubts = new ArrayList<>();
-    for (String kind : missing(base.kinds(), kinds)) {
-      doubts.add("no server of kind " + kind + " would be left in service");
+    List<String> concerns = new ArrayList<>();
+    for (String kind : missing(baseline.kinds(), kinds)) {
+      concerns.add("no server of kind " + kind + " would be left in service");
     }
-    for (String zone : missing(base.zones(), zones)) {
-      doubts.add("no server of zone " + zone + " would be left in service");
+    for (String zone : missing(baseline.zones(), zones)) {
+      concerns.add("no server of zone " + zone + " would be left in service");
     }
-    int removed = missing(base.processes(), processes).size();
-    long allowed = Math.max(1, (long) (policy.mostRemovedShare() * base.processes().size()));
+    int removed = missing(baseline.processes(), processes).size();
+    long allowed = Math.max(1, (long) (policy.maxRemovedShare() * baseline.processes().size()));
     if (removed > allowed) {
-      doubts.add(
+      concerns.add(
           removed
               + " of "
-              + base.processes().size()
+              + baseline.processes().size()
               + " servers would have left service within "
-              + duration(policy.windowMillis())
-              + "; "
+              + formatDuration(policy.windowMillis())
+              + "; at most "
               + allowed
-              + " may without being asked about");
+              + " may without confirmation");
     }
-    if (history.size() > (long) DEPARTURES_A_SERVER * policy.mostServers()) {
-      doubts.add("servers were replaced too often within " + duration(policy.windowMillis()));
+    if (history.departureCount() > (long) DEPARTURES_PER_SERVER * policy.maxServers()) {
+      concerns.add(
+          "servers were replaced too often within " + formatDuration(policy.windowMillis()));
     }
-    return doubts;
+    return concerns;
   }
 
   private static Set<String> missing(Set<String> before, Set<String> after) {
@@ -234,22 +242,22 @@
     return missing;
   }
 
-  private static List<String> atMost(List<String> reasons) {
-    if (reasons.size() <= MOST_REASONS) {
+  private static List<String> truncate(List<String> reasons) {
+    if (reasons.size() <= MAX_REASONS) {
       return reasons;
     }
-    List<String> first = new ArrayList<>(reasons.subList(0, MOST_REASONS));
-    first.add("and " + (reasons.size() - MOST_REASONS) + " more");
+    List<String> first = new ArrayList<>(reasons.subList(0, MAX_REASONS));
+    first.add("and " + (reasons.size() - MAX_REASONS) + " more");
     return first;
   }
 
-  private static String plain(double number) {
+  private static String formatNumber(double number) {
     return number == Math.rint(number) && Math.abs(number) < 1e9
         ? Long.toString((long) number)
         : Double.toString(number);
   }
 
-  private static String duration(long millis) {
+  private static String formatDuration(long millis) {
     if (millis > 0 && millis % 60_000 == 0) {
       return millis / 60_000 + " min";
     }
--- a/src/main/java/heathswitch/policy/members/ListedServer.java
+++ b/src/main/java/heathswitch/policy/members/ListedServer.java
@@ -1,13 +1,13 @@
 package heathswitch.policy.members;
 
 /**
- * One server as a list names it.
+ * One server as described by an entry of a list.
  *
- * @param address numeric address and port in canonical form, after {@link #GRPC_ONLY_PREFIX} for
- *     one that speaks gRPC there and nothing else; two servers never share one
- * @param weight part of the calls that it is due, against that of others
- * @param grpcPort port at which it speaks gRPC too, on the same address, or 0
- * @param inService false for one that finishes what it has and wants nothing new
+ * @param address numeric address and port in canonical form, prefixed with {@link
+ *     #GRPC_ONLY_PREFIX} if the server speaks nothing but gRPC there; unique within a list
+ * @param weight share of the calls it should receive, relative to the other servers' weights
+ * @param grpcPort additional port on the same address at which the server speaks gRPC, or 0
+ * @param inService false for a server that finishes its requests and must not get new ones
  */
 public record ListedServer(
     String id,
@@ -19,10 +19,10 @@
     boolean inService,
     int grpcPort) {
 
-  /** Stands before the address of a server that speaks gRPC alone. */
+  /** Prefix of the address of a server that speaks only gRPC. */
   public static final String GRPC_ONLY_PREFIX = "grpc://";
 
-  /** One that speaks no gRPC beside what it speaks at its address. */
+  /** Creates a server without an additional gRPC port. */
   public ListedServer(
       String id,
       String address,
@@ -34,18 +34,18 @@
     this(id, address, zone, kind, cell, weight, inService, 0);
   }
 
-  /** Whether gRPC is all that it speaks. */
+  /** Whether the server speaks nothing but gRPC. */
   public boolean grpcOnly() {
     return address.startsWith(GRPC_ONLY_PREFIX);
   }
 
-  /** Numeric address and port, whatever is spoken there. */
+  /** Numeric address and port, without the gRPC prefix. */
   public String endpoint() {
     return grpcOnly() ? address.substring(GRPC_ONLY_PREFIX.length()) : address;
   }
 
-  /** One process: a server that comes back under its id at another address is another one. */
-  String process() {
+  /** Identifies the process behind the entry: the same id at another address is another process. */
+  String processKey() {
     return id + '@' + address;
   }
 }
--- a/src/main/java/heathswitch/policy/members/ServerStateTracker.java
+++ b/src/main/java/heathswitch/policy/members/ServerStateTracker.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * Turns accepted lists into what the balancer is told of each server: a server that left the list
- * is first drained, and gone when its time for that is over. Holds one record for each server of
- * the list and each that drains. Single-threaded by contract.
+ * Turns accepted lists into state updates of single servers: a server that left the list is drained
+ * first, and gone once its drain time is over. Holds one record for each server of the list and one
+ * for each draining server. Not thread-safe; must be used from a single thread.
  */
 public final class ServerStateTracker {
-  /** What is told of a server. */
+  /** The state reported for a server. */
   public enum State {
     READY,
     DRAINING,
@@ -23,45 +23,51 @@
   }
 
   /**
-   * One thing to tell.
+   * A change of one server's state or entry.
    *
-   * @param startedMillis Unix time of the start of its process, 0 for long ago
+   * @param startedMillis Unix time at which its process started, or 0 if it started long ago
    */
   public record Update(ListedServer server, State state, long startedMillis) {}
 
   private record Listed(ListedServer server, long startedMillis) {}
 
-  private record Leaving(ListedServer server, long startedMillis, long goneMillis) {}
+  private record Draining(ListedServer server, long startedMillis, long goneMillis) {}
 
   private final Map<String, Listed> listed = new HashMap<>();
 
-  /** In the order in which they left. */
-  private final Map<String, Leaving> leaving = new LinkedHashMap<>();
+  /** Servers that left the list, in the order in which they left. */
+  private final Map<String, Draining> draining = new LinkedHashMap<>();
 
-  private final int mostLeaving;
+  private final int maxDraining;
 
-  /** At most so many drain at a time; beyond, those that left first are gone at once. */
-  public ServerStateTracker(int mostLeaving) {
-    this.mostLeaving = mostLeaving;
+  /**
+   * Creates a tracker without servers.
+   *
+   * @param maxDraining most servers that drain at a time; if there are more, those that left first
+   *     are gone at once
+   */
+  public ServerStateTracker(int maxDraining) {
+    this.maxDraining = maxDraining;
   }
 
-  /** The list at the start: its servers have been there for long. */
-  public List<Update> begin(List<ListedServer> list) {
-    List<Update> news = new ArrayList<>(list.size());
+  /** Sets the list at startup; its servers count as having started long ago. */
+  public List<Update> initialize(List<ListedServer> list) {
+    List<Update> updates = new ArrayList<>(list.size());
     for (ListedServer server : list) {
       listed.put(server.id(), new Listed(server, 0));
-      news.add(new Update(server, state(server), 0));
+      updates.add(new Update(server, state(server), 0));
     }
-    return news;
+    return updates;
   }
 
   /**
-   * Another list has been accepted. A server that it adds, or moves to another address, has just
-   * started for all that is known and is warmed up; one that comes back while it drains goes on.
-   * Arrivals come first in the news, so that the pool is at no time smaller than both lists allow.
+   * Applies a newly accepted list. A server that the list adds, or moves to another address, counts
+   * as just started, so that it gets warmed up; one that comes back at its address while draining
+   * keeps its start time. Added servers come before removed ones in the result, so that the pool
+   * never gets smaller than both lists require.
    */
-  public List<Update> accept(long nowMillis, long drainMillis, List<ListedServer> list) {
-    List<Update> news = new ArrayList<>();
+  public List<Update> apply(long nowMillis, long drainMillis, List<ListedServer> list) {
+    List<Update> updates = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (ListedServer server : list) {
       ids.add(server.id());
@@ -69,51 +75,51 @@
       if (before != null && before.server().equals(server)) {
         continue;
       }
-      Leaving back = leaving.remove(server.id());
+      Draining returning = draining.remove(server.id());
       long started = nowMillis;
       if (before != null && before.server().address().equals(server.address())) {
         started = before.startedMillis();
-      } else if (back != null && back.server().address().equals(server.address())) {
-        started = back.startedMillis();
+      } else if (returning != null && returning.server().address().equals(server.address())) {
+        started = returning.startedMillis();
       }
       listed.put(server.id(), new Listed(server, started));
-      news.add(new Update(server, state(server), started));
+      updates.add(new Update(server, state(server), started));
     }
     for (Iterator<Listed> each = listed.values().iterator(); each.hasNext(); ) {
-      Listed gone = each.next();
-      ListedServer server = gone.server();
+      Listed entry = each.next();
+      ListedServer server = entry.server();
       if (!ids.contains(server.id())) {
         each.remove();
-        long until = nowMillis + drainMillis;
-        leaving.put(server.id(), new Leaving(server, gone.startedMillis(), until));
-        news.add(new Update(server, State.DRAINING, gone.startedMillis()));
+        long goneMillis = nowMillis + drainMillis;
+        draining.put(server.id(), new Draining(server, entry.startedMillis(), goneMillis));
+        updates.add(new Update(server, State.DRAINING, entry.startedMillis()));
       }
     }
-    Iterator<Leaving> first = leaving.values().iterator();
-    while (leaving.size() > mostLeaving) {
-      Leaving server = first.next();
-      first.remove();
-      news.add(new Update(server.server(), State.GONE, server.startedMillis()));
+    Iterator<Draining> oldest = draining.values().iterator();
+    while (draining.size() > maxDraining) {
+      Draining server = oldest.next();
+      oldest.remove();
+      updates.add(new Update(server.server(), State.GONE, server.startedMillis()));
     }
-    return news;
+    return updates;
   }
 
-  /** Those whose time to drain is over. */
-  public List<Update> tick(long nowMillis) {
-    List<Update> news = new ArrayList<>();
-    for (Iterator<Leaving> each = leaving.values().iterator(); each.hasNext(); ) {
-      Leaving server = each.next();
+  /** Ends the draining of the servers whose drain time is over. */
+  public List<Update> expire(long nowMillis) {
+    List<Update> updates = new ArrayList<>();
+    for (Iterator<Draining> each = draining.values().iterator(); each.hasNext(); ) {
+      Draining server = each.next();
       if (server.goneMillis() <= nowMillis) {
         each.remove();
-        news.add(new Update(server.server(), State.GONE, server.startedMillis()));
+        updates.add(new Update(server.server(), State.GONE, server.startedMillis()));
       }
     }
-    return news;
+    return updates;
   }
 
-  /** Servers that drain. */
-  public int leaving() {
-    return leaving.size();
+  /** The number of servers that have left the list and are draining. */
+  public int drainingCount() {
+    return draining.size();
   }
 
   private static State state(ListedServer server) {
--- a/src/main/java/heathswitch/policy/members/ServiceHistory.java
+++ b/src/main/java/heathswitch/policy/members/ServiceHistory.java
@@ -7,67 +7,73 @@
 import java.util.Set;
 
 /**
- * Which processes were in service at the start of the window, so that many small edits count as the
- * one large edit that they add up to. Holds one record for each process in service and one for each
- * that left within the window; both end with the list and with the window.
+ * Records when processes joined and left service, to find out which ones were in service at the
+ * start of the window; with this, many small edits count as the one large edit that they add up to.
+ * Holds one record for each process that joined, and one for each that left, within the window, so
+ * its size is bounded by the list and by the window.
  */
 public final class ServiceHistory {
-  /** A process that left service, in Unix milliseconds. */
+  /** A process that left service; times in Unix milliseconds. */
   public record Departure(
       String process, String zone, String kind, long joinedMillis, long leftMillis) {}
 
-  /** Processes that joined; those that are in service and absent here did so before any window. */
-  private final Map<String, Long> joined = new HashMap<>();
+  /** Join times; a process in service that has no entry joined before any possible window. */
+  private final Map<String, Long> joinedMillis = new HashMap<>();
 
   private final Map<String, Departure> departures = new HashMap<>();
 
-  /** Takes up a record that was kept; what is negative or out of order does no harm. */
-  public void restore(Map<String, Long> joinedMillis, List<Departure> left) {
-    joined.putAll(joinedMillis);
-    left.forEach(departure -> departures.put(departure.process(), departure));
+  /** Restores saved records; negative times and times out of order do no harm. */
+  public void restore(Map<String, Long> savedJoinedMillis, List<Departure> savedDepartures) {
+    joinedMillis.putAll(savedJoinedMillis);
+    savedDepartures.forEach(departure -> departures.put(departure.process(), departure));
   }
 
-  /** When each process joined, of those that joined within the window. */
-  public Map<String, Long> joined() {
-    return Map.copyOf(joined);
+  /** The join time of each process that joined within the window. */
+  public Map<String, Long> joinedMillis() {
+    return Map.copyOf(joinedMillis);
   }
 
   public List<Departure> departures() {
     return List.copyOf(departures.values());
   }
 
-  int size() {
+  int departureCount() {
     return departures.size();
   }
 
-  /** Everything in service counts as having been so for ever: a person has agreed to it. */
-  void forget() {
-    joined.clear();
+  /**
+   * Clears all records, so that everything in service counts as having always been so; done when an
+   * operator has confirmed the list.
+   */
+  void clear() {
+    joinedMillis.clear();
     departures.clear();
   }
 
-  /** Ends the records that no window reaches any more. */
+  /** Removes the records from before the window. */
   void expire(long nowMillis, long windowMillis) {
     long start = nowMillis - windowMillis;
-    joined.values().removeIf(at -> at <= start);
+    joinedMillis.values().removeIf(at -> at <= start);
     departures.values().removeIf(departure -> departure.leftMillis() <= start);
   }
 
   /**
-   * Processes in service at the window's start: those that are still here, then those that left.
+   * Returns what was in service at the start of the window: the processes that still are, and those
+   * that have left since.
    */
-  Base base(long nowMillis, long windowMillis, List<ListedServer> current) {
+  Baseline baseline(long nowMillis, long windowMillis, List<ListedServer> current) {
     long start = nowMillis - windowMillis;
     Set<String> processes = new HashSet<>();
     Set<String> zones = new HashSet<>();
     Set<String> kinds = new HashSet<>();
     for (ListedServer server : current) {
       if (server.inService()) {
-        // Zones and kinds count however young they are: the last server of one may not go unasked.
+        // Zones and kinds count even if they joined within the window: removing the last server of
+        // one always needs confirmation.
         zones.add(server.zone());
         kinds.add(server.kind());
-        if (joined.getOrDefault(server.process(), Long.MIN_VALUE) <= start) {
-          processes.add(server.process());
+        if (joinedMillis.getOrDefault(server.processKey(), Long.MIN_VALUE) <= start) {
+          processes.add(server.processKey());
         }
       }
     }
@@ -78,45 +84,45 @@
         kinds.add(departure.kind());
       }
     }
-    return new Base(processes, zones, kinds);
+    return new Baseline(processes, zones, kinds);
   }
 
-  /** What was in service at the window's start. */
-  record Base(Set<String> processes, Set<String> zones, Set<String> kinds) {}
+  /** The processes, zones and kinds that a new list is compared with. */
+  record Baseline(Set<String> processes, Set<String> zones, Set<String> kinds) {}
 
-  /** The current list becomes another. */
-  void replaced(long nowMillis, List<ListedServer> before, List<ListedServer> after) {
-    Set<String> now = new HashSet<>();
+  /** Records the processes that join and leave when one list replaces another. */
+  void recordReplacement(long nowMillis, List<ListedServer> before, List<ListedServer> after) {
+    Set<String> afterProcesses = new HashSet<>();
     for (ListedServer server : after) {
       if (server.inService()) {
-        now.add(server.process());
+        afterProcesses.add(server.processKey());
       }
     }
-    Set<String> then = new HashSet<>();
+    Set<String> beforeProcesses = new HashSet<>();
     for (ListedServer server : before) {
       if (server.inService()) {
-        then.add(server.process());
-        if (!now.contains(server.process())) {
-          Long since = joined.remove(server.process());
+        beforeProcesses.add(server.processKey());
+        if (!afterProcesses.contains(server.processKey())) {
+          Long joined = joinedMillis.remove(server.processKey());
           departures.put(
-              server.process(),
+              server.processKey(),
               new Departure(
-                  server.process(),
+                  server.processKey(),
                   server.zone(),
                   server.kind(),
-                  since == null ? 0 : since,
+                  joined == null ? 0 : joined,
                   nowMillis));
         }
       }
     }
-    for (String process : now) {
-      if (!then.contains(process)) {
-        // A process that comes back counts as never having left.
-        Departure left = departures.remove(process);
-        if (left == null) {
-          joined.put(process, nowMillis);
-        } else if (left.joinedMillis() > 0) {
-          joined.put(process, left.joinedMillis());
+    for (String process : afterProcesses) {
+      if (!beforeProcesses.contains(process)) {
+        // A process that comes back within the window counts as never having left.
+        Departure departure = departures.remove(process);
+        if (departure == null) {
+          joinedMillis.put(process, nowMillis);
+        } else if (departure.joinedMillis() > 0) {
+          joinedMillis.put(process, departure.joinedMillis());
         }
       }
     }
--- a/src/main/java/heathswitch/policy/members/package-info.java
+++ b/src/main/java/heathswitch/policy/members/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What becomes of a new list of servers: taken, refused, or held back until a person confirms it;
- * and how servers that left are drained. Free of I/O, clocks and threads: times come in as
- * arguments.
+ * Policy for lists of servers: whether a new list is accepted, refused, or held back until an
+ * operator confirms it, and how servers that left the list are drained. Free of I/O, clocks and
+ * threads: times are passed as arguments.
  */
 package heathswitch.policy.members;
--- a/src/main/java/heathswitch/proxy/members/MembersCheck.java
+++ b/src/main/java/heathswitch/proxy/members/MembersCheck.java
@@ -14,33 +14,33 @@
 import java.util.List;
 
 /**
- * Says what a running balancer would say to files of servers, from the state that it keeps, and
- * changes nothing.
+ * Dry run of a new list: reports how a running balancer would decide about the given files,
+ * according to its saved state, without changing anything. Also writes the end line of a file.
  */
 public final class MembersCheck {
-  /** Lines of the difference that are shown of each kind. */
-  private static final int MOST_SHOWN = 20;
+  /** Most lines shown for each kind of difference. */
+  private static final int MAX_SHOWN = 20;
 
   /**
-   * What was found.
+   * The result of a check.
    *
-   * @param good whether the list would be taken at once
-   * @param faults what is wrong with the files themselves
-   * @param lines the verdict and the difference, for people
-   * @param servers the servers that the files name; empty where they have faults
+   * @param acceptable whether the list would be used without confirmation
+   * @param faults syntax errors in the files, or why they could not be read
+   * @param lines the decision and the differences from the current list, as text
+   * @param servers the servers in the files; empty if there are faults
    */
   public record Report(
       boolean acceptable, List<Fault> faults, List<String> lines, List<ListedServer> servers) {}
 
   private MembersCheck() {}
 
-  /** Judges the files in place of those that the table names. */
-  public static Report check(MembersConfig table, List<Path> files, long nowMillis) {
+  /** Checks the given files in place of the configured ones. */
+  public static Report check(MembersConfig config, List<Path> files, long nowMillis) {
     List<Fault> faults = new ArrayList<>();
     List<ListEntry> candidate = new ArrayList<>();
     for (Path file : files) {
       try {
-        byte[] bytes = BoundedFile.read(file, table.mostBytes());
+        byte[] bytes = BoundedFile.read(file, config.maxFileBytes());
         MembersFormat.Parsed parsed = MembersFormat.parse(file.toString(), bytes);
         faults.addAll(parsed.faults());
         candidate.addAll(parsed.entries());
@@ -52,49 +52,55 @@
       return new Report(false, faults, List.of(), List.of());
     }
     List<String> lines = new ArrayList<>();
-    ListValidator judge = new ListValidator(table.policy());
-    restore(table, judge, lines);
-    List<ListedServer> before = judge.current();
-    ListDecision verdict = judge.judge(nowMillis, candidate);
-    boolean good =
-        verdict instanceof ListDecision.Accepted || verdict instanceof ListDecision.Unchanged;
-    if (verdict instanceof ListDecision.Accepted accepted) {
+    ListValidator validator = new ListValidator(config.policy());
+    restore(config, validator, lines);
+    List<ListedServer> before = validator.current();
+    ListDecision decision = validator.submit(nowMillis, candidate);
+    boolean acceptable =
+        decision instanceof ListDecision.Accepted || decision instanceof ListDecision.Unchanged;
+    if (decision instanceof ListDecision.Accepted accepted) {
       lines.add("would be accepted as version " + accepted.version());
-    } else if (verdict instanceof ListDecision.PendingConfirmation held) {
+    } else if (decision instanceof ListDecision.PendingConfirmation pending) {
       lines.add("would be held back until confirmed:");
-      held.reasons().forEach(reason -> lines.add("  " + reason));
-    } else if (verdict instanceof ListDecision.Refused refused) {
+      pending.reasons().forEach(reason -> lines.add("  " + reason));
+    } else if (decision instanceof ListDecision.Refused refused) {
       lines.add("would be refused:");
       refused.reasons().forEach(reason -> lines.add("  " + reason));
     } else {
-      lines.add("says what the current list says");
+      lines.add("equals the current list");
     }
     List<ListedServer> servers = candidate.stream().map(ListEntry::server).toList();
-    differences(ListDiff.between(before, servers), lines);
-    return new Report(good, faults, lines, servers);
+    addDifferences(ListDiff.between(before, servers), lines);
+    return new Report(acceptable, faults, lines, servers);
   }
 
-  private static void restore(MembersConfig table, ListValidator judge, List<String> lines) {
-    if (table.state() == null) {
-      lines.add("no state folder is configured: judged as the first list of a new balancer");
+  private static void restore(MembersConfig config, ListValidator validator, List<String> lines) {
+    if (config.state() == null) {
+      lines.add("no state folder is configured: checked as the first list of a new balancer");
       return;
     }
-    MembersStateStore.Found found = new MembersStateStore(table.state()).read();
-    if (found.kept() != null) {
-      MembersStateStore.Kept kept = found.kept();
-      judge.restore(kept.version(), kept.number(), kept.list(), kept.joined(), kept.left());
-      lines.add("current list: version " + kept.version() + ", " + kept.list().size() + " servers");
+    MembersStateStore.ReadResult result = new MembersStateStore(config.state()).read();
+    if (result.state() != null) {
+      MembersStateStore.SavedState state = result.state();
+      validator.restore(
+          state.version(),
+          state.lastAssignedVersion(),
+          state.list(),
+          state.joinedMillis(),
+          state.departures());
+      lines.add(
+          "current list: version " + state.version() + ", " + state.list().size() + " servers");
     } else {
       lines.add(
-          (found.damage() == null ? "no state has been kept yet" : found.damage())
-              + ": judged as the first list of a new balancer");
+          (result.damage() == null ? "no state has been saved yet" : result.damage())
+              + ": checked as the first list of a new balancer");
     }
   }
 
-  private static void differences(ListDiff diff, List<String> lines) {
-    shown("+ ", diff.added().stream().map(MembersFormat::formatLine).toList(), lines);
-    shown("- ", diff.removed().stream().map(MembersFormat::formatLine).toList(), lines);
-    shown(
+  private static void addDifferences(ListDiff diff, List<String> lines) {
+    addShown("+ ", diff.added().stream().map(MembersFormat::formatLine).toList(), lines);
+    addShown("- ", diff.removed().stream().map(MembersFormat::formatLine).toList(), lines);
+    addShown(
         "~ ",
         diff.changed().stream()
             .map(
@@ -106,22 +112,23 @@
         lines);
   }
 
-  private static void shown(String sign, List<String> servers, List<String> lines) {
-    servers.stream().limit(MOST_SHOWN).forEach(line -> lines.add(sign + line));
-    if (servers.size() > MOST_SHOWN) {
-      lines.add(sign + "and " + (servers.size() - MOST_SHOWN) + " more");
+  private static void addShown(String sign, List<String> servers, List<String> lines) {
+    servers.stream().limit(MAX_SHOWN).forEach(line -> lines.add(sign + line));
+    if (servers.size() > MAX_SHOWN) {
+      lines.add(sign + "and " + (servers.size() - MAX_SHOWN) + " more");
     }
   }
 
   /**
-   * The file's content with its last line made right: the count, and a digest of the rest. A fault
-   * of the servers stays one.
+   * Returns the content of a file with a correct end line, which states the number of servers and a
+   * digest of the lines before it. Errors in the other lines are not corrected.
    */
   public static String seal(String text) {
     StringBuilder lines = new StringBuilder();
     for (String line : text.split("\n", -1)) {
-      String bare = line.strip();
-      boolean end = bare.equals("end") || bare.startsWith("end ") || bare.startsWith("end\t");
+      String stripped = line.strip();
+      boolean end =
+          stripped.equals("end") || stripped.startsWith("end ") || stripped.startsWith("end\t");
       if (!end) {
         lines.append(line).append('\n');
       }
@@ -131,7 +138,7 @@
     long servers =
         body.lines()
             .map(line -> line.replaceFirst("#.*", "").strip())
-            .filter(l -> !l.isEmpty())
+            .filter(line -> !line.isEmpty())
             .count();
     return body + "end " + servers + " sha256:" + Sha256.hex(bytes, 0, bytes.length) + '\n';
   }
--- a/src/main/java/heathswitch/proxy/members/MembersConfig.java
+++ b/src/main/java/heathswitch/proxy/members/MembersConfig.java
@@ -9,10 +9,11 @@
 /**
  * The table {@code [members]} of the configuration.
  *
- * @param state folder for what must outlive the process, or null for none
- * @param drainMillis from leaving the list to being gone
- * @param pollMillis between two looks at the files
- * @param settleMillis for which a file must have stayed as it is before it is read
+ * @param files the watched files; their entries together form the list
+ * @param state folder for the state that must survive a restart, or null for none
+ * @param drainMillis drain time of a server that has left the list
+ * @param pollMillis interval between two polls of the files
+ * @param settleMillis how long a file must have been unchanged before it is read
  */
 public record MembersConfig(
     List<Path> files,
@@ -22,7 +23,10 @@
     long settleMillis,
     ListPolicy policy) {
 
-  /** Reads and checks the table; null where it cannot be used, with faults in the document. */
+  /**
+   * Reads and checks the table. Adds faults to the document; returns null if there is no such
+   * table.
+   */
   public static MembersConfig read(Document document) {
     Section root = document.root();
     Section table = root.table("members");
@@ -34,16 +38,16 @@
     }
     List<Path> files = table.texts("files", true).stream().map(document::resolve).toList();
     if (files.stream().distinct().count() != files.size()) {
-      table.fault("files", "names a file twice; each once expected");
+      table.fault("files", "contains a file twice; each file once expected");
     }
     String state = table.optionalText("state");
-    double least = table.number("least_weight", 0.01, 1e-6, 1e6);
-    double most = table.number("most_weight", 100.0, 1e-6, 1e6);
-    if (least > most) {
-      table.fault("least_weight", "is over most_weight; at most " + most + " expected");
-      most = least;
+    double minWeight = table.number("least_weight", 0.01, 1e-6, 1e6);
+    double maxWeight = table.number("most_weight", 100.0, 1e-6, 1e6);
+    if (minWeight > maxWeight) {
+      table.fault("least_weight", "is over most_weight; at most " + maxWeight + " expected");
+      maxWeight = minWeight;
     }
-    MembersConfig members =
+    MembersConfig config =
         new MembersConfig(
             files,
             state == null ? null : document.resolve(state),
@@ -53,15 +57,18 @@
             new ListPolicy(
                 table.number("most_removed", 0.3, 0.0001, 1.0),
                 table.millis("removal_window", "10min", "0ms", "24h"),
-                least,
-                most,
+                minWeight,
+                maxWeight,
                 (int) table.whole("most_servers", 20_000L, 1, 100_000)));
     table.end();
-    return members;
+    return config;
   }
 
-  /** Greatest size of one file: a line for each server that a list may have. */
-  int mostBytes() {
-    return (int) Math.min(64L << 20, (policy.mostServers() + 1000L) * MembersFormat.MOST_LINE);
+  /**
+   * Largest allowed size of one file: a line of maximum length for each allowed server and for 1000
+   * further lines, but at most 64 MiB.
+   */
+  int maxFileBytes() {
+    return (int) Math.min(64L << 20, (policy.maxServers() + 1000L) * MembersFormat.MAX_LINE_LENGTH);
   }
 }
--- a/src/main/java/heathswitch/proxy/members/MembersPages.java
+++ b/src/main/java/heathswitch/proxy/members/MembersPages.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the admin listener shows and takes for the members. */
+/** The pages of the admin listener for the server list: its status, and its confirmation. */
 public final class MembersPages {
   private MembersPages() {}
 
@@ -22,16 +22,18 @@
             reply.accept(AdminServer.Reply.error(404, "members/confirm/VERSION expected"));
             return;
           }
-          watcher.confirm(version, verdict -> reply.accept(confirmed(verdict)));
+          watcher.confirm(version, decision -> reply.accept(confirmReply(decision)));
         });
   }
 
-  private static AdminServer.Reply confirmed(ListDecision verdict) {
-    if (verdict instanceof ListDecision.Accepted accepted) {
+  private static AdminServer.Reply confirmReply(ListDecision decision) {
+    if (decision instanceof ListDecision.Accepted accepted) {
       return AdminServer.Reply.ok(Map.of("accepted", accepted.version()));
     }
     List<String> reasons =
-        verdict instanceof ListDecision.Refused refused ? refused.reasons() : List.of("not taken");
+        decision instanceof ListDecision.Refused refused
+            ? refused.reasons()
+            : List.of("not accepted");
     return AdminServer.Reply.error(409, String.join("; ", reasons));
   }
 
@@ -49,22 +51,22 @@
     json.put("accepted_total", status.acceptedTotal());
     json.put("refused_total", status.refusedTotal());
     if (status.pending() != null) {
-      Map<String, Object> held = new LinkedHashMap<>();
-      held.put("version", status.pending().version());
-      held.put("since_ms", status.pending().sinceMillis());
-      held.put("reasons", status.pending().reasons());
-      held.put("added", status.pending().added());
-      held.put("removed", status.pending().removed());
-      held.put("changed", status.pending().changed());
-      json.put("held", held);
+      Map<String, Object> pending = new LinkedHashMap<>();
+      pending.put("version", status.pending().version());
+      pending.put("since_ms", status.pending().sinceMillis());
+      pending.put("reasons", status.pending().reasons());
+      pending.put("added", status.pending().added());
+      pending.put("removed", status.pending().removed());
+      pending.put("changed", status.pending().changed());
+      json.put("held", pending);
     }
     json.put(
         "refusals",
         status.refusals().stream()
             .map(each -> Map.of("at_ms", each.atMillis(), "reasons", each.reasons()))
             .toList());
-    if (status.stateTrouble() != null) {
-      json.put("state_trouble", status.stateTrouble());
+    if (status.stateError() != null) {
+      json.put("state_trouble", status.stateError());
     }
     return json;
   }
--- a/src/main/java/heathswitch/proxy/members/MembersReloader.java
+++ b/src/main/java/heathswitch/proxy/members/MembersReloader.java
@@ -14,11 +14,12 @@
 import java.util.List;
 
 /**
- * Follows the files: has each new content judged, keeps what was accepted on disk, and says what is
- * to be told of the servers. All calls come from one thread, and none on the event loop.
+ * Polls the watched files, has each new content validated, saves accepted lists in the state
+ * folder, and returns the resulting updates of servers. All calls must come from a single thread,
+ * which must not be the event loop.
  */
 final class MembersReloader implements AutoCloseable {
-  /** A start that finds no list at all that it could serve with. */
+  /** Neither the files nor the state contain a list that can be used at startup. */
   static final class NoUsableListException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -27,135 +28,153 @@
     }
   }
 
-  static final int MOST_REFUSALS = 16;
+  /** Refusals remembered for the status; the oldest ones are dropped. */
+  static final int MAX_REFUSALS = 16;
 
-  /** A state that could not be written is tried again so long after. */
-  private static final long SAVE_AGAIN_MILLIS = 5000;
+  /** Delay before another attempt to write the state after a failure. */
+  private static final long SAVE_RETRY_MILLIS = 5000;
 
-  private MembersConfig table;
-  private final ListValidator judge;
-  private final ServerStateTracker departures;
-  private final MembersStateStore state;
+  private MembersConfig config;
+  private final ListValidator validator;
+  private final ServerStateTracker tracker;
+  private final MembersStateStore stateStore;
   private List<WatchedFile> files;
   private final ArrayDeque<MembersStatus.Refusal> refusals = new ArrayDeque<>();
-  private String judged = "";
+
+  /** Fingerprints of the contents that were last validated. */
+  private String validated = "";
+
   private List<String> source = List.of();
   private String digest = "";
   private long acceptedMillis;
   private long acceptedTotal;
   private long refusedTotal;
-  private long heldMillis;
+  private long pendingSinceMillis;
   private boolean unsaved;
-  private long saveAgainMillis;
-  private String stateTrouble;
-  private long changes;
+  private long saveRetryMillis;
+  private String stateError;
+  private long changeCount;
 
-  MembersReloader(MembersConfig table) {
-    this.table = table;
-    judge = new ListValidator(table.policy());
-    departures = new ServerStateTracker(table.policy().mostServers());
-    state = table.state() == null ? null : new MembersStateStore(table.state());
-    files = watch(table);
+  MembersReloader(MembersConfig config) {
+    this.config = config;
+    validator = new ListValidator(config.policy());
+    tracker = new ServerStateTracker(config.policy().maxServers());
+    stateStore = config.state() == null ? null : new MembersStateStore(config.state());
+    files = watch(config);
   }
 
-  private static List<WatchedFile> watch(MembersConfig table) {
-    return table.files().stream().map(path -> new WatchedFile(path, table.mostBytes())).toList();
+  private static List<WatchedFile> watch(MembersConfig config) {
+    return config.files().stream()
+        .map(path -> new WatchedFile(path, config.maxFileBytes()))
+        .toList();
   }
 
   /**
-   * The list to start with: that of the files, judged against the one that was kept, or else the
-   * kept one.
+   * Returns the servers to start with: those of the files if the list is accepted, else those of
+   * the last accepted list in the state folder, against which the files are validated.
    */
   List<ServerStateTracker.Update> start(long nowMillis) throws NoUsableListException {
-    List<String> why = new ArrayList<>();
-    if (state != null) {
-      takeUp(why);
+    List<String> reasons = new ArrayList<>();
+    if (stateStore != null) {
+      restore(reasons);
     }
     for (WatchedFile file : files) {
-      file.look(nowMillis, 0);
+      file.poll(nowMillis, 0);
     }
-    if (!(judgeFiles(nowMillis) instanceof ListDecision.Accepted) && judge.version() == 0) {
-      refusals.forEach(refusal -> why.addAll(refusal.reasons()));
+    if (!(validateFiles(nowMillis) instanceof ListDecision.Accepted) && validator.version() == 0) {
+      refusals.forEach(refusal -> reasons.addAll(refusal.reasons()));
       throw new NoUsableListException(
-          "no list of servers to start with:\n  " + String.join("\n  ", why));
+          "no list of servers to start with:\n  " + String.join("\n  ", reasons));
     }
-    keep(nowMillis);
-    return departures.begin(judge.current());
+    saveIfNeeded(nowMillis);
+    return tracker.initialize(validator.current());
   }
 
-  private void takeUp(List<String> why) throws NoUsableListException {
+  private void restore(List<String> reasons) throws NoUsableListException {
     try {
-      state.lock();
+      stateStore.lock();
     } catch (IOException e) {
-      throw new NoUsableListException("state folder " + table.state() + " " + e.getMessage());
+      throw new NoUsableListException("state folder " + config.state() + " " + e.getMessage());
     }
-    MembersStateStore.Found found = state.read();
-    if (found.damage() != null) {
-      why.add(found.damage());
+    MembersStateStore.ReadResult result = stateStore.read();
+    if (result.damage() != null) {
+      reasons.add(result.damage());
       try {
-        Log.warn("members", found.damage() + "; set aside as " + state.setAside());
+        Log.warn("members", result.damage() + "; renamed to " + stateStore.moveDamagedAside());
       } catch (IOException e) {
-        stateTrouble = "the damaged state could not be set aside: " + e.getMessage();
-        Log.warn("members", stateTrouble);
+        stateError = "the damaged state file could not be renamed: " + e.getMessage();
+        Log.warn("members", stateError);
       }
-    } else if (found.kept() != null) {
-      MembersStateStore.Kept kept = found.kept();
-      judge.restore(kept.version(), kept.number(), kept.list(), kept.joined(), kept.left());
-      acceptedMillis = kept.acceptedMillis();
-      source = List.of(state.file().toString());
-      digest = MembersFormat.digest(judge.current());
+    } else if (result.state() != null) {
+      MembersStateStore.SavedState state = result.state();
+      validator.restore(
+          state.version(),
+          state.lastAssignedVersion(),
+          state.list(),
+          state.joinedMillis(),
+          state.departures());
+      acceptedMillis = state.acceptedMillis();
+      source = List.of(stateStore.file().toString());
+      digest = MembersFormat.digest(validator.current());
     } else {
-      why.add(state.file() + " is not there");
+      reasons.add(stateStore.file() + " is not there");
     }
   }
 
-  /** Looks at the files once; what is to be told of the servers, which is mostly nothing. */
-  List<ServerStateTracker.Update> look(long nowMillis) {
+  /**
+   * Polls the files and ends the draining of servers whose time is over. Returns the updates of
+   * servers, usually none.
+   */
+  List<ServerStateTracker.Update> poll(long nowMillis) {
     boolean settled = true;
     for (WatchedFile file : files) {
-      settled &= file.look(nowMillis, table.settleMillis());
+      settled &= file.poll(nowMillis, config.settleMillis());
     }
-    List<ServerStateTracker.Update> news = departures.tick(nowMillis);
-    changes += news.isEmpty() ? 0 : 1;
-    if (settled && !marks().equals(judged)) {
-      ListDecision verdict = judgeFiles(nowMillis);
-      if (verdict instanceof ListDecision.Accepted) {
-        news = new ArrayList<>(news);
-        news.addAll(departures.accept(nowMillis, table.drainMillis(), judge.current()));
+    List<ServerStateTracker.Update> updates = tracker.expire(nowMillis);
+    changeCount += updates.isEmpty() ? 0 : 1;
+    if (settled && !fingerprints().equals(validated)) {
+      ListDecision decision = validateFiles(nowMillis);
+      if (decision instanceof ListDecision.Accepted) {
+        updates = new ArrayList<>(updates);
+        updates.addAll(tracker.apply(nowMillis, config.drainMillis(), validator.current()));
       }
     }
-    return news;
+    return updates;
   }
 
-  /** Takes the list that is held back; null where it was, else why not. */
-  ListDecision confirm(long nowMillis, long version, List<ServerStateTracker.Update> news) {
-    ListDecision verdict = judge.confirm(nowMillis, version);
-    if (verdict instanceof ListDecision.Accepted accepted) {
-      accepted(nowMillis, accepted);
-      news.addAll(departures.accept(nowMillis, table.drainMillis(), judge.current()));
+  /**
+   * Accepts the list that is held back, if it has the given version.
+   *
+   * @param updates gets the resulting updates of servers
+   */
+  ListDecision confirm(long nowMillis, long version, List<ServerStateTracker.Update> updates) {
+    ListDecision decision = validator.confirm(nowMillis, version);
+    if (decision instanceof ListDecision.Accepted accepted) {
+      recordAccepted(nowMillis, accepted);
+      updates.addAll(tracker.apply(nowMillis, config.drainMillis(), validator.current()));
     }
-    return verdict;
+    return decision;
   }
 
-  /** Other files or rules from now on; the state folder stays. */
+  /** Applies a new configuration, except for the state folder, which stays the same. */
   void reconfigure(MembersConfig next) {
-    if (!next.files().equals(table.files()) || next.mostBytes() != table.mostBytes()) {
+    if (!next.files().equals(config.files()) || next.maxFileBytes() != config.maxFileBytes()) {
       files = watch(next);
     }
-    table = next;
-    judge.policy(next.policy());
-    judged = "";
+    config = next;
+    validator.setPolicy(next.policy());
+    validated = "";
   }
 
-  private String marks() {
-    StringBuilder marks = new StringBuilder();
-    files.forEach(file -> marks.append(file.mark()).append('\n'));
-    return marks.toString();
+  private String fingerprints() {
+    StringBuilder fingerprints = new StringBuilder();
+    files.forEach(file -> fingerprints.append(file.fingerprint()).append('\n'));
+    return fingerprints.toString();
   }
 
-  private ListDecision judgeFiles(long nowMillis) {
-    judged = marks();
-    changes++;
+  private ListDecision validateFiles(long nowMillis) {
+    validated = fingerprints();
+    changeCount++;
     List<ListEntry> candidate = new ArrayList<>();
     List<String> faults = new ArrayList<>();
     for (WatchedFile file : files) {
@@ -166,42 +185,44 @@
         candidate.addAll(file.parsed().entries());
       }
     }
-    ListDecision verdict =
-        faults.isEmpty() ? judge.judge(nowMillis, candidate) : new ListDecision.Refused(faults);
-    if (verdict instanceof ListDecision.Accepted accepted) {
-      accepted(nowMillis, accepted);
-    } else if (verdict instanceof ListDecision.Refused refused) {
-      refused(nowMillis, refused.reasons());
-    } else if (verdict instanceof ListDecision.PendingConfirmation held) {
-      heldMillis = nowMillis;
-      unsaved = true; // Its number must not be given to another list after a restart.
-      saveAgainMillis = 0;
+    ListDecision decision =
+        faults.isEmpty()
+            ? validator.submit(nowMillis, candidate)
+            : new ListDecision.Refused(faults);
+    if (decision instanceof ListDecision.Accepted accepted) {
+      recordAccepted(nowMillis, accepted);
+    } else if (decision instanceof ListDecision.Refused refused) {
+      recordRefused(nowMillis, refused.reasons());
+    } else if (decision instanceof ListDecision.PendingConfirmation pending) {
+      pendingSinceMillis = nowMillis;
+      unsaved = true; // Its version must not be assigned to another list after a restart.
+      saveRetryMillis = 0;
       Log.warn(
           "members",
           "version "
-              + held.version()
+              + pending.version()
               + " held back until confirmed: "
-              + String.join("; ", held.reasons()));
+              + String.join("; ", pending.reasons()));
     } else {
-      source = names();
+      source = fileNames();
     }
-    return verdict;
+    return decision;
   }
 
-  private void accepted(long nowMillis, ListDecision.Accepted accepted) {
-    changes++;
+  private void recordAccepted(long nowMillis, ListDecision.Accepted accepted) {
+    changeCount++;
     acceptedMillis = nowMillis;
     acceptedTotal++;
-    source = names();
-    digest = MembersFormat.digest(judge.current());
+    source = fileNames();
+    digest = MembersFormat.digest(validator.current());
     unsaved = true;
-    saveAgainMillis = 0;
+    saveRetryMillis = 0;
     Log.info(
         "members",
         "version "
             + accepted.version()
             + " accepted: "
-            + judge.current().size()
+            + validator.current().size()
             + " servers, "
             + accepted.diff().added().size()
             + " added, "
@@ -211,73 +232,73 @@
             + " changed");
   }
 
-  private void refused(long nowMillis, List<String> reasons) {
+  private void recordRefused(long nowMillis, List<String> reasons) {
     refusedTotal++;
     refusals.addFirst(new MembersStatus.Refusal(nowMillis, List.copyOf(reasons)));
-    if (refusals.size() > MOST_REFUSALS) {
+    if (refusals.size() > MAX_REFUSALS) {
       refusals.removeLast();
     }
     String reason = String.join("; ", reasons);
     Log.warn("members", "refused: " + reason, "reason", reason);
   }
 
-  private List<String> names() {
+  private List<String> fileNames() {
     return files.stream().map(WatchedFile::path).map(Path::toString).toList();
   }
 
-  /** Writes the state if there is news for it; a disk that is full is tried again later. */
-  void keep(long nowMillis) {
-    if (state == null || !unsaved || judge.version() == 0 || nowMillis < saveAgainMillis) {
+  /** Saves the state if it has changed; after a failure, such as a full disk, retries later. */
+  void saveIfNeeded(long nowMillis) {
+    if (stateStore == null || !unsaved || validator.version() == 0 || nowMillis < saveRetryMillis) {
       return;
     }
-    changes++;
+    changeCount++;
     try {
-      state.save(judge, acceptedMillis);
+      stateStore.save(validator, acceptedMillis);
       unsaved = false;
-      stateTrouble = null;
+      stateError = null;
     } catch (IOException e) {
-      saveAgainMillis = nowMillis + SAVE_AGAIN_MILLIS;
-      stateTrouble = "the list could not be kept in " + state.file() + ": " + e.getMessage();
-      Log.warn("members", stateTrouble + "; it is served all the same");
+      saveRetryMillis = nowMillis + SAVE_RETRY_MILLIS;
+      stateError = "the list could not be saved in " + stateStore.file() + ": " + e.getMessage();
+      Log.warn("members", stateError + "; it is used nevertheless");
     }
   }
 
-  /** Goes up with everything that {@link #status} would show otherwise. */
-  long changes() {
-    return changes;
+  /** A counter that is incremented with each change of what {@link #status} returns. */
+  long changeCount() {
+    return changeCount;
   }
 
   MembersStatus status(boolean applied) {
-    ListDecision.PendingConfirmation held = judge.pending();
-    List<ListedServer> current = judge.current();
+    ListDecision.PendingConfirmation pending = validator.pending();
+    List<ListedServer> current = validator.current();
     return new MembersStatus(
-        judge.version(),
+        validator.version(),
         acceptedMillis,
         applied,
         source,
         digest,
         current.size(),
         (int) current.stream().filter(ListedServer::inService).count(),
-        departures.leaving(),
+        tracker.drainingCount(),
         acceptedTotal,
         refusedTotal,
-        held == null
+        pending == null
             ? null
             : new MembersStatus.PendingList(
-                held.version(),
-                heldMillis,
-                held.reasons(),
-                held.diff().added().size(),
-                held.diff().removed().size(),
-                held.diff().changed().size()),
+                pending.version(),
+                pendingSinceMillis,
+                pending.reasons(),
+                pending.diff().added().size(),
+                pending.diff().removed().size(),
+                pending.diff().changed().size()),
         List.copyOf(refusals),
-        stateTrouble);
+        stateError);
   }
 
   @Override
   public void close() throws IOException {
-    if (state != null) {
-      state.close();
+    if (stateStore != null) {
+      stateStore.close();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/members/MembersStateStore.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStateStore.java
@@ -22,159 +22,170 @@
 import java.util.Map;
 
 /**
- * The state folder: the last accepted list with its version, digest and the record of who joined
- * and left of late. Written whole or not at all; what does not match its own digest is set aside
- * under another name and never used.
+ * The state folder. It keeps the last accepted list with its version and digest, and the records of
+ * the processes that joined or left within the window. The state file is replaced atomically; one
+ * that does not match its own digest is renamed and never used.
  */
 final class MembersStateStore implements AutoCloseable {
-  static final String FILE = "members.state";
+  static final String FILE_NAME = "members.state";
   private static final String FIRST_LINE = "heathswitch members state 1";
-  private static final int MOST_BYTES = 128 << 20;
+  private static final int MAX_BYTES = 128 << 20;
 
-  /** Damaged files that are kept to be looked at; the oldest name is used again. */
-  private static final int MOST_DAMAGED = 3;
+  /** Damaged files that are kept for inspection; if there are more, the oldest is replaced. */
+  private static final int MAX_DAMAGED_FILES = 3;
 
-  /** What was kept. */
-  record Kept(
+  /** The content of the state file. */
+  record SavedState(
       long version,
-      long number,
+      long lastAssignedVersion,
       long acceptedMillis,
       List<ListedServer> list,
-      Map<String, Long> joined,
-      List<ServiceHistory.Departure> left) {}
+      Map<String, Long> joinedMillis,
+      List<ServiceHistory.Departure> departures) {}
 
-  /** What was found: a state, or why there is none that can be used; both null for none at all. */
-  record Found(Kept kept, String damage) {}
+  /**
+   * The result of reading the state file; both null if there is none.
+   *
+   * @param state the state, or null if the file is missing or damaged
+   * @param damage why the file cannot be used, or null
+   */
+  record ReadResult(SavedState state, String damage) {}
 
   private final Path folder;
-  private FileChannel channel;
+  private FileChannel lockChannel;
 
   MembersStateStore(Path folder) {
     this.folder = folder;
   }
 
   Path file() {
-    return folder.resolve(FILE);
+    return folder.resolve(FILE_NAME);
   }
 
-  /** Makes the folder and takes it for this process alone. */
+  /** Creates the folder if necessary, and locks it against use by other balancers. */
   void lock() throws IOException {
     Files.createDirectories(folder);
-    Path lock = folder.resolve("lock");
-    channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    FileLock held = null;
+    Path lockFile = folder.resolve("lock");
+    lockChannel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock lock = null;
     try {
-      held = channel.tryLock();
+      lock = lockChannel.tryLock();
     } catch (OverlappingFileLockException e) {
-      // Another balancer of this process has it.
+      // Another balancer in this process holds the lock.
     }
-    if (held == null) {
-      channel.close();
-      throw new FileFault("is in use by another balancer; a folder for each is expected");
+    if (lock == null) {
+      lockChannel.close();
+      throw new FileFault("is in use by another balancer; each balancer needs its own folder");
     }
   }
 
   @Override
   public void close() throws IOException {
-    if (channel != null) {
-      channel.close();
+    if (lockChannel != null) {
+      lockChannel.close();
     }
   }
 
-  /** Reads the state without changing anything. */
-  Found read() {
+  /** Reads the state file without changing anything. */
+  ReadResult read() {
     if (!Files.exists(file())) {
-      return new Found(null, null);
+      return new ReadResult(null, null);
     }
     try {
-      return new Found(parse(BoundedFile.read(file(), MOST_BYTES)), null);
+      return new ReadResult(parse(BoundedFile.read(file(), MAX_BYTES)), null);
     } catch (IOException | RuntimeException e) {
-      return new Found(null, file() + " " + e.getMessage());
+      return new ReadResult(null, file() + " " + e.getMessage());
     }
   }
 
-  /** Gives a damaged file another name, so that it can be looked at; returns that name. */
-  Path setAside() throws IOException {
-    Path oldest = null;
-    for (int i = 1; i <= MOST_DAMAGED; i++) {
-      Path aside = folder.resolve("members.damaged." + i);
-      if (!Files.exists(aside)) {
-        oldest = aside;
+  /** Renames a damaged state file, so that it can be inspected; returns its new path. */
+  Path moveDamagedAside() throws IOException {
+    Path target = null;
+    for (int i = 1; i <= MAX_DAMAGED_FILES; i++) {
+      Path candidate = folder.resolve("members.damaged." + i);
+      if (!Files.exists(candidate)) {
+        target = candidate;
         break;
       }
-      if (oldest == null
-          || Files.getLastModifiedTime(aside).compareTo(Files.getLastModifiedTime(oldest)) < 0) {
-        oldest = aside;
+      if (target == null
+          || Files.getLastModifiedTime(candidate).compareTo(Files.getLastModifiedTime(target))
+              < 0) {
+        target = candidate;
       }
     }
-    return Files.move(file(), oldest, StandardCopyOption.REPLACE_EXISTING);
+    return Files.move(file(), target, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  void save(ListValidator judge, long acceptedMillis) throws IOException {
+  /** Atomically replaces the state file. */
+  void save(ListValidator validator, long acceptedMillis) throws IOException {
     StringBuilder text = new StringBuilder();
-    text.append("version ").append(judge.version()).append('\n');
-    text.append("number ").append(judge.lastNumber()).append('\n');
+    text.append("version ").append(validator.version()).append('\n');
+    text.append("number ").append(validator.lastAssignedVersion()).append('\n');
     text.append("accepted ").append(acceptedMillis).append('\n');
-    judge
+    validator
         .history()
-        .joined()
+        .joinedMillis()
         .forEach(
-            (process, at) ->
-                text.append("joined ").append(at).append(' ').append(process).append('\n'));
-    for (ServiceHistory.Departure left : judge.history().departures()) {
+            (process, joinedMillis) ->
+                text.append("joined ")
+                    .append(joinedMillis)
+                    .append(' ')
+                    .append(process)
+                    .append('\n'));
+    for (ServiceHistory.Departure departure : validator.history().departures()) {
       text.append("left ")
-          .append(left.leftMillis())
+          .append(departure.leftMillis())
           .append(' ')
-          .append(left.joinedMillis())
+          .append(departure.joinedMillis())
           .append(' ')
-          .append(left.process())
+          .append(departure.process())
           .append(' ')
-          .append(left.zone())
+          .append(departure.zone())
           .append(' ')
-          .append(left.kind())
+          .append(departure.kind())
           .append('\n');
     }
-    text.append("servers\n").append(MembersFormat.write(judge.current()));
-    byte[] rest = text.toString().getBytes(StandardCharsets.UTF_8);
-    String head = FIRST_LINE + "\nsha256 " + Sha256.hex(rest, 0, rest.length) + '\n';
-    byte[] first = head.getBytes(StandardCharsets.UTF_8);
-    byte[] whole = new byte[first.length + rest.length];
-    System.arraycopy(first, 0, whole, 0, first.length);
-    System.arraycopy(rest, 0, whole, first.length, rest.length);
+    text.append("servers\n").append(MembersFormat.format(validator.current()));
+    byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
+    String header = FIRST_LINE + "\nsha256 " + Sha256.hex(body, 0, body.length) + '\n';
+    byte[] headerBytes = header.getBytes(StandardCharsets.UTF_8);
+    byte[] whole = new byte[headerBytes.length + body.length];
+    System.arraycopy(headerBytes, 0, whole, 0, headerBytes.length);
+    System.arraycopy(body, 0, whole, headerBytes.length, body.length);
     AtomicFile.write(file(), whole);
   }
 
-  private static Kept parse(byte[] bytes) throws FileFault {
-    int first = indexOf(bytes, 0);
-    int second = indexOf(bytes, first + 1);
-    if (second < 0 || !string(bytes, 0, first).equals(FIRST_LINE)) {
-      throw new FileFault("is no state of this version");
+  private static SavedState parse(byte[] bytes) throws FileFault {
+    int firstEnd = lineEnd(bytes, 0);
+    int secondEnd = lineEnd(bytes, firstEnd + 1);
+    if (secondEnd < 0 || !string(bytes, 0, firstEnd).equals(FIRST_LINE)) {
+      throw new FileFault("is not a state file of this version");
     }
-    int start = second + 1;
+    int start = secondEnd + 1;
     String digest = "sha256 " + Sha256.hex(bytes, start, bytes.length - start);
-    if (!string(bytes, first + 1, second).equals(digest)) {
+    if (!string(bytes, firstEnd + 1, secondEnd).equals(digest)) {
       throw new FileFault("does not match its own digest");
     }
-    // From here on it is what a balancer wrote; a mistake in it is one of the program's.
+    // The digest matches, so a balancer wrote the rest; an error in it is a bug of the program.
     long version = 0;
-    long number = 0;
-    long accepted = 0;
-    Map<String, Long> joined = new HashMap<>();
-    List<ServiceHistory.Departure> left = new ArrayList<>();
+    long lastAssignedVersion = 0;
+    long acceptedMillis = 0;
+    Map<String, Long> joinedMillis = new HashMap<>();
+    List<ServiceHistory.Departure> departures = new ArrayList<>();
     for (int at = start; ; ) {
-      int end = indexOf(bytes, at);
+      int end = lineEnd(bytes, at);
       if (end < 0) {
-        throw new FileFault("has no servers");
+        throw new FileFault("has no list of servers");
       }
       String[] words = string(bytes, at, end).split(" ");
       at = end + 1;
       switch (words[0]) {
         case "version" -> version = Long.parseLong(words[1]);
-        case "number" -> number = Long.parseLong(words[1]);
-        case "accepted" -> accepted = Long.parseLong(words[1]);
-        case "joined" -> joined.put(words[2], Long.parseLong(words[1]));
+        case "number" -> lastAssignedVersion = Long.parseLong(words[1]);
+        case "accepted" -> acceptedMillis = Long.parseLong(words[1]);
+        case "joined" -> joinedMillis.put(words[2], Long.parseLong(words[1]));
         case "left" ->
-            left.add(
+            departures.add(
                 new ServiceHistory.Departure(
                     words[3],
                     words[4],
@@ -182,15 +193,16 @@
                     Long.parseLong(words[2]),
                     Long.parseLong(words[1])));
         case "servers" -> {
-          byte[] table = java.util.Arrays.copyOfRange(bytes, at, bytes.length);
-          MembersFormat.Parsed parsed = MembersFormat.parse(FILE, table);
+          byte[] listText = java.util.Arrays.copyOfRange(bytes, at, bytes.length);
+          MembersFormat.Parsed parsed = MembersFormat.parse(FILE_NAME, listText);
           if (!parsed.faults().isEmpty() || version <= 0) {
-            throw new FileFault("holds a list that cannot be read");
+            throw new FileFault("contains an invalid list of servers");
           }
           List<ListedServer> list = parsed.entries().stream().map(ListEntry::server).toList();
-          return new Kept(version, number, accepted, list, joined, left);
+          return new SavedState(
+              version, lastAssignedVersion, acceptedMillis, list, joinedMillis, departures);
         }
-        default -> throw new FileFault("has a line that is not known: " + words[0]);
+        default -> throw new FileFault("contains an unknown line: " + words[0]);
       }
     }
   }
@@ -199,7 +211,8 @@
     return new String(bytes, from, to - from, StandardCharsets.UTF_8);
   }
 
-  private static int indexOf(byte[] bytes, int from) {
+  /** Returns the index of the next line feed, or -1. */
+  private static int lineEnd(byte[] bytes, int from) {
     for (int i = from; i < bytes.length; i++) {
       if (bytes[i] == '\n') {
         return i;
--- a/src/main/java/heathswitch/proxy/members/MembersStatus.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStatus.java
@@ -3,14 +3,20 @@
 import java.util.List;
 
 /**
- * What the members subsystem can say of itself, made anew after each change.
+ * A snapshot of the state of the server list, created anew after each change.
  *
- * @param version number of the list that is current
+ * @param version version of the current list
  * @param acceptedMillis Unix time at which it was accepted
- * @param applied whether the event loop has heard all of it
- * @param source the files, or the state file where these could not be used at the start
- * @param refusedTotal candidates refused since the start
- * @param stateTrouble why the last write of the state failed, or null
+ * @param applied whether the event loop has applied all of it
+ * @param source the files, or the state file if these could not be used at startup
+ * @param servers number of servers in the list
+ * @param inService number of servers in service
+ * @param draining number of servers that have left the list and are draining
+ * @param acceptedTotal candidates accepted since startup
+ * @param refusedTotal candidates refused since startup
+ * @param pending the list that is held back, or null
+ * @param refusals the latest refusals, newest first
+ * @param stateError the current problem with the state file, or null
  */
 public record MembersStatus(
     long version,
@@ -25,9 +31,9 @@
     long refusedTotal,
     PendingList pending,
     List<Refusal> refusals,
-    String stateTrouble) {
+    String stateError) {
 
-  /** The same while the event loop is still being told. */
+  /** Returns this status with {@code applied} false, for while the event loop applies the list. */
   MembersStatus unapplied() {
     return new MembersStatus(
         version,
@@ -42,13 +48,13 @@
         refusedTotal,
         pending,
         refusals,
-        stateTrouble);
+        stateError);
   }
 
-  /** A list that waits for a person. */
+  /** A list that is held back until an operator confirms it. */
   public record PendingList(
       long version, long sinceMillis, List<String> reasons, int added, int removed, int changed) {}
 
-  /** One candidate that was not taken. */
+  /** A refused candidate. */
   public record Refusal(long atMillis, List<String> reasons) {}
 }
--- a/src/main/java/heathswitch/proxy/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -26,11 +26,12 @@
 import java.util.function.Consumer;
 
 /**
- * The members of a node from watched files: one thread looks at them, and hands what is to be told
- * to the event loop in slices, so that a list of ten thousand servers holds up no request.
+ * Provides the server list of a node from watched files. A separate thread polls the files and
+ * passes updates to the event loop, which applies them in slices, so that a list of ten thousand
+ * servers does not delay requests.
  */
 public final class MembersWatcher implements MemberSource, Dispatcher.Discovery, AutoCloseable {
-  /** A start that finds no list that it could serve with; the message says why. */
+  /** There is no list of servers that can be used at startup; the message states the reasons. */
   public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -39,49 +40,51 @@
     }
   }
 
-  /** Servers told in one turn of the loop. */
-  static final int SLICE = 512;
+  /** Most servers updated in one task on the event loop. */
+  static final int SLICE_SIZE = 512;
 
   private final Clock clock = new Clock();
-  private final MembersReloader keeper;
-  private final ScheduledExecutorService thread =
+  private final MembersReloader reloader;
+  private final ScheduledExecutorService executor =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
-            Thread made = new Thread(task, "members");
-            made.setDaemon(true);
-            return made;
+            Thread thread = new Thread(task, "members");
+            thread.setDaemon(true);
+            return thread;
           });
-  private List<Member> first;
+  private List<Member> initialMembers;
   private long pollMillis;
 
-  /** Opens when the loop has been told all that it was handed. */
-  private volatile CountDownLatch told = new CountDownLatch(0);
+  /** Zero once the event loop has applied all updates passed to it. */
+  private volatile CountDownLatch applied = new CountDownLatch(0);
 
   private volatile MembersStatus status;
-  private long stated;
 
-  // On the loop only.
+  /** The change count of the reloader for which the status was last created. */
+  private long statusChangeCount;
+
+  // Used only on the event loop.
   private final ArrayDeque<Member> queue = new ArrayDeque<>();
   private EventLoop loop;
   private Dispatcher dispatcher;
-  private boolean telling;
+  private boolean applying;
   private boolean stopped;
 
-  private MembersWatcher(MembersReloader keeper, long pollMillis) {
-    this.keeper = keeper;
+  private MembersWatcher(MembersReloader reloader, long pollMillis) {
+    this.reloader = reloader;
     this.pollMillis = pollMillis;
   }
 
-  /** Reads and judges what is there now; {@link #on} must follow. */
-  public static MembersWatcher open(MembersConfig table) throws StartException {
-    MembersWatcher watcher = new MembersWatcher(new MembersReloader(table), table.pollMillis());
+  /** Reads and validates the files; {@link #bindTo} must be called next. */
+  public static MembersWatcher open(MembersConfig config) throws StartException {
+    MembersWatcher watcher = new MembersWatcher(new MembersReloader(config), config.pollMillis());
     try {
-      watcher.first = members(watcher.keeper.start(watcher.nowMillis()));
+      watcher.initialMembers = members(watcher.reloader.start(watcher.nowMillis()));
     } catch (MembersReloader.NoUsableListException e) {
       watcher.close();
       throw new StartException(e.getMessage());
     }
-    watcher.status = watcher.keeper.status(true);
+    watcher.status = watcher.reloader.status(true);
     return watcher;
   }
 
@@ -89,183 +92,193 @@
     return clock.nowNanos() / 1_000_000;
   }
 
-  private static List<Member> members(List<ServerStateTracker.Update> news) {
-    List<Member> members = new ArrayList<>(news.size());
-    for (ServerStateTracker.Update each : news) {
+  private static List<Member> members(List<ServerStateTracker.Update> updates) {
+    List<Member> members = new ArrayList<>(updates.size());
+    for (ServerStateTracker.Update update : updates) {
       Health health =
-          switch (each.state()) {
+          switch (update.state()) {
             case READY -> Health.READY;
             case DRAINING -> Health.DRAINING;
             case GONE -> Health.GONE;
           };
-      InetSocketAddress at =
-          health == Health.GONE ? null : Addresses.parse(each.server().endpoint());
-      boolean alone = each.server().grpcOnly();
-      int port = each.server().grpcPort();
-      InetSocketAddress beside =
-          at == null || port == 0 ? null : new InetSocketAddress(at.getAddress(), port);
+      InetSocketAddress endpoint =
+          health == Health.GONE ? null : Addresses.parse(update.server().endpoint());
+      boolean grpcOnly = update.server().grpcOnly();
+      int grpcPort = update.server().grpcPort();
+      InetSocketAddress grpcEndpoint =
+          endpoint == null || grpcPort == 0
+              ? null
+              : new InetSocketAddress(endpoint.getAddress(), grpcPort);
       members.add(
           new Member(
-              each.server().id(),
-              alone ? null : at,
-              alone ? at : beside,
+              update.server().id(),
+              grpcOnly ? null : endpoint,
+              grpcOnly ? endpoint : grpcEndpoint,
               health,
-              each.server().zone(),
-              each.server().kind(),
-              each.server().cell(),
-              each.server().weight(),
-              each.startedMillis()));
+              update.server().zone(),
+              update.server().kind(),
+              update.server().cell(),
+              update.server().weight(),
+              update.startedMillis()));
     }
     return members;
   }
 
-  /** Ties the watcher to the loop of a node; to be used as its source. */
-  public MemberSource on(EventLoop loop) {
+  /** Binds the watcher to the event loop of the node that uses it as its source. */
+  public MemberSource bindTo(EventLoop loop) {
     this.loop = loop;
     return this;
   }
 
-  /** What can be said now; from any thread. */
+  /** The current status; may be called on any thread. */
   public MembersStatus status() {
-    return told.getCount() == 0 ? status : status.unapplied();
+    return applied.getCount() == 0 ? status : status.unapplied();
   }
 
-  // ---- on the loop ----
+  // ---- on the event loop ----
 
   @Override
   public void start(Dispatcher dispatcher) {
     this.dispatcher = dispatcher;
-    dispatcher.start(this, first);
-    first = null;
-    schedule();
+    dispatcher.start(this, initialMembers);
+    initialMembers = null;
+    schedulePoll();
   }
 
   @Override
   public void stop() {
     stopped = true;
     queue.clear();
-    told.countDown();
+    applied.countDown();
     close();
   }
 
-  /** Nobody is asked: the files are watched all the time. */
+  /** Does nothing, since the files are polled all the time. */
   @Override
   public void watch(boolean enable) {}
 
+  /** Does nothing, since the files are polled all the time. */
   @Override
   public void fetch() {}
 
-  private void take(List<Member> members) {
+  private void enqueue(List<Member> members) {
     if (!stopped) {
       queue.addAll(members);
-      if (!telling) {
-        telling = true;
-        tell();
+      if (!applying) {
+        applying = true;
+        applySlice();
       }
     }
   }
 
-  /** One slice; requests are served before the next. */
-  private void tell() {
+  /** Applies one slice; requests are served before the next. */
+  private void applySlice() {
     if (queue.isEmpty()) {
-      telling = false;
-      told.countDown();
+      applying = false;
+      applied.countDown();
       return;
     }
-    List<Member> slice = new ArrayList<>(Math.min(SLICE, queue.size()));
-    while (slice.size() < SLICE && !queue.isEmpty()) {
+    List<Member> slice = new ArrayList<>(Math.min(SLICE_SIZE, queue.size()));
+    while (slice.size() < SLICE_SIZE && !queue.isEmpty()) {
       slice.add(queue.poll());
     }
     try {
       dispatcher.onListUpdate(ListUpdate.DELTA, slice);
     } catch (RuntimeException e) {
-      Log.error("members", "a slice could not be told", e);
+      Log.error("members", "a slice of server updates could not be applied", e);
     }
     if (queue.isEmpty()) {
-      tell();
+      applySlice();
     } else {
-      loop.schedule(this::tell, 1, MILLISECONDS);
+      loop.schedule(this::applySlice, 1, MILLISECONDS);
     }
   }
 
-  // ---- on the watcher's thread ----
+  // ---- on the polling thread ----
 
-  private void schedule() {
-    if (!thread.isShutdown()) {
+  private void schedulePoll() {
+    if (!executor.isShutdown()) {
       try {
-        thread.schedule(this::look, pollMillis, MILLISECONDS);
+        executor.schedule(this::poll, pollMillis, MILLISECONDS);
       } catch (RejectedExecutionException e) {
-        // It was shut down meanwhile.
+        // Shut down since the check.
       }
     }
   }
 
-  private void look() {
+  private void poll() {
     try {
-      pass(keeper.look(nowMillis()));
+      apply(reloader.poll(nowMillis()));
     } catch (RuntimeException e) {
-      Log.error("members", "look failed", e); // The next one may do better.
+      Log.error("members", "polling the files failed", e); // The next poll may succeed.
     } finally {
-      schedule();
+      schedulePoll();
     }
   }
 
   /**
-   * Hands news to the loop, unless it is still busy with earlier news: the files are looked at
-   * again only when it has taken all, so what waits for it is never more than one list.
+   * Passes updates to the event loop and waits until it has applied them. The files are polled
+   * again only after that, so that the queue never holds more than the updates of one list.
    */
-  private void pass(List<ServerStateTracker.Update> news) {
-    if (!news.isEmpty()) {
-      List<Member> members = members(news);
-      told = new CountDownLatch(1);
-      state();
-      loop.execute(() -> take(members));
+  private void apply(List<ServerStateTracker.Update> updates) {
+    if (!updates.isEmpty()) {
+      List<Member> members = members(updates);
+      applied = new CountDownLatch(1);
+      updateStatus();
+      loop.execute(() -> enqueue(members));
       try {
-        told.await();
+        applied.await();
       } catch (InterruptedException e) {
-        Thread.currentThread().interrupt(); // Closed.
+        Thread.currentThread().interrupt(); // The watcher was closed.
         return;
       }
     }
-    keeper.keep(nowMillis());
-    state();
+    reloader.saveIfNeeded(nowMillis());
+    updateStatus();
   }
 
-  /** A list of ten thousand is not counted anew at each look. */
-  private void state() {
-    if (stated != keeper.changes()) {
-      stated = keeper.changes();
-      status = keeper.status(true);
+  /**
+   * Updates the status only after a change, since counting ten thousand servers at each poll would
+   * be wasteful.
+   */
+  private void updateStatus() {
+    if (statusChangeCount != reloader.changeCount()) {
+      statusChangeCount = reloader.changeCount();
+      status = reloader.status(true);
     }
   }
 
-  // ---- from any thread ----
+  // ---- on any thread ----
 
-  /** Takes the list that is held back under this version; the verdict comes on the own thread. */
-  public void confirm(long version, Consumer<ListDecision> done) {
-    thread.execute(
+  /**
+   * Accepts the list that is held back, if it has the given version.
+   *
+   * @param callback called with the decision on the polling thread
+   */
+  public void confirm(long version, Consumer<ListDecision> callback) {
+    executor.execute(
         () -> {
-          List<ServerStateTracker.Update> news = new ArrayList<>();
-          ListDecision verdict = keeper.confirm(nowMillis(), version, news);
-          pass(news);
-          done.accept(verdict);
+          List<ServerStateTracker.Update> updates = new ArrayList<>();
+          ListDecision decision = reloader.confirm(nowMillis(), version, updates);
+          apply(updates);
+          callback.accept(decision);
         });
   }
 
-  /** Watches other files or follows other rules from now on. */
+  /** Applies a new configuration, except for the state folder, which stays the same. */
   public Future<?> reconfigure(MembersConfig next) {
-    return thread.submit(
+    return executor.submit(
         () -> {
-          keeper.reconfigure(next);
+          reloader.reconfigure(next);
           pollMillis = next.pollMillis();
         });
   }
 
   @Override
   public void close() {
-    thread.shutdownNow();
+    executor.shutdownNow();
     try {
-      keeper.close();
+      reloader.close();
     } catch (IOException e) {
       Log.warn("members", "state folder: " + e.getMessage());
     }
--- a/src/main/java/heathswitch/proxy/members/Sha256.java
+++ b/src/main/java/heathswitch/proxy/members/Sha256.java
@@ -4,7 +4,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 (FIPS 180-4) in small hexadecimal letters. */
+/** Computes SHA-256 digests (FIPS 180-4) in lower-case hexadecimal. */
 final class Sha256 {
   private Sha256() {}
 
@@ -14,7 +14,7 @@
       digest.update(bytes, offset, length);
       return HexFormat.of().formatHex(digest.digest());
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // Every JDK has it.
+      throw new IllegalStateException(e); // Every JDK provides SHA-256.
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/members/WatchedFile.java
+++ b/src/main/java/heathswitch/proxy/members/WatchedFile.java
@@ -7,80 +7,83 @@
 import java.util.List;
 
 /**
- * One file, looked at again and again. It is read once it has stayed as it is for a while, and
- * while its last change is so fresh that another within the same tick of the file system's clock
- * would not show in its stamp, it is read at every look. Not for the event loop.
+ * A file that is polled for changes. It is read once it has been unchanged for the settle time. If
+ * its last change is so recent that another write within the same tick of the file system's clock
+ * would leave the stamp as it is, the content is read at every poll. Must not be used on the event
+ * loop.
  */
 final class WatchedFile {
-  /** The coarsest time stamps of common file systems (FAT) are this far apart. */
-  static final long TICK_MILLIS = 2000;
+  /** The coarsest timestamp granularity of common file systems, that of FAT. */
+  static final long MAX_TICK_MILLIS = 2000;
 
-  /** How a file's stamp is had. */
-  interface Stamper {
-    BoundedFile.Stamp of(Path path) throws IOException;
+  /** Reads the stamp of a file. */
+  interface StampReader {
+    BoundedFile.Stamp read(Path path) throws IOException;
   }
 
   private final Path path;
-  private final int mostBytes;
-  private final Stamper stamper;
+  private final int maxBytes;
+  private final StampReader stampReader;
   private BoundedFile.Stamp stamp;
   private long changedMillis;
   private String digest;
   private MembersFormat.Parsed parsed;
-  private String trouble;
-  private boolean fresh;
+  private String error;
 
-  WatchedFile(Path path, int mostBytes) {
-    this(path, mostBytes, BoundedFile::stamp);
+  /** Whether the file must be read, even if its stamp is unchanged. */
+  private boolean readNeeded;
+
+  WatchedFile(Path path, int maxBytes) {
+    this(path, maxBytes, BoundedFile::stamp);
   }
 
-  WatchedFile(Path path, int mostBytes, Stamper stamper) {
+  WatchedFile(Path path, int maxBytes, StampReader stampReader) {
     this.path = path;
-    this.mostBytes = mostBytes;
-    this.stamper = stamper;
+    this.maxBytes = maxBytes;
+    this.stampReader = stampReader;
   }
 
   Path path() {
     return path;
   }
 
-  /** Looks at the file; true if what it holds can be relied on now. */
-  boolean look(long nowMillis, long settleMillis) {
+  /** Polls the file; returns whether it has settled, so that its content or error can be used. */
+  boolean poll(long nowMillis, long settleMillis) {
     try {
-      BoundedFile.Stamp now = stamper.of(path);
-      trouble = null;
+      BoundedFile.Stamp now = stampReader.read(path);
+      error = null;
       if (!now.equals(stamp)) {
         stamp = now;
         changedMillis = nowMillis;
-        fresh = true;
+        readNeeded = true;
         digest = null;
       }
       if (nowMillis - changedMillis < settleMillis) {
         return false;
       }
-      return !fresh || read(nowMillis, settleMillis);
+      return !readNeeded || read(nowMillis, settleMillis);
     } catch (IOException e) {
       stamp = null;
       digest = null;
       parsed = null;
-      trouble = String.valueOf(e.getMessage());
+      error = String.valueOf(e.getMessage());
       return true;
     }
   }
 
   private boolean read(long nowMillis, long settleMillis) throws IOException {
-    byte[] bytes = BoundedFile.read(path, mostBytes);
-    if (!stamper.of(path).equals(stamp)) {
-      return false; // It changed while it was read; the next look begins anew.
+    byte[] bytes = BoundedFile.read(path, maxBytes);
+    if (!stampReader.read(path).equals(stamp)) {
+      return false; // It changed while being read; the next poll sees the new stamp.
     }
     String before = digest;
     digest = Sha256.hex(bytes, 0, bytes.length);
     if (before != null && !before.equals(digest)) {
-      changedMillis = nowMillis; // Another write under the same stamp.
+      changedMillis = nowMillis; // Another write left the stamp unchanged.
       parsed = null;
       return settleMillis == 0 && parse(bytes);
     }
-    fresh = nowMillis - stamp.newestMillis() < TICK_MILLIS;
+    readNeeded = nowMillis - stamp.newestMillis() < MAX_TICK_MILLIS;
     return parsed != null && before != null || parse(bytes);
   }
 
@@ -89,10 +92,10 @@
     return true;
   }
 
-  /** What the file holds, as far as it could be read at the last look. */
+  /** The faults found at the last poll; valid only if the file has settled. */
   List<Fault> faults() {
-    return trouble != null
-        ? List.of(new Fault(path.getFileName().toString(), 0, 0, "", trouble))
+    return error != null
+        ? List.of(new Fault(path.getFileName().toString(), 0, 0, "", error))
         : parsed.faults();
   }
 
@@ -100,8 +103,8 @@
     return parsed;
   }
 
-  /** Tells one content, or trouble, from another. */
-  String mark() {
-    return trouble != null ? trouble : digest;
+  /** Identifies the content, or the error if the file could not be read. */
+  String fingerprint() {
+    return error != null ? error : digest;
   }
 }
--- a/src/main/java/heathswitch/proxy/members/package-info.java
+++ b/src/main/java/heathswitch/proxy/members/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Servers from watched files. The files are read and judged on a thread of their own; the event
- * loop hears of accepted lists alone, in slices. What is accepted is decided by {@link
- * heathswitch.policy.members}.
+ * Lists of servers from watched files. The files are read and validated on a separate thread; the
+ * event loop only gets the changes of accepted lists, in slices. Whether a list is accepted is
+ * decided by {@link heathswitch.policy.members}.
  */
 package heathswitch.proxy.members;
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -51,7 +51,7 @@
     this.config = config;
     members = MembersWatcher.open(config.members());
     long watch = config.admin() == null ? WATCH_NANOS : config.admin().watchNanos();
-    node = new Node(config.node(), members::on, watch);
+    node = new Node(config.node(), members::bindTo, watch);
     if (config.grpc() != null) {
       NodeSettings settings = config.node();
       grpc =
--- a/src/test/java/heathswitch/policy/members/ServerStateTrackerTest.java
+++ b/src/test/java/heathswitch/policy/members/ServerStateTrackerTest.java
@@ -8,15 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is told of servers when lists change: drained first, then gone, and cold after a restart.
+ * The state updates of servers when the list changes: removed servers drain before they are gone,
+ * and new or restarted ones are cold.
  */
 class ServerStateTrackerTest {
   private static final long DRAIN = 1000;
 
-  private final ServerStateTracker departures = new ServerStateTracker(2);
+  private final ServerStateTracker tracker = new ServerStateTracker(2);
 
-  private static ListedServer server(String id, int port, boolean on) {
-    return new ListedServer(id, "127.0.0.1:" + port, "a", "k", 0, 1, on);
+  private static ListedServer server(String id, int port, boolean inService) {
+    return new ListedServer(id, "127.0.0.1:" + port, "a", "k", 0, 1, inService);
   }
 
   private static final ListedServer ONE = server("s-1", 1, true);
@@ -24,75 +25,74 @@
   private static final ListedServer THREE = server("s-3", 3, true);
 
   @Test
-  void theFirstListIsWarm() {
-    ListedServer off = server("s-4", 4, false);
+  void initializeReportsServersAsStartedLongAgo() {
+    ListedServer terminating = server("s-4", 4, false);
     assertEquals(
-        List.of(new Update(ONE, State.READY, 0), new Update(off, State.DRAINING, 0)),
-        departures.begin(List.of(ONE, off)));
+        List.of(new Update(ONE, State.READY, 0), new Update(terminating, State.DRAINING, 0)),
+        tracker.initialize(List.of(ONE, terminating)));
   }
 
   @Test
-  void oneThatLeavesIsDrainedAndThenGone() {
-    departures.begin(List.of(ONE, TWO));
+  void removedServerDrainsUntilItsDrainTimeIsOver() {
+    tracker.initialize(List.of(ONE, TWO));
     assertEquals(
-        List.of(new Update(TWO, State.DRAINING, 0)), departures.accept(500, DRAIN, List.of(ONE)));
-    assertEquals(1, departures.leaving());
-    assertEquals(List.of(), departures.tick(1499));
-    assertEquals(List.of(new Update(TWO, State.GONE, 0)), departures.tick(1500));
-    assertEquals(List.of(), departures.tick(9999));
-    assertEquals(0, departures.leaving());
+        List.of(new Update(TWO, State.DRAINING, 0)), tracker.apply(500, DRAIN, List.of(ONE)));
+    assertEquals(1, tracker.drainingCount());
+    assertEquals(List.of(), tracker.expire(1499));
+    assertEquals(List.of(new Update(TWO, State.GONE, 0)), tracker.expire(1500));
+    assertEquals(List.of(), tracker.expire(9999));
+    assertEquals(0, tracker.drainingCount());
   }
 
   @Test
-  void arrivalsAreColdAndComeBeforeThoseThatLeave() {
-    departures.begin(List.of(ONE));
+  void addedServersStartNowAndPrecedeRemovedServers() {
+    tracker.initialize(List.of(ONE));
     assertEquals(
         List.of(new Update(TWO, State.READY, 500), new Update(ONE, State.DRAINING, 0)),
-        departures.accept(500, DRAIN, List.of(TWO)));
+        tracker.apply(500, DRAIN, List.of(TWO)));
   }
 
   @Test
-  void oneThatComesBackWhileItDrainsGoesOn() {
-    departures.begin(List.of(ONE, TWO));
-    departures.accept(500, DRAIN, List.of(ONE));
+  void serverThatReturnsWhileDrainingKeepsItsStartTime() {
+    tracker.initialize(List.of(ONE, TWO));
+    tracker.apply(500, DRAIN, List.of(ONE));
     assertEquals(
-        List.of(new Update(TWO, State.READY, 0)), departures.accept(900, DRAIN, List.of(ONE, TWO)));
-    assertEquals(List.of(), departures.tick(9999));
+        List.of(new Update(TWO, State.READY, 0)), tracker.apply(900, DRAIN, List.of(ONE, TWO)));
+    assertEquals(List.of(), tracker.expire(9999));
   }
 
   @Test
-  void anotherAddressIsARestart() {
-    departures.begin(List.of(ONE));
+  void changedAddressCountsAsRestartButChangedWeightDoesNot() {
+    tracker.initialize(List.of(ONE));
     ListedServer moved = server("s-1", 9, true);
     assertEquals(
-        List.of(new Update(moved, State.READY, 700)),
-        departures.accept(700, DRAIN, List.of(moved)));
+        List.of(new Update(moved, State.READY, 700)), tracker.apply(700, DRAIN, List.of(moved)));
     ListedServer heavier = new ListedServer("s-1", "127.0.0.1:9", "a", "k", 0, 3, true);
     assertEquals(
         List.of(new Update(heavier, State.READY, 700)),
-        departures.accept(900, DRAIN, List.of(heavier)),
-        "another weight is none");
+        tracker.apply(900, DRAIN, List.of(heavier)),
+        "a changed weight is no restart");
   }
 
   @Test
-  void oneThatComesBackElsewhereIsARestart() {
-    departures.begin(List.of(ONE, TWO));
-    departures.accept(500, DRAIN, List.of(ONE));
+  void serverThatReturnsAtAnotherAddressCountsAsRestarted() {
+    tracker.initialize(List.of(ONE, TWO));
+    tracker.apply(500, DRAIN, List.of(ONE));
     ListedServer moved = server("s-2", 9, true);
     assertEquals(
         List.of(new Update(moved, State.READY, 600)),
-        departures.accept(600, DRAIN, List.of(ONE, moved)));
+        tracker.apply(600, DRAIN, List.of(ONE, moved)));
   }
 
   @Test
-  void noMoreDrainThanAllowed() {
+  void serversThatLeftFirstAreGoneIfTooManyDrain() {
     ListedServer four = server("s-4", 4, true);
-    departures.begin(List.of(ONE, TWO, THREE, four));
-    departures.accept(100, DRAIN, List.of(TWO, THREE, four));
-    departures.accept(200, DRAIN, List.of(THREE, four));
-    List<Update> news = departures.accept(300, DRAIN, List.of(four));
+    tracker.initialize(List.of(ONE, TWO, THREE, four));
+    tracker.apply(100, DRAIN, List.of(TWO, THREE, four));
+    tracker.apply(200, DRAIN, List.of(THREE, four));
+    List<Update> updates = tracker.apply(300, DRAIN, List.of(four));
     assertEquals(
-        List.of(new Update(THREE, State.DRAINING, 0), new Update(ONE, State.GONE, 0)), news);
-    assertEquals(2, departures.leaving());
+        List.of(new Update(THREE, State.DRAINING, 0), new Update(ONE, State.GONE, 0)), updates);
+    assertEquals(2, tracker.drainingCount());
   }
 }
--- a/src/test/java/heathswitch/proxy/cli/CommandsTest.java
+++ b/src/test/java/heathswitch/proxy/cli/CommandsTest.java
@@ -140,7 +140,7 @@
     Result result = run("check", config);
     assertEquals(1, result.code());
     assertTrue(
-        result.text().startsWith(members + ":7:5: end: says 5 servers but 4 stand above"),
+        result.text().startsWith(members + ":7:5: end: states 5 servers but 4 are listed above"),
         result.text());
     Result serve = run("serve", "--config", config);
     assertEquals(1, serve.code());
@@ -171,7 +171,7 @@
     assertTrue(
         result
             .text()
-            .contains(other + ":1: x has the weight NaN; one from 0.01 to 100 is expected"),
+            .contains(other + ":1: x has weight NaN; a weight from 0.01 to 100 is expected"),
         result.text());
   }
 
--- a/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table of servers: read as written, and a cut at any byte shows. */
+/** Parsing and formatting of lists of servers, and the detection of truncated files. */
 class MembersFormatTest {
   private static final String TABLE =
       """
@@ -43,57 +43,61 @@
   }
 
   @Test
-  void readsWhatPeopleWrite() {
+  void parsesCommentsBlankLinesAndAnyWhitespace() {
     MembersFormat.Parsed parsed = parse(TABLE);
     assertEquals(List.of(), parsed.faults());
     assertEquals(10, parsed.entries().size());
     assertEquals(
         new ListedServer("store-2", "127.0.0.1:9102", "bkk", "store", 2, 2.5, false),
         parsed.entries().get(1).server());
-    assertEquals("m.txt:3", parsed.entries().get(1).place());
+    assertEquals("m.txt:3", parsed.entries().get(1).location());
     assertEquals("[::1]:9103", parsed.entries().get(2).server().address());
   }
 
-  /** A cut leaves nothing that could be taken, unless all that it cut was the last line's end. */
+  /** A truncated file has a fault, unless only the end of its last line is missing. */
   @Test
-  void aCutAtEveryByteShows() {
+  void truncationAtAnyByteIsDetected() {
     byte[] whole = TABLE.getBytes(UTF_8);
-    byte[] sealed = MembersFormat.write(servers(parse(TABLE))).getBytes(UTF_8);
+    byte[] sealed = MembersFormat.format(servers(parse(TABLE))).getBytes(UTF_8);
     for (byte[] bytes : List.of(whole, sealed)) {
       for (int length = 0; length < bytes.length - 1; length++) {
         MembersFormat.Parsed parsed = MembersFormat.parse("m", Arrays.copyOf(bytes, length));
-        boolean whatItSaid =
+        boolean sameServers =
             parsed.faults().isEmpty() && servers(parsed).equals(servers(parse(TABLE)));
-        // A sealed file may lose its digest and no more; all its servers have been counted then.
-        boolean onlyDigest = bytes == sealed && whatItSaid;
-        assertTrue(onlyDigest || !parsed.faults().isEmpty(), "cut after " + length);
+        // A sealed file may lose its digest but nothing else; its number of servers was checked
+        // then.
+        boolean onlyDigest = bytes == sealed && sameServers;
+        assertTrue(onlyDigest || !parsed.faults().isEmpty(), "truncated after " + length);
       }
     }
     assertEquals(List.of(), parse(TABLE.strip()).faults());
   }
 
-  /** Written over in place: the head of the new file, the tail of the old one. */
+  /**
+   * A file that is overwritten in place can be read as the start of the new content followed by the
+   * rest of the old one.
+   */
   @Test
-  void aSealedFileShowsAMixtureOfTwo() {
-    String one = MembersFormat.write(servers(parse(TABLE)));
-    String other = MembersFormat.write(servers(parse(TABLE.replace(" 2.5 ", " 3.5 "))));
+  void digestDetectsMixtureOfTwoFiles() {
+    String one = MembersFormat.format(servers(parse(TABLE)));
+    String other = MembersFormat.format(servers(parse(TABLE.replace(" 2.5 ", " 3.5 "))));
     assertEquals(one.length(), other.length());
-    int differs = 0;
-    while (one.charAt(differs) == other.charAt(differs)) {
-      differs++;
+    int firstDifference = 0;
+    while (one.charAt(firstDifference) == other.charAt(firstDifference)) {
+      firstDifference++;
     }
-    for (int at = differs + 1; at < one.length() - 2; at++) {
+    for (int at = firstDifference + 1; at < one.length() - 2; at++) {
       String mixed = one.substring(0, at) + other.substring(at);
       assertFalse(mixed.equals(other) || mixed.equals(one) || parse(mixed).faults().isEmpty());
     }
   }
 
   @Test
-  void writesWhatItReads() {
+  void formattedListParsesToSameServers() {
     List<ListedServer> servers = servers(parse(TABLE));
-    MembersFormat.Parsed again = parse(MembersFormat.write(servers));
-    assertEquals(List.of(), again.faults());
-    assertEquals(servers, servers(again));
+    MembersFormat.Parsed reparsed = parse(MembersFormat.format(servers));
+    assertEquals(List.of(), reparsed.faults());
+    assertEquals(servers, servers(reparsed));
   }
 
   @ParameterizedTest
@@ -110,12 +114,12 @@
         "s 127.0.0.1:1 a k 0 heavy in_service|m.txt:1:21: weight: is \"heavy\"; a number expected",
         "s 127.0.0.1:1 a k 0 1 up|m.txt:1:23: phase: is \"up\"; in_service or terminating expected",
       })
-  void saysWhatIsWrongAndWhere(String line, String expected) {
+  void faultStatesLocationAndExpectedValue(String line, String expected) {
     assertEquals(expected, parse(line + "\nend 1\n").faults().get(0).toString());
   }
 
   @Test
-  void theEndIsTheEnd() {
+  void wrongOrMisplacedEndLineIsAFault() {
     String one = "s 127.0.0.1:1 a k 0 1 in_service\n";
     assertEquals(List.of(), parse(one + "end 1 # all\n\n# so\n").faults());
     assertFalse(parse(one + "end 1\n" + one).faults().isEmpty());
@@ -125,13 +129,13 @@
     assertFalse(parse(one + "end 1 sha256:00\n").faults().isEmpty());
     assertFalse(parse(one + "end 99999999999\n").faults().isEmpty());
     assertEquals(
-        "m.txt:2:5: end: says 2 servers but 1 stand above; was the file cut short, or a line added"
-            + " without counting?",
+        "m.txt:2:5: end: states 2 servers but 1 are listed above; was the file truncated, or a line added"
+            + " without updating the number?",
         parse(one + "end 2\n").faults().get(0).toString());
   }
 
   @Test
-  void garbageIsAFaultAndNotAFlood() {
+  void randomBytesYieldFaultsInBoundedNumber() {
     SplittableRandom random = new SplittableRandom(5);
     for (int i = 0; i < 300; i++) {
       byte[] bytes = new byte[random.nextInt(4000)];
@@ -149,7 +153,7 @@
   }
 
   @Test
-  void sealingMakesTheLastLineRight() {
+  void sealCorrectsTheEndLine() {
     String wrong = TABLE.replace("end 10", "end 3");
     assertFalse(parse(wrong).faults().isEmpty());
     String sealed = MembersCheck.seal(wrong);
