--- a/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
+++ b/src/test/java/heathswitch/policy/maintenance/MaintenanceStateTest.java
@@ -151,9 +151,9 @@
   void requestThatCanNeverBeGrantedIsRejected() {
     join("a", false, 1, 0.9);
     report("a", 4, 4);
-    CommandResult reply = apply(ask("k", "ann", false, 1));
-    assertFalse(reply.ok());
-    assertTrue(reply.message().contains("can never go"), reply.message());
+    CommandResult result = apply(ask("k", "ann", false, 1));
+    assertFalse(result.ok());
+    assertTrue(result.message().contains("can never go"), result.message());
     assertFalse(apply(ask("none", "ann", false)).ok());
     assertFalse(apply(ask("twice", "ann", false, 1, 1)).ok());
   }
