--- a/src/main/java/heathswitch/proxy/maintenance/MaintenancePages.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenancePages.java
@@ -71,7 +71,7 @@
                     : AdminServer.Reply.ok(page));
           });
     } catch (RejectedExecutionException e) {
-      reply.accept(AdminServer.Reply.error(503, "shutting down"));
+      reply.accept(AdminServer.Reply.error(503, "ending"));
     }
   }
 
