--- a/src/main/java/heathswitch/policy/gossip/Gossip.java
+++ b/src/main/java/heathswitch/policy/gossip/Gossip.java
@@ -14,69 +14,82 @@
 import java.util.TreeMap;
 
 /**
- * One instance's view of who is there. It is told the time and what comes, and says what to send;
- * times are nanoseconds of a monotonic clock of its own.
+ * Membership and failure detection of one instance. The caller passes in the time and the received
+ * messages and sends the messages that result. Times are nanoseconds of the instance's own
+ * monotonic clock.
  */
 public final class Gossip {
-  /** Carries a message to an address, or loses it. */
-  public interface Wire {
+  /** Sends messages to addresses; a message may get lost. */
+  public interface Transport {
     void send(String address, Message message);
   }
 
-  /** Words in one message: so that a datagram stays under 1,200 bytes with names of 64. */
-  static final int MOST_NEWS = 6;
+  /**
+   * Maximum number of updates in one message, so that a datagram stays under 1,200 bytes with names
+   * of 64 characters.
+   */
+  static final int MAX_UPDATES = 6;
 
-  /** Peers that are held, those that are gone among them; news of one more are passed over. */
-  static final int MOST_PEERS = 4096;
+  /**
+   * Maximum number of known peers, including those that are dead or have left; updates about
+   * further peers are ignored.
+   */
+  static final int MAX_PEERS = 4096;
 
-  /** Times that a word is passed on, for each doubling of the fleet. */
-  private static final int TIMES = 3;
+  /** How often an update is passed on, for each doubling of the fleet's size. */
+  private static final int RETRANSMIT_FACTOR = 3;
 
-  /** Who confirm a suspicion before its time is the least. */
-  private static final int WITNESSES = 3;
+  /** Confirmations by other peers that reduce the suspicion timeout to its minimum. */
+  private static final int MAX_CONFIRMATIONS = 3;
 
-  private static final double LONGEST = 6;
+  /** Suspicion timeout without confirmations, as a multiple of the minimum. */
+  private static final double MAX_SUSPICION_FACTOR = 6;
 
-  /** How much more patient one may get that finds itself slow. */
-  private static final int MOST_SLOWNESS = 8;
+  /** Upper limit of {@link #slowness()}, which lengthens the timeouts of this instance. */
+  private static final int MAX_SLOWNESS = 8;
 
-  /** Probes between two looks whether somebody knows the same, while that is so. */
-  private static final int SYNC_PROBES = 10;
+  /** Probes between two anti-entropy exchanges as long as the compared digests are equal. */
+  private static final int PROBES_PER_SYNC = 10;
 
   /**
-   * One that keeps still asks with each look for all that others know; so long after it has heard
-   * of the other one for the last time that one is not there.
+   * Periods without a report of another process with the same name until that process counts as
+   * gone. An instance that is silent about itself receives the full state of the other peer in each
+   * anti-entropy exchange, so it would hear of that process within this time.
    */
-  private static final int STILL_PERIODS = 4 * SYNC_PROBES;
+  private static final int NAME_CONFLICT_PERIODS = 4 * PROBES_PER_SYNC;
 
-  /** Probes of a new process that come with a look each: many may begin in one second. */
-  private static final int EARLY_PROBES = 8;
+  /**
+   * Number of probes after the start that come with an anti-entropy exchange each, as many
+   * instances may start within one second.
+   */
+  private static final int INITIAL_SYNCS = 8;
 
-  /** Relayed probes that are waited for on behalf of others. */
-  private static final int MOST_RELAYED = 256;
+  /** Maximum number of pending indirect probes on behalf of other peers. */
+  private static final int MAX_RELAYED_PROBES = 256;
 
-  private static final class Held {
-    PeerRecord word;
-    int told;
-    long sinceNanos;
+  /** What this instance knows about one peer. */
+  private static final class Peer {
+    PeerRecord record;
+    int transmissions;
+    long statusSinceNanos;
 
-    /** How long it has to refute a suspicion. */
-    long spanNanos;
+    /** Time from the start of a suspicion until the peer counts as dead. */
+    long suspicionTimeoutNanos;
 
-    /** The time that its last answer took, or -1. */
-    long tripNanos = -1;
+    /** Round-trip time of its last answer to a direct probe, or -1. */
+    long roundTripNanos = -1;
 
-    /** Who suspects it, as far as was heard. */
-    final Set<String> witnesses = new HashSet<>();
+    /** Peers that are known to suspect it. */
+    final Set<String> suspecters = new HashSet<>();
 
-    Held(PeerRecord word, long nowNanos) {
-      this.word = word;
-      sinceNanos = nowNanos;
-      spanNanos = Long.MAX_VALUE;
+    Peer(PeerRecord record, long nowNanos) {
+      this.record = record;
+      statusSinceNanos = nowNanos;
+      suspicionTimeoutNanos = Long.MAX_VALUE;
     }
   }
 
-  /** A probe that waits for its answer. */
+  /** The pending probe of this instance. */
   private static final class Probe {
     final long number;
     final String name;
@@ -91,195 +104,213 @@
     }
   }
 
-  /** A probe on behalf of somebody. */
-  private record Relayed(long number, String to, long untilNanos) {}
+  /**
+   * A pending indirect probe on behalf of another peer.
+   *
+   * @param number number of the probe at the peer that asked for it
+   * @param requester address of that peer
+   */
+  private record RelayedProbe(long number, String requester, long deadlineNanos) {}
 
-  private final GossipTiming pace;
+  private final GossipTiming timing;
   private final SplittableRandom random;
   private final List<String> seeds;
-  private final Map<String, Held> peers = new TreeMap<>();
+  private final Map<String, Peer> peers = new TreeMap<>();
 
   /**
-   * Those that are still to be asked in this round; each stands once, so it is no longer than
-   * peers.
+   * Names of the peers that are still to be probed in this round. Each is contained at most once,
+   * so it is never longer than {@link #peers}.
    */
-  private final ArrayDeque<String> round = new ArrayDeque<>();
+  private final ArrayDeque<String> probeQueue = new ArrayDeque<>();
 
-  private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
+  private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
   private PeerRecord self;
-  private int selfTold;
-  private Probe probe;
-  private long numbers;
-  private int probesToSync;
-  private int early = EARLY_PROBES;
-  private long tickedNanos;
-  private long nextNanos;
-  private boolean begun;
+  private int selfTransmissions;
+  private Probe pendingProbe;
+  private long lastProbeNumber;
+  private int probesUntilSync;
+  private int initialSyncs = INITIAL_SYNCS;
+  private long lastTickNanos;
+  private long nextProbeNanos;
+  private boolean started;
   private boolean left;
   private int slowness;
-  private boolean doubled;
+  private boolean nameConflict;
 
-  /** When it was told last of another one by its name. */
-  private long doubledNanos;
+  /** When another process with the name of this one was reported last. */
+  private long nameConflictNanos;
 
   /**
-   * One that knows nobody yet.
+   * Creates an instance that knows no peer yet.
    *
-   * @param self what it says of itself at first
-   * @param seeds addresses to begin with; its own may be among them
+   * @param self initial record of this instance
+   * @param seeds addresses to contact first; may include this instance's own address
    */
-  public Gossip(GossipTiming pace, PeerRecord self, List<String> seeds, long seed) {
-    this.pace = pace;
+  public Gossip(GossipTiming timing, PeerRecord self, List<String> seeds, long seed) {
+    this.timing = timing;
     this.self = self;
     this.seeds = List.copyOf(seeds);
     random = new SplittableRandom(seed);
   }
 
-  // ---- what is asked of it ----
+  // ---- Queries and changes by the owner ----
 
-  /** Those that count as there, itself among them, by name. */
+  /** The peers that count as present, including this instance, ordered by name. */
   public List<PeerRecord> presentPeers() {
-    List<PeerRecord> there = new ArrayList<>();
-    for (Held each : peers.values()) {
-      if (each.word.standing().there()) {
-        there.add(each.word);
+    List<PeerRecord> present = new ArrayList<>();
+    for (Peer each : peers.values()) {
+      if (each.record.status().isPresent()) {
+        present.add(each.record);
       }
     }
     if (!left) {
-      there.add(self);
+      present.add(self);
     }
-    there.sort(Comparator.comparing(PeerRecord::name));
-    return there;
+    present.sort(Comparator.comparing(PeerRecord::name));
+    return present;
   }
 
-  /** All that is held of others, those that are gone among them. */
-  public Collection<PeerRecord> held() {
-    return peers.values().stream().map(each -> each.word).toList();
+  /** The records of all other known peers, including those that are dead or have left. */
+  public Collection<PeerRecord> knownPeers() {
+    return peers.values().stream().map(each -> each.record).toList();
   }
 
   /**
-   * What is held of one peer, for people.
+   * State of one peer for status pages.
    *
-   * @param sinceNanos when it came to stand so, by the clock of whoever holds it
-   * @param suspects who said that they had no answer from it, while it is suspected
-   * @param tripNanos its last answer took so long, or -1
+   * @param sinceNanos when it got its current status, by this instance's clock
+   * @param suspecters peers that reported that it did not answer, while it is suspected
+   * @param roundTripNanos round-trip time of its last answer, or -1
    */
-  public record Seen(PeerRecord word, long sinceNanos, List<String> suspects, long tripNanos) {}
+  public record PeerView(
+      PeerRecord record, long sinceNanos, List<String> suspecters, long roundTripNanos) {}
 
-  /** All that is held of others, by name. */
-  public List<Seen> seen() {
+  /** All other known peers, ordered by name. */
+  public List<PeerView> peerViews() {
     return peers.values().stream()
         .map(
             each ->
-                new Seen(each.word, each.sinceNanos, List.copyOf(each.witnesses), each.tripNanos))
+                new PeerView(
+                    each.record,
+                    each.statusSinceNanos,
+                    List.copyOf(each.suspecters),
+                    each.roundTripNanos))
         .toList();
   }
 
-  /** What it says of itself. */
+  /** The record that this instance announces about itself. */
   public PeerRecord self() {
     return self;
   }
 
-  /** How slow it finds itself, from 0. */
+  /**
+   * Local health score of Lifeguard: how slow this instance considers itself, from 0. It rises when
+   * answers are missing or this instance had to refute a suspicion, and lengthens its timeouts.
+   */
   public int slowness() {
     return slowness;
   }
 
-  /** Whether another process goes by its name: this one keeps still about itself. */
-  public boolean doubled() {
-    return doubled;
+  /**
+   * Whether another process uses the same name and takes precedence; this instance announces
+   * nothing about itself meanwhile.
+   */
+  public boolean nameConflict() {
+    return nameConflict;
   }
 
-  /** Says something new of itself. */
-  public void facts(PeerAttributes facts) {
+  /** Announces new attributes of this instance under a new incarnation. */
+  public void updateAttributes(PeerAttributes attributes) {
     self =
         new PeerRecord(
             self.name(),
             self.address(),
-            self.process(),
+            self.processNonce(),
             self.incarnation() + 1,
             PeerStatus.ALIVE,
-            facts);
-    selfTold = 0;
+            attributes);
+    selfTransmissions = 0;
   }
 
-  // ---- time ----
+  // ---- Periodic work ----
 
-  /** To be called ten times in a period or more often. */
-  public void tick(long nowNanos, Wire wire) {
-    if (!begun) {
-      begun = true;
-      tickedNanos = nowNanos;
-      nextNanos = nowNanos + (long) (random.nextDouble() * pace.periodNanos());
-      sync(wire);
+  /** Must be called at least ten times in a probe period. */
+  public void tick(long nowNanos, Transport transport) {
+    if (!started) {
+      started = true;
+      lastTickNanos = nowNanos;
+      nextProbeNanos = nowNanos + (long) (random.nextDouble() * timing.probePeriodNanos());
+      startSync(transport);
     }
-    long slept = nowNanos - tickedNanos;
-    tickedNanos = nowNanos;
-    if (slept > pace.periodNanos()) {
-      woke(slept);
+    long elapsed = nowNanos - lastTickNanos;
+    lastTickNanos = nowNanos;
+    if (elapsed > timing.probePeriodNanos()) {
+      recoverFromPause(elapsed);
     }
     if (left) {
       return;
     }
-    if (doubled && nowNanos - doubledNanos > STILL_PERIODS * pace.periodNanos()) {
-      doubled = false; // Nobody holds the other one any more, and maybe nobody this one.
-      selfTold = 0;
+    if (nameConflict
+        && nowNanos - nameConflictNanos > NAME_CONFLICT_PERIODS * timing.probePeriodNanos()) {
+      nameConflict = false; // No peer knows the other process any more, and maybe none this one.
+      selfTransmissions = 0;
     }
-    relayedInTime(nowNanos, wire);
-    suspicions(nowNanos);
-    patience(nowNanos, wire);
-    if (nowNanos - nextNanos >= 0) {
-      nextNanos = nowNanos + pace.periodNanos() * (1 + slowness / 2);
-      missed();
-      probe(nowNanos, wire);
+    expireRelayedProbes(nowNanos, transport);
+    expireSuspicions(nowNanos);
+    requestIndirectProbes(nowNanos, transport);
+    if (nowNanos - nextProbeNanos >= 0) {
+      nextProbeNanos = nowNanos + timing.probePeriodNanos() * (1 + slowness / 2);
+      failPendingProbe();
+      sendProbe(nowNanos, transport);
     }
   }
 
   /**
-   * It was stopped: what it waited for may have come meanwhile and was not read. Nobody is
-   * condemned for time that it did not live through, nor before it has read what came.
+   * Called after this process was paused. Messages that arrived meanwhile have not been read yet,
+   * so no peer is declared dead for the duration of the pause, nor before those messages are read.
    */
-  private void woke(long slept) {
-    for (Held each : peers.values()) {
-      if (each.word.standing() == PeerStatus.SUSPECT) {
-        each.sinceNanos += slept + pace.periodNanos();
+  private void recoverFromPause(long elapsed) {
+    for (Peer each : peers.values()) {
+      if (each.record.status() == PeerStatus.SUSPECT) {
+        each.statusSinceNanos += elapsed + timing.probePeriodNanos();
       }
     }
-    probe = null;
-    relayed.clear();
-    slowness = Math.min(MOST_SLOWNESS, slowness + 1);
-    // It is likely suspected: it says that it is there before it is asked.
-    facts(self.attributes());
-    nextNanos = tickedNanos;
-    probesToSync = 0;
+    pendingProbe = null;
+    relayedProbes.clear();
+    slowness = Math.min(MAX_SLOWNESS, slowness + 1);
+    // Others probably suspect this instance: it refutes that before it is probed again.
+    updateAttributes(self.attributes());
+    nextProbeNanos = lastTickNanos;
+    probesUntilSync = 0;
   }
 
-  private void probe(long nowNanos, Wire wire) {
-    if (early > 0 || --probesToSync <= 0) {
-      early = Math.max(0, early - 1);
-      probesToSync = SYNC_PROBES;
-      sync(wire);
+  private void sendProbe(long nowNanos, Transport transport) {
+    if (initialSyncs > 0 || --probesUntilSync <= 0) {
+      initialSyncs = Math.max(0, initialSyncs - 1);
+      probesUntilSync = PROBES_PER_SYNC;
+      startSync(transport);
     }
-    Held target = next();
+    Peer target = nextProbeTarget();
     if (target == null) {
-      // Alone: nothing says any more how slow it is, and it looks for others with each probe.
+      // No peer is present, so no answer can show how slow this instance is; it looks for others
+      // at each probe.
       slowness = Math.max(0, slowness - 1);
-      probesToSync = 0;
+      probesUntilSync = 0;
       return;
     }
-    probe = new Probe(++numbers, target.word.name(), nowNanos);
-    wire.send(
-        target.word.address(),
-        new Message.Ping(probe.number, target.word.name(), news(target.word)));
+    pendingProbe = new Probe(++lastProbeNumber, target.record.name(), nowNanos);
+    transport.send(
+        target.record.address(),
+        new Message.Ping(pendingProbe.number, target.record.name(), selectUpdates(target.record)));
   }
 
-  /** Each of those that are there once in a round, in an order drawn anew. */
-  private Held next() {
+  /** The next present peer; each comes once in a round, and every round has a new random order. */
+  private Peer nextProbeTarget() {
     for (int pass = 0; pass < 2; pass++) {
-      while (!round.isEmpty()) {
-        Held held = peers.get(round.poll());
-        if (held != null && held.word.standing().there()) {
-          return held;
+      while (!probeQueue.isEmpty()) {
+        Peer peer = peers.get(probeQueue.poll());
+        if (peer != null && peer.record.status().isPresent()) {
+          return peer;
         }
       }
       List<String> names = new ArrayList<>();
@@ -288,336 +319,376 @@
       for (int i = names.size() - 1; i > 0; i--) {
         Collections.swap(names, i, random.nextInt(i + 1));
       }
-      round.addAll(names);
+      probeQueue.addAll(names);
     }
     return null;
   }
 
-  /** Without an answer in time others are asked to try: it may be the way. */
-  private void patience(long nowNanos, Wire wire) {
-    if (probe == null
-        || probe.relayed
-        || nowNanos - probe.sentNanos < pace.answerNanos() * (1 + slowness)) {
+  /**
+   * Asks other peers for indirect probes if the pending probe is not answered in time, as only the
+   * connection from here to the target may be broken.
+   */
+  private void requestIndirectProbes(long nowNanos, Transport transport) {
+    if (pendingProbe == null
+        || pendingProbe.relayed
+        || nowNanos - pendingProbe.sentNanos < timing.ackTimeoutNanos() * (1 + slowness)) {
       return;
     }
-    probe.relayed = true;
-    Held target = peers.get(probe.name);
+    pendingProbe.relayed = true;
+    Peer target = peers.get(pendingProbe.name);
     if (target == null) {
       return;
     }
-    for (Held each : some(pace.relays(), probe.name)) {
-      wire.send(
-          each.word.address(),
-          new Message.Relay(probe.number, probe.name, target.word.address(), news(target.word)));
+    for (Peer each : randomAlivePeers(timing.indirectProbes(), pendingProbe.name)) {
+      transport.send(
+          each.record.address(),
+          new Message.Relay(
+              pendingProbe.number,
+              pendingProbe.name,
+              target.record.address(),
+              selectUpdates(target.record)));
     }
   }
 
-  private List<Held> some(int many, String but) {
-    List<Held> able = new ArrayList<>();
-    for (Held each : peers.values()) {
-      if (each.word.standing() == PeerStatus.ALIVE && !each.word.name().equals(but)) {
-        able.add(each);
+  private List<Peer> randomAlivePeers(int count, String excludedName) {
+    List<Peer> candidates = new ArrayList<>();
+    for (Peer each : peers.values()) {
+      if (each.record.status() == PeerStatus.ALIVE && !each.record.name().equals(excludedName)) {
+        candidates.add(each);
       }
     }
-    List<Held> drawn = new ArrayList<>();
-    while (drawn.size() < many && !able.isEmpty()) {
-      drawn.add(able.remove(random.nextInt(able.size())));
+    List<Peer> selected = new ArrayList<>();
+    while (selected.size() < count && !candidates.isEmpty()) {
+      selected.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    return drawn;
+    return selected;
   }
 
-  /** The probe of the last period had no answer. */
-  private void missed() {
-    if (probe == null) {
+  /** Suspects the target of the last period's probe if that probe is still unanswered. */
+  private void failPendingProbe() {
+    if (pendingProbe == null) {
       return;
     }
-    Held target = peers.get(probe.name);
-    int asked = Math.min(pace.relays(), Math.max(0, presentPeers().size() - 2));
-    if (asked > 0 && probe.nacks < asked) {
-      slowness = Math.min(MOST_SLOWNESS, slowness + 1); // Not even those who tried answer.
+    Peer target = peers.get(pendingProbe.name);
+    int relays = Math.min(timing.indirectProbes(), Math.max(0, presentPeers().size() - 2));
+    if (relays > 0 && pendingProbe.nacks < relays) {
+      slowness = Math.min(MAX_SLOWNESS, slowness + 1); // Not even the relaying peers answered.
     }
-    if (target != null && target.word.standing() == PeerStatus.ALIVE) {
-      take(target.word.as(PeerStatus.SUSPECT), self.name(), tickedNanos);
+    if (target != null && target.record.status() == PeerStatus.ALIVE) {
+      merge(target.record.withStatus(PeerStatus.SUSPECT), self.name(), lastTickNanos);
     } else if (target != null) {
-      witness(target, self.name());
+      confirmSuspicion(target, self.name());
     }
-    probe = null;
+    pendingProbe = null;
   }
 
-  private void suspicions(long nowNanos) {
-    for (Held each : List.copyOf(peers.values())) {
-      long age = nowNanos - each.sinceNanos;
-      if (each.word.standing() == PeerStatus.SUSPECT) {
-        if (age > each.spanNanos) {
-          take(each.word.as(PeerStatus.DEAD), self.name(), nowNanos);
+  /** Declares suspects dead after their timeout and forgets absent peers after the retention. */
+  private void expireSuspicions(long nowNanos) {
+    for (Peer each : List.copyOf(peers.values())) {
+      long age = nowNanos - each.statusSinceNanos;
+      if (each.record.status() == PeerStatus.SUSPECT) {
+        if (age > each.suspicionTimeoutNanos) {
+          merge(each.record.withStatus(PeerStatus.DEAD), self.name(), nowNanos);
         }
-      } else if (!each.word.standing().there() && age > pace.forgetNanos()) {
-        peers.remove(each.word.name());
+      } else if (!each.record.status().isPresent() && age > timing.retentionNanos()) {
+        peers.remove(each.record.name());
       }
     }
   }
 
-  /** Somebody suspects it, too: the more, the less time it has. True for one not heard before. */
-  private boolean witness(Held held, String by) {
-    if (held.witnesses.size() > WITNESSES || !held.witnesses.add(by)) {
+  /**
+   * Records that another peer suspects this one; each confirmation shortens the suspicion timeout.
+   * True for a confirmation that was not known before.
+   */
+  private boolean confirmSuspicion(Peer peer, String suspecter) {
+    if (peer.suspecters.size() > MAX_CONFIRMATIONS || !peer.suspecters.add(suspecter)) {
       return false;
     }
     int size = presentPeers().size();
-    double least = pace.suspicionPeriods() * Math.max(1, Math.log10(size)) * pace.periodNanos();
-    int wanted = Math.min(WITNESSES, Math.max(1, size - 2));
-    int confirm = Math.min(wanted, held.witnesses.size() - 1);
-    double part = Math.log(confirm + 1) / Math.log(wanted + 1);
-    held.spanNanos = Math.min(held.spanNanos, (long) (least * (LONGEST - (LONGEST - 1) * part)));
+    double minimum =
+        timing.suspicionPeriods() * Math.max(1, Math.log10(size)) * timing.probePeriodNanos();
+    int wanted = Math.min(MAX_CONFIRMATIONS, Math.max(1, size - 2));
+    int confirmations = Math.min(wanted, peer.suspecters.size() - 1);
+    double share = Math.log(confirmations + 1) / Math.log(wanted + 1);
+    peer.suspicionTimeoutNanos =
+        Math.min(
+            peer.suspicionTimeoutNanos,
+            (long) (minimum * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * share)));
     return true;
   }
 
-  private void relayedInTime(long nowNanos, Wire wire) {
-    for (Map.Entry<Long, Relayed> each : List.copyOf(relayed.entrySet())) {
-      if (nowNanos - each.getValue().untilNanos() > 0) {
-        relayed.remove(each.getKey());
-        wire.send(each.getValue().to(), new Message.Nack(each.getValue().number(), news(null)));
+  /** Answers unsuccessful indirect probes with a nack. */
+  private void expireRelayedProbes(long nowNanos, Transport transport) {
+    for (Map.Entry<Long, RelayedProbe> each : List.copyOf(relayedProbes.entrySet())) {
+      if (nowNanos - each.getValue().deadlineNanos() > 0) {
+        relayedProbes.remove(each.getKey());
+        transport.send(
+            each.getValue().requester(),
+            new Message.Nack(each.getValue().number(), selectUpdates(null)));
       }
     }
   }
 
-  // ---- what comes ----
+  // ---- Received messages ----
 
-  /** Takes a message that was sent from an address. */
-  public void receive(long nowNanos, String from, Message message, Wire wire) {
+  /** Processes a message that was sent from an address. */
+  public void receive(long nowNanos, String from, Message message, Transport transport) {
     if (left) {
       return;
     }
-    for (PeerRecord word : message.news()) {
-      heard(word, from, nowNanos);
+    for (PeerRecord update : message.updates()) {
+      applyUpdate(update, from, nowNanos);
     }
     if (message instanceof Message.Ping ping) {
       if (ping.name().equals(self.name())) {
-        wire.send(from, new Message.Ack(ping.number(), news(null)));
+        transport.send(from, new Message.Ack(ping.number(), selectUpdates(null)));
       }
     } else if (message instanceof Message.Ack ack) {
-      acked(ack.number(), nowNanos, wire);
+      handleAck(ack.number(), nowNanos, transport);
     } else if (message instanceof Message.Relay relay) {
-      if (relayed.size() < MOST_RELAYED) {
-        long number = ++numbers;
-        relayed.put(number, new Relayed(relay.number(), from, nowNanos + pace.answerNanos()));
-        wire.send(relay.address(), new Message.Ping(number, relay.name(), news(null)));
+      if (relayedProbes.size() < MAX_RELAYED_PROBES) {
+        long number = ++lastProbeNumber;
+        relayedProbes.put(
+            number, new RelayedProbe(relay.number(), from, nowNanos + timing.ackTimeoutNanos()));
+        transport.send(
+            relay.address(), new Message.Ping(number, relay.name(), selectUpdates(null)));
       }
     } else if (message instanceof Message.Nack nack) {
-      if (probe != null && probe.number == nack.number()) {
-        probe.nacks++;
+      if (pendingProbe != null && pendingProbe.number == nack.number()) {
+        pendingProbe.nacks++;
       }
     } else if (message instanceof Message.Sync sync) {
-      synced(sync, from, wire);
+      handleSync(sync, from, transport);
     }
   }
 
-  private void synced(Message.Sync sync, String from, Wire wire) {
+  private void handleSync(Message.Sync sync, String from, Transport transport) {
     boolean differs = sync.digest() != 0 && sync.digest() != digest();
-    if (differs || sync.wanted()) {
-      probesToSync = 1; // What one did not know others may not know either.
-      boolean back = differs;
-      for (List<PeerRecord> words : all()) {
-        wire.send(from, new Message.Sync(0, back, words));
-        back = false;
+    if (differs || sync.stateWanted()) {
+      probesUntilSync = 1; // What one of the two did not know, other peers may not know either.
+      boolean requestState = differs;
+      for (List<PeerRecord> part : fullState()) {
+        transport.send(from, new Message.Sync(0, requestState, part));
+        requestState = false;
       }
     }
   }
 
-  /** The same for all who hold the same of the same peers, in whatever order they heard it. */
+  /**
+   * Hash of the view of the membership: equal for all that know the same records of the same peers,
+   * in whatever order they learned them.
+   */
   private long digest() {
-    long digest = doubled ? 1 : mixed(self);
-    for (Held each : peers.values()) {
-      // Who is gone is forgotten at another time by each; who is there and suspected may be back.
-      digest ^= each.word.standing().there() ? mixed(each.word) : 0;
+    long digest = nameConflict ? 1 : hash(self);
+    for (Peer each : peers.values()) {
+      // Absent peers are left out, as each instance forgets them at another time. The status of
+      // present ones is left out, as a suspicion may be refuted.
+      digest ^= each.record.status().isPresent() ? hash(each.record) : 0;
     }
     return digest == 0 ? 1 : digest;
   }
 
-  private static long mixed(PeerRecord word) {
-    long both = (long) word.name().hashCode() << 32 ^ word.process();
-    return new SplittableRandom(both + word.incarnation() * 0x9e3779b97f4a7c15L).nextLong();
+  private static long hash(PeerRecord record) {
+    long identity = (long) record.name().hashCode() << 32 ^ record.processNonce();
+    return new SplittableRandom(identity + record.incarnation() * 0x9e3779b97f4a7c15L).nextLong();
   }
 
-  private void acked(long number, long nowNanos, Wire wire) {
-    Relayed asked = relayed.remove(number);
-    if (asked != null) {
-      wire.send(asked.to(), new Message.Ack(asked.number(), news(null)));
-    } else if (probe != null && probe.number == number) {
-      Held held = peers.get(probe.name);
-      if (held != null && !probe.relayed) {
-        held.tripNanos = nowNanos - probe.sentNanos;
+  private void handleAck(long number, long nowNanos, Transport transport) {
+    RelayedProbe relayed = relayedProbes.remove(number);
+    if (relayed != null) {
+      transport.send(relayed.requester(), new Message.Ack(relayed.number(), selectUpdates(null)));
+    } else if (pendingProbe != null && pendingProbe.number == number) {
+      Peer peer = peers.get(pendingProbe.name);
+      if (peer != null && !pendingProbe.relayed) {
+        peer.roundTripNanos = nowNanos - pendingProbe.sentNanos;
       }
-      probe = null;
+      pendingProbe = null;
       slowness = Math.max(0, slowness - 1);
     }
   }
 
-  private void heard(PeerRecord word, String from, long nowNanos) {
-    if (word.name().equals(self.name())) {
-      ofMyself(word);
+  private void applyUpdate(PeerRecord update, String from, long nowNanos) {
+    if (update.name().equals(self.name())) {
+      applyUpdateAboutSelf(update);
       return;
     }
-    take(word, from, nowNanos);
+    merge(update, from, nowNanos);
   }
 
-  /** Only it can say that it is there; and it does so to whatever else is said of it. */
-  private void ofMyself(PeerRecord word) {
-    boolean elsewhere = !word.address().equals(self.address());
-    if (word.process() != self.process() && elsewhere && word.standing().there()) {
-      // Another process by this name. One of the two keeps still until the other is gone.
-      doubled |= word.process() > self.process();
-      doubledNanos = tickedNanos;
-      if (doubled || word.incarnation() < self.incarnation()) {
-        return; // Else it has to hear of this one, and others pass on the latest word alone.
+  /**
+   * Handles a record with the name of this instance: detects a second process with that name, and
+   * refutes any other status than alive. Only this instance itself can refute it.
+   */
+  private void applyUpdateAboutSelf(PeerRecord update) {
+    boolean elsewhere = !update.address().equals(self.address());
+    if (update.processNonce() != self.processNonce() && elsewhere && update.status().isPresent()) {
+      // Another process uses this name. The one with the lower nonce is silent until the other one
+      // is gone.
+      nameConflict |= update.processNonce() > self.processNonce();
+      nameConflictNanos = lastTickNanos;
+      // The other process must learn of this one, but peers pass on only the newest record: without
+      // a conflict here, a record that is not older than the own one has to be outdone below.
+      if (nameConflict || update.incarnation() < self.incarnation()) {
+        return;
       }
     }
-    boolean other = word.standing() != PeerStatus.ALIVE || word.process() != self.process();
-    if (doubled) {
-      // The other one has gone, or it is this one that the others hold: it may be heard.
-      doubled = false;
-      selfTold = 0;
+    boolean refute =
+        update.status() != PeerStatus.ALIVE || update.processNonce() != self.processNonce();
+    if (nameConflict) {
+      // The other process is gone, or the peers know this one instead: it may announce itself.
+      nameConflict = false;
+      selfTransmissions = 0;
     }
-    if (other && word.incarnation() >= self.incarnation()) {
+    if (refute && update.incarnation() >= self.incarnation()) {
       self =
           new PeerRecord(
               self.name(),
               self.address(),
-              self.process(),
-              word.incarnation() + 1,
+              self.processNonce(),
+              update.incarnation() + 1,
               PeerStatus.ALIVE,
               self.attributes());
-      selfTold = 0;
-      slowness = Math.min(MOST_SLOWNESS, slowness + 1);
+      selfTransmissions = 0;
+      slowness = Math.min(MAX_SLOWNESS, slowness + 1);
     }
   }
 
-  private void take(PeerRecord word, String from, long nowNanos) {
-    Held held = peers.get(word.name());
-    if (held == null) {
-      if (peers.size() < MOST_PEERS) {
-        // One that is gone is held, too: older news of it may still be on their way.
-        Held fresh = new Held(word, nowNanos);
-        peers.put(word.name(), fresh);
-        if (word.standing() == PeerStatus.SUSPECT) {
-          witness(fresh, from);
+  /** Merges a record of another peer into the view if it is newer than the known one. */
+  private void merge(PeerRecord update, String from, long nowNanos) {
+    Peer peer = peers.get(update.name());
+    if (peer == null) {
+      if (peers.size() < MAX_PEERS) {
+        // Absent peers are stored as well: older updates about them may still be under way.
+        Peer added = new Peer(update, nowNanos);
+        peers.put(update.name(), added);
+        if (update.status() == PeerStatus.SUSPECT) {
+          confirmSuspicion(added, from);
         }
-        // Asked soon, at a place in the round that nobody foresees.
-        inRound(word.name(), random.nextBoolean());
+        // Probed soon, at an unpredictable position in the round.
+        enqueueProbe(update.name(), random.nextBoolean());
       }
       return;
     }
-    if (word.before(held.word)) {
-      boolean step = word.standing() != held.word.standing();
-      held.word = word;
-      held.told = 0;
-      if (step) {
-        held.sinceNanos = nowNanos;
-        held.witnesses.clear();
-        held.spanNanos = Long.MAX_VALUE;
+    if (update.supersedes(peer.record)) {
+      boolean statusChanged = update.status() != peer.record.status();
+      peer.record = update;
+      peer.transmissions = 0;
+      if (statusChanged) {
+        peer.statusSinceNanos = nowNanos;
+        peer.suspecters.clear();
+        peer.suspicionTimeoutNanos = Long.MAX_VALUE;
       }
-      if (step && word.standing() == PeerStatus.SUSPECT) {
-        inRound(word.name(), true); // Asked next, and told: it may only have been slow.
+      if (statusChanged && update.status() == PeerStatus.SUSPECT) {
+        // Probed next, which also tells it of the suspicion: it may only have been slow.
+        enqueueProbe(update.name(), true);
       }
     }
-    if (word.standing() == PeerStatus.SUSPECT
-        && held.word.standing() == PeerStatus.SUSPECT
-        && word.incarnation() == held.word.incarnation()
-        && witness(held, from)) {
-      held.told = Math.min(held.told, 1); // Worth saying again: somebody else suspects it, too.
+    if (update.status() == PeerStatus.SUSPECT
+        && peer.record.status() == PeerStatus.SUSPECT
+        && update.incarnation() == peer.record.incarnation()
+        && confirmSuspicion(peer, from)) {
+      peer.transmissions = Math.min(peer.transmissions, 1); // Passes the new confirmation on.
     }
   }
 
-  private void inRound(String name, boolean next) {
-    round.remove(name);
-    if (next) {
-      round.addFirst(name);
+  private void enqueueProbe(String name, boolean first) {
+    probeQueue.remove(name);
+    if (first) {
+      probeQueue.addFirst(name);
     } else {
-      round.addLast(name);
+      probeQueue.addLast(name);
     }
   }
 
-  // ---- what is said ----
+  // ---- Outgoing updates ----
 
-  /** The least told first; of one that is suspected itself is told first of all. */
-  private List<PeerRecord> news(PeerRecord to) {
-    List<PeerRecord> words = new ArrayList<>();
-    int most = (int) Math.ceil(TIMES * Math.log(presentPeers().size() + 1) / Math.log(2));
-    if (to != null && to.standing() == PeerStatus.SUSPECT) {
-      words.add(to);
-    }
-    if (selfTold < most && !doubled) {
-      selfTold++;
-      words.add(self);
-    }
-    List<Held> fresh = new ArrayList<>();
-    for (Held each : peers.values()) {
-      if (each.told < most) {
-        fresh.add(each);
+  /**
+   * Selects the updates that are piggybacked on a message, the least transmitted first. A receiver
+   * that is suspected is told so before anything else.
+   *
+   * @param receiver record of the receiver, or null if its status does not matter
+   */
+  private List<PeerRecord> selectUpdates(PeerRecord receiver) {
+    List<PeerRecord> updates = new ArrayList<>();
+    int maxTransmissions =
+        (int) Math.ceil(RETRANSMIT_FACTOR * Math.log(presentPeers().size() + 1) / Math.log(2));
+    if (receiver != null && receiver.status() == PeerStatus.SUSPECT) {
+      updates.add(receiver);
+    }
+    if (selfTransmissions < maxTransmissions && !nameConflict) {
+      selfTransmissions++;
+      updates.add(self);
+    }
+    List<Peer> candidates = new ArrayList<>();
+    for (Peer each : peers.values()) {
+      if (each.transmissions < maxTransmissions) {
+        candidates.add(each);
       }
     }
-    fresh.sort(Comparator.comparingInt(each -> each.told));
-    for (Held each : fresh) {
-      if (words.size() >= MOST_NEWS) {
+    candidates.sort(Comparator.comparingInt(each -> each.transmissions));
+    for (Peer each : candidates) {
+      if (updates.size() >= MAX_UPDATES) {
         break;
       }
-      if (to == null || !each.word.name().equals(to.name()) || words.isEmpty()) {
-        each.told++;
-        words.add(each.word);
+      if (receiver == null || !each.record.name().equals(receiver.name()) || updates.isEmpty()) {
+        each.transmissions++;
+        updates.add(each.record);
       }
     }
-    return words;
+    return updates;
   }
 
-  /** All that is known, in messages of bounded size. */
-  private List<List<PeerRecord>> all() {
-    List<PeerRecord> words = new ArrayList<>();
-    if (!doubled) {
-      words.add(self);
+  /** All known records, in parts that fit into one message each. */
+  private List<List<PeerRecord>> fullState() {
+    List<PeerRecord> records = new ArrayList<>();
+    if (!nameConflict) {
+      records.add(self);
     }
-    peers.values().forEach(each -> words.add(each.word));
+    peers.values().forEach(each -> records.add(each.record));
     List<List<PeerRecord>> parts = new ArrayList<>();
-    for (int from = 0; from < words.size(); from += MOST_NEWS) {
-      parts.add(words.subList(from, Math.min(words.size(), from + MOST_NEWS)));
+    for (int from = 0; from < records.size(); from += MAX_UPDATES) {
+      parts.add(records.subList(from, Math.min(records.size(), from + MAX_UPDATES)));
     }
     return parts;
   }
 
   /**
-   * A look with one that is there, and one with somebody who is not: a split may have made two
-   * fleets of one, and one that died and is back may know nobody.
+   * Starts an anti-entropy exchange with one alive peer and with one address that is not known to
+   * be alive. A network partition may have split the fleet in two, and a peer that died and came
+   * back may know nobody.
    */
-  private void sync(Wire wire) {
+  private void startSync(Transport transport) {
     List<String> absent = new ArrayList<>(seeds);
     absent.remove(self.address());
-    for (Held each : peers.values()) {
-      if (each.word.standing() == PeerStatus.DEAD) {
-        absent.add(each.word.address());
+    for (Peer each : peers.values()) {
+      if (each.record.status() == PeerStatus.DEAD) {
+        absent.add(each.record.address());
       } else {
-        absent.remove(each.word.address());
+        absent.remove(each.record.address());
       }
     }
-    List<String> asked = new ArrayList<>();
-    some(1, "").forEach(each -> asked.add(each.word.address()));
+    List<String> targets = new ArrayList<>();
+    randomAlivePeers(1, "").forEach(each -> targets.add(each.record.address()));
     if (!absent.isEmpty()) {
-      asked.add(absent.get(random.nextInt(absent.size())));
+      targets.add(absent.get(random.nextInt(absent.size())));
     }
-    for (String to : asked) {
-      wire.send(to, new Message.Sync(digest(), false, news(null)));
+    for (String target : targets) {
+      transport.send(target, new Message.Sync(digest(), false, selectUpdates(null)));
     }
   }
 
-  /** Says that it goes; nothing more is sent after it. */
-  public void leave(Wire wire) {
-    PeerRecord last =
+  /** Announces that this instance leaves; it processes and sends nothing afterwards. */
+  public void leave(Transport transport) {
+    PeerRecord leaving =
         new PeerRecord(
             self.name(),
             self.address(),
-            self.process(),
+            self.processNonce(),
             self.incarnation() + 1,
             PeerStatus.LEFT,
             self.attributes());
-    for (Held each : some(pace.relays(), "")) {
-      wire.send(each.word.address(), new Message.Sync(0, false, List.of(last)));
+    for (Peer each : randomAlivePeers(timing.indirectProbes(), "")) {
+      transport.send(each.record.address(), new Message.Sync(0, false, List.of(leaving)));
     }
     left = true;
   }
--- a/src/main/java/heathswitch/policy/gossip/Message.java
+++ b/src/main/java/heathswitch/policy/gossip/Message.java
@@ -2,47 +2,53 @@
 
 import java.util.List;
 
-/** What peers send each other; every one carries news. */
+/** Messages between peers; each carries piggybacked membership updates. */
 public sealed interface Message {
-  List<PeerRecord> news();
+  List<PeerRecord> updates();
 
-  /** Are you there? Meant for the peer of that name alone. */
-  record Ping(long number, String name, List<PeerRecord> news) implements Message {
+  /** Probe of the peer with the given name; a process with another name does not answer it. */
+  record Ping(long number, String name, List<PeerRecord> updates) implements Message {
     public Ping {
-      news = List.copyOf(news);
+      updates = List.copyOf(updates);
     }
   }
 
-  /** I am. */
-  record Ack(long number, List<PeerRecord> news) implements Message {
+  /** Answer to the ping with the same number. */
+  record Ack(long number, List<PeerRecord> updates) implements Message {
     public Ack {
-      news = List.copyOf(news);
+      updates = List.copyOf(updates);
     }
   }
 
-  /** Ask that peer for me. */
-  record Relay(long number, String name, String address, List<PeerRecord> news) implements Message {
+  /** Indirect ping: asks the receiver to probe another peer on behalf of the sender. */
+  record Relay(long number, String name, String address, List<PeerRecord> updates)
+      implements Message {
     public Relay {
-      news = List.copyOf(news);
+      updates = List.copyOf(updates);
     }
   }
 
-  /** I have asked and was not answered in time; so at least my own way to you is good. */
-  record Nack(long number, List<PeerRecord> news) implements Message {
+  /**
+   * Reports that an indirect probe was not answered in time. To the peer that asked for it this
+   * shows that at least its own connection to the relaying peer works.
+   */
+  record Nack(long number, List<PeerRecord> updates) implements Message {
     public Nack {
-      news = List.copyOf(news);
+      updates = List.copyOf(updates);
     }
   }
 
   /**
-   * A look whether two know the same, or some of all that one knows.
+   * Anti-entropy: a comparison of two peers' views of the membership, or a part of the sender's
+   * full state.
    *
-   * @param digest of all that is known: who knows other things sends them; 0 for no look
-   * @param wanted whether all that the other knows is wanted
+   * @param digest hash of the sender's view; a receiver whose own digest differs replies with its
+   *     full state. 0 requests no comparison
+   * @param stateWanted whether the sender asks for the receiver's full state
    */
-  record Sync(long digest, boolean wanted, List<PeerRecord> news) implements Message {
+  record Sync(long digest, boolean stateWanted, List<PeerRecord> updates) implements Message {
     public Sync {
-      news = List.copyOf(news);
+      updates = List.copyOf(updates);
     }
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/PeerAttributes.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerAttributes.java
@@ -1,19 +1,19 @@
 package heathswitch.policy.gossip;
 
 /**
- * What a peer says of itself.
+ * What a peer announces about itself.
  *
- * @param zone where it is
- * @param tier before which it stands
- * @param load calls a second that come to it; what is not a number from 0 to {@link #MOST_LOAD}
- *     counts as the nearest one
- * @param release the latest form that its program knows
+ * @param zone zone that it runs in
+ * @param tier tier of servers that it balances
+ * @param load requests per second that it receives; a value outside 0 to {@link #MAX_LOAD} is
+ *     replaced by the nearest bound, NaN by 0
+ * @param release latest protocol release that its program supports
  */
 public record PeerAttributes(String zone, int tier, double load, int release) {
-  /** More than any one process can take; who says more is not believed. */
-  public static final double MOST_LOAD = 1e6;
+  /** More than any one process can receive; a higher announced load is capped to this. */
+  public static final double MAX_LOAD = 1e6;
 
   public PeerAttributes {
-    load = load >= 0 ? Math.min(load, MOST_LOAD) : 0;
+    load = load >= 0 ? Math.min(load, MAX_LOAD) : 0;
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/PeerRecord.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerRecord.java
@@ -1,30 +1,31 @@
 package heathswitch.policy.gossip;
 
 /**
- * What is said of one peer.
+ * State of one peer, as it is disseminated by gossip.
  *
- * @param process drawn by each process: two that go by one name differ in it
- * @param incarnation grows with whatever the peer says anew of itself; it alone makes it grow
+ * @param processNonce random number that each process draws at its start; it tells apart two
+ *     processes that use the same name
+ * @param incarnation version of the peer's own announcements; only the peer itself increases it
  */
 public record PeerRecord(
     String name,
     String address,
-    long process,
+    long processNonce,
     long incarnation,
-    PeerStatus standing,
+    PeerStatus status,
     PeerAttributes attributes) {
-  /** Whether this word goes before another of the same peer. */
-  boolean before(PeerRecord other) {
+  /** Whether this record replaces another record of the same peer. */
+  boolean supersedes(PeerRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
-    // Two by one name may have come to the same: all have to hold the same one of them.
-    return process != other.process
-        ? process > other.process
-        : standing.compareTo(other.standing) > 0;
+    // Two processes with one name may reach the same incarnation; all peers must pick the same one.
+    return processNonce != other.processNonce
+        ? processNonce > other.processNonce
+        : status.compareTo(other.status) > 0;
   }
 
-  PeerRecord as(PeerStatus now) {
-    return new PeerRecord(name, address, process, incarnation, now, attributes);
+  PeerRecord withStatus(PeerStatus newStatus) {
+    return new PeerRecord(name, address, processNonce, incarnation, newStatus, attributes);
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/PeerStatus.java
+++ b/src/main/java/heathswitch/policy/gossip/PeerStatus.java
@@ -1,18 +1,21 @@
 package heathswitch.policy.gossip;
 
-/** What is held of a peer; of two words of one incarnation the later one here goes. */
+/**
+ * Status of a peer in the membership. Of two records with the same incarnation, the one whose
+ * status is declared later here supersedes the other. Datagrams carry the ordinal.
+ */
 public enum PeerStatus {
-  /** It answers, or somebody says so. */
+  /** It answers probes, or another peer reports that it does. */
   ALIVE,
-  /** Somebody had no answer from it; it has time to say that it is there. */
+  /** A probe of it went unanswered; it still has time to refute the suspicion. */
   SUSPECT,
-  /** It has said that it goes. */
+  /** It has announced that it leaves. */
   LEFT,
-  /** It has not said in time that it is there. */
+  /** It did not refute a suspicion in time. */
   DEAD;
 
-  /** Whether it counts as there. */
-  public boolean there() {
+  /** Whether a peer with this status counts as present. */
+  public boolean isPresent() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/src/main/java/heathswitch/policy/gossip/ReplayGuard.java
+++ b/src/main/java/heathswitch/policy/gossip/ReplayGuard.java
@@ -6,44 +6,47 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells a datagram that is new from one that somebody has recorded and sends again. Every process
- * has a door, a number that it draws; whoever sends to it names that number, which it is told when
- * it first knocks, and counts what it sends. So nothing that was made for another process, or
- * before this one began, is taken, and nothing twice; no clock is read, and nothing of it has to be
- * kept on disk.
+ * Replay protection for datagrams. Every process draws a random session id. A sender puts the
+ * receiver's session id and a sequence number on each datagram; it learns the receiver's id from
+ * the answer to its first datagram. So a datagram that was recorded is not accepted by another
+ * process, by a later process at the same address, or a second time. This needs neither a clock nor
+ * state on disk.
  *
- * <p>The window behind the highest count is that of RFC 4303, appendix A2.
+ * <p>The window behind the highest sequence number follows RFC 4303, appendix A2.
  */
 public final class ReplayGuard {
-  /** Senders that are remembered; with one more the door is drawn anew, and all knock again. */
-  static final int MOST_SENDERS = 8192;
+  /**
+   * Maximum number of senders that are tracked. One more makes this process draw a new session id,
+   * and all senders have to learn it again.
+   */
+  static final int MAX_SENDERS = 8192;
 
-  /** Addresses whose doors are remembered; the one that was told first gives way. */
-  static final int MOST_DOORS = 8192;
+  /** Maximum number of addresses whose session id is stored; the oldest entry is evicted. */
+  static final int MAX_SESSIONS = 8192;
 
-  /** How far behind the latest one a datagram may come. */
+  /** How far behind the highest sequence number a datagram may arrive. */
   static final int WINDOW = 64;
 
-  /** An answer to a knock counts if so many have not been sent since. */
-  static final long MOST_SINCE = 1 << 16;
+  /** An answer is valid only if no more than this many datagrams were sent after its request. */
+  static final long MAX_ANSWER_AGE = 1 << 16;
 
   /**
-   * What stands on a datagram.
+   * The replay protection fields of a datagram.
    *
-   * @param sender the door of whoever sent it
-   * @param count of that sender's datagrams, from 1
-   * @param receiver the door that it is meant for, 0 where the sender does not know it
+   * @param senderSession session id of the sender
+   * @param sequence sequence number among all datagrams of that sender, from 1
+   * @param receiverSession session id of the intended receiver, 0 where the sender does not know it
    */
-  public record Stamp(long sender, long count, long receiver) {}
+  public record Stamp(long senderSession, long sequence, long receiverSession) {}
 
-  /** What is to be done with a datagram. */
+  /** The result of checking a received datagram. */
   public enum Verdict {
-    /** It is taken. */
-    NEW,
-    /** Its sender does not know this door; it is to be told. */
-    STRANGER,
-    /** It came before, or too long after the ones behind it. */
-    OLD
+    /** Accepted: seen for the first time. */
+    FRESH,
+    /** The sender does not know the session id of this process and has to be told it. */
+    WRONG_SESSION,
+    /** Received before, or too far behind the highest sequence number. */
+    REPLAYED
   }
 
   private static final class Window {
@@ -51,95 +54,100 @@
     long seen;
   }
 
-  /** Where somebody was told to be, and by an answer to which datagram. */
-  private record Door(long number, long answered) {}
+  /** Session id of another process, and the sequence number of the datagram that it answered. */
+  private record RemoteSession(long id, long answeredSequence) {}
 
-  private final LongSupplier draw;
-  private final Map<Long, Window> senders = new LinkedHashMap<>();
-  private final Map<String, Door> doors = new LinkedHashMap<>();
-  private long own;
-  private long count;
+  private final LongSupplier idSource;
+  private final Map<Long, Window> windows = new LinkedHashMap<>();
+  private final Map<String, RemoteSession> sessions = new LinkedHashMap<>();
+  private long ownSession;
+  private long sentCount;
 
   /**
-   * One that knows nobody.
+   * Creates a guard that knows no other process.
    *
-   * @param draw a number that nobody can foresee, not 0
+   * @param idSource supplies unpredictable numbers other than 0
    */
-  public ReplayGuard(LongSupplier draw) {
-    this.draw = draw;
-    own = draw.getAsLong();
+  public ReplayGuard(LongSupplier idSource) {
+    this.idSource = idSource;
+    ownSession = idSource.getAsLong();
   }
 
   /** The stamp of the next datagram to an address. */
-  public Stamp next(String address) {
-    Door door = doors.get(address);
-    return new Stamp(own, ++count, door == null ? 0 : door.number());
+  public Stamp nextStamp(String address) {
+    RemoteSession session = sessions.get(address);
+    return new Stamp(ownSession, ++sentCount, session == null ? 0 : session.id());
   }
 
-  /** The stamp of an answer to one that did not know this door; it goes by that one's own. */
-  public Stamp answer(Stamp knock) {
-    return new Stamp(own, ++count, knock.sender());
+  /**
+   * The stamp of the answer that tells a sender the session id of this process. It is addressed to
+   * the session id in the request, as none may be stored for that sender.
+   */
+  public Stamp answerStamp(Stamp request) {
+    return new Stamp(ownSession, ++sentCount, request.senderSession());
   }
 
-  /** Whether an address's door is known. */
-  public boolean knows(String address) {
-    return doors.containsKey(address);
+  /** Whether the session id of the process at an address is known. */
+  public boolean knowsSession(String address) {
+    return sessions.containsKey(address);
   }
 
-  /** What becomes of a datagram that came; the same one is taken once. */
-  public Verdict take(Stamp stamp) {
-    if (stamp.receiver() != own) {
-      return Verdict.STRANGER;
+  /** Checks the stamp of a received datagram; the same stamp is accepted only once. */
+  public Verdict check(Stamp stamp) {
+    if (stamp.receiverSession() != ownSession) {
+      return Verdict.WRONG_SESSION;
     }
-    if (stamp.count() <= 0) {
-      return Verdict.OLD;
+    if (stamp.sequence() <= 0) {
+      return Verdict.REPLAYED;
     }
-    Window window = senders.get(stamp.sender());
+    Window window = windows.get(stamp.senderSession());
     if (window == null) {
-      if (senders.size() >= MOST_SENDERS) {
-        // Were one forgotten, what it sent could come again: so all that was sent is forgotten.
-        senders.clear();
-        own = draw.getAsLong();
-        return Verdict.STRANGER;
+      if (windows.size() >= MAX_SENDERS) {
+        // Evicting a single sender would allow replays of its datagrams. A new session id
+        // invalidates everything that was sent to this process before.
+        windows.clear();
+        ownSession = idSource.getAsLong();
+        return Verdict.WRONG_SESSION;
       }
       window = new Window();
-      senders.put(stamp.sender(), window);
+      windows.put(stamp.senderSession(), window);
     }
-    long ahead = stamp.count() - window.highest;
+    long ahead = stamp.sequence() - window.highest;
     if (ahead > 0) {
       window.seen = ahead >= WINDOW ? 1 : window.seen << ahead | 1;
-      window.highest = stamp.count();
-      return Verdict.NEW;
+      window.highest = stamp.sequence();
+      return Verdict.FRESH;
     }
     long bit = -ahead < WINDOW ? 1L << -ahead : 0;
     if (bit == 0 || (window.seen & bit) != 0) {
-      return Verdict.OLD;
+      return Verdict.REPLAYED;
     }
     window.seen |= bit;
-    return Verdict.NEW;
+    return Verdict.FRESH;
   }
 
   /**
-   * Somebody answers that its door is another one; true if that is news.
+   * Stores the session id that the process at an address answered with; false if the answer is not
+   * valid or not newer than the one stored.
    *
-   * @param answered the count of the datagram that it answers: one that was recorded earlier
-   *     answers an earlier one
+   * @param answeredSequence sequence number of the datagram that is answered; an answer that was
+   *     recorded earlier names an earlier one
    */
-  public boolean told(String address, Stamp stamp, long answered) {
-    Door door = doors.get(address);
-    if (stamp.receiver() != own
-        || answered <= 0
-        || answered > count
-        || count - answered > MOST_SINCE
-        || door != null && answered <= door.answered()) {
+  public boolean learnSession(String address, Stamp stamp, long answeredSequence) {
+    RemoteSession session = sessions.get(address);
+    if (stamp.receiverSession() != ownSession
+        || answeredSequence <= 0
+        || answeredSequence > sentCount
+        || sentCount - answeredSequence > MAX_ANSWER_AGE
+        || session != null && answeredSequence <= session.answeredSequence()) {
       return false;
     }
-    if (door == null && doors.size() >= MOST_DOORS) {
-      Iterator<String> first = doors.keySet().iterator();
+    if (session == null && sessions.size() >= MAX_SESSIONS) {
+      Iterator<String> first = sessions.keySet().iterator();
       first.next();
       first.remove();
     }
-    doors.put(address, new Door(stamp.sender(), answered));
+    sessions.put(address, new RemoteSession(stamp.senderSession(), answeredSequence));
     return true;
   }
 }
--- a/src/main/java/heathswitch/proxy/gossip/Datagram.java
+++ b/src/main/java/heathswitch/proxy/gossip/Datagram.java
@@ -15,96 +15,104 @@
 import java.util.List;
 
 /**
- * The form of a datagram: a version, the key's id, the stamp, a message as a JSON array, the seal.
- * What it says is read when the seal is right, and no earlier.
+ * The wire format of a datagram: version, key id, replay protection stamp, message as a JSON array,
+ * authentication tag. The message is parsed only after the tag has been verified.
  *
- * @param message null for one that answers a knock
- * @param answered the count of the knock, 0 where it is a message
+ * @param message null for an answer that tells the sender's session id
+ * @param answeredSequence for such an answer, the sequence number of the datagram that it answers;
+ *     0 for a message
  */
-record Datagram(Stamp stamp, Message message, long answered) {
-  /** What fits one Ethernet frame behind the headers of IPv4 and UDP. */
-  static final int MOST_BYTES = 1472;
+record Datagram(Stamp stamp, Message message, long answeredSequence) {
+  /** What fits into one Ethernet frame after the headers of IPv4 and UDP. */
+  static final int MAX_BYTES = 1472;
 
-  /** Names and zones are that long at most, so that six words fit. */
+  /** Limits the length of names and zones, so that six records fit into a datagram. */
   static final String NAME = "[A-Za-z0-9_.-]{1,64}";
 
   static final String ZONE = "[A-Za-z0-9_.-]{0,32}";
 
-  /** What counts up stays far from where it would turn negative. */
-  private static final long MOST_NUMBER = 1L << 53;
+  /** Upper limit of received counters, far from where incrementing them would overflow. */
+  private static final long MAX_NUMBER = 1L << 53;
 
   private static final byte VERSION = 1;
 
-  /** Words in one message; {@code Gossip} sends no more, and one more when it tells a suspect. */
-  private static final int MOST_WORDS = 8;
+  /**
+   * Maximum number of records in a received message. {@code Gossip} sends up to six, and one more
+   * to a suspect.
+   */
+  private static final int MAX_RECORDS = 8;
 
-  /** Why a datagram was not taken. */
+  /** Why a datagram was refused. */
   enum Refusal {
-    /** Longer than any that is sent, or shorter. */
+    /** Longer or shorter than any valid datagram. */
     SIZE,
-    /** Of a version that this program does not know. */
+    /** Its version is not known to this program. */
     VERSION,
-    /** By a key that is not held, or changed on its way. */
+    /** Its key is not known, or it was modified in transit. */
     SEAL,
-    /** Its seal is right and what it says is not; whoever sent it is of another program. */
+    /** Its tag is correct but its content is not valid: the sender runs another program. */
     FORM,
-    /** It came before. */
+    /** It was received before, or it arrived too late. */
     REPLAY
   }
 
-  /** One that is not taken. */
-  static final class Refused extends Exception {
+  /** A received datagram was refused. */
+  static final class RefusedException extends Exception {
     private static final long serialVersionUID = 1L;
-    final Refusal why;
+    final Refusal reason;
 
-    Refused(Refusal why) {
-      super(why.name(), null, false, false);
-      this.why = why;
+    RefusedException(Refusal reason) {
+      super(reason.name(), null, false, false);
+      this.reason = reason;
     }
   }
 
-  byte[] bytes(KeyRing keys) {
-    byte[] key = keys.signs().getBytes(StandardCharsets.US_ASCII);
+  byte[] encode(KeyRing keys) {
+    byte[] keyId = keys.signingKeyId().getBytes(StandardCharsets.US_ASCII);
     byte[] body;
     try {
-      body = JSON.std.asBytes(message == null ? List.of("door", answered) : list(message));
+      body = JSON.std.asBytes(message == null ? List.of("door", answeredSequence) : list(message));
     } catch (IOException e) {
-      throw new IllegalStateException(e); // Nothing but texts and numbers.
+      throw new IllegalStateException(e); // Cannot fail: contains only strings and numbers.
     }
-    int length = 2 + key.length + 3 * Long.BYTES + body.length;
-    ByteBuffer bytes = ByteBuffer.allocate(length + KeyRing.SEAL_BYTES);
-    bytes.put(VERSION).put((byte) key.length).put(key);
-    bytes.putLong(stamp.sender()).putLong(stamp.count()).putLong(stamp.receiver()).put(body);
-    bytes.put(keys.seal(bytes.array(), length));
+    int length = 2 + keyId.length + 3 * Long.BYTES + body.length;
+    ByteBuffer bytes = ByteBuffer.allocate(length + KeyRing.TAG_BYTES);
+    bytes.put(VERSION).put((byte) keyId.length).put(keyId);
+    bytes
+        .putLong(stamp.senderSession())
+        .putLong(stamp.sequence())
+        .putLong(stamp.receiverSession())
+        .put(body);
+    bytes.put(keys.tag(bytes.array(), length));
     return bytes.array();
   }
 
-  static Datagram read(byte[] bytes, KeyRing keys) throws Refused {
-    if (bytes.length > MOST_BYTES) {
-      throw new Refused(Refusal.SIZE);
+  static Datagram decode(byte[] bytes, KeyRing keys) throws RefusedException {
+    if (bytes.length > MAX_BYTES) {
+      throw new RefusedException(Refusal.SIZE);
     }
     try {
       ByteBuffer in = ByteBuffer.wrap(bytes);
       if (in.get() != VERSION) {
-        throw new Refused(Refusal.VERSION);
+        throw new RefusedException(Refusal.VERSION);
       }
-      byte[] key = new byte[in.get() & 0x7f];
-      in.get(key);
+      byte[] keyId = new byte[in.get() & 0x7f];
+      in.get(keyId);
       Stamp stamp = new Stamp(in.getLong(), in.getLong(), in.getLong());
-      int length = bytes.length - KeyRing.SEAL_BYTES;
+      int length = bytes.length - KeyRing.TAG_BYTES;
       if (in.position() > length) {
-        throw new Refused(Refusal.SIZE);
+        throw new RefusedException(Refusal.SIZE);
       }
-      if (!keys.sealed(new String(key, StandardCharsets.US_ASCII), bytes, length)) {
-        throw new Refused(Refusal.SEAL);
+      if (!keys.verify(new String(keyId, StandardCharsets.US_ASCII), bytes, length)) {
+        throw new RefusedException(Refusal.SEAL);
       }
       byte[] body = new byte[length - in.position()];
       in.get(body);
-      return parsed(stamp, JSON.std.listFrom(body));
+      return parse(stamp, JSON.std.listFrom(body));
     } catch (BufferUnderflowException e) {
-      throw new Refused(Refusal.SIZE);
+      throw new RefusedException(Refusal.SIZE);
     } catch (IOException | IllegalArgumentException | ClassCastException e) {
-      throw new Refused(Refusal.FORM);
+      throw new RefusedException(Refusal.FORM);
     }
   }
 
@@ -119,116 +127,116 @@
     } else if (message instanceof Message.Nack nack) {
       list.addAll(List.of("nack", nack.number()));
     } else if (message instanceof Message.Sync sync) {
-      list.addAll(List.of("sync", sync.digest(), sync.wanted()));
+      list.addAll(List.of("sync", sync.digest(), sync.stateWanted()));
     }
-    List<Object> words = new ArrayList<>();
-    for (PeerRecord word : message.news()) {
-      PeerAttributes facts = word.attributes();
-      words.add(
+    List<Object> records = new ArrayList<>();
+    for (PeerRecord update : message.updates()) {
+      PeerAttributes attributes = update.attributes();
+      records.add(
           List.of(
-              word.name(),
-              word.address(),
-              word.process(),
-              word.incarnation(),
-              word.standing().ordinal(),
-              facts.zone(),
-              facts.tier(),
-              Math.round(facts.load() * 1000) / 1000.0,
-              facts.release()));
-    }
-    list.add(words);
+              update.name(),
+              update.address(),
+              update.processNonce(),
+              update.incarnation(),
+              update.status().ordinal(),
+              attributes.zone(),
+              attributes.tier(),
+              Math.round(attributes.load() * 1000) / 1000.0,
+              attributes.release()));
+    }
+    list.add(records);
     return list;
   }
 
-  private static Datagram parsed(Stamp stamp, List<?> list) {
+  private static Datagram parse(Stamp stamp, List<?> list) {
     Fields in = new Fields(list);
     String kind = in.text("[a-z]{1,8}");
     Message message =
         switch (kind) {
-          case "ping" -> new Message.Ping(in.number(), in.text(NAME), words(in));
-          case "ack" -> new Message.Ack(in.number(), words(in));
-          case "relay" -> new Message.Relay(in.number(), in.text(NAME), in.address(), words(in));
-          case "nack" -> new Message.Nack(in.number(), words(in));
-          case "sync" -> new Message.Sync(in.any(), in.flag(), words(in));
+          case "ping" -> new Message.Ping(in.number(), in.text(NAME), records(in));
+          case "ack" -> new Message.Ack(in.number(), records(in));
+          case "relay" -> new Message.Relay(in.number(), in.text(NAME), in.address(), records(in));
+          case "nack" -> new Message.Nack(in.number(), records(in));
+          case "sync" -> new Message.Sync(in.signedNumber(), in.flag(), records(in));
           case "door" -> null;
           default -> throw new IllegalArgumentException(kind);
         };
     return new Datagram(stamp, message, message == null ? in.number() : 0);
   }
 
-  private static List<PeerRecord> words(Fields in) {
-    List<PeerRecord> words = new ArrayList<>();
+  private static List<PeerRecord> records(Fields in) {
+    List<PeerRecord> records = new ArrayList<>();
     for (Object each : in.list()) {
-      Fields word = new Fields((List<?>) each);
-      words.add(
+      Fields fields = new Fields((List<?>) each);
+      records.add(
           new PeerRecord(
-              word.text(NAME),
-              word.address(),
-              word.number(),
-              word.number(),
-              PeerStatus.values()[(int) word.upTo(PeerStatus.values().length - 1)],
+              fields.text(NAME),
+              fields.address(),
+              fields.number(),
+              fields.number(),
+              PeerStatus.values()[(int) fields.numberUpTo(PeerStatus.values().length - 1)],
               new PeerAttributes(
-                  word.text(ZONE),
-                  (int) word.upTo(Integer.MAX_VALUE),
-                  word.decimal(),
-                  (int) word.upTo(Integer.MAX_VALUE))));
+                  fields.text(ZONE),
+                  (int) fields.numberUpTo(Integer.MAX_VALUE),
+                  fields.decimal(),
+                  (int) fields.numberUpTo(Integer.MAX_VALUE))));
     }
-    return words;
+    return records;
   }
 
-  /** A list read from its first field on. Fields behind those that are read say nothing here. */
+  /** Reads the elements of a JSON array in order. Further elements at the end are ignored. */
   private static final class Fields {
     private final List<?> list;
-    private int at;
+    private int position;
 
     Fields(List<?> list) {
       this.list = list;
     }
 
     private Object next() {
-      if (at >= list.size()) {
-        throw new IllegalArgumentException("short");
+      if (position >= list.size()) {
+        throw new IllegalArgumentException("a field is missing");
       }
-      return list.get(at++);
+      return list.get(position++);
     }
 
     String text(String pattern) {
       String text = (String) next();
       if (!text.matches(pattern)) {
-        throw new IllegalArgumentException("text");
+        throw new IllegalArgumentException("text does not match its pattern");
       }
       return text;
     }
 
-    /** Only one way of writing an address, or two words of one peer would differ. */
+    /** Accepts only the canonical form; otherwise two records of one peer could differ by it. */
     String address() {
       String text = (String) next();
       if (text.length() > 64
           || Addresses.parse(text) == null
           || !Addresses.format(Addresses.parse(text)).equals(text)) {
-        throw new IllegalArgumentException("address");
+        throw new IllegalArgumentException("not an address in canonical form");
       }
       return text;
     }
 
-    long any() {
+    long signedNumber() {
       Object number = next();
       if (!(number instanceof Integer) && !(number instanceof Long)) {
-        throw new IllegalArgumentException("number");
+        throw new IllegalArgumentException("not an integer");
       }
       return ((Number) number).longValue();
     }
 
-    long upTo(long most) {
-      long number = any();
-      if (number < 0 || number > most) {
-        throw new IllegalArgumentException("number");
+    long numberUpTo(long max) {
+      long number = signedNumber();
+      if (number < 0 || number > max) {
+        throw new IllegalArgumentException("number out of range");
       }
       return number;
     }
 
     long number() {
-      return upTo(MOST_NUMBER);
+      return numberUpTo(MAX_NUMBER);
     }
 
     double decimal() {
@@ -241,8 +249,8 @@
 
     List<?> list() {
       List<?> found = (List<?>) next();
-      if (found.size() > MOST_WORDS) {
-        throw new IllegalArgumentException("long");
+      if (found.size() > MAX_RECORDS) {
+        throw new IllegalArgumentException("too many records");
       }
       return found;
     }
--- a/src/main/java/heathswitch/proxy/gossip/GossipService.java
+++ b/src/main/java/heathswitch/proxy/gossip/GossipService.java
@@ -32,11 +32,12 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * This balancer's part in the gossip: carries its messages in datagrams, gives it the time, and
- * tells it the load. All of it on the node's event loop but for reading the file of keys.
+ * Runs {@link Gossip} for this balancer: sends and receives its messages as datagrams, calls its
+ * timer and announces this balancer's load. Everything except reading the key file runs on the
+ * node's event loop.
  */
 public final class GossipService implements AutoCloseable {
-  /** KeyRing that cannot be used, or a socket that cannot be had; the message says why. */
+  /** The key file is not valid; the message says why. */
   public static final class StartException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -45,108 +46,121 @@
     }
   }
 
-  /** Ticks in a period of probes. */
-  private static final int TICKS = 10;
+  /** Ticks in a probe period. */
+  private static final int TICKS_PER_PERIOD = 10;
 
-  /** The load is looked at so often, and told when it is that much another one. */
+  /** Interval at which the load is measured. */
   private static final long LOAD_MILLIS = 1000;
 
-  private static final double LOAD_CHANGE = 0.1;
+  /** Relative change of the load from which it is announced again. */
+  private static final double MIN_LOAD_CHANGE = 0.1;
 
-  /** Weight of the last look: others share servers by what is told, so chance must not show. */
+  /**
+   * Weight of the latest measurement in the moving average. Others share the servers by the
+   * announced load, so random fluctuations must not show in it.
+   */
   private static final double LOAD_WEIGHT = 0.1;
 
-  /** Weight of the last look where the load is quite another one within a second or two. */
+  /** Weight of the latest measurement in the fast average, for a load that changes abruptly. */
   private static final double FAST_WEIGHT = 0.5;
 
-  /** More or less than that is no chance. */
-  private static final double FAST_CHANGE = 1.6;
+  /** Ratio of the two averages from which their difference counts as more than a fluctuation. */
+  private static final double MAX_FLUCTUATION = 1.6;
 
-  /** Below so many calls a second all loads are alike. */
-  private static final double LEAST_LOAD = 1;
+  /** Loads below this many requests per second are treated as equal. */
+  private static final double MIN_LOAD = 1;
 
-  /** Datagrams to strangers that wait for an answer to the knock; the oldest is dropped. */
-  private static final int MOST_WAITING = 64;
+  /** Maximum number of messages that wait for a session id; the oldest is dropped. */
+  private static final int MAX_PENDING = 64;
 
-  /** Written while the socket's buffer is full beyond this: dropped, as any network does. */
-  private static final int MOST_UNSENT_BYTES = 1 << 18;
+  /** Above this many unsent bytes, further datagrams are dropped. */
+  private static final int MAX_UNSENT_BYTES = 1 << 18;
 
-  private static final long LEAVE_MILLIS = 300;
+  /** How long a shutdown waits for the announcement that this instance leaves. */
+  private static final long LEAVE_TIMEOUT_MILLIS = 300;
 
-  /** The latest form that this program knows; told to the others. */
+  /** Latest protocol release that this program supports; announced to the others. */
   private static final int RELEASE = 1;
 
   private final Node node;
   private final PeersTable table;
-  private final SecureRandom chance = new SecureRandom();
-  private final ReplayGuard doors = new ReplayGuard(this::draw);
+  private final SecureRandom random = new SecureRandom();
+  private final ReplayGuard replayGuard = new ReplayGuard(this::randomId);
   private final Gossip gossip;
-  private final Gossip.Wire wire = this::send;
-  private final KeyFileWatcher file;
-
-  /** The last message to each address that does not know this process yet. */
-  private final Map<String, Message> waiting =
+  private final Gossip.Transport transport = this::send;
+  private final KeyFileWatcher keyFile;
+
+  /**
+   * The last message to each address whose session id is not known yet. It is sent again with that
+   * id.
+   */
+  private final Map<String, Message> pending =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Message> eldest) {
-          return size() > MOST_WAITING;
+          return size() > MAX_PENDING;
         }
       };
 
-  /** Where a datagram of theirs came from, for addresses that this instance reaches by another. */
-  private final Map<InetSocketAddress, String> reached = new LinkedHashMap<>();
+  /** The announced address by the source of its datagrams, for peers with an address override. */
+  private final Map<InetSocketAddress, String> announcedBySource = new LinkedHashMap<>();
 
-  private final EnumMap<Datagram.Refusal, Long> refused = new EnumMap<>(Datagram.Refusal.class);
-  private final Map<String, PeerStatus> told = new TreeMap<>();
+  private final EnumMap<Datagram.Refusal, Long> refusals = new EnumMap<>(Datagram.Refusal.class);
+  private final Map<String, PeerStatus> loggedStatus = new TreeMap<>();
   private KeyRing keys;
   private Channel socket;
   private long sent;
   private long received;
-  private long knocks;
+  private long sessionRequests;
   private long dropped;
-  private long takenBefore;
-  private double load;
-  private double fastLoad;
+  private long lastRequestCount;
+  private double averageLoad;
+  private double fastAverageLoad;
   private boolean left;
-  private boolean toldDouble;
+  private boolean loggedNameConflict;
 
-  /** Reads the keys; {@link #start} must follow. */
+  /** Reads the key file; {@link #start} must follow. */
   public GossipService(Node node, PeersTable table) throws StartException {
     this.node = node;
     this.table = table;
     try {
       keys = KeyRing.read(table.keys());
-    } catch (KeyRing.Unusable e) {
+    } catch (KeyRing.InvalidKeysException e) {
       throw new StartException(e.getMessage());
     }
-    PeerAttributes facts = new PeerAttributes(table.zone(), 0, 0, RELEASE);
+    PeerAttributes attributes = new PeerAttributes(table.zone(), 0, 0, RELEASE);
     PeerRecord self =
         new PeerRecord(
-            table.instance(), table.address(), draw() >>> 11 | 1, 0, PeerStatus.ALIVE, facts);
-    gossip = new Gossip(table.pace(), self, table.seeds(), draw());
-    file = new KeyFileWatcher(table.keys(), keys, this::rekey);
-    table.ways().forEach((to, by) -> reached.put(by, to));
-    node.shutdown().addFinalTask(this::leaveAtEnd);
+            table.instance(),
+            table.address(),
+            randomId() >>> 11 | 1,
+            0,
+            PeerStatus.ALIVE,
+            attributes);
+    gossip = new Gossip(table.timing(), self, table.seeds(), randomId());
+    keyFile = new KeyFileWatcher(table.keys(), keys, this::replaceKeys);
+    table.overrides().forEach((announced, actual) -> announcedBySource.put(actual, announced));
+    node.shutdown().addFinalTask(this::leaveOnShutdown);
   }
 
-  /** What is wrong with the file of keys, or null. */
+  /** Why the key file is not valid, or null if it is. */
   public static String keyFileError(PeersTable table) {
     try {
       KeyRing.read(table.keys());
       return null;
-    } catch (KeyRing.Unusable e) {
+    } catch (KeyRing.InvalidKeysException e) {
       return e.getMessage();
     }
   }
 
-  private long draw() {
-    long drawn = chance.nextLong();
-    return drawn == 0 ? 1 : drawn;
+  private long randomId() {
+    long id = random.nextLong();
+    return id == 0 ? 1 : id;
   }
 
-  private void rekey(KeyRing next) {
+  private void replaceKeys(KeyRing next) {
     try {
       node.loop().execute(() -> keys = next);
     } catch (RejectedExecutionException e) {
@@ -154,98 +168,105 @@
     }
   }
 
-  /** Takes part from now on; fails if the address is taken. Not on the loop. */
+  /**
+   * Binds the socket and joins the gossip; fails if the address is in use. Must not be called on
+   * the event loop.
+   */
   public void start() throws InterruptedException {
     socket =
         new Bootstrap()
             .group(node.loop())
             .channel(NioDatagramChannel.class)
-            .handler(new In())
+            .handler(new DatagramHandler())
             .bind(table.listen())
             .sync()
             .channel();
-    long tick = table.pace().periodNanos() / 1_000_000 / TICKS;
-    node.loop().scheduleAtFixedRate(this::tick, 0, tick, MILLISECONDS);
-    node.loop().scheduleAtFixedRate(this::load, LOAD_MILLIS, LOAD_MILLIS, MILLISECONDS);
+    long tickMillis = table.timing().probePeriodNanos() / 1_000_000 / TICKS_PER_PERIOD;
+    node.loop().scheduleAtFixedRate(this::tick, 0, tickMillis, MILLISECONDS);
+    node.loop().scheduleAtFixedRate(this::updateLoad, LOAD_MILLIS, LOAD_MILLIS, MILLISECONDS);
   }
 
-  // ---- on the loop ----
+  // ---- On the event loop ----
 
   private void tick() {
     try {
-      gossip.tick(System.nanoTime(), wire);
-      tell();
+      gossip.tick(System.nanoTime(), transport);
+      logChanges();
     } catch (RuntimeException e) {
-      Log.error("peers", "a step failed", e); // Thrown on, it would be the last.
+      Log.error("peers", "a gossip step failed", e); // Rethrown, it would cancel the periodic task.
     }
   }
 
-  /** Says in the log who comes and goes. */
-  private void tell() {
-    for (PeerRecord word : gossip.held()) {
-      PeerStatus before = told.put(word.name(), word.standing());
-      if (before != word.standing()) {
+  /** Logs changes of the peers' status. */
+  private void logChanges() {
+    for (PeerRecord peer : gossip.knownPeers()) {
+      PeerStatus before = loggedStatus.put(peer.name(), peer.status());
+      if (before != peer.status()) {
         Log.info(
             "peers",
-            word.name() + " at " + word.address() + " is " + lower(word.standing()),
+            peer.name() + " at " + peer.address() + " is " + lowerCase(peer.status()),
             "peer",
-            word.name(),
+            peer.name(),
             "step",
-            lower(word.standing()));
+            lowerCase(peer.status()));
       }
     }
-    if (told.size() > gossip.held().size()) {
-      told.keySet().retainAll(gossip.held().stream().map(PeerRecord::name).toList());
+    if (loggedStatus.size() > gossip.knownPeers().size()) {
+      loggedStatus.keySet().retainAll(gossip.knownPeers().stream().map(PeerRecord::name).toList());
     }
-    if (gossip.doubled() != toldDouble) {
-      toldDouble = gossip.doubled();
+    if (gossip.nameConflict() != loggedNameConflict) {
+      loggedNameConflict = gossip.nameConflict();
       Log.warn(
           "peers",
-          toldDouble
-              ? "another process goes by the name " + table.instance() + "; this one keeps still"
-              : "no other process goes by the name " + table.instance() + " any more");
+          loggedNameConflict
+              ? "another process uses the name "
+                  + table.instance()
+                  + "; this one does not announce itself"
+              : "no other process uses the name " + table.instance() + " any more");
     }
   }
 
-  static String lower(PeerStatus standing) {
-    return standing.name().toLowerCase(java.util.Locale.ROOT);
+  static String lowerCase(PeerStatus status) {
+    return status.name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  private void load() {
-    long taken = node.dispatcher().requestCount();
-    double now = (taken - takenBefore) * 1000.0 / LOAD_MILLIS;
-    takenBefore = taken;
-    fastLoad += FAST_WEIGHT * (now - fastLoad);
-    load += LOAD_WEIGHT * (now - load);
-    double least = Math.max(LEAST_LOAD, Math.min(load, fastLoad));
-    if (Math.max(load, fastLoad) > FAST_CHANGE * least) {
-      load = fastLoad;
+  private void updateLoad() {
+    long requestCount = node.dispatcher().requestCount();
+    double measured = (requestCount - lastRequestCount) * 1000.0 / LOAD_MILLIS;
+    lastRequestCount = requestCount;
+    fastAverageLoad += FAST_WEIGHT * (measured - fastAverageLoad);
+    averageLoad += LOAD_WEIGHT * (measured - averageLoad);
+    double smaller = Math.max(MIN_LOAD, Math.min(averageLoad, fastAverageLoad));
+    if (Math.max(averageLoad, fastAverageLoad) > MAX_FLUCTUATION * smaller) {
+      averageLoad = fastAverageLoad;
     }
-    PeerAttributes facts = gossip.self().attributes();
-    double from = Math.max(LEAST_LOAD, facts.load());
-    double change = Math.abs(Math.max(LEAST_LOAD, load) - from) / from;
-    if (change > LOAD_CHANGE && !left) {
-      gossip.facts(new PeerAttributes(facts.zone(), facts.tier(), load, facts.release()));
+    PeerAttributes attributes = gossip.self().attributes();
+    double announced = Math.max(MIN_LOAD, attributes.load());
+    double change = Math.abs(Math.max(MIN_LOAD, averageLoad) - announced) / announced;
+    if (change > MIN_LOAD_CHANGE && !left) {
+      gossip.updateAttributes(
+          new PeerAttributes(
+              attributes.zone(), attributes.tier(), averageLoad, attributes.release()));
     }
   }
 
   private void send(String address, Message message) {
-    if (!doors.knows(address)) {
-      waiting.remove(address);
-      waiting.put(address, message);
+    if (!replayGuard.knowsSession(address)) {
+      pending.remove(address);
+      pending.put(address, message);
     }
-    InetSocketAddress to = table.ways().getOrDefault(address, Addresses.parse(address));
+    InetSocketAddress to = table.overrides().getOrDefault(address, Addresses.parse(address));
     if (to != null) {
-      write(new Datagram(doors.next(address), message, 0), to);
+      write(new Datagram(replayGuard.nextStamp(address), message, 0), to);
     }
   }
 
   private void write(Datagram datagram, InetSocketAddress to) {
-    byte[] bytes = datagram.bytes(keys);
+    byte[] bytes = datagram.encode(keys);
     boolean full =
         socket.unsafe().outboundBuffer() == null
-            || socket.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT_BYTES;
-    if (full || bytes.length > Datagram.MOST_BYTES) {
+            || socket.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES;
+    if (full || bytes.length > Datagram.MAX_BYTES) {
       dropped++;
       return;
     }
@@ -253,73 +274,83 @@
     socket.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
   }
 
-  private void take(byte[] bytes, InetSocketAddress from) throws Datagram.Refused {
-    Datagram datagram = Datagram.read(bytes, keys);
-    String address = reached.getOrDefault(from, Addresses.format(from));
+  private void receive(byte[] bytes, InetSocketAddress from) throws Datagram.RefusedException {
+    Datagram datagram = Datagram.decode(bytes, keys);
+    String address = announcedBySource.getOrDefault(from, Addresses.format(from));
     if (datagram.message() == null) {
-      knocks++;
-      Message again = waiting.remove(address);
-      if (doors.told(address, datagram.stamp(), datagram.answered()) && again != null) {
-        send(address, again);
+      sessionRequests++;
+      Message unsent = pending.remove(address);
+      if (replayGuard.learnSession(address, datagram.stamp(), datagram.answeredSequence())
+          && unsent != null) {
+        send(address, unsent);
       }
       return;
     }
-    switch (doors.take(datagram.stamp())) {
-      case OLD -> throw new Datagram.Refused(Datagram.Refusal.REPLAY);
-      case STRANGER -> {
-        knocks++;
-        write(new Datagram(doors.answer(datagram.stamp()), null, datagram.stamp().count()), from);
+    switch (replayGuard.check(datagram.stamp())) {
+      case REPLAYED -> throw new Datagram.RefusedException(Datagram.Refusal.REPLAY);
+      case WRONG_SESSION -> {
+        sessionRequests++;
+        write(
+            new Datagram(
+                replayGuard.answerStamp(datagram.stamp()), null, datagram.stamp().sequence()),
+            from);
       }
-      case NEW -> {
+      case FRESH -> {
         received++;
-        gossip.receive(System.nanoTime(), address, datagram.message(), wire);
-        tell();
+        gossip.receive(System.nanoTime(), address, datagram.message(), transport);
+        logChanges();
       }
     }
   }
 
-  private final class In extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       try {
-        take(ByteBufUtil.getBytes(packet.content()), packet.sender());
-      } catch (Datagram.Refused e) {
-        refused.merge(e.why, 1L, Long::sum);
-        Log.warn("peers refused", "a datagram from " + packet.sender() + ": " + e.why);
+        receive(ByteBufUtil.getBytes(packet.content()), packet.sender());
+      } catch (Datagram.RefusedException e) {
+        refusals.merge(e.reason, 1L, Long::sum);
+        Log.warn("peers refused", "a datagram from " + packet.sender() + ": " + e.reason);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (!(cause instanceof IOException)) { // Nobody listens there: as good as lost.
-        Log.error("peers", "a datagram could not be taken", cause);
+      if (!(cause
+          instanceof
+          IOException)) { // No process listens at the target: the same as a lost datagram.
+        Log.error("peers", "receiving a datagram failed", cause);
       }
     }
   }
 
-  // ---- for others ----
+  // ---- For other components ----
 
-  /** Those that count as there, this instance among them, by name; on the loop. */
+  /**
+   * The peers that count as present, including this instance, ordered by name; only on the event
+   * loop.
+   */
   public List<PeerRecord> presentPeers() {
     return gossip.presentPeers();
   }
 
-  /** What this instance says of itself; on the loop. */
+  /** The record that this instance announces about itself; only on the event loop. */
   public PeerRecord self() {
     return gossip.self();
   }
 
-  /** Those that were there and are not heard any more, as long as they are remembered. */
+  /** Number of peers that were declared dead and are still remembered. */
   public int deadPeerCount() {
-    return (int) gossip.held().stream().filter(each -> each.standing() == PeerStatus.DEAD).count();
+    return (int)
+        gossip.knownPeers().stream().filter(each -> each.status() == PeerStatus.DEAD).count();
   }
 
-  /** Adds the pages of peers to the admin listener. */
+  /** Adds the peers' pages to the admin listener. */
   public void addPages(AdminServer admin) {
     new PeersPages(this, table).add(admin);
   }
 
-  /** Adds what can be read of peers to the figures. */
+  /** Adds the peers' figures to the metrics. */
   public void addFigures(Metrics metrics) {
     metrics
         .gauge("peers.there", "balancers that count as there", () -> gossip.presentPeers().size())
@@ -340,11 +371,11 @@
     return left;
   }
 
-  /** The others count this instance as gone from now on; it goes on serving by itself. */
+  /** Announces that this instance leaves the membership; it continues to serve requests. */
   void leave() {
     if (!left) {
       left = true;
-      gossip.leave(wire);
+      gossip.leave(transport);
       Log.info("peers", table.instance() + " has left");
     }
   }
@@ -353,21 +384,21 @@
     Map<String, Long> counts = new LinkedHashMap<>();
     counts.put("sent", sent);
     counts.put("received", received);
-    counts.put("knocks", knocks);
+    counts.put("knocks", sessionRequests);
     counts.put("dropped", dropped);
     for (Datagram.Refusal each : Datagram.Refusal.values()) {
       counts.put(
           "refused_" + each.name().toLowerCase(java.util.Locale.ROOT),
-          refused.getOrDefault(each, 0L));
+          refusals.getOrDefault(each, 0L));
     }
     return counts;
   }
 
-  private void leaveAtEnd() {
+  private void leaveOnShutdown() {
     try {
-      node.loop().submit(this::leave).await(LEAVE_MILLIS);
+      node.loop().submit(this::leave).await(LEAVE_TIMEOUT_MILLIS);
     } catch (RejectedExecutionException e) {
-      // The loop has ended; the others will find out.
+      // The event loop has ended; the others will detect it.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -375,6 +406,6 @@
 
   @Override
   public void close() {
-    file.close();
+    keyFile.close();
   }
 }
--- a/src/main/java/heathswitch/proxy/gossip/KeyFileWatcher.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyFileWatcher.java
@@ -10,59 +10,62 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the file of keys: one that is replaced is taken whole once it has stayed as it is for a
- * look, else the keys stay as they were and the log says why. Reads on a thread of its own.
+ * Polls the key file and reloads it. A changed file is read once two polls in a row have found the
+ * same stamp. If it is not valid, the current keys stay in use and the reason is logged. Reads on
+ * its own thread.
  */
 final class KeyFileWatcher implements AutoCloseable {
   private static final long POLL_MILLIS = 500;
 
   private final Path path;
-  private final Consumer<KeyRing> taken;
+  private final Consumer<KeyRing> listener;
   private final ScheduledExecutorService poller;
-  private BoundedFile.Stamp seen;
+  private BoundedFile.Stamp lastStamp;
   private KeyRing keys;
-  private String told = "";
+  private String lastWarning = "";
 
   /**
-   * Follows it from now on.
+   * Starts to watch the file.
    *
-   * @param taken told of each that is to be used from now on, on the poller's thread
+   * @param keys the keys in use so far
+   * @param listener receives new keys, on the poller's thread
    */
-  KeyFileWatcher(Path path, KeyRing keys, Consumer<KeyRing> taken) {
+  KeyFileWatcher(Path path, KeyRing keys, Consumer<KeyRing> listener) {
     this.path = path;
     this.keys = keys;
-    this.taken = taken;
+    this.listener = listener;
     poller =
         Executors.newSingleThreadScheduledExecutor(
-            work -> {
-              Thread thread = new Thread(work, "peer-keys");
+            task -> {
+              Thread thread = new Thread(task, "peer-keys");
               thread.setDaemon(true);
               return thread;
             });
-    poller.scheduleWithFixedDelay(this::look, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
+    poller.scheduleWithFixedDelay(this::poll, 0, POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void look() {
+  private void poll() {
     try {
-      BoundedFile.Stamp now = BoundedFile.stamp(path);
-      boolean settled = now.equals(seen);
-      seen = now;
-      if (settled) {
-        KeyRing next = KeyRing.read(path); // At every look: two writes may leave one stamp.
-        told = "";
-        if (!next.like(keys)) {
+      BoundedFile.Stamp stamp = BoundedFile.stamp(path);
+      boolean unchanged = stamp.equals(lastStamp);
+      lastStamp = stamp;
+      if (unchanged) {
+        KeyRing next = KeyRing.read(path); // At every poll: two writes may leave the same stamp.
+        lastWarning = "";
+        if (!next.hasSameKeys(keys)) {
           keys = next;
-          Log.info("peer keys", "new keys; " + next.signs() + " signs");
-          taken.accept(next);
+          Log.info("peer keys", "new keys loaded; " + next.signingKeyId() + " signs");
+          listener.accept(next);
         }
       }
-    } catch (IOException | KeyRing.Unusable e) {
-      if (!told.equals(e.getMessage())) {
-        told = String.valueOf(e.getMessage());
-        Log.warn("peer keys", "keys left as they were: " + told);
+    } catch (IOException | KeyRing.InvalidKeysException e) {
+      if (!lastWarning.equals(e.getMessage())) {
+        lastWarning = String.valueOf(e.getMessage());
+        Log.warn("peer keys", "previous keys stay in use: " + lastWarning);
       }
     } catch (RuntimeException e) {
-      Log.error("peer keys", "keys left as they were", e); // Thrown on, it would end the looks.
+      // If it were thrown on, the executor would not poll again.
+      Log.error("peer keys", "previous keys stay in use", e);
     }
   }
 
--- a/src/main/java/heathswitch/proxy/gossip/KeyRing.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyRing.java
@@ -14,50 +14,51 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Secrets by id, from a file with a line for each: its id and the secret in Base64. The first
- * signs, all are accepted; so one is replaced by adding the new one behind everywhere, then putting
- * it first everywhere, then taking the old one away. For the event loop's thread, once read.
+ * Shared keys that authenticate datagrams, by id. They are read from a file with one key per line:
+ * its id and the secret in Base64. The first key signs, and all keys are accepted. A key is rotated
+ * by appending the new one on all balancers, then moving it to the first line on all, then removing
+ * the old one. After loading, for use on the event loop's thread only.
  */
 final class KeyRing {
-  /** HMAC-SHA256 (RFC 2104, FIPS 180-4), cut to its first 128 bits as RFC 4868 does. */
-  static final int SEAL_BYTES = 16;
+  /** HMAC-SHA256 (RFC 2104, FIPS 180-4), truncated to its first 128 bits as in RFC 4868. */
+  static final int TAG_BYTES = 16;
 
-  static final int MOST_FILE_BYTES = 4096;
+  static final int MAX_FILE_BYTES = 4096;
   private static final String ALGORITHM = "HmacSHA256";
-  private static final int LEAST_SECRET_BYTES = 16;
-  private static final int MOST_KEYS = 8;
+  private static final int MIN_SECRET_BYTES = 16;
+  private static final int MAX_KEYS = 8;
   private static final String ID = "[A-Za-z0-9_.-]{1,16}";
 
-  /** A file that can't be used; the message says why, with the line. */
-  static final class Unusable extends Exception {
+  /** The key file is not valid; the message says why and names the line. */
+  static final class InvalidKeysException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unusable(String message) {
+    InvalidKeysException(String message) {
       super(message);
     }
   }
 
   private final Map<String, Mac> macs;
-  private final String signs;
+  private final String signingKeyId;
 
-  private KeyRing(Map<String, Mac> macs, String signs) {
+  private KeyRing(Map<String, Mac> macs, String signingKeyId) {
     this.macs = macs;
-    this.signs = signs;
+    this.signingKeyId = signingKeyId;
   }
 
-  /** Reads a file; not for the event loop. */
-  static KeyRing read(Path path) throws Unusable {
+  /** Reads a key file; must not be called on the event loop. */
+  static KeyRing read(Path path) throws InvalidKeysException {
     try {
-      return parse(BoundedFile.text(BoundedFile.read(path, MOST_FILE_BYTES)));
+      return parse(BoundedFile.text(BoundedFile.read(path, MAX_FILE_BYTES)));
     } catch (IOException e) {
-      throw new Unusable(path + ": " + e.getMessage());
-    } catch (Unusable e) {
-      throw new Unusable(path + e.getMessage());
+      throw new InvalidKeysException(path + ": " + e.getMessage());
+    } catch (InvalidKeysException e) {
+      throw new InvalidKeysException(path + e.getMessage());
     }
   }
 
-  /** Lines that are empty or begin with # say nothing. */
-  static KeyRing parse(String text) throws Unusable {
+  /** Parses the text of a key file; empty lines and lines that begin with # are skipped. */
+  static KeyRing parse(String text) throws InvalidKeysException {
     Map<String, Mac> macs = new LinkedHashMap<>();
     int number = 0;
     for (String line : text.split("\n", -1)) {
@@ -65,77 +66,78 @@
       if (line.isBlank() || line.startsWith("#")) {
         continue;
       }
-      String[] words = line.trim().split("\\s+");
-      if (words.length != 2 || !words[0].matches(ID)) {
-        throw new Unusable(":" + number + ": an id (" + ID + ") and a secret expected");
+      String[] fields = line.trim().split("\\s+");
+      if (fields.length != 2 || !fields[0].matches(ID)) {
+        throw new InvalidKeysException(":" + number + ": an id (" + ID + ") and a secret expected");
       }
-      if (macs.size() >= MOST_KEYS) {
-        throw new Unusable(":" + number + ": over " + MOST_KEYS + " keys");
+      if (macs.size() >= MAX_KEYS) {
+        throw new InvalidKeysException(":" + number + ": over " + MAX_KEYS + " keys");
       }
-      if (macs.put(words[0], mac(words[1], number)) != null) {
-        throw new Unusable(":" + number + ": the id \"" + words[0] + "\" stands twice");
+      if (macs.put(fields[0], mac(fields[1], number)) != null) {
+        throw new InvalidKeysException(
+            ":" + number + ": the id \"" + fields[0] + "\" is used twice");
       }
     }
     if (macs.isEmpty()) {
-      throw new Unusable(": no key; a line with an id and a secret expected");
+      throw new InvalidKeysException(": no key; a line with an id and a secret expected");
     }
     return new KeyRing(macs, macs.keySet().iterator().next());
   }
 
-  private static Mac mac(String secret, int number) throws Unusable {
+  private static Mac mac(String secret, int number) throws InvalidKeysException {
     try {
       byte[] bytes = Base64.getDecoder().decode(secret);
-      if (bytes.length < LEAST_SECRET_BYTES) {
-        throw new Unusable(
+      if (bytes.length < MIN_SECRET_BYTES) {
+        throw new InvalidKeysException(
             ":" + number + ": a secret of " + bytes.length + " bytes; 16 or more expected");
       }
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(bytes, ALGORITHM));
       return mac;
     } catch (IllegalArgumentException e) {
-      throw new Unusable(":" + number + ": the secret is not in Base64");
+      throw new InvalidKeysException(":" + number + ": the secret is not in Base64");
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException(e); // Every JDK has it.
+      throw new IllegalStateException(e); // Every JDK provides this algorithm.
     }
   }
 
   /** The id of the key that signs. */
-  String signs() {
-    return signs;
+  String signingKeyId() {
+    return signingKeyId;
   }
 
-  /** The seal of the first bytes by a key, or null where that key is not held. */
-  private byte[] seal(String id, byte[] bytes, int length) {
+  /** The authentication tag of the first bytes under a key, or null if there is no such key. */
+  private byte[] tag(String id, byte[] bytes, int length) {
     Mac mac = macs.get(id);
     if (mac == null) {
       return null;
     }
     mac.update(bytes, 0, length);
-    return Arrays.copyOf(mac.doFinal(), SEAL_BYTES);
+    return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
   }
 
-  /** The seal by the key that signs. */
-  byte[] seal(byte[] bytes, int length) {
-    return seal(signs, bytes, length);
+  /** The authentication tag of the first bytes under the signing key. */
+  byte[] tag(byte[] bytes, int length) {
+    return tag(signingKeyId, bytes, length);
   }
 
-  /** Whether what follows the first bytes is their seal by a key that is held. */
-  boolean sealed(String id, byte[] bytes, int length) {
-    byte[] seal = seal(id, bytes, length);
-    return seal != null
-        && bytes.length == length + SEAL_BYTES
-        && MessageDigest.isEqual(seal, Arrays.copyOfRange(bytes, length, bytes.length));
+  /** Whether the first bytes are followed by their authentication tag under a known key. */
+  boolean verify(String id, byte[] bytes, int length) {
+    byte[] tag = tag(id, bytes, length);
+    return tag != null
+        && bytes.length == length + TAG_BYTES
+        && MessageDigest.isEqual(tag, Arrays.copyOfRange(bytes, length, bytes.length));
   }
 
-  /** Whether it is the same secret by the same id that signs, and as many are held. */
-  boolean like(KeyRing other) {
-    byte[] probe = signs.getBytes(StandardCharsets.US_ASCII);
-    return signs.equals(other.signs)
+  /** Whether both have the same signing key id, and the same ids with the same secrets. */
+  boolean hasSameKeys(KeyRing other) {
+    byte[] sample = signingKeyId.getBytes(StandardCharsets.US_ASCII);
+    return signingKeyId.equals(other.signingKeyId)
         && macs.keySet().equals(other.macs.keySet())
         && macs.keySet().stream()
             .allMatch(
                 id ->
                     Arrays.equals(
-                        seal(id, probe, probe.length), other.seal(id, probe, probe.length)));
+                        tag(id, sample, sample.length), other.tag(id, sample, sample.length)));
   }
 }
--- a/src/main/java/heathswitch/proxy/gossip/PeersPages.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersPages.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The pages of peers on the admin listener, answered on the loop. */
+/** The peers' pages on the admin listener; requests are answered on the event loop. */
 final class PeersPages {
-  private final GossipService peering;
+  private final GossipService service;
   private final PeersTable table;
 
-  PeersPages(GossipService peering, PeersTable table) {
-    this.peering = peering;
+  PeersPages(GossipService service, PeersTable table) {
+    this.service = service;
     this.table = table;
   }
 
@@ -28,7 +28,7 @@
     reply.accept(
         rest.isEmpty()
             ? AdminServer.Reply.ok(page())
-            : AdminServer.Reply.error(404, "peers expected, and nothing after it"));
+            : AdminServer.Reply.error(404, "unknown page; expected peers without a further path"));
   }
 
   private void change(String rest, Consumer<AdminServer.Reply> reply) {
@@ -36,44 +36,44 @@
       reply.accept(AdminServer.Reply.error(404, "peers/leave expected"));
       return;
     }
-    peering.leave();
+    service.leave();
     reply.accept(
         AdminServer.Reply.ok(
             Map.of("message", table.instance() + " has left until its next start")));
   }
 
   private Map<String, Object> page() {
-    Gossip gossip = peering.gossip();
+    Gossip gossip = service.gossip();
     Map<String, Object> page = new LinkedHashMap<>();
     page.put("instance", table.instance());
     page.put("there", gossip.presentPeers().size());
-    page.put("left", peering.hasLeft());
-    page.put("doubled", gossip.doubled());
+    page.put("left", service.hasLeft());
+    page.put("doubled", gossip.nameConflict());
     page.put("slowness", gossip.slowness());
     page.put("self", row(gossip.self()));
     List<Object> rows = new ArrayList<>();
     long now = System.nanoTime();
-    for (Gossip.Seen each : gossip.seen()) {
-      Map<String, Object> row = row(each.word());
+    for (Gossip.PeerView each : gossip.peerViews()) {
+      Map<String, Object> row = row(each.record());
       row.put("since_ms", (now - each.sinceNanos()) / 1_000_000);
-      row.put("suspected_by", each.suspects());
-      row.put("trip_ms", each.tripNanos() < 0 ? -1 : each.tripNanos() / 1e6);
+      row.put("suspected_by", each.suspecters());
+      row.put("trip_ms", each.roundTripNanos() < 0 ? -1 : each.roundTripNanos() / 1e6);
       rows.add(row);
     }
     page.put("peers", rows);
-    page.put("datagrams", peering.counts());
+    page.put("datagrams", service.counts());
     return page;
   }
 
-  private static Map<String, Object> row(PeerRecord word) {
+  private static Map<String, Object> row(PeerRecord peer) {
     Map<String, Object> row = new LinkedHashMap<>();
-    row.put("name", word.name());
-    row.put("standing", GossipService.lower(word.standing()));
-    row.put("address", word.address());
-    row.put("zone", word.attributes().zone());
-    row.put("load", word.attributes().load());
-    row.put("release", word.attributes().release());
-    row.put("incarnation", word.incarnation());
+    row.put("name", peer.name());
+    row.put("standing", GossipService.lowerCase(peer.status()));
+    row.put("address", peer.address());
+    row.put("zone", peer.attributes().zone());
+    row.put("load", peer.attributes().load());
+    row.put("release", peer.attributes().release());
+    row.put("incarnation", peer.incarnation());
     return row;
   }
 }
--- a/src/main/java/heathswitch/proxy/gossip/PeersTable.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersTable.java
@@ -15,12 +15,13 @@
  * The table {@code [peers]} of the configuration.
  *
  * @param instance this balancer's name among the peers
- * @param listen where it takes datagrams
- * @param address where others reach it
- * @param seeds addresses to begin with
- * @param keys the file of keys
- * @param zone where it is, as told to the others; empty for nowhere in particular
- * @param ways addresses of others that this one reaches at another one
+ * @param listen local address of the datagram socket
+ * @param address address at which other peers reach this one
+ * @param seeds addresses of peers to contact first
+ * @param keys path of the key file
+ * @param zone zone that is announced to the others; empty if this balancer has none
+ * @param overrides announced addresses of other peers, with the address at which this one reaches
+ *     each
  */
 public record PeersTable(
     String instance,
@@ -29,21 +30,22 @@
     List<String> seeds,
     Path keys,
     String zone,
-    GossipTiming pace,
-    Map<String, InetSocketAddress> ways) {
-  private static final int MOST_SEEDS = 32;
-  private static final int MOST_WAYS = 4096;
-  private static final String OPEN = "what peers say is signed and not hidden";
+    GossipTiming timing,
+    Map<String, InetSocketAddress> overrides) {
+  private static final int MAX_SEEDS = 32;
+  private static final int MAX_OVERRIDES = 4096;
+  private static final String NOT_ENCRYPTED = "gossip between peers is signed but not encrypted";
 
   public PeersTable {
     seeds = List.copyOf(seeds);
-    ways = Map.copyOf(ways);
+    overrides = Map.copyOf(overrides);
   }
 
   /**
-   * Reads and checks the table; null where there is none, and the subsystem is off.
+   * Reads and checks the table. Returns null if there is none, which turns the subsystem off, or if
+   * a required setting is missing or wrong.
    *
-   * @param zone this balancer's, or null
+   * @param zone this balancer's zone, or null
    */
   public static PeersTable read(Document document, String zone) {
     Section table = document.root().table("peers");
@@ -57,29 +59,29 @@
     if (zone != null && !zone.matches(Datagram.ZONE)) {
       table.fault("instance", "is in the zone \"" + zone + "\"; up to 32 of A-Z a-z 0-9 . _ -");
     }
-    boolean apart = table.flag("private_network", false);
+    boolean privateNetwork = table.flag("private_network", false);
     InetSocketAddress listen = table.address("listen", true);
     InetSocketAddress address = table.has("address") ? table.address("address", true) : listen;
-    table.nearby("listen", listen, apart, OPEN);
-    table.nearby("address", address, apart, OPEN);
+    table.nearby("listen", listen, privateNetwork, NOT_ENCRYPTED);
+    table.nearby("address", address, privateNetwork, NOT_ENCRYPTED);
     String keys = table.text("keys", null);
     List<String> seeds = new ArrayList<>();
     for (String seed : table.texts("seeds", false)) {
-      InetSocketAddress at = Addresses.parse(seed);
-      if (at == null || seeds.size() >= MOST_SEEDS) {
-        table.fault(
-            "seeds", "has \"" + seed + "\"; up to " + MOST_SEEDS + " ADDRESS:PORT expected");
+      InetSocketAddress parsed = Addresses.parse(seed);
+      if (parsed == null || seeds.size() >= MAX_SEEDS) {
+        table.fault("seeds", "has \"" + seed + "\"; up to " + MAX_SEEDS + " ADDRESS:PORT expected");
       } else {
-        table.nearby("seeds", at, apart, OPEN);
-        seeds.add(Addresses.format(at));
+        table.nearby("seeds", parsed, privateNetwork, NOT_ENCRYPTED);
+        seeds.add(Addresses.format(parsed));
       }
     }
     long period = table.nanos("period", "1s", "100ms", "1min");
     long answer = table.nanos("answer", "300ms", "10ms", "30s");
     if (answer * 2 > period) {
-      table.fault("answer", "is over half of the period; others could not be asked in time");
+      table.fault(
+          "answer", "is over half of the period; no time would be left for indirect probes");
     }
-    Map<String, InetSocketAddress> ways = ways(table);
+    Map<String, InetSocketAddress> overrides = overrides(table);
     table.end();
     return instance == null || listen == null || address == null || keys == null
         ? null
@@ -93,25 +95,28 @@
             new GossipTiming(
                 period,
                 answer,
-                GossipTiming.NEAR.relays(),
-                GossipTiming.NEAR.suspicionPeriods(),
-                GossipTiming.NEAR.forgetNanos() / GossipTiming.NEAR.periodNanos() * period),
-            ways);
+                GossipTiming.LOCAL_NETWORK.indirectProbes(),
+                GossipTiming.LOCAL_NETWORK.suspicionPeriods(),
+                GossipTiming.LOCAL_NETWORK.retentionNanos()
+                    / GossipTiming.LOCAL_NETWORK.probePeriodNanos()
+                    * period),
+            overrides);
   }
 
-  private static Map<String, InetSocketAddress> ways(Section table) {
-    Map<String, InetSocketAddress> ways = new HashMap<>();
-    for (Section way : table.tables("way")) {
-      InetSocketAddress to = way.address("to", true);
-      InetSocketAddress by = way.address("by", true);
-      way.end();
-      if (to == null || by == null) {
+  private static Map<String, InetSocketAddress> overrides(Section table) {
+    Map<String, InetSocketAddress> overrides = new HashMap<>();
+    for (Section override : table.tables("way")) {
+      InetSocketAddress announced = override.address("to", true);
+      InetSocketAddress actual = override.address("by", true);
+      override.end();
+      if (announced == null || actual == null) {
         continue;
       }
-      if (ways.put(Addresses.format(to), by) != null || ways.size() > MOST_WAYS) {
-        way.fault("to", "stands twice, or after " + MOST_WAYS + " others");
+      if (overrides.put(Addresses.format(announced), actual) != null
+          || overrides.size() > MAX_OVERRIDES) {
+        override.fault("to", "is a duplicate, or one of more than " + MAX_OVERRIDES);
       }
     }
-    return ways;
+    return overrides;
   }
 }
--- a/src/main/java/heathswitch/proxy/gossip/package-info.java
+++ b/src/main/java/heathswitch/proxy/gossip/package-info.java
@@ -1,5 +1,6 @@
 /**
- * This balancer among the others: the gossip of {@link heathswitch.policy.gossip} over datagrams
- * that only holders of a common key can make, see {@code docs/design/subsets.md}.
+ * This balancer's membership among its peers: carries the gossip of {@link
+ * heathswitch.policy.gossip} in datagrams that only holders of a shared key can create; see {@code
+ * docs/design/subsets.md}.
  */
 package heathswitch.proxy.gossip;
--- a/src/main/java/heathswitch/testbed/gossip/GossipSimulation.java
+++ b/src/main/java/heathswitch/testbed/gossip/GossipSimulation.java
@@ -17,18 +17,19 @@
 import java.util.TreeSet;
 
 /**
- * Instances with the real module, in virtual time: each with a clock of its own that began anywhere
- * and runs up to 2% apart; datagrams are lost, doubled and overtake each other; instances are
- * stopped, killed and started again, and ways are cut one way or both.
+ * Simulates a fleet of instances that run the real {@link Gossip} in virtual time. Each instance
+ * has its own clock with an arbitrary origin and a rate that deviates by up to 2%. Datagrams are
+ * lost, duplicated and reordered; instances are paused, killed and restarted; links are cutLinks in
+ * one direction or both.
  */
 final class GossipSimulation {
   static final long MILLI = 1_000_000L;
   static final long TICK = 100 * MILLI;
 
-  /** So long that an instance notices that it was stopped. */
+  /** A pause longer than this is noticed by the paused instance itself. */
   private static final long LONG_PAUSE = 1500 * MILLI;
 
-  /** Whether it is there, as the world knows it. */
+  /** One instance and its true state. */
   static final class Node {
     String name;
     String address;
@@ -38,16 +39,16 @@
     boolean alive;
     boolean paused;
 
-    /** Whether it was stopped for long, and has neither heard anything nor made a step since. */
-    boolean woke;
+    /** Whether it was paused for long and has neither received a message nor run a tick since. */
+    boolean justResumed;
 
     long pausedAt;
 
-    /** What it sent since counting began. */
+    /** Messages that it sent since the counter was reset. */
     long sent;
 
-    /** What it held last of each of the others. */
-    final Map<String, PeerRecord> heldLast = new HashMap<>();
+    /** The record that it last had of each other instance. */
+    final Map<String, PeerRecord> lastRecords = new HashMap<>();
 
     Node(String name, String address, double rate, long offset) {
       this.name = name;
@@ -66,22 +67,23 @@
           (a, b) ->
               a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
 
-  /** Datagrams for one that is stopped: its socket holds some of them. */
-  private final Map<Node, List<Event>> held = new HashMap<>();
+  /** Datagrams that wait in the socket buffer of a paused instance. */
+  private final Map<Node, List<Event>> buffered = new HashMap<>();
 
-  private final Set<List<String>> cut = new HashSet<>();
+  private final Set<List<String>> cutLinks = new HashSet<>();
   private final SplittableRandom random;
-  private NetworkConditions weather = NetworkConditions.FAIR;
+  private NetworkConditions conditions = NetworkConditions.NORMAL;
   private long now;
-  private long orders;
+  private long eventCount;
 
-  /** The first thing that must never be, or null. */
-  private String broken;
+  /** The first violation of an invariant, or null. */
+  private String violation;
 
-  /** Names of those that nobody may hold for dead, and of those that nobody may even suspect. */
-  private final Set<String> well = new HashSet<>();
+  /** Names of instances that no other one may consider dead. */
+  private final Set<String> neverDead = new HashSet<>();
 
-  private final Set<String> unsuspected = new HashSet<>();
+  /** Names of instances that no other one may suspect. */
+  private final Set<String> neverSuspected = new HashSet<>();
 
   GossipSimulation(int size, long seed) {
     random = new SplittableRandom(seed);
@@ -101,15 +103,15 @@
     return now / MILLI;
   }
 
-  void weather(NetworkConditions next) {
-    weather = next;
+  void setConditions(NetworkConditions newConditions) {
+    conditions = newConditions;
   }
 
-  /** A new process, which knows its name, its address and two seeds. */
+  /** Starts a new process, which canReach only its name, its address and two seeds. */
   void start(Node node) {
     node.alive = true;
     node.paused = false;
-    held.remove(node);
+    buffered.remove(node);
     PeerRecord self =
         new PeerRecord(
             node.name,
@@ -119,13 +121,13 @@
             PeerStatus.ALIVE,
             new PeerAttributes(nodes.indexOf(node) % 2 == 0 ? "a" : "b", 0, 10, 1));
     List<String> seeds = List.of(nodes.get(0).address, nodes.get(1).address);
-    node.gossip = new Gossip(GossipTiming.NEAR, self, seeds, random.nextLong());
-    node.heldLast.clear();
+    node.gossip = new Gossip(GossipTiming.LOCAL_NETWORK, self, seeds, random.nextLong());
+    node.lastRecords.clear();
     schedule(node, now + random.nextLong(TICK));
   }
 
   private void schedule(Node node, long at) {
-    events.add(new Event(at, orders++, node, null, null));
+    events.add(new Event(at, eventCount++, node, null, null));
   }
 
   void kill(Node node) {
@@ -137,36 +139,37 @@
     node.pausedAt = now;
   }
 
-  void wake(Node node) {
+  void resume(Node node) {
     node.paused = false;
-    node.woke = now - node.pausedAt > LONG_PAUSE;
+    node.justResumed = now - node.pausedAt > LONG_PAUSE;
     if (random.nextBoolean()) {
-      held.remove(node); // Its socket held nothing.
+      buffered.remove(node); // The datagrams in its socket buffer are lost.
     }
-    // What its socket held comes at once, in any order with its own next step.
-    for (Event each : held.getOrDefault(node, List.of())) {
+    // The buffered datagrams arrive at once, in random order relative to its next tick.
+    for (Event each : buffered.getOrDefault(node, List.of())) {
       events.add(
-          new Event(now + random.nextLong(MILLI), orders++, node, each.from(), each.message()));
+          new Event(now + random.nextLong(MILLI), eventCount++, node, each.from(), each.message()));
     }
-    held.remove(node);
+    buffered.remove(node);
   }
 
-  /** Nothing comes through from one to the other. */
-  void cut(Node from, Node to, boolean broken) {
-    List<String> way = List.of(from.address, to.address);
-    if (broken) {
-      cut.add(way);
+  /** Cuts or restores the link in one direction. */
+  void setCut(Node from, Node to, boolean isCut) {
+    List<String> link = List.of(from.address, to.address);
+    if (isCut) {
+      cutLinks.add(link);
     } else {
-      cut.remove(way);
+      cutLinks.remove(link);
     }
   }
 
+  /** Restores all links, normal network conditions and all paused instances. */
   void heal() {
-    cut.clear();
-    weather = NetworkConditions.FAIR;
+    cutLinks.clear();
+    conditions = NetworkConditions.NORMAL;
     for (Node node : nodes) {
       if (node.paused) {
-        wake(node);
+        resume(node);
       }
     }
   }
@@ -175,21 +178,24 @@
     from.sent++;
     Node target = byAddress.get(to);
     if (target == null
-        || cut.contains(List.of(from.address, to))
-        || random.nextDouble() < weather.lost()) {
+        || cutLinks.contains(List.of(from.address, to))
+        || random.nextDouble() < conditions.lossRate()) {
       return;
     }
-    int times = random.nextDouble() < weather.twice() ? 2 : 1;
-    for (int i = 0; i < times; i++) {
-      long way = weather.fromNanos() + random.nextLong(weather.toNanos() - weather.fromNanos());
-      events.add(new Event(now + way, orders++, target, from.address, message));
+    int copies = random.nextDouble() < conditions.duplicateRate() ? 2 : 1;
+    for (int i = 0; i < copies; i++) {
+      long delay =
+          conditions.minDelayNanos()
+              + random.nextLong(conditions.maxDelayNanos() - conditions.minDelayNanos());
+      events.add(new Event(now + delay, eventCount++, target, from.address, message));
     }
   }
 
-  private static final int MOST_HELD = 200;
+  /** Maximum number of datagrams in the socket buffer of a paused instance. */
+  private static final int MAX_BUFFERED = 200;
 
-  /** Lets time pass. */
-  void pass(long nanos) {
+  /** Advances the virtual time and processes the events that are due. */
+  void advance(long nanos) {
     long until = now + nanos;
     while (!events.isEmpty() && events.peek().at() <= until) {
       Event event = events.poll();
@@ -200,22 +206,23 @@
       }
       if (event.message() == null) {
         if (!node.paused) {
-          Set<String> doubted = node.woke ? doubted(node) : null;
+          Set<String> notAlive = node.justResumed ? notAlive(node) : null;
           node.gossip.tick(clock(node), (to, message) -> send(node, to, message));
-          if (node.woke && !doubted.containsAll(doubted(node))) {
-            broken(node.name + " condemns somebody for the time in which it was stopped itself");
+          if (node.justResumed && !notAlive.containsAll(notAlive(node))) {
+            violation(node.name + " suspects a peer because of its own pause");
           }
-          node.woke = false;
-          watch(node);
+          node.justResumed = false;
+          checkInvariants(node);
         }
         schedule(node, now + TICK);
       } else if (node.paused) {
-        List<Event> waiting = held.computeIfAbsent(node, any -> new ArrayList<>());
-        if (waiting.size() < MOST_HELD) {
-          waiting.add(event);
+        List<Event> buffer = buffered.computeIfAbsent(node, any -> new ArrayList<>());
+        if (buffer.size() < MAX_BUFFERED) {
+          buffer.add(event);
         }
       } else {
-        node.woke = false; // What it doubts from now on may be what it was told.
+        node.justResumed =
+            false; // From now on, the message may be the reason why it suspects a peer.
         node.gossip.receive(
             clock(node), event.from(), event.message(), (to, message) -> send(node, to, message));
       }
@@ -227,33 +234,33 @@
     return node.offset + (long) (now * node.rate);
   }
 
-  /** From now on nobody may hold these for dead, and nobody may suspect those. */
-  void hold(Set<String> asWell, Set<String> asUnsuspected) {
-    well.addAll(asWell);
-    unsuspected.addAll(asUnsuspected);
+  /** From now on, no instance may consider the first ones dead or suspect the second ones. */
+  void requireHealthy(Set<String> namesNeverDead, Set<String> namesNeverSuspected) {
+    neverDead.addAll(namesNeverDead);
+    neverSuspected.addAll(namesNeverSuspected);
   }
 
-  /** A process by another name at the same address, in place of the one that was there. */
-  void rename(Node node) {
+  /** Replaces the process at an address by one with another name. */
+  void restartRenamed(Node node) {
     node.alive = false;
     node.name = node.name + "+";
     start(node);
   }
 
-  /** Another process by the name of a node that is there, at the address of this one. */
-  void twin(Node node, Node of) {
+  /** Restarts a node under the name of another node that is running. */
+  void restartAsDuplicate(Node node, Node original) {
     node.alive = false;
-    node.name = of.name;
+    node.name = original.name;
     start(node);
   }
 
-  /** How many of those that live keep still, as another process goes by their name. */
-  long still() {
-    return nodes.stream().filter(node -> node.alive && node.gossip.doubled()).count();
+  /** Number of running nodes that are silent because another process uses their name. */
+  long silentCount() {
+    return nodes.stream().filter(node -> node.alive && node.gossip.nameConflict()).count();
   }
 
-  /** The same name at another address. */
-  void move(Node node) {
+  /** Replaces a process by one with the same name at another address. */
+  void restartMoved(Node node) {
     node.alive = false;
     byAddress.remove(node.address);
     node.address = node.address + "0";
@@ -261,73 +268,74 @@
     start(node);
   }
 
-  /** Whom it holds for less than there, and how. */
-  private static Set<String> doubted(Node node) {
-    Set<String> doubted = new TreeSet<>();
-    for (PeerRecord word : node.gossip.held()) {
-      if (word.standing() != PeerStatus.ALIVE) {
-        doubted.add(word.name() + word.standing());
+  /** The peers that a node does not consider alive, with their status. */
+  private static Set<String> notAlive(Node node) {
+    Set<String> notAlive = new TreeSet<>();
+    for (PeerRecord record : node.gossip.knownPeers()) {
+      if (record.status() != PeerStatus.ALIVE) {
+        notAlive.add(record.name() + record.status());
       }
     }
-    return doubted;
+    return notAlive;
   }
 
-  private void watch(Node by) {
-    for (PeerRecord word : by.gossip.held()) {
-      if (word.standing() == PeerStatus.DEAD && well.contains(word.name())
-          || word.standing() != PeerStatus.ALIVE && unsuspected.contains(word.name())) {
-        broken(by.name + " holds " + word);
+  private void checkInvariants(Node observer) {
+    for (PeerRecord record : observer.gossip.knownPeers()) {
+      if (record.status() == PeerStatus.DEAD && neverDead.contains(record.name())
+          || record.status() != PeerStatus.ALIVE && neverSuspected.contains(record.name())) {
+        violation(observer.name + " has the record " + record);
       }
-      PeerRecord before = by.heldLast.put(word.name(), word);
-      if (before != null && before != word && goesBack(before, word)) {
-        broken(by.name + " went back from " + before + " to " + word);
+      PeerRecord before = observer.lastRecords.put(record.name(), record);
+      if (before != null && before != record && isOlder(before, record)) {
+        violation(observer.name + " replaced " + before + " by the older " + record);
       }
     }
   }
 
-  private static boolean goesBack(PeerRecord before, PeerRecord word) {
-    return before.incarnation() > word.incarnation()
-        || before.incarnation() == word.incarnation()
-            && before.process() == word.process()
-            && before.standing().compareTo(word.standing()) > 0;
+  private static boolean isOlder(PeerRecord before, PeerRecord after) {
+    return before.incarnation() > after.incarnation()
+        || before.incarnation() == after.incarnation()
+            && before.processNonce() == after.processNonce()
+            && before.status().compareTo(after.status()) > 0;
   }
 
-  private void broken(String what) {
-    broken = broken == null ? nowMillis() + " ms: " + what : broken;
+  private void violation(String text) {
+    violation = violation == null ? nowMillis() + " ms: " + text : violation;
   }
 
-  String broken() {
-    return broken;
+  String violation() {
+    return violation;
   }
 
   /**
-   * Whether those that live can find each other at all: by the addresses that each holds, and by
-   * the seeds, which all know.
+   * Whether the running instances can find each other at all, by the addresses that each one knows
+   * and by the seeds, which all of them know.
    */
   boolean connected() {
-    List<Node> live = nodes.stream().filter(node -> node.alive).toList();
-    Set<Node> reached = new HashSet<>(live.subList(0, Math.min(1, live.size())));
-    for (boolean more = true; more; ) {
-      more = false;
-      for (Node node : live) {
-        for (Node other : live) {
+    List<Node> running = nodes.stream().filter(node -> node.alive).toList();
+    Set<Node> reached = new HashSet<>(running.subList(0, Math.min(1, running.size())));
+    for (boolean changed = true; changed; ) {
+      changed = false;
+      for (Node node : running) {
+        for (Node other : running) {
           if (reached.contains(node) != reached.contains(other)
-              && (knows(node, other) || knows(other, node))) {
+              && (canReach(node, other) || canReach(other, node))) {
             reached.add(node);
             reached.add(other);
-            more = true;
+            changed = true;
           }
         }
       }
     }
-    return reached.size() == live.size();
+    return reached.size() == running.size();
   }
 
-  private boolean knows(Node node, Node other) {
+  private boolean canReach(Node node, Node other) {
     return nodes.indexOf(other) < 2
-        || node.gossip.held().stream()
+        || node.gossip.knownPeers().stream()
             .anyMatch(
-                word -> word.address().equals(other.address) && word.standing() != PeerStatus.LEFT);
+                record ->
+                    record.address().equals(other.address) && record.status() != PeerStatus.LEFT);
   }
 
   private Set<String> alive() {
@@ -336,28 +344,28 @@
     return alive;
   }
 
-  /** Whether all that live see just those that live. */
+  /** Whether every running instance sees exactly the running instances. */
   boolean agrees() {
     return disagreement() == null;
   }
 
-  /** Who sees what, where that is not what there is; else null. */
+  /** Describes the first instance with a wrong view of the membership; null if there is none. */
   String disagreement() {
     Set<String> alive = alive();
     for (Node node : nodes) {
       if (node.alive) {
         Set<String> seen = new TreeSet<>();
-        node.gossip.presentPeers().forEach(word -> seen.add(word.name()));
+        node.gossip.presentPeers().forEach(record -> seen.add(record.name()));
         if (!seen.equals(alive)) {
           Set<String> missing = new TreeSet<>(alive);
           missing.removeAll(seen);
           seen.removeAll(alive);
-          return node.name + " misses " + missing + " and holds " + seen;
+          return node.name + " misses " + missing + " and wrongly has " + seen;
         }
         for (Node other : nodes) {
           PeerRecord self = other.alive ? other.gossip.self() : null;
           if (self != null && node.gossip.presentPeers().stream().noneMatch(self::equals)) {
-            return node.name + " does not know what " + self + " says of itself";
+            return node.name + " does not have the latest record " + self;
           }
         }
       }
@@ -365,37 +373,43 @@
     return null;
   }
 
-  /** Messages of a member in a second of so long a calm. */
+  /** Messages per second and member, measured over a span of time. */
   double messagesPerSecond(long nanos) {
     nodes.forEach(node -> node.sent = 0);
-    pass(nanos);
+    advance(nanos);
     long sent = nodes.stream().filter(node -> node.alive).mapToLong(node -> node.sent).sum();
     return sent / (nanos / 1e9) / alive().size();
   }
 
-  /** Until all agree and nobody suspects anybody, or -1 after so long. */
-  long untilSettled(long most) {
-    for (long waited = 0; waited <= most; waited += TICK) {
+  /**
+   * Advances until all views are right and no instance is suspected. Returns the nanoseconds this
+   * took, or -1 after the maximum.
+   */
+  long untilSettled(long maxNanos) {
+    for (long waited = 0; waited <= maxNanos; waited += TICK) {
       if (agrees() && nodes.stream().noneMatch(node -> node.alive && suspects(node))) {
         return waited;
       }
-      pass(TICK);
+      advance(TICK);
     }
     return -1;
   }
 
   private static boolean suspects(Node node) {
-    return node.gossip.held().stream().anyMatch(word -> word.standing() == PeerStatus.SUSPECT);
+    return node.gossip.knownPeers().stream()
+        .anyMatch(record -> record.status() == PeerStatus.SUSPECT);
   }
 
-  /** Until all agree, or -1 after so long. */
-  long untilAgreed(long most) {
-    for (long waited = 0; waited < most; waited += TICK) {
+  /**
+   * Advances until all views are right. Returns the nanoseconds this took, or -1 after the maximum.
+   */
+  long untilAgreed(long maxNanos) {
+    for (long waited = 0; waited < maxNanos; waited += TICK) {
       if (agrees()) {
         return waited;
       }
-      pass(TICK);
+      advance(TICK);
     }
-    return agrees() ? most : -1;
+    return agrees() ? maxNanos : -1;
   }
 }
--- a/src/main/java/heathswitch/testbed/gossip/GossipTraffic.java
+++ b/src/main/java/heathswitch/testbed/gossip/GossipTraffic.java
@@ -1,19 +1,19 @@
 package heathswitch.testbed.gossip;
 
-/** What members of a fleet of any size send each other in calm. */
+/** Measures the gossip traffic of a fleet without faults. */
 public final class GossipTraffic {
   private static final long MINUTE = 60_000 * GossipSimulation.MILLI;
 
   private GossipTraffic() {}
 
-  /** Datagrams that a member sends a second, without those of first meetings. */
+  /** Datagrams per second that each member sends, not counting the exchange of session ids. */
   public static double messagesPerMemberPerSecond(int members) {
-    GossipSimulation colony = new GossipSimulation(members, 7);
-    colony.nodes().forEach(colony::start);
-    if (colony.untilSettled(10 * MINUTE) < 0) {
-      throw new IllegalStateException("no agreement: " + colony.disagreement());
+    GossipSimulation simulation = new GossipSimulation(members, 7);
+    simulation.nodes().forEach(simulation::start);
+    if (simulation.untilSettled(10 * MINUTE) < 0) {
+      throw new IllegalStateException("no agreement: " + simulation.disagreement());
     }
-    colony.pass(MINUTE / 6);
-    return colony.messagesPerSecond(MINUTE / 2);
+    simulation.advance(MINUTE / 6);
+    return simulation.messagesPerSecond(MINUTE / 2);
   }
 }
--- a/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
@@ -9,33 +9,36 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.LongStream;
 
-/** Many schedules of faults, each by a seed, and what has to hold during and after each of them. */
+/**
+ * Runs many random schedules of faults, each derived from a seed, and checks the invariants of the
+ * gossip during and after each of them.
+ */
 final class PeersExplorer {
   private static final int STEPS = 30;
 
-  /** After the last fault all who live see just those who live within this time. */
-  static final long CALM_NANOS = 120_000 * GossipSimulation.MILLI;
+  /** Time after the last fault within which all views of the membership must be right. */
+  static final long SETTLE_NANOS = 120_000 * GossipSimulation.MILLI;
 
-  /** No datagram is longer on its way. */
-  private static final long LATE_NANOS = 300 * GossipSimulation.MILLI;
+  /** Longer than any datagram is delayed. */
+  private static final long MAX_DELAY_NANOS = 300 * GossipSimulation.MILLI;
 
-  /** Shorter than the least time to refute a suspicion. */
-  private static final long SHORT_PAUSE_MILLIS = 3000;
+  /** Shorter than the minimum suspicion timeout. */
+  private static final long MAX_SHORT_PAUSE_MILLIS = 3000;
 
   private PeersExplorer() {}
 
-  /** What did not hold, after which faults. */
-  record Finding(long seed, String what, List<String> faults) {}
+  /** A violation, and the faults that led to it. */
+  record Finding(long seed, String violation, List<String> faults) {}
 
-  /** So many schedules on all cores; the first finding or null. */
-  static Finding random(long from, long schedules) {
+  /** Runs a number of schedules on all cores. Returns the first finding, or null. */
+  static Finding runSchedules(long firstSeed, long schedules) {
     AtomicReference<Finding> found = new AtomicReference<>();
-    LongStream.range(from, from + schedules)
+    LongStream.range(firstSeed, firstSeed + schedules)
         .parallel()
         .forEach(
             seed -> {
               if (found.get() == null) {
-                Finding finding = play(seed);
+                Finding finding = runSchedule(seed);
                 if (finding != null) {
                   found.compareAndSet(null, finding);
                 }
@@ -44,150 +47,156 @@
     return found.get();
   }
 
-  /** One schedule; null if all held. */
-  static Finding play(long seed) {
+  /** Runs one schedule. Returns null if no invariant was violated. */
+  static Finding runSchedule(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = new ArrayList<>();
     if (seed % 8 == 0) {
-      return twins(seed, random, faults);
+      return runNameConflict(seed, random, faults);
     }
-    GossipSimulation colony = new GossipSimulation(3 + random.nextInt(6), random.nextLong());
-    colony.nodes().forEach(colony::start);
+    GossipSimulation simulation = new GossipSimulation(3 + random.nextInt(6), random.nextLong());
+    simulation.nodes().forEach(simulation::start);
     if (seed % 3 == 0) {
-      mild(colony, random, faults);
+      runMildFaults(simulation, random, faults);
     } else {
-      colony.pass(random.nextLong(20_000 * GossipSimulation.MILLI));
-      for (int i = 0; i < STEPS && colony.broken() == null; i++) {
-        fault(colony, random, faults);
-        colony.pass(random.nextLong(3000 * GossipSimulation.MILLI));
+      simulation.advance(random.nextLong(20_000 * GossipSimulation.MILLI));
+      for (int i = 0; i < STEPS && simulation.violation() == null; i++) {
+        injectFault(simulation, random, faults);
+        simulation.advance(random.nextLong(3000 * GossipSimulation.MILLI));
       }
     }
-    colony.heal();
-    colony.pass(LATE_NANOS); // Until then words of the dead may still come.
-    if (colony.broken() != null) {
-      return new Finding(seed, colony.broken(), faults);
+    simulation.heal();
+    simulation.advance(
+        MAX_DELAY_NANOS); // Until then, updates from killed instances may still arrive.
+    if (simulation.violation() != null) {
+      return new Finding(seed, simulation.violation(), faults);
     }
-    if (!colony.connected()) {
-      return null; // Two that know of nobody else, and no seed that lives.
+    if (!simulation.connected()) {
+      return null; // Instances that know no other one, and no seed is running.
     }
-    if (colony.untilSettled(CALM_NANOS) < 0) {
-      return new Finding(seed, "no agreement: " + colony.disagreement(), faults);
+    if (simulation.untilSettled(SETTLE_NANOS) < 0) {
+      return new Finding(seed, "no agreement: " + simulation.disagreement(), faults);
     }
-    colony.pass(20_000 * GossipSimulation.MILLI);
-    return colony.agrees()
+    simulation.advance(20_000 * GossipSimulation.MILLI);
+    return simulation.agrees()
         ? null
-        : new Finding(seed, "agreement lost: " + colony.disagreement(), faults);
+        : new Finding(seed, "agreement lost: " + simulation.disagreement(), faults);
   }
 
-  /** Two by one name: one of them keeps still, and speaks when the other has gone. */
-  private static Finding twins(long seed, SplittableRandom random, List<String> faults) {
-    GossipSimulation colony = new GossipSimulation(4 + random.nextInt(4), random.nextLong());
-    colony.nodes().forEach(colony::start);
-    colony.pass(random.nextLong(20_000 * GossipSimulation.MILLI));
-    Node one = colony.nodes().get(2);
-    Node other = colony.nodes().get(3);
+  /** Two processes with one name: one is silent, and announces itself once the other is gone. */
+  private static Finding runNameConflict(long seed, SplittableRandom random, List<String> faults) {
+    GossipSimulation simulation = new GossipSimulation(4 + random.nextInt(4), random.nextLong());
+    simulation.nodes().forEach(simulation::start);
+    simulation.advance(random.nextLong(20_000 * GossipSimulation.MILLI));
+    Node one = simulation.nodes().get(2);
+    Node other = simulation.nodes().get(3);
     for (int i = random.nextInt(4); i > 0; i--) {
-      one.gossip.facts(
-          one.gossip.self().attributes()); // It has said more of itself than the other.
+      one.gossip.updateAttributes(one.gossip.self().attributes()); // Gets a higher incarnation.
     }
-    colony.twin(other, one);
-    faults.add(colony.nowMillis() + " ms two by the name " + one.name);
-    colony.pass(CALM_NANOS);
-    if (colony.still() != 1) {
-      return new Finding(seed, colony.still() + " of two keep still", faults);
+    simulation.restartAsDuplicate(other, one);
+    faults.add(simulation.nowMillis() + " ms two processes with the name " + one.name);
+    simulation.advance(SETTLE_NANOS);
+    if (simulation.silentCount() != 1) {
+      return new Finding(seed, simulation.silentCount() + " of the two are silent", faults);
     }
-    Node kept = one.gossip.doubled() ? other : one;
-    colony.kill(kept);
-    faults.add(colony.nowMillis() + " ms the one that spoke is killed");
-    return colony.untilSettled(CALM_NANOS) < 0 || colony.still() != 0
-        ? new Finding(seed, "the other does not speak: " + colony.disagreement(), faults)
+    Node active = one.gossip.nameConflict() ? other : one;
+    simulation.kill(active);
+    faults.add(simulation.nowMillis() + " ms kill the one that is not silent");
+    return simulation.untilSettled(SETTLE_NANOS) < 0 || simulation.silentCount() != 0
+        ? new Finding(
+            seed, "the other one does not announce itself: " + simulation.disagreement(), faults)
         : null;
   }
 
   /**
-   * What a fleet lives through every day: one instance stops for a moment, one way at a time is
-   * cut, in fair weather. Nobody dies of it, and nobody but the one that stopped is even suspected.
+   * Everyday faults under normal network conditions: one instance pauses for a moment, and single
+   * links are cut one at a time. No instance may be declared dead, and none but the paused one may
+   * be suspected.
    */
-  private static void mild(GossipSimulation colony, SplittableRandom random, List<String> faults) {
-    colony.untilSettled(CALM_NANOS);
-    List<Node> nodes = colony.nodes();
-    Node stops = nodes.get(random.nextInt(nodes.size()));
+  private static void runMildFaults(
+      GossipSimulation simulation, SplittableRandom random, List<String> faults) {
+    simulation.untilSettled(SETTLE_NANOS);
+    List<Node> nodes = simulation.nodes();
+    Node paused = nodes.get(random.nextInt(nodes.size()));
     Set<String> all = new HashSet<>();
     nodes.forEach(node -> all.add(node.name));
     Set<String> others = new HashSet<>(all);
-    others.remove(stops.name);
-    // With three there is one other to ask, which may be the one that is stopped.
-    colony.hold(all, nodes.size() > 4 ? others : Set.of());
-    for (int i = 0; i < STEPS / 3 && colony.broken() == null; i++) {
+    others.remove(paused.name);
+    // With three instances there is a single other one to relay, which may be the paused one.
+    simulation.requireHealthy(all, nodes.size() > 4 ? others : Set.of());
+    for (int i = 0; i < STEPS / 3 && simulation.violation() == null; i++) {
       if (random.nextBoolean()) {
-        colony.pause(stops);
-        faults.add(colony.nowMillis() + " ms stop " + stops.name);
-        colony.pass((500 + random.nextLong(SHORT_PAUSE_MILLIS - 500)) * GossipSimulation.MILLI);
-        colony.wake(stops);
+        simulation.pause(paused);
+        faults.add(simulation.nowMillis() + " ms pause " + paused.name);
+        simulation.advance(
+            (500 + random.nextLong(MAX_SHORT_PAUSE_MILLIS - 500)) * GossipSimulation.MILLI);
+        simulation.resume(paused);
       } else {
         Node from = nodes.get(random.nextInt(nodes.size()));
         Node to = nodes.get(random.nextInt(nodes.size()));
-        faults.add(colony.nowMillis() + " ms way " + from.name + " to " + to.name);
-        colony.cut(from, to, true);
-        colony.pass((1000 + random.nextLong(20_000)) * GossipSimulation.MILLI);
-        colony.cut(from, to, false);
+        faults.add(simulation.nowMillis() + " ms cut link " + from.name + " to " + to.name);
+        simulation.setCut(from, to, true);
+        simulation.advance((1000 + random.nextLong(20_000)) * GossipSimulation.MILLI);
+        simulation.setCut(from, to, false);
       }
-      faults.add(colony.nowMillis() + " ms well");
-      colony.pass((12_000 + random.nextLong(8000)) * GossipSimulation.MILLI);
+      faults.add(simulation.nowMillis() + " ms faults end");
+      simulation.advance((12_000 + random.nextLong(8000)) * GossipSimulation.MILLI);
     }
   }
 
-  private static void fault(GossipSimulation colony, SplittableRandom random, List<String> faults) {
-    List<Node> nodes = colony.nodes();
+  private static void injectFault(
+      GossipSimulation simulation, SplittableRandom random, List<String> faults) {
+    List<Node> nodes = simulation.nodes();
     Node one = nodes.get(random.nextInt(nodes.size()));
     Node other = nodes.get(random.nextInt(nodes.size()));
-    String what =
+    String description =
         switch (random.nextInt(10)) {
           case 0 -> {
-            colony.kill(one);
+            simulation.kill(one);
             yield "kill " + one.name;
           }
           case 1, 2 -> {
             if (!one.alive) {
-              colony.start(one);
+              simulation.start(one);
             }
             yield "start " + one.name;
           }
           case 3 -> {
             if (one.alive && !one.paused) {
-              colony.pause(one);
+              simulation.pause(one);
             }
-            yield "stop " + one.name;
+            yield "pause " + one.name;
           }
           case 4, 5 -> {
             if (one.alive && one.paused) {
-              colony.wake(one);
+              simulation.resume(one);
             }
-            yield "wake " + one.name;
+            yield "resume " + one.name;
           }
           case 6 -> {
-            boolean broken = random.nextInt(3) > 0;
-            colony.cut(one, other, broken);
-            colony.cut(other, one, broken);
-            yield (broken ? "cut " : "mend ") + one.name + " and " + other.name;
+            boolean isCut = random.nextInt(3) > 0;
+            simulation.setCut(one, other, isCut);
+            simulation.setCut(other, one, isCut);
+            yield (isCut ? "cut " : "restore ") + one.name + " and " + other.name;
           }
           case 7 -> {
             if (random.nextInt(3) == 0 && nodes.indexOf(one) > 1) {
-              colony.rename(one);
+              simulation.restartRenamed(one);
             }
-            yield "another name: " + one.name;
+            yield "restart under another name: " + one.name;
           }
           case 8 -> {
             if (random.nextInt(3) == 0 && nodes.indexOf(one) > 1) {
-              colony.move(one);
+              simulation.restartMoved(one);
             }
-            yield "at another address: " + one.name;
+            yield "restart at another address: " + one.name;
           }
           default -> {
-            colony.weather(random.nextBoolean() ? NetworkConditions.FOUL : NetworkConditions.FAIR);
-            yield "weather";
+            simulation.setConditions(
+                random.nextBoolean() ? NetworkConditions.DEGRADED : NetworkConditions.NORMAL);
+            yield "change of network conditions";
           }
         };
-    faults.add(colony.nowMillis() + " ms " + what);
+    faults.add(simulation.nowMillis() + " ms " + description);
   }
 }
--- a/src/main/java/heathswitch/testbed/gossip/package-info.java
+++ b/src/main/java/heathswitch/testbed/gossip/package-info.java
@@ -1,2 +1,2 @@
-/** Gossip among many instances in virtual time, with faults between them. */
+/** Simulates the gossip of many instances in virtual time, with faults between them. */
 package heathswitch.testbed.gossip;
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -86,7 +86,7 @@
   }
 
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
-  static boolean shows(long schedules, int depth) {
+  static boolean detectsFault(long schedules, int depth) {
     try {
       return WorkExplorer.random(1, schedules, 200).finding() != null
           || WorkExplorer.orders(depth).finding() != null;
--- a/src/main/java/heathswitch/testbed/mutants/Mutant.java
+++ b/src/main/java/heathswitch/testbed/mutants/Mutant.java
@@ -1,13 +1,16 @@
 package heathswitch.testbed.mutants;
 
 /**
- * A fault that is put into a copy of a class: a text that stands once in its source, and what
- * stands there instead. The sources themselves know nothing of it.
+ * A fault that is injected into a copy of a class. The source files themselves are not changed.
+ *
+ * @param className fully qualified name of the class
+ * @param original text that occurs exactly once in the source of the class
+ * @param replacement text that takes its place
  */
-public record Mutant(String type, String text, String instead) {
+public record Mutant(String className, String original, String replacement) {
   @Override
   public String toString() {
-    String place = type.substring(type.lastIndexOf('.') + 1);
-    return place + ": " + text.strip().replaceAll("\\s+", " ");
+    String simpleName = className.substring(className.lastIndexOf('.') + 1);
+    return simpleName + ": " + original.strip().replaceAll("\\s+", " ");
   }
 }
--- a/src/main/java/heathswitch/testbed/mutants/MutantLoader.java
+++ b/src/main/java/heathswitch/testbed/mutants/MutantLoader.java
@@ -19,44 +19,46 @@
 import javax.tools.StandardJavaFileManager;
 import javax.tools.ToolProvider;
 
-/** Compiles a copy of a class with a fault in it, and loads what is to meet that copy. */
+/** Compiles mutants in memory and loads them together with the classes that use them. */
 public final class MutantLoader {
   private final Path sources;
   private final String classPath;
-  private final List<String> again;
+  private final List<String> reloadedPrefixes;
 
   /**
-   * With the sources below a folder and the classes on a path.
+   * Creates a loader for the sources below a folder and the classes on a class path.
    *
-   * @param again what has to be loaded anew so that it meets the copy, by how its names begin; all
-   *     else is shared
+   * @param reloadedPrefixes prefixes of the names of classes that are loaded reloadedPrefixes for
+   *     each mutant, so that they use it; all other classes are shared
    */
-  public MutantLoader(Path sources, String classPath, List<String> again) {
+  public MutantLoader(Path sources, String classPath, List<String> reloadedPrefixes) {
     this.sources = sources;
     this.classPath = classPath;
-    this.again = List.copyOf(again);
+    this.reloadedPrefixes = List.copyOf(reloadedPrefixes);
   }
 
-  /** Those of this program: its sources beside it, the classes that it runs with. */
-  public static MutantLoader forThisProgram(List<String> again) {
+  /** A loader for the sources and the class path of this program. */
+  public static MutantLoader forThisProgram(List<String> reloadedPrefixes) {
     return new MutantLoader(
         Path.of(System.getProperty("heathswitch.root", "."), "src", "main", "java"),
         System.getProperty("java.class.path"),
-        again);
+        reloadedPrefixes);
   }
 
-  /** A class as it is with the copy of another in its place; to be used by reflection. */
-  public Class<?> load(Mutant mutant, String type) throws IOException, ClassNotFoundException {
-    return new Loader(compile(mutant)).loadClass(type);
+  /** Loads a class that uses the mutant; its members are accessible by reflection only. */
+  public Class<?> load(Mutant mutant, String className) throws IOException, ClassNotFoundException {
+    return new Loader(compile(mutant)).loadClass(className);
   }
 
   private Map<String, byte[]> compile(Mutant mutant) throws IOException {
-    String source = Files.readString(sources.resolve(mutant.type().replace('.', '/') + ".java"));
-    int at = source.indexOf(mutant.text());
-    if (at < 0 || source.indexOf(mutant.text(), at + 1) >= 0) {
-      throw new IllegalStateException("must stand once in " + mutant.type() + ": " + mutant.text());
+    String source =
+        Files.readString(sources.resolve(mutant.className().replace('.', '/') + ".java"));
+    int position = source.indexOf(mutant.original());
+    if (position < 0 || source.indexOf(mutant.original(), position + 1) >= 0) {
+      throw new IllegalStateException(
+          "must occur exactly once in " + mutant.className() + ": " + mutant.original());
     }
-    String changed = source.replace(mutant.text(), mutant.instead());
+    String changed = source.replace(mutant.original(), mutant.replacement());
     JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
     Map<String, ByteArrayOutputStream> classes = new HashMap<>();
     try (StandardJavaFileManager standard = compiler.getStandardFileManager(null, null, null)) {
@@ -77,7 +79,7 @@
           };
       JavaFileObject file =
           new SimpleJavaFileObject(
-              URI.create("memory:/" + mutant.type().replace('.', '/') + ".java"),
+              URI.create("memory:/" + mutant.className().replace('.', '/') + ".java"),
               JavaFileObject.Kind.SOURCE) {
             @Override
             public CharSequence getCharContent(boolean ignoreErrors) {
@@ -90,15 +92,15 @@
                   null, memory, null, List.of("-cp", classPath, "-proc:none"), null, List.of(file))
               .call();
       if (!compiled) {
-        throw new IllegalStateException("does not compile: " + mutant);
+        throw new IllegalStateException("mutant does not compile: " + mutant);
       }
     }
-    Map<String, byte[]> done = new HashMap<>();
-    classes.forEach((name, bytes) -> done.put(name, bytes.toByteArray()));
-    return done;
+    Map<String, byte[]> compiledClasses = new HashMap<>();
+    classes.forEach((name, bytes) -> compiledClasses.put(name, bytes.toByteArray()));
+    return compiledClasses;
   }
 
-  /** Loads what is to meet the copy by itself, before its parent. */
+  /** Defines the reloaded classes itself instead of asking its parent first. */
   private final class Loader extends ClassLoader {
     private final Map<String, byte[]> changed;
 
@@ -109,7 +111,7 @@
 
     @Override
     protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-      if (again.stream().noneMatch(name::startsWith)) {
+      if (reloadedPrefixes.stream().noneMatch(name::startsWith)) {
         return super.loadClass(name, resolve);
       }
       synchronized (getClassLoadingLock(name)) {
--- a/src/main/java/heathswitch/testbed/mutants/MutantTrials.java
+++ b/src/main/java/heathswitch/testbed/mutants/MutantTrials.java
@@ -5,26 +5,29 @@
 import java.util.List;
 
 /**
- * Whether schedules find the faults that are put into copies. A class of the rig says so by a
- * static method {@code boolean shows(long schedules, int depth)}, which is called in the loader of
- * the copy.
+ * Checks whether schedules detect mutants. The class that runs the schedules has a static method
+ * {@code boolean detectsFault(long schedules, int depth)}, which is called in the class loader of
+ * the mutant.
  */
 public final class MutantTrials {
-  private final MutantLoader copies;
-  private final String shows;
+  private final MutantLoader loader;
+  private final String detector;
 
   /**
-   * MutantTrials of faults in some packages.
+   * Creates trials for mutants of classes in some packages.
    *
-   * @param again what has to meet the copy, by how names of classes begin
-   * @param shows the class that says whether a fault shows; among them
+   * @param reloadedPrefixes prefixes of the names of classes that are loaded again for each mutant
+   * @param detector the class that runs the schedules; one of these
    */
-  public MutantTrials(List<String> again, Class<?> shows) {
-    copies = MutantLoader.forThisProgram(again);
-    this.shows = shows.getName();
+  public MutantTrials(List<String> reloadedPrefixes, Class<?> detector) {
+    loader = MutantLoader.forThisProgram(reloadedPrefixes);
+    this.detector = detector.getName();
   }
 
-  /** Those that nothing shows; some take a rare run of events, most show at once. */
+  /**
+   * The mutants that are not detected. Most are detected by few schedules; some need a rare
+   * sequence of events.
+   */
   public List<Mutant> undetected(List<Mutant> mutants) {
     return mutants.parallelStream()
         .filter(
@@ -35,15 +38,21 @@
         .toList();
   }
 
-  /** Whether so many schedules, or the orders of so many events, show the fault. */
+  /**
+   * Whether the mutant is detected.
+   *
+   * @param schedules number of random schedules to run
+   * @param depth number of events of which all orders are tried, for checkers that do so; others
+   *     multiply the schedules by it
+   */
   public boolean isDetected(Mutant mutant, long schedules, int depth) {
     try {
-      Class<?> type = copies.load(mutant, shows);
-      Method asked = type.getDeclaredMethod("shows", long.class, int.class);
-      asked.setAccessible(true); // Another loader makes it another package.
-      return (boolean) asked.invoke(null, schedules, depth);
+      Class<?> type = loader.load(mutant, detector);
+      Method method = type.getDeclaredMethod("detectsFault", long.class, int.class);
+      method.setAccessible(true); // A different loader means a different package.
+      return (boolean) method.invoke(null, schedules, depth);
     } catch (IOException | ReflectiveOperationException e) {
-      throw new IllegalStateException("cannot be tried: " + mutant, e);
+      throw new IllegalStateException("cannot test the mutant: " + mutant, e);
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/mutants/package-info.java
+++ b/src/main/java/heathswitch/testbed/mutants/package-info.java
@@ -1,2 +1,2 @@
-/** Faults put into copies of classes, to see that a checker finds them. */
+/** Mutation tests of the checkers: injects faults into copies of classes. */
 package heathswitch.testbed.mutants;
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -51,7 +51,7 @@
   }
 
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
-  static boolean shows(long schedules, int depth) {
+  static boolean detectsFault(long schedules, int depth) {
     try {
       return SubsetExplorer.random(1, schedules * depth).finding() != null;
     } catch (RuntimeException e) {
--- a/src/test/java/heathswitch/policy/gossip/ReplayGuardTest.java
+++ b/src/test/java/heathswitch/policy/gossip/ReplayGuardTest.java
@@ -14,42 +14,42 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is taken once, and what never. */
+/** Tests which datagrams {@link ReplayGuard} accepts and which it rejects. */
 class ReplayGuardTest {
-  private long drawn;
-  private final ReplayGuard here = new ReplayGuard(() -> ++drawn);
-  private final ReplayGuard there = new ReplayGuard(() -> ++drawn);
+  private long lastId;
+  private final ReplayGuard local = new ReplayGuard(() -> ++lastId);
+  private final ReplayGuard remote = new ReplayGuard(() -> ++lastId);
 
-  /** Knocks, and tells whoever knocked; the first that can be taken. */
-  private void meet() {
-    Stamp knock = here.next("there");
-    assertEquals(Verdict.STRANGER, there.take(knock));
-    assertFalse(here.knows("there"));
-    assertTrue(here.told("there", there.answer(knock), knock.count()));
-    assertTrue(here.knows("there"));
+  /** Lets the local guard learn the session id of the remote one. */
+  private void learnRemoteSession() {
+    Stamp request = local.nextStamp("remote");
+    assertEquals(Verdict.WRONG_SESSION, remote.check(request));
+    assertFalse(local.knowsSession("remote"));
+    assertTrue(local.learnSession("remote", remote.answerStamp(request), request.sequence()));
+    assertTrue(local.knowsSession("remote"));
   }
 
   @Test
-  void whatWasMadeForThisProcessIsTakenOnce() {
-    meet();
-    Stamp stamp = here.next("there");
-    assertEquals(Verdict.NEW, there.take(stamp));
-    assertEquals(Verdict.OLD, there.take(stamp));
-    ReplayGuard next = new ReplayGuard(() -> ++drawn);
-    assertEquals(Verdict.STRANGER, next.take(stamp), "a new process at the same place");
+  void datagramIsAcceptedOnceAndOnlyByTheProcessItIsAddressedTo() {
+    learnRemoteSession();
+    Stamp stamp = local.nextStamp("remote");
+    assertEquals(Verdict.FRESH, remote.check(stamp));
+    assertEquals(Verdict.REPLAYED, remote.check(stamp));
+    ReplayGuard restarted = new ReplayGuard(() -> ++lastId);
+    assertEquals(Verdict.WRONG_SESSION, restarted.check(stamp), "a new process at that address");
   }
 
-  /** In any order and any number of times: each is taken once at most, if not too late. */
+  /** Datagrams that do not arrive too late are accepted, and none of them twice. */
   @Test
-  void noneIsTakenTwiceInWhateverOrderTheyCome() {
-    meet();
+  void noDatagramIsAcceptedTwiceInAnyOrderOfArrival() {
+    learnRemoteSession();
     Random random = new Random(1);
-    Set<Long> taken = new HashSet<>();
+    Set<Long> accepted = new HashSet<>();
     List<Stamp> recorded = new ArrayList<>();
     for (int round = 0; round < 2000; round++) {
       List<Stamp> sent = new ArrayList<>();
       for (int i = 0; i < 1 + random.nextInt(40); i++) {
-        sent.add(here.next("there"));
+        sent.add(local.nextStamp("remote"));
       }
       recorded.addAll(sent);
       for (int i = 0; i < 20; i++) {
@@ -57,40 +57,44 @@
       }
       Collections.shuffle(sent, random);
       for (Stamp stamp : sent) {
-        if (there.take(stamp) == Verdict.NEW) {
-          assertTrue(taken.add(stamp.count()), "twice: " + stamp);
+        if (remote.check(stamp) == Verdict.FRESH) {
+          assertTrue(accepted.add(stamp.sequence()), "accepted twice: " + stamp);
         }
       }
     }
-    assertTrue(taken.size() > recorded.size() * 0.98, taken.size() + " of " + recorded.size());
+    assertTrue(
+        accepted.size() > recorded.size() * 0.98, accepted.size() + " of " + recorded.size());
   }
 
   @Test
-  void anAnswerThatWasRecordedLeadsNobodyAstray() {
-    meet();
-    Stamp knock = here.next("there");
-    Stamp answer = there.answer(knock);
-    assertTrue(here.told("there", answer, knock.count()));
-    assertFalse(here.told("there", answer, knock.count()), "the same once more");
-    Stamp later = here.next("there");
-    assertFalse(here.told("there", there.answer(later), later.count() + 1), "to none that was");
-    Stamp stranger = new Stamp(99, 1, 98);
-    assertFalse(here.told("there", stranger, later.count()), "meant for another");
-    assertEquals(Verdict.NEW, there.take(here.next("there")));
+  void replayedOrForeignAnswerDoesNotChangeTheStoredSession() {
+    learnRemoteSession();
+    Stamp request = local.nextStamp("remote");
+    Stamp answer = remote.answerStamp(request);
+    assertTrue(local.learnSession("remote", answer, request.sequence()));
+    assertFalse(local.learnSession("remote", answer, request.sequence()), "the same answer again");
+    Stamp later = local.nextStamp("remote");
+    assertFalse(
+        local.learnSession("remote", remote.answerStamp(later), later.sequence() + 1),
+        "an answer to a datagram that was never sent");
+    Stamp foreign = new Stamp(99, 1, 98);
+    assertFalse(
+        local.learnSession("remote", foreign, later.sequence()), "meant for another process");
+    assertEquals(Verdict.FRESH, remote.check(local.nextStamp("remote")));
   }
 
-  /** Those that were met are forgotten together with the door that they knew. */
+  /** Evicted senders cannot replay, since the session id that they used is invalid as well. */
   @Test
-  void withTooManySendersTheDoorIsAnotherOne() {
-    ReplayGuard crowded = new ReplayGuard(() -> ++drawn);
-    long door = drawn;
-    for (long sender = 1; sender <= ReplayGuard.MOST_SENDERS; sender++) {
-      assertEquals(Verdict.NEW, crowded.take(new Stamp(-sender, 1, door)));
+  void sessionIdChangesWhenTheLimitOfSendersIsExceeded() {
+    ReplayGuard full = new ReplayGuard(() -> ++lastId);
+    long session = lastId;
+    for (long sender = 1; sender <= ReplayGuard.MAX_SENDERS; sender++) {
+      assertEquals(Verdict.FRESH, full.check(new Stamp(-sender, 1, session)));
     }
-    Stamp one = new Stamp(-1, 2, door);
-    assertEquals(Verdict.NEW, crowded.take(one));
-    assertEquals(Verdict.STRANGER, crowded.take(new Stamp(7, 1, door)));
-    assertEquals(Verdict.STRANGER, crowded.take(one), "what it took before comes again in vain");
-    assertEquals(Verdict.NEW, crowded.take(new Stamp(7, 1, drawn)));
+    Stamp accepted = new Stamp(-1, 2, session);
+    assertEquals(Verdict.FRESH, full.check(accepted));
+    assertEquals(Verdict.WRONG_SESSION, full.check(new Stamp(7, 1, session)));
+    assertEquals(Verdict.WRONG_SESSION, full.check(accepted), "replay of an accepted datagram");
+    assertEquals(Verdict.FRESH, full.check(new Stamp(7, 1, lastId)));
   }
 }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTableTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTableTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table [peers]. */
+/** Tests the configuration table {@code [peers]}. */
 class PeersTableTest {
-  private static final String PLAIN =
+  private static final String MINIMAL =
       """
       [peers]
       instance = "edge-1"
@@ -29,8 +29,8 @@
   }
 
   private List<String> faults(String from, String to) throws Exception {
-    assertTrue(PLAIN.contains(from), from);
-    Document document = read(PLAIN.replace(from, to));
+    assertTrue(MINIMAL.contains(from), from);
+    Document document = read(MINIMAL.replace(from, to));
     PeersTable.read(document, "a");
     document.root().end();
     return document.faults().stream()
@@ -39,19 +39,19 @@
   }
 
   @Test
-  void theShortestOneIsRead() throws Exception {
-    Document document = read(PLAIN);
+  void minimalTableIsReadWithDefaults() throws Exception {
+    Document document = read(MINIMAL);
     PeersTable table = PeersTable.read(document, null);
     assertEquals(List.of(), document.faults());
     assertEquals("127.0.0.1:9701", table.address());
-    assertEquals(1_000_000_000L, table.pace().periodNanos());
+    assertEquals(1_000_000_000L, table.timing().probePeriodNanos());
     assertEquals("", table.zone());
     assertEquals(folder.resolve("peers.keys"), table.keys());
     assertNull(PeersTable.read(read(""), "a"));
   }
 
   @Test
-  void faultsAreNamedWithTheirPlace() throws Exception {
+  void faultsAreReportedWithTheirPosition() throws Exception {
     assertEquals(
         List.of("2:1: peers.instance: is \"a b\"; 1 to 64 of A-Z a-z 0-9 . _ - expected"),
         faults("edge-1", "a b"));
@@ -64,8 +64,8 @@
     assertEquals(
         List.of("1:1: peers.keys: missing; a text expected"),
         faults("keys = \"peers.keys\"\n", ""));
-    String way = "[[peers.way]]\nto = \"127.0.0.1:1\"\nby = \"127.0.0.1:2\"\n";
+    String override = "[[peers.way]]\nto = \"127.0.0.1:1\"\nby = \"127.0.0.1:2\"\n";
     String keys = "keys = \"peers.keys\"\n";
-    assertTrue(faults(keys, keys + way + way).get(0).contains("stands twice"));
+    assertTrue(faults(keys, keys + override + override).get(0).contains("is a duplicate"));
   }
 }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -26,22 +26,22 @@
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
-/** Several processes of the program know who is there, with faults between them. */
+/** Runs several processes of the program and checks their membership under network faults. */
 class PeersTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
-  private static final String OLD = "k1 b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0\n";
-  private static final String NEW = "k2 bmV3LW5ldy1uZXctbmV3LW5ldy0xMjM0\n";
+  private static final String OLD_KEY = "k1 b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0\n";
+  private static final String NEW_KEY = "k2 bmV3LW5ldy1uZXctbmV3LW5ldy0xMjM0\n";
 
   private final List<OpenLoop> loads = new ArrayList<>();
 
   private Fleet fleet(int seed, int count) throws Exception {
-    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).gossiping(OLD).start(count);
+    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).gossiping(OLD_KEY).start(count);
     fleet.nodes().forEach(node -> loads.add(fleet.load(node, 20)));
     return fleet;
   }
 
-  /** Nothing of it may cost a call. */
-  private void verdict(Fleet fleet) throws InterruptedException {
+  /** No call may be lost or run twice. */
+  private void assertNoCallAffected(Fleet fleet) throws InterruptedException {
     for (OpenLoop load : loads) {
       load.stop();
     }
@@ -57,10 +57,10 @@
     }
   }
 
-  private static String standing(Node at, Node of) {
-    if (page(at).get("peers") instanceof List<?> rows) {
+  private static String status(Node observer, Node peer) {
+    if (page(observer).get("peers") instanceof List<?> rows) {
       for (Object each : rows) {
-        if (((Map<?, ?>) each).get("name").equals(of.name())) {
+        if (((Map<?, ?>) each).get("name").equals(peer.name())) {
           return String.valueOf(((Map<?, ?>) each).get("standing"));
         }
       }
@@ -68,8 +68,8 @@
     return "unknown";
   }
 
-  /** The names of those that count as there for a node. */
-  private static TreeSet<String> there(Node node) {
+  /** The names of the peers that count as present for a node. */
+  private static TreeSet<String> present(Node node) {
     TreeSet<String> names = new TreeSet<>();
     names.add(node.name());
     if (page(node).get("peers") instanceof List<?> rows) {
@@ -83,10 +83,10 @@
     return names;
   }
 
-  private static void awaitView(List<Node> nodes) throws InterruptedException {
+  private static void awaitFullView(List<Node> nodes) throws InterruptedException {
     TreeSet<String> all = new TreeSet<>(nodes.stream().map(Node::name).toList());
     for (Node node : nodes) {
-      Await.until(node.name() + " sees " + all, () -> there(node).equals(all));
+      Await.until(node.name() + " sees " + all, () -> present(node).equals(all));
     }
   }
 
@@ -97,163 +97,163 @@
   }
 
   @Test
-  void whoeverDiesLeavesOrComesBackIsSeenByAll() throws Exception {
+  void deathLeaveAndReturnAreSeenByAllOthers() throws Exception {
     try (Fleet fleet = fleet(31, 5)) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
-      Node dead = nodes.get(0); // A seed: the others do without it.
-      List<Node> rest = nodes.subList(1, 5);
+      awaitFullView(nodes);
+      Node dead = nodes.get(0); // A seed: the others must work without it.
+      List<Node> others = nodes.subList(1, 5);
       loads.get(0).stop();
       dead.kill();
-      awaitView(rest);
-      for (Node node : rest) {
-        assertEquals("dead", standing(node, dead));
+      awaitFullView(others);
+      for (Node node : others) {
+        assertEquals("dead", status(node, dead));
       }
       dead.start();
-      awaitView(nodes);
-      Node leaves = nodes.get(4);
+      awaitFullView(nodes);
+      Node leaving = nodes.get(4);
       loads.get(4).stop();
-      leaves.end();
+      leaving.end();
       for (Node node : nodes.subList(0, 4)) {
-        Await.until("it has said so", () -> standing(node, leaves).equals("left"));
+        Await.until("seen as left", () -> status(node, leaving).equals("left"));
       }
       nodes.get(3).post("peers/leave");
-      awaitView(nodes.subList(0, 3));
+      awaitFullView(nodes.subList(0, 3));
       long before = fleet.servers().get(0).received();
       Await.until("calls", () -> fleet.servers().get(0).received() > before + 20);
-      verdict(fleet);
+      assertNoCallAffected(fleet);
     }
   }
 
   @Test
-  void bothSidesOfASplitKnowWhoIsThereAndMeetAgain() throws Exception {
+  void bothSidesOfAPartitionHaveTheRightViewAndMergeAgain() throws Exception {
     try (Fleet fleet = fleet(32, 5)) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
+      awaitFullView(nodes);
       List<Node> one = nodes.subList(0, 2); // Both seeds.
       List<Node> other = nodes.subList(2, 5);
       fleet.split(one, other, true);
-      awaitView(one);
-      awaitView(other);
+      awaitFullView(one);
+      awaitFullView(other);
       fleet.split(one, other, false);
-      awaitView(nodes);
-      // One that says nothing that anybody hears, and hears them all, is gone for all but itself.
+      awaitFullView(nodes);
+      // A node that receives datagrams but whose own are all lost is absent for all others.
       Node mute = nodes.get(3);
       fleet.mute(mute, true, false);
       for (Node node : nodes) {
         if (node != mute) {
-          Await.until("gone", () -> !there(node).contains(mute.name()));
+          Await.until("gone", () -> !present(node).contains(mute.name()));
         }
       }
       fleet.mute(mute, false, false);
-      awaitView(nodes);
-      verdict(fleet);
+      awaitFullView(nodes);
+      assertNoCallAffected(fleet);
     }
   }
 
-  /** Stopped for a second it is missed by nobody for good; for ten it is gone, and comes back. */
+  /** After a pause of one second a node is not declared dead; after ten it is, and returns. */
   @Test
-  void oneThatWasStoppedIsBackWhenItWakes() throws Exception {
+  void pausedNodeReturnsWhenItResumes() throws Exception {
     try (Fleet fleet = fleet(33, 4)) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
-      Node stopped = nodes.get(2);
-      loads.get(2).stop(); // Whoever asks one that is stopped waits.
+      awaitFullView(nodes);
+      Node paused = nodes.get(2);
+      loads.get(2).stop(); // Requests to a paused node wait.
       for (int millis : List.of(1000, 3000, 10_000)) {
-        stopped.pause();
+        paused.pause();
         for (int waited = 0; waited < millis; waited += 100) {
           Thread.sleep(100);
           if (millis == 1000) {
-            assertFalse(standing(nodes.get(0), stopped).equals("dead"), "dead after a second");
+            assertFalse(status(nodes.get(0), paused).equals("dead"), "dead after a second");
           }
         }
         if (millis == 10_000) {
-          Await.until("gone", () -> standing(nodes.get(0), stopped).equals("dead"));
+          Await.until("gone", () -> status(nodes.get(0), paused).equals("dead"));
         }
-        stopped.resume();
-        awaitView(nodes);
+        paused.resume();
+        awaitFullView(nodes);
       }
-      verdict(fleet);
+      assertNoCallAffected(fleet);
     }
   }
 
-  /** A fifth of the datagrams lost, a tenth twice, all of them late and in any order. */
+  /** A fifth of the datagrams is lost, a tenth duplicated, and all are delayed and reordered. */
   @Test
-  void nobodyIsGoneForGoodWhereDatagramsAreLostLateAndDoubled() throws Exception {
+  void noNodeIsDeclaredDeadWhenDatagramsAreLostDelayedAndDuplicated() throws Exception {
     try (Fleet fleet = fleet(34, 5)) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
-      Weather foul = new Weather(0.2, 0.1, 0, 60);
-      each(nodes, (from, to) -> from.datagrams(to).weather(foul));
+      awaitFullView(nodes);
+      Weather degraded = new Weather(0.2, 0.1, 0, 60);
+      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(degraded));
       for (int i = 0; i < 50; i++) {
         Thread.sleep(100);
         for (Node node : nodes) {
           for (Node other : nodes) {
-            assertFalse(standing(node, other).equals("dead"), other.name() + " at " + node.name());
+            assertFalse(status(node, other).equals("dead"), other.name() + " at " + node.name());
           }
         }
       }
-      each(nodes, (from, to) -> from.datagrams(to).weather(Weather.FAIR));
-      awaitView(nodes);
+      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(Weather.FAIR));
+      awaitFullView(nodes);
       for (Node node : nodes) {
-        assertTrue(count(node, "refused_replay") > 0, "what came twice was taken twice");
+        assertTrue(count(node, "refused_replay") > 0, "duplicates were accepted");
         assertEquals(0, count(node, "refused_form"));
       }
-      verdict(fleet);
+      assertNoCallAffected(fleet);
     }
   }
 
-  private interface Way {
-    void of(Node from, Node to);
+  private interface LinkAction {
+    void apply(Node from, Node to);
   }
 
-  private static void each(List<Node> nodes, Way way) {
+  private static void forEachLink(List<Node> nodes, LinkAction action) {
     for (Node from : nodes) {
       for (Node to : nodes) {
         if (from != to) {
-          way.of(from, to);
+          action.apply(from, to);
         }
       }
     }
   }
 
-  private static void keys(Node node, String text) throws IOException {
+  private static void replaceKeys(Node node, String text) throws IOException {
     var next = node.keys().resolveSibling("next.keys");
     Files.writeString(next, text);
     Files.move(next, node.keys(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Test
-  void aKeyIsReplacedWhileAllGoOn() throws Exception {
+  void keyIsRotatedWithoutInterruption() throws Exception {
     try (Fleet fleet = fleet(35, 4)) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
-      for (String text : List.of(OLD + NEW, NEW + OLD, NEW)) {
+      awaitFullView(nodes);
+      for (String text : List.of(OLD_KEY + NEW_KEY, NEW_KEY + OLD_KEY, NEW_KEY)) {
         for (Node node : nodes) {
-          keys(node, text);
+          replaceKeys(node, text);
         }
-        String first = text.substring(0, 2);
+        String signingKeyId = text.substring(0, 2);
         for (Node node : nodes) {
-          if (!text.startsWith(OLD)) {
-            Await.until("taken", () -> logged(node, "new keys; " + first));
+          if (!text.startsWith(OLD_KEY)) {
+            Await.until("keys loaded", () -> logged(node, "new keys loaded; " + signingKeyId));
           }
         }
-        Thread.sleep(1500); // A look at the file takes half a second, and none may be missed.
-        awaitView(nodes);
+        // The file is polled every half second; no node may be declared dead meanwhile.
+        Thread.sleep(1500);
+        awaitFullView(nodes);
       }
       for (Node node : nodes) {
-        assertFalse(logged(node, " is dead"), "nobody was missed meanwhile");
+        assertFalse(logged(node, " is dead"), "declared dead meanwhile");
       }
-      // One that has only the former key is a stranger; a file that is half written changes
-      // nothing.
-      keys(nodes.get(3), OLD);
-      awaitView(nodes.subList(0, 3));
+      // Datagrams under the old key are refused; a partly written file changes nothing.
+      replaceKeys(nodes.get(3), OLD_KEY);
+      awaitFullView(nodes.subList(0, 3));
       assertTrue(count(nodes.get(0), "refused_seal") > 0);
-      keys(nodes.get(3), NEW.substring(0, 9));
-      Await.until("told", () -> logged(nodes.get(3), "keys left as they were"));
-      keys(nodes.get(3), NEW);
-      awaitView(nodes);
-      verdict(fleet);
+      replaceKeys(nodes.get(3), NEW_KEY.substring(0, 9));
+      Await.until("invalid file logged", () -> logged(nodes.get(3), "previous keys stay in use"));
+      replaceKeys(nodes.get(3), NEW_KEY);
+      awaitFullView(nodes);
+      assertNoCallAffected(fleet);
     }
   }
 
@@ -265,47 +265,50 @@
     }
   }
 
-  /** Whoever reads and writes on the way, without the key, changes nothing. */
+  /** An attacker on the network who does not have the key cannot change anything. */
   @Test
-  void whatIsForgedRepeatedCutOrFlippedIsRefused() throws Exception {
+  void forgedReplayedTruncatedAndModifiedDatagramsAreRefused() throws Exception {
     try (Fleet fleet = fleet(36, 3);
         DatagramSocket socket = new DatagramSocket()) {
       List<Node> nodes = fleet.nodes();
-      awaitView(nodes);
+      awaitFullView(nodes);
       Node victim = nodes.get(1);
       List<byte[]> recorded = Collections.synchronizedList(new ArrayList<>());
       nodes.get(0).datagrams(victim).tap(recorded::add);
-      // The next process of the one that sends has to knock first: the record holds both kinds.
+      // The restarted sender has to learn the session id first, so both kinds are recorded.
       loads.get(0).stop();
       nodes.get(0).kill();
       nodes.get(0).start();
-      awaitView(nodes);
-      Await.until("some", () -> copy(recorded).stream().filter(PeersTest::addressed).count() > 10);
+      awaitFullView(nodes);
+      Await.until(
+          "datagrams recorded",
+          () -> copy(recorded).stream().filter(PeersTest::hasSession).count() > 10);
       List<byte[]> all = copy(recorded);
-      long addressed = all.stream().filter(PeersTest::addressed).count();
-      assertTrue(addressed < all.size(), "a knock is recorded");
+      long sessionCount = all.stream().filter(PeersTest::hasSession).count();
+      assertTrue(sessionCount < all.size(), "a datagram without a session id is recorded");
       long replays = count(victim, "refused_replay");
-      long answered = count(victim, "knocks");
+      long requestsBefore = count(victim, "knocks");
       for (byte[] each : all) {
         send(socket, victim, each);
       }
-      Await.until("knocks", () -> count(victim, "knocks") >= answered + all.size() - addressed);
-      Await.until("refused", () -> count(victim, "refused_replay") >= replays + addressed);
+      Await.until(
+          "knocks", () -> count(victim, "knocks") >= requestsBefore + all.size() - sessionCount);
+      Await.until("refused", () -> count(victim, "refused_replay") >= replays + sessionCount);
       long before = count(victim, "refused_seal") + count(victim, "refused_size");
-      long wrong = 0;
+      long index = 0;
       for (byte[] each : all) {
         byte[] flipped = each.clone();
-        flipped[(int) (wrong * 7 % (each.length - 1)) + 1] ^= 4;
+        flipped[(int) (index * 7 % (each.length - 1)) + 1] ^= 4;
         send(socket, victim, flipped);
-        send(socket, victim, Arrays.copyOf(each, (int) (wrong * 11 % each.length)));
+        send(socket, victim, Arrays.copyOf(each, (int) (index * 11 % each.length)));
         byte[] forged =
             new Datagram(new heathswitch.policy.gossip.ReplayGuard.Stamp(1, 1, 1), null, 1)
-                .bytes(KeyRing.parse("k1 " + "Zm9yZ2VkLWZvcmdlZC1mb3JnZWQtMTIzNA==\n"));
+                .encode(KeyRing.parse("k1 " + "Zm9yZ2VkLWZvcmdlZC1mb3JnZWQtMTIzNA==\n"));
         send(socket, victim, forged);
-        wrong++;
+        index++;
       }
       send(socket, victim, new byte[2000]);
-      long refused = 3 * wrong + 1;
+      long refused = 3 * index + 1;
       Await.until(
           "refused",
           () ->
@@ -313,22 +316,24 @@
                       + count(victim, "refused_size")
                       + count(victim, "refused_version")
                   >= before + refused);
-      // What was made for one is nothing to another, nor to the next process of the same one.
+      // Neither another node nor the restarted node accepts datagrams for this process.
       Node other = nodes.get(2);
-      long taken = count(other, "received");
-      long knocks = count(other, "knocks");
+      long received = count(other, "received");
+      long otherRequests = count(other, "knocks");
       all.forEach(each -> send(socket, other, each));
-      Await.until("knocks", () -> count(other, "knocks") >= knocks + all.size());
-      assertTrue(count(other, "received") < taken + all.size() + 40, "what was meant for another");
+      Await.until("knocks", () -> count(other, "knocks") >= otherRequests + all.size());
+      assertTrue(
+          count(other, "received") < received + all.size() + 40,
+          "accepted datagrams for another node");
       loads.get(1).stop();
       victim.kill();
       victim.start();
-      awaitView(nodes);
-      long again = count(victim, "knocks");
+      awaitFullView(nodes);
+      long restartedRequests = count(victim, "knocks");
       all.forEach(each -> send(socket, victim, each));
-      Await.until("knocks", () -> count(victim, "knocks") >= again + all.size());
-      awaitView(nodes);
-      verdict(fleet);
+      Await.until("knocks", () -> count(victim, "knocks") >= restartedRequests + all.size());
+      awaitFullView(nodes);
+      assertNoCallAffected(fleet);
     }
   }
 
@@ -338,14 +343,18 @@
     }
   }
 
-  /** Whether a datagram holds a message to the very process: no knock, and no answer to one. */
-  private static boolean addressed(byte[] datagram) {
+  /**
+   * Whether a datagram is a message with the receiver's session id: neither one that is sent
+   * without it, nor an answer that tells a session id.
+   */
+  private static boolean hasSession(byte[] datagram) {
     int stamp = 2 + datagram[1];
-    boolean knock = ByteBuffer.wrap(datagram).getLong(stamp + 2 * Long.BYTES) == 0;
+    boolean withoutSession = ByteBuffer.wrap(datagram).getLong(stamp + 2 * Long.BYTES) == 0;
     int body = stamp + 3 * Long.BYTES;
     byte[] answer = "[\"door\"".getBytes(StandardCharsets.US_ASCII);
-    boolean answers = Arrays.equals(datagram, body, body + answer.length, answer, 0, answer.length);
-    return !knock && !answers;
+    boolean isAnswer =
+        Arrays.equals(datagram, body, body + answer.length, answer, 0, answer.length);
+    return !withoutSession && !isAnswer;
   }
 
   private static void send(DatagramSocket socket, Node to, byte[] bytes) {
@@ -356,10 +365,10 @@
     }
   }
 
-  /** Two by one name: one keeps still until the other is gone, and says so. */
+  /** Of two processes with one name, one is silent until the other is gone, and logs that. */
   @Test
-  void ofTwoByOneNameOneKeepsStill() throws Exception {
-    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).gossiping(OLD)) {
+  void oneOfTwoNodesWithTheSameNameIsSilent() throws Exception {
+    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).gossiping(OLD_KEY)) {
       fleet.before(
           node -> {
             String text = Files.readString(node.config());
@@ -370,23 +379,23 @@
       List<Node> nodes = fleet.nodes();
       Node one = nodes.get(2);
       Node other = nodes.get(3);
-      Await.until("one of them", () -> doubled(one) != doubled(other));
-      Node still = doubled(one) ? one : other;
-      Node kept = still == one ? other : one;
+      Await.until("one of them is silent", () -> hasNameConflict(one) != hasNameConflict(other));
+      Node silent = hasNameConflict(one) ? one : other;
+      Node active = silent == one ? other : one;
       TreeSet<String> all = new TreeSet<>(List.of("edge-1", "edge-2", "edge-3"));
       for (Node node : nodes.subList(0, 2)) {
-        Await.until("three names", () -> there(node).equals(all));
+        Await.until("three names", () -> present(node).equals(all));
       }
-      assertTrue(logged(still, "another process goes by the name"));
-      kept.kill();
-      Await.until("it speaks", () -> !doubled(still));
+      assertTrue(logged(silent, "another process uses the name"));
+      active.kill();
+      Await.until("the other one announces itself", () -> !hasNameConflict(silent));
       for (Node node : nodes.subList(0, 2)) {
-        Await.until("three names", () -> there(node).equals(all));
+        Await.until("three names", () -> present(node).equals(all));
       }
     }
   }
 
-  private static boolean doubled(Node node) {
+  private static boolean hasNameConflict(Node node) {
     return Boolean.TRUE.equals(page(node).get("doubled"));
   }
 }
