--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -46,7 +46,7 @@
     this.table = table;
     held = new Held(table.mostHeld());
     patience = new Patience(loop, clock, table.gatherNanos());
-    pool = new GrpcPool(this, loop, budget, settings.limits(), parts.evict());
+    pool = new GrpcPool(this, loop, budget, settings.limits(), parts.evictIdle());
     dispatcher.addTransport(pool);
     random = new SplittableRandom(seed);
   }
--- a/src/main/java/heathswitch/proxy/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -41,13 +41,13 @@
     clientListener = new ClientListener(loop, clock, budget);
     pool =
         new UpstreamConnectionPool(
-            loop, clock, budget, settings.settings().limits(), clientListener::evictIdle);
-    dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
+            loop, clock, budget, settings.policySettings().limits(), clientListener::evictIdle);
+    dispatcher = new Dispatcher(loop, clock, settings.policySettings(), settings.seed());
     dispatcher.addTransport(pool);
     members = source.create(loop);
     shutdown =
         new Shutdown(
-            loop, settings.settings(), clientListener, dispatcher, members, extraListeners);
+            loop, settings.policySettings(), clientListener, dispatcher, members, extraListeners);
     operatorDrain = new OperatorDrain(loop, clientListener);
     lagMonitor = new LoopLagMonitor(lagSampleNanos);
   }
--- a/src/main/java/heathswitch/proxy/node/NodeSettings.java
+++ b/src/main/java/heathswitch/proxy/node/NodeSettings.java
@@ -15,4 +15,4 @@
     boolean reusePort,
     long seed,
     int maxDescriptors,
-    Settings settings) {}
+    Settings policySettings) {}
--- a/src/main/java/heathswitch/proxy/node/ProtocolListener.java
+++ b/src/main/java/heathswitch/proxy/node/ProtocolListener.java
@@ -13,7 +13,7 @@
    * The parts of the node that a listener shares.
    *
    * @param pool the connections to upstreams over HTTP/1.1
-   * @param evict closes an idle connection to free its descriptor; false if there is none
+   * @param evictIdle closes an idle connection to free its descriptor; false if there is none
    */
   record Context(
       EventLoop loop,
@@ -21,7 +21,7 @@
       ResourceBudget budget,
       Dispatcher dispatcher,
       UpstreamConnectionPool pool,
-      BooleanSupplier evict) {}
+      BooleanSupplier evictIdle) {}
 
   /** Creates the listener while its node is being assembled. */
   interface Factory {
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -45,7 +45,7 @@
   public record Result(StandaloneConfig config, List<Fault> faults, boolean unreadable) {}
 
   private static MaintenanceConfig work(Document document, NodeSettings node) {
-    Settings.Obligations rules = node == null ? null : node.settings().obligations();
+    Settings.Obligations rules = node == null ? null : node.policySettings().obligations();
     return rules == null
         ? MaintenanceConfig.read(document, 0, 1)
         : MaintenanceConfig.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
@@ -68,10 +68,11 @@
             node,
             MembersTable.read(document),
             AdminTable.read(document.root()),
-            GrpcTable.read(document.root(), node == null ? List.of() : node.settings().classes()),
+            GrpcTable.read(
+                document.root(), node == null ? List.of() : node.policySettings().classes()),
             GatewayTable.read(document),
             work(document, node),
-            PeersTable.read(document, node == null ? null : node.settings().zone()),
+            PeersTable.read(document, node == null ? null : node.policySettings().zone()),
             SubsetTable.read(document.root()),
             LogTable.read(document.root()));
     if (config.work() != null
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -58,13 +58,14 @@
           (GrpcServer)
               node.addListener(
                   parts ->
-                      new GrpcServer(parts, config.grpc(), settings.settings(), settings.seed()));
+                      new GrpcServer(
+                          parts, config.grpc(), settings.policySettings(), settings.seed()));
     }
     if (config.gateway() != null) {
       NodeSettings settings = config.node();
       gateway =
           new SiteGateway(
-              node, config.gateway(), settings.settings().classes(), settings.seed() + 1);
+              node, config.gateway(), settings.policySettings().classes(), settings.seed() + 1);
       node.forbidHeader(SiteGateway.TRAIL);
       if (grpc != null) {
         grpc.forbid(SiteGateway.TRAIL);
