--- a/src/main/java/heathswitch/policy/members/ListValidator.java
+++ b/src/main/java/heathswitch/policy/members/ListValidator.java
@@ -17,7 +17,7 @@
  * confirms it. Not thread-safe; must be used from a single thread.
  */
 public final class ListValidator {
-  /** Most reasons listed for one candidate; the others are only counted. */
+  /** Maximum number of reasons listed for one candidate; the others are only counted. */
   static final int MAX_REASONS = 12;
 
   /**
--- a/src/main/java/heathswitch/policy/members/ServerStateTracker.java
+++ b/src/main/java/heathswitch/policy/members/ServerStateTracker.java
@@ -43,8 +43,8 @@
   /**
    * Creates a tracker without servers.
    *
-   * @param maxDraining most servers that drain at a time; if there are more, those that left first
-   *     are gone at once
+   * @param maxDraining maximum number of servers that drain at a time; if there are more, those
+   *     that left first are gone at once
    */
   public ServerStateTracker(int maxDraining) {
     this.maxDraining = maxDraining;
--- a/src/main/java/heathswitch/proxy/members/MembersCheck.java
+++ b/src/main/java/heathswitch/proxy/members/MembersCheck.java
@@ -18,7 +18,7 @@
  * according to its saved state, without changing anything. Also writes the end line of a file.
  */
 public final class MembersCheck {
-  /** Most lines shown for each kind of difference. */
+  /** Maximum number of lines shown for each kind of difference. */
   private static final int MAX_SHOWN = 20;
 
   /**
--- a/src/main/java/heathswitch/proxy/members/MembersFormat.java
+++ b/src/main/java/heathswitch/proxy/members/MembersFormat.java
@@ -33,7 +33,10 @@
   /** Longest allowed line, in characters. */
   static final int MAX_LINE_LENGTH = 512;
 
-  /** Most faults reported for one file; a file of another format would have one in each line. */
+  /**
+   * Maximum number of faults reported for one file; a file of another format would have one in each
+   * line.
+   */
   private static final int MAX_FAULTS = 20;
 
   private static final String[] COLUMNS = {
--- a/src/main/java/heathswitch/proxy/members/MembersReloader.java
+++ b/src/main/java/heathswitch/proxy/members/MembersReloader.java
@@ -145,7 +145,7 @@
   /**
    * Accepts the list that is held back, if it has the given version.
    *
-   * @param updates gets the resulting updates of servers
+   * @param updates receives the resulting updates of servers
    */
   ListDecision confirm(long nowMillis, long version, List<ServerStateTracker.Update> updates) {
     ListDecision decision = validator.confirm(nowMillis, version);
--- a/src/main/java/heathswitch/proxy/members/MembersStateStore.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStateStore.java
@@ -149,10 +149,10 @@
     byte[] body = text.toString().getBytes(StandardCharsets.UTF_8);
     String header = FIRST_LINE + "\nsha256 " + Sha256.hex(body, 0, body.length) + '\n';
     byte[] headerBytes = header.getBytes(StandardCharsets.UTF_8);
-    byte[] whole = new byte[headerBytes.length + body.length];
-    System.arraycopy(headerBytes, 0, whole, 0, headerBytes.length);
-    System.arraycopy(body, 0, whole, headerBytes.length, body.length);
-    AtomicFile.write(file(), whole);
+    byte[] content = new byte[headerBytes.length + body.length];
+    System.arraycopy(headerBytes, 0, content, 0, headerBytes.length);
+    System.arraycopy(body, 0, content, headerBytes.length, body.length);
+    AtomicFile.write(file(), content);
   }
 
   private static SavedState parse(byte[] bytes) throws FileFault {
--- a/src/main/java/heathswitch/proxy/members/MembersWatcher.java
+++ b/src/main/java/heathswitch/proxy/members/MembersWatcher.java
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Most servers updated in one task on the event loop. */
+  /** Maximum number of servers updated in one task on the event loop. */
   static final int SLICE_SIZE = 512;
 
   private final Clock clock = new Clock();
--- a/src/test/java/heathswitch/policy/members/ListValidatorTest.java
+++ b/src/test/java/heathswitch/policy/members/ListValidatorTest.java
@@ -27,7 +27,7 @@
         id, "127.0.0.1:" + Math.floorMod(id.hashCode(), 60_000), zone, kind, 0, 1, true);
   }
 
-  /** Ten servers of kind front and ten of kind store, half of each in either zone. */
+  /** Ten servers of kind front and ten of kind store, half of each kind in each zone. */
   private static List<ListedServer> twentyServers() {
     List<ListedServer> list = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
@@ -63,10 +63,10 @@
 
   private ListDecision.PendingConfirmation assertHeldBack(List<ListedServer> list) {
     List<ListedServer> before = validator.current();
-    ListDecision.PendingConfirmation held =
+    ListDecision.PendingConfirmation pending =
         assertInstanceOf(ListDecision.PendingConfirmation.class, submit(list));
     assertEquals(before, validator.current());
-    return held;
+    return pending;
   }
 
   private static List<ListedServer> without(List<ListedServer> list, int count, String kind) {
@@ -151,11 +151,11 @@
   void removalOfWholeKindOrZoneIsHeldBack() {
     assertAccepted(twentyServers());
     List<ListedServer> noStore = without(twentyServers(), 10, "store");
-    ListDecision.PendingConfirmation held = assertHeldBack(noStore);
-    assertEquals("no server of kind store would be left in service", held.reasons().get(0));
+    ListDecision.PendingConfirmation pending = assertHeldBack(noStore);
+    assertEquals("no server of kind store would be left in service", pending.reasons().get(0));
     assertEquals(
         "10 of 20 servers would have left service within 10 min; at most 6 may without confirmation",
-        held.reasons().get(1));
+        pending.reasons().get(1));
     List<ListedServer> noZone = twentyServers();
     noZone.removeIf(s -> s.zone().equals("b"));
     assertEquals(
@@ -183,12 +183,12 @@
       now += MINUTE / 2;
       assertAccepted(list);
     }
-    ListDecision.PendingConfirmation held = assertHeldBack(without(list, 1, "store"));
+    ListDecision.PendingConfirmation pending = assertHeldBack(without(list, 1, "store"));
     assertEquals(
         List.of(
             "7 of 20 servers would have left service within 10 min;"
                 + " at most 6 may without confirmation"),
-        held.reasons());
+        pending.reasons());
   }
 
   @Test
@@ -248,8 +248,8 @@
       moved.add(
           new ListedServer(s.id(), "10.0.0.1:" + moved.size(), s.zone(), s.kind(), 0, 1, true));
     }
-    ListDecision.PendingConfirmation held = assertHeldBack(moved);
-    assertEquals(20, held.diff().changed().size());
+    ListDecision.PendingConfirmation pending = assertHeldBack(moved);
+    assertEquals(20, pending.diff().changed().size());
   }
 
   @Test
@@ -263,14 +263,14 @@
   void heldBackListIsAcceptedWhenItsVersionIsConfirmed() {
     assertAccepted(twentyServers());
     List<ListedServer> noStore = without(twentyServers(), 10, "store");
-    ListDecision.PendingConfirmation held = assertHeldBack(noStore);
-    assertEquals(held, submit(noStore), "the same list keeps its version");
-    assertInstanceOf(ListDecision.Refused.class, validator.confirm(now, held.version() + 1));
-    assertInstanceOf(ListDecision.Accepted.class, validator.confirm(now, held.version()));
+    ListDecision.PendingConfirmation pending = assertHeldBack(noStore);
+    assertEquals(pending, submit(noStore), "the same list keeps its version");
+    assertInstanceOf(ListDecision.Refused.class, validator.confirm(now, pending.version() + 1));
+    assertInstanceOf(ListDecision.Accepted.class, validator.confirm(now, pending.version()));
     assertEquals(noStore, validator.current());
-    assertEquals(held.version(), validator.version());
+    assertEquals(pending.version(), validator.version());
     assertNull(validator.pending());
-    assertInstanceOf(ListDecision.Refused.class, validator.confirm(now, held.version()));
+    assertInstanceOf(ListDecision.Refused.class, validator.confirm(now, pending.version()));
     // The confirmed list is the new baseline: another small removal needs no confirmation.
     assertAccepted(without(noStore, 1, "front"));
   }
@@ -322,7 +322,7 @@
     List<Moment> moments = new ArrayList<>();
     moments.add(new Moment(Long.MIN_VALUE / 2, twentyServers()));
     int nextId = 0;
-    int held = 0;
+    int heldBack = 0;
     for (int i = 0; i < 400; i++) {
       now += random.nextLong(2 * MINUTE);
       List<ListedServer> list = new ArrayList<>(validator.current());
@@ -335,7 +335,7 @@
         }
       }
       ListDecision decision = submit(list);
-      held += decision instanceof ListDecision.PendingConfirmation ? 1 : 0;
+      heldBack += decision instanceof ListDecision.PendingConfirmation ? 1 : 0;
       if (decision instanceof ListDecision.Accepted) {
         moments.add(new Moment(now, validator.current()));
         Moment baseline = moments.get(0);
@@ -348,6 +348,6 @@
         assertTrue(left.size() <= allowed, left.size() + " of " + baseline.list().size());
       }
     }
-    assertTrue(held > 10, "edits held back: " + held);
+    assertTrue(heldBack > 10, "edits held back: " + heldBack);
   }
 }
--- a/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersFormatTest.java
@@ -17,7 +17,7 @@
 
 /** Parsing and formatting of lists of servers, and the detection of truncated files. */
 class MembersFormatTest {
-  private static final String TABLE =
+  private static final String LIST_TEXT =
       """
       # id      address         zone  kind   cell weight phase
       store-1   127.0.0.1:9101  bkk   store  1    1      in_service
@@ -44,7 +44,7 @@
 
   @Test
   void parsesCommentsBlankLinesAndAnyWhitespace() {
-    MembersFormat.Parsed parsed = parse(TABLE);
+    MembersFormat.Parsed parsed = parse(LIST_TEXT);
     assertEquals(List.of(), parsed.faults());
     assertEquals(10, parsed.entries().size());
     assertEquals(
@@ -57,20 +57,19 @@
   /** A truncated file has a fault, unless only the end of its last line is missing. */
   @Test
   void truncationAtAnyByteIsDetected() {
-    byte[] whole = TABLE.getBytes(UTF_8);
-    byte[] sealed = MembersFormat.format(servers(parse(TABLE))).getBytes(UTF_8);
-    for (byte[] bytes : List.of(whole, sealed)) {
+    byte[] unsealed = LIST_TEXT.getBytes(UTF_8);
+    byte[] sealed = MembersFormat.format(servers(parse(LIST_TEXT))).getBytes(UTF_8);
+    for (byte[] bytes : List.of(unsealed, sealed)) {
       for (int length = 0; length < bytes.length - 1; length++) {
         MembersFormat.Parsed parsed = MembersFormat.parse("m", Arrays.copyOf(bytes, length));
         boolean sameServers =
-            parsed.faults().isEmpty() && servers(parsed).equals(servers(parse(TABLE)));
-        // A sealed file may lose its digest but nothing else; its number of servers was checked
-        // then.
+            parsed.faults().isEmpty() && servers(parsed).equals(servers(parse(LIST_TEXT)));
+        // A sealed file may lose its digest and nothing else: the number of servers still matches.
         boolean onlyDigest = bytes == sealed && sameServers;
         assertTrue(onlyDigest || !parsed.faults().isEmpty(), "truncated after " + length);
       }
     }
-    assertEquals(List.of(), parse(TABLE.strip()).faults());
+    assertEquals(List.of(), parse(LIST_TEXT.strip()).faults());
   }
 
   /**
@@ -78,9 +77,9 @@
    * rest of the old one.
    */
   @Test
-  void digestDetectsMixtureOfTwoFiles() {
-    String one = MembersFormat.format(servers(parse(TABLE)));
-    String other = MembersFormat.format(servers(parse(TABLE.replace(" 2.5 ", " 3.5 "))));
+  void digestDetectsMixtureOfOldAndNewContent() {
+    String one = MembersFormat.format(servers(parse(LIST_TEXT)));
+    String other = MembersFormat.format(servers(parse(LIST_TEXT.replace(" 2.5 ", " 3.5 "))));
     assertEquals(one.length(), other.length());
     int firstDifference = 0;
     while (one.charAt(firstDifference) == other.charAt(firstDifference)) {
@@ -94,7 +93,7 @@
 
   @Test
   void formattedListParsesToSameServers() {
-    List<ListedServer> servers = servers(parse(TABLE));
+    List<ListedServer> servers = servers(parse(LIST_TEXT));
     MembersFormat.Parsed reparsed = parse(MembersFormat.format(servers));
     assertEquals(List.of(), reparsed.faults());
     assertEquals(servers, servers(reparsed));
@@ -129,13 +128,13 @@
     assertFalse(parse(one + "end 1 sha256:00\n").faults().isEmpty());
     assertFalse(parse(one + "end 99999999999\n").faults().isEmpty());
     assertEquals(
-        "m.txt:2:5: end: states 2 servers but 1 are listed above; was the file truncated, or a line added"
-            + " without updating the number?",
+        "m.txt:2:5: end: states 2 servers but 1 are listed above; was the file truncated,"
+            + " or a line added without updating the number?",
         parse(one + "end 2\n").faults().get(0).toString());
   }
 
   @Test
-  void randomBytesYieldFaultsInBoundedNumber() {
+  void invalidContentYieldsBoundedNumberOfFaults() {
     SplittableRandom random = new SplittableRandom(5);
     for (int i = 0; i < 300; i++) {
       byte[] bytes = new byte[random.nextInt(4000)];
@@ -154,11 +153,11 @@
 
   @Test
   void sealCorrectsTheEndLine() {
-    String wrong = TABLE.replace("end 10", "end 3");
+    String wrong = LIST_TEXT.replace("end 10", "end 3");
     assertFalse(parse(wrong).faults().isEmpty());
     String sealed = MembersCheck.seal(wrong);
     assertEquals(List.of(), parse(sealed).faults());
-    assertEquals(servers(parse(TABLE)), servers(parse(sealed)));
+    assertEquals(servers(parse(LIST_TEXT)), servers(parse(sealed)));
     assertEquals(sealed, MembersCheck.seal(sealed));
     assertFalse(parse(sealed.replace("store-1 ", "store-x ")).faults().isEmpty());
   }
--- a/src/test/java/heathswitch/proxy/members/MembersReloaderTest.java
+++ b/src/test/java/heathswitch/proxy/members/MembersReloaderTest.java
@@ -346,9 +346,9 @@
     first.start(now);
     first.close();
     Files.delete(file("m"));
-    byte[] whole = Files.readAllBytes(state.resolve("members.state"));
-    for (int i = 0; i < whole.length; i++) {
-      byte[] damaged = whole.clone();
+    byte[] content = Files.readAllBytes(state.resolve("members.state"));
+    for (int i = 0; i < content.length; i++) {
+      byte[] damaged = content.clone();
       damaged[i] ^= 1;
       Files.write(state.resolve("members.state"), damaged);
       MembersReloader reloader = reloader(state, file("m"));
