--- a/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/heathswitch/proxy/dispatch/Dispatcher.java
@@ -256,7 +256,7 @@
       String tenant,
       boolean isRetry,
       long ttlNanos,
-      RequestProtocol form,
+      RequestProtocol protocol,
       Payload payload) {
     LiveRequest request =
         new LiveRequest(
@@ -277,7 +277,13 @@
         request,
         () -> {
           balancer.onRequest(
-              clock.nowNanos(), request.id, requestClass.name(), tenant, ttlNanos, isRetry, form);
+              clock.nowNanos(),
+              request.id,
+              requestClass.name(),
+              tenant,
+              ttlNanos,
+              isRetry,
+              protocol);
           overflowIfHeldBack(request);
         });
   }
