--- a/src/main/java/heathswitch/policy/gossip/Gossip.java
+++ b/src/main/java/heathswitch/policy/gossip/Gossip.java
@@ -655,7 +655,7 @@
   /**
    * Starts an anti-entropy exchange with one alive peer and with one address that is not known to
    * be alive. A network partition may have split the fleet in two, and a peer that died and came
-   * back may know nobody.
+   * back may know no other peer.
    */
   private void startSync(Transport transport) {
     List<String> absent = new ArrayList<>(seeds);
--- a/src/main/java/heathswitch/proxy/gossip/Datagram.java
+++ b/src/main/java/heathswitch/proxy/gossip/Datagram.java
@@ -18,7 +18,8 @@
  * The wire format of a datagram: version, key id, replay protection stamp, message as a JSON array,
  * authentication tag. The message is parsed only after the tag has been verified.
  *
- * @param message null for an answer that tells the sender's session id
+ * @param message null for an answer that tells the sender's session id; its kind on the wire is
+ *     "door"
  * @param answeredSequence for such an answer, the sequence number of the datagram that it answers;
  *     0 for a message
  */
--- a/src/main/java/heathswitch/proxy/gossip/GossipService.java
+++ b/src/main/java/heathswitch/proxy/gossip/GossipService.java
@@ -61,7 +61,10 @@
    */
   private static final double LOAD_WEIGHT = 0.1;
 
-  /** Weight of the latest measurement in the fast average, for a load that changes abruptly. */
+  /**
+   * Weight of the latest measurement in the fast average, for a load that changes within a second
+   * or two.
+   */
   private static final double FAST_WEIGHT = 0.5;
 
   /** Ratio of the two averages from which their difference counts as more than a fluctuation. */
@@ -113,7 +116,10 @@
   private Channel socket;
   private long sent;
   private long received;
-  private long sessionRequests;
+
+  /** Session ids that were received or sent in answer. */
+  private long sessionExchanges;
+
   private long dropped;
   private long lastRequestCount;
   private double averageLoad;
@@ -278,7 +284,7 @@
     Datagram datagram = Datagram.decode(bytes, keys);
     String address = announcedBySource.getOrDefault(from, Addresses.format(from));
     if (datagram.message() == null) {
-      sessionRequests++;
+      sessionExchanges++;
       Message unsent = pending.remove(address);
       if (replayGuard.learnSession(address, datagram.stamp(), datagram.answeredSequence())
           && unsent != null) {
@@ -289,7 +295,7 @@
     switch (replayGuard.check(datagram.stamp())) {
       case REPLAYED -> throw new Datagram.RefusedException(Datagram.Refusal.REPLAY);
       case WRONG_SESSION -> {
-        sessionRequests++;
+        sessionExchanges++;
         write(
             new Datagram(
                 replayGuard.answerStamp(datagram.stamp()), null, datagram.stamp().sequence()),
@@ -316,9 +322,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (!(cause
-          instanceof
-          IOException)) { // No process listens at the target: the same as a lost datagram.
+      // An IOException means that no process listens at the target: the same as a lost datagram.
+      if (!(cause instanceof IOException)) {
         Log.error("peers", "receiving a datagram failed", cause);
       }
     }
@@ -384,7 +389,7 @@
     Map<String, Long> counts = new LinkedHashMap<>();
     counts.put("sent", sent);
     counts.put("received", received);
-    counts.put("knocks", sessionRequests);
+    counts.put("knocks", sessionExchanges);
     counts.put("dropped", dropped);
     for (Datagram.Refusal each : Datagram.Refusal.values()) {
       counts.put(
--- a/src/main/java/heathswitch/testbed/gossip/GossipSimulation.java
+++ b/src/main/java/heathswitch/testbed/gossip/GossipSimulation.java
@@ -19,8 +19,8 @@
 /**
  * Simulates a fleet of instances that run the real {@link Gossip} in virtual time. Each instance
  * has its own clock with an arbitrary origin and a rate that deviates by up to 2%. Datagrams are
- * lost, duplicated and reordered; instances are paused, killed and restarted; links are cutLinks in
- * one direction or both.
+ * lost, duplicated and reordered; instances are paused, killed and restarted; links are cut in one
+ * direction or both.
  */
 final class GossipSimulation {
   static final long MILLI = 1_000_000L;
@@ -107,7 +107,7 @@
     conditions = newConditions;
   }
 
-  /** Starts a new process, which canReach only its name, its address and two seeds. */
+  /** Starts a new process, which knows only its name, its address and two seeds. */
   void start(Node node) {
     node.alive = true;
     node.paused = false;
@@ -209,7 +209,7 @@
           Set<String> notAlive = node.justResumed ? notAlive(node) : null;
           node.gossip.tick(clock(node), (to, message) -> send(node, to, message));
           if (node.justResumed && !notAlive.containsAll(notAlive(node))) {
-            violation(node.name + " suspects a peer because of its own pause");
+            recordViolation(node.name + " suspects a peer because of its own pause");
           }
           node.justResumed = false;
           checkInvariants(node);
@@ -221,8 +221,8 @@
           buffer.add(event);
         }
       } else {
-        node.justResumed =
-            false; // From now on, the message may be the reason why it suspects a peer.
+        // From now on, the message may be the reason why it suspects a peer.
+        node.justResumed = false;
         node.gossip.receive(
             clock(node), event.from(), event.message(), (to, message) -> send(node, to, message));
       }
@@ -283,11 +283,11 @@
     for (PeerRecord record : observer.gossip.knownPeers()) {
       if (record.status() == PeerStatus.DEAD && neverDead.contains(record.name())
           || record.status() != PeerStatus.ALIVE && neverSuspected.contains(record.name())) {
-        violation(observer.name + " has the record " + record);
+        recordViolation(observer.name + " has the record " + record);
       }
       PeerRecord before = observer.lastRecords.put(record.name(), record);
       if (before != null && before != record && isOlder(before, record)) {
-        violation(observer.name + " replaced " + before + " by the older " + record);
+        recordViolation(observer.name + " replaced " + before + " by the older " + record);
       }
     }
   }
@@ -299,7 +299,7 @@
             && before.status().compareTo(after.status()) > 0;
   }
 
-  private void violation(String text) {
+  private void recordViolation(String text) {
     violation = violation == null ? nowMillis() + " ms: " + text : violation;
   }
 
--- a/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
+++ b/src/main/java/heathswitch/testbed/gossip/PeersExplorer.java
@@ -66,8 +66,8 @@
       }
     }
     simulation.heal();
-    simulation.advance(
-        MAX_DELAY_NANOS); // Until then, updates from killed instances may still arrive.
+    // Updates from killed instances may arrive until then.
+    simulation.advance(MAX_DELAY_NANOS);
     if (simulation.violation() != null) {
       return new Finding(seed, simulation.violation(), faults);
     }
--- a/src/main/java/heathswitch/testbed/mutants/MutantLoader.java
+++ b/src/main/java/heathswitch/testbed/mutants/MutantLoader.java
@@ -28,8 +28,8 @@
   /**
    * Creates a loader for the sources below a folder and the classes on a class path.
    *
-   * @param reloadedPrefixes prefixes of the names of classes that are loaded reloadedPrefixes for
-   *     each mutant, so that they use it; all other classes are shared
+   * @param reloadedPrefixes prefixes of the names of classes that are loaded again for each mutant,
+   *     so that they use it; all other classes are shared
    */
   public MutantLoader(Path sources, String classPath, List<String> reloadedPrefixes) {
     this.sources = sources;
@@ -102,11 +102,11 @@
 
   /** Defines the reloaded classes itself instead of asking its parent first. */
   private final class Loader extends ClassLoader {
-    private final Map<String, byte[]> changed;
+    private final Map<String, byte[]> mutantClasses;
 
-    Loader(Map<String, byte[]> changed) {
+    Loader(Map<String, byte[]> mutantClasses) {
       super(MutantLoader.class.getClassLoader());
-      this.changed = changed;
+      this.mutantClasses = mutantClasses;
     }
 
     @Override
@@ -121,7 +121,7 @@
     }
 
     private Class<?> define(String name) throws ClassNotFoundException {
-      byte[] bytes = changed.get(name);
+      byte[] bytes = mutantClasses.get(name);
       if (bytes == null) {
         try (InputStream in = getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
           if (in == null) {
--- a/src/test/java/heathswitch/testbed/gossip/PeersExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/gossip/PeersExplorerTest.java
@@ -40,7 +40,7 @@
 
   /** The traffic of one member must not grow with the size of the fleet. */
   @Test
-  void trafficPerMemberIsTheSameWithTenAndWithAHundredMembers() {
+  void trafficPerMemberDoesNotGrowFromTenToAHundredMembers() {
     double[] perSecond = new double[2];
     int[] sizes = {10, 100};
     for (int i = 0; i < sizes.length; i++) {
