--- a/src/main/java/heathswitch/proxy/members/MembersPages.java
+++ b/src/main/java/heathswitch/proxy/members/MembersPages.java
@@ -1,12 +1,12 @@
 package heathswitch.proxy.members;
 
-import heathswitch.policy.members.Verdict;
+import heathswitch.policy.members.ListDecision;
 import heathswitch.proxy.admin.AdminServer;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What the admin listener shows and takes for the members. */
+/** The pages of the admin listener for the server list: its status, and its confirmation. */
 public final class MembersPages {
   private MembersPages() {}
 
@@ -22,16 +22,18 @@
             reply.accept(AdminServer.Reply.error(404, "members/confirm/VERSION expected"));
             return;
           }
-          watcher.confirm(version, verdict -> reply.accept(confirmed(verdict)));
+          watcher.confirm(version, decision -> reply.accept(confirmReply(decision)));
         });
   }
 
-  private static AdminServer.Reply confirmed(Verdict verdict) {
-    if (verdict instanceof Verdict.Accepted accepted) {
+  private static AdminServer.Reply confirmReply(ListDecision decision) {
+    if (decision instanceof ListDecision.Accepted accepted) {
       return AdminServer.Reply.ok(Map.of("accepted", accepted.version()));
     }
     List<String> reasons =
-        verdict instanceof Verdict.Refused refused ? refused.reasons() : List.of("not taken");
+        decision instanceof ListDecision.Refused refused
+            ? refused.reasons()
+            : List.of("not accepted");
     return AdminServer.Reply.error(409, String.join("; ", reasons));
   }
 
@@ -48,23 +50,23 @@
     json.put("draining", status.draining());
     json.put("accepted_total", status.acceptedTotal());
     json.put("refused_total", status.refusedTotal());
-    if (status.held() != null) {
-      Map<String, Object> held = new LinkedHashMap<>();
-      held.put("version", status.held().version());
-      held.put("since_ms", status.held().sinceMillis());
-      held.put("reasons", status.held().reasons());
-      held.put("added", status.held().added());
-      held.put("removed", status.held().removed());
-      held.put("changed", status.held().changed());
-      json.put("held", held);
+    if (status.pending() != null) {
+      Map<String, Object> pending = new LinkedHashMap<>();
+      pending.put("version", status.pending().version());
+      pending.put("since_ms", status.pending().sinceMillis());
+      pending.put("reasons", status.pending().reasons());
+      pending.put("added", status.pending().added());
+      pending.put("removed", status.pending().removed());
+      pending.put("changed", status.pending().changed());
+      json.put("held", pending);
     }
     json.put(
         "refusals",
         status.refusals().stream()
             .map(each -> Map.of("at_ms", each.atMillis(), "reasons", each.reasons()))
             .toList());
-    if (status.stateTrouble() != null) {
-      json.put("state_trouble", status.stateTrouble());
+    if (status.stateError() != null) {
+      json.put("state_trouble", status.stateError());
     }
     return json;
   }
