--- a/src/main/java/heathswitch/policy/subsetting/Passage.java
+++ b/src/main/java/heathswitch/policy/subsetting/AssignmentTransition.java
@@ -10,7 +10,7 @@
  * in one step, to new servers from the first step on, and an old one is left when nothing goes
  * there any more.
  */
-public final class Passage {
+public final class AssignmentTransition {
   /** Servers that are not wanted any more are left when so little goes to all of them together. */
   private static final double LEAST_PART = 0.02;
 
--- a/src/main/java/heathswitch/policy/subsetting/Census.java
+++ b/src/main/java/heathswitch/policy/subsetting/FleetSnapshot.java
@@ -9,7 +9,7 @@
  * @param instances balancers that count as there
  * @param servers those that are in service
  */
-public record Census(List<Instance> instances, List<Server> servers) {
+public record FleetSnapshot(List<Instance> instances, List<Server> servers) {
   /**
    * A balancer.
    *
@@ -27,7 +27,7 @@
    */
   public record Server(String name, String zone, long cell, double weight) {}
 
-  public Census {
+  public FleetSnapshot {
     instances = instances.stream().sorted(Comparator.comparing(Instance::name)).toList();
     servers = servers.stream().sorted(Comparator.comparing(Server::name)).toList();
   }
--- a/src/main/java/heathswitch/policy/subsetting/Draw.java
+++ b/src/main/java/heathswitch/policy/subsetting/RendezvousHash.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /** Chance that is the same wherever two names are the same (rendezvous hashing). */
-final class Draw {
-  private Draw() {}
+final class RendezvousHash {
+  private RendezvousHash() {}
 
   /**
    * How badly a pair suits: exponentially distributed, so that among several the least one falls to
--- a/src/main/java/heathswitch/policy/subsetting/Plan.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetPlan.java
@@ -19,7 +19,7 @@
  * <p>The choice follows names, so a change of one moves little; the amounts follow loads and
  * weights, so they add up; see the design note.
  */
-public final class Plan {
+public final class SubsetPlan {
   private static final int ROUNDS = 40;
 
   /** Scaled again and again, what is too much for a server comes down to nothing at all. */
@@ -34,7 +34,7 @@
   /** One with less is planned for as if it had that part of the mean: calls may come any time. */
   private static final double LEAST_LOAD = 0.05;
 
-  private final Census census;
+  private final FleetSnapshot census;
   private final double[] loads;
   private final double total;
   private final double weight;
@@ -42,7 +42,7 @@
   /** For each balancer the servers that it uses, and the calls a second that go to each. */
   private final List<Map<Integer, double[]>> rows = new ArrayList<>();
 
-  private Plan(Census census, double[] loads) {
+  private SubsetPlan(FleetSnapshot census, double[] loads) {
     this.census = census;
     this.loads = loads;
     total = Arrays.stream(loads).sum();
@@ -51,7 +51,7 @@
   }
 
   /** The plan that a census comes to; the same wherever it is the same. */
-  public static Plan of(Census census, Rule rule) {
+  public static SubsetPlan of(FleetSnapshot census, SubsetSizing rule) {
     double mean = census.load() / Math.max(1, census.instances().size());
     double least = mean > 0 ? LEAST_LOAD * mean : 1;
     double all = census.load();
@@ -62,9 +62,9 @@
         census.instances().stream()
             .mapToDouble(each -> Math.max(least, Math.min(each.load(), 2 * (all - each.load()))))
             .toArray();
-    Plan plan = new Plan(census, loads);
+    SubsetPlan plan = new SubsetPlan(census, loads);
     if (loads.length > 0 && !census.servers().isEmpty()) {
-      plan.choose(rule, new Flows(census, loads));
+      plan.choose(rule, new ZoneFlows(census, loads));
       plan.scale();
       for (int i = 0; i < MENDS && plan.mend(); i++) {
         plan.scale();
@@ -75,7 +75,7 @@
 
   // ---- who ----
 
-  private void choose(Rule rule, Flows flows) {
+  private void choose(SubsetSizing rule, ZoneFlows flows) {
     int[] names = census.instances().stream().mapToInt(each -> each.name().hashCode()).toArray();
     Map<String, int[]> byZone = new HashMap<>();
     for (String zone : flows.from()) {
@@ -83,13 +83,14 @@
     }
     int wanted = users(rule);
     for (int s = 0; s < census.servers().size(); s++) {
-      Census.Server server = census.servers().get(s);
+      FleetSnapshot.Server server = census.servers().get(s);
       int name = server.name().hashCode();
       for (Map.Entry<String, int[]> zone : byZone.entrySet()) {
         double part = flows.part(zone.getKey(), server.zone());
         if (part > 0) {
           int many = (int) Math.max(1, Math.round(wanted * part));
-          int[] named = best(zone.getValue(), many, i -> Draw.cost(names[i], name, loads[i]));
+          int[] named =
+              best(zone.getValue(), many, i -> RendezvousHash.cost(names[i], name, loads[i]));
           // Falling with the rank, as whoever comes or goes is the last one at most servers.
           double parts = named.length * (named.length + 1) / 2.0;
           for (int r = 0; r < named.length; r++) {
@@ -108,7 +109,7 @@
    * A power of two near the number that comes to the wanted width: one that followed the size of
    * the fleet would change for all servers with each balancer that comes or goes.
    */
-  private int users(Rule rule) {
+  private int users(SubsetSizing rule) {
     double near = (double) rule.width() * loads.length / census.servers().size();
     long doublings = Math.max(0, Math.round(StrictMath.log(near) / StrictMath.log(2)));
     return Math.min(loads.length, Math.max(rule.users(), 1 << Math.min(30, doublings)));
@@ -125,7 +126,7 @@
   }
 
   /** Servers that a balancer takes whoever names it, in as many cells as it has to have. */
-  private void own(int instance, int name, Rule rule, Flows flows) {
+  private void own(int instance, int name, SubsetSizing rule, ZoneFlows flows) {
     String zone = census.instances().get(instance).zone();
     Set<Long> cells = new HashSet<>();
     int[] able = new int[census.servers().size()];
@@ -135,7 +136,7 @@
         able[count++] = s;
       }
     }
-    List<Census.Server> all = census.servers();
+    List<FleetSnapshot.Server> all = census.servers();
     int[] rest = Arrays.copyOf(able, count);
     while (cells.size() < rule.domains() && rest.length > 0) {
       int s = best(rest, 1, each -> cost(name, each))[0];
@@ -221,8 +222,8 @@
   }
 
   private double cost(int instance, int server) {
-    Census.Server its = census.servers().get(server);
-    return Draw.cost(instance, its.name().hashCode(), its.weight());
+    FleetSnapshot.Server its = census.servers().get(server);
+    return RendezvousHash.cost(instance, its.name().hashCode(), its.weight());
   }
 
   /** What is due to a server by its weight. */
@@ -286,7 +287,7 @@
   }
 
   /** What it was made from. */
-  public Census census() {
+  public FleetSnapshot census() {
     return census;
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/Subset.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetSelector.java
@@ -9,7 +9,7 @@
  * Which servers one balancer uses, from who is there and what is listed; it is told both again and
  * again, with the time of a monotonic clock of its own in nanoseconds.
  */
-public final class Subset {
+public final class SubsetSelector {
   /**
    * How fast it follows.
    *
@@ -26,11 +26,11 @@
   }
 
   private final String self;
-  private final Rule rule;
+  private final SubsetSizing rule;
   private final Pace pace;
   private final SplittableRandom random;
-  private final Passage passage = new Passage();
-  private Plan plan;
+  private final AssignmentTransition passage = new AssignmentTransition();
+  private SubsetPlan plan;
   private boolean begun;
   private boolean narrow;
   private long nextNanos;
@@ -44,7 +44,7 @@
    *
    * @param self the name of its balancer
    */
-  public Subset(String self, Rule rule, Pace pace, long seed) {
+  public SubsetSelector(String self, SubsetSizing rule, Pace pace, long seed) {
     this.self = self;
     this.rule = rule;
     this.pace = pace;
@@ -62,7 +62,7 @@
    * @param census who is there, this balancer among them, and the servers in service
    * @return whether what it uses may have changed
    */
-  public boolean look(long nowNanos, Census census) {
+  public boolean look(long nowNanos, FleetSnapshot census) {
     if (!begun) {
       begun = true;
       nextNanos = nowNanos + (long) (pace.settleNanos() * (1 + random.nextDouble()));
@@ -77,7 +77,7 @@
     // All others have gone, or the way to them has: what it used was right a moment ago.
     boolean waits = alone && met && stepsAlone <= pace.aloneSteps();
     if (plan == null || !waits && !plan.census().equals(census)) {
-      plan = Plan.of(census, rule);
+      plan = SubsetPlan.of(census, rule);
     }
     Set<String> listed = new HashSet<>();
     census.servers().forEach(each -> listed.add(each.name()));
@@ -85,7 +85,7 @@
     if (waits) {
       wanted.keySet().retainAll(listed);
       if (wanted.isEmpty()) {
-        plan = Plan.of(census, rule);
+        plan = SubsetPlan.of(census, rule);
         wanted = plan.row(self);
       }
     }
@@ -106,7 +106,7 @@
   }
 
   /** What it goes towards, or null. */
-  public Plan plan() {
+  public SubsetPlan plan() {
     return plan;
   }
 
--- a/src/main/java/heathswitch/policy/subsetting/Rule.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetSizing.java
@@ -7,7 +7,7 @@
  * @param users no server has fewer balancers that use it, where there are as many
  * @param domains no balancer uses servers in fewer cells, where there are as many
  */
-public record Rule(int width, int users, int domains) {
+public record SubsetSizing(int width, int users, int domains) {
   /** For tens of balancers before tens or hundreds of servers. */
-  public static final Rule DEFAULT = new Rule(16, 2, 2);
+  public static final SubsetSizing DEFAULT = new SubsetSizing(16, 2, 2);
 }
--- a/src/main/java/heathswitch/policy/subsetting/Flows.java
+++ b/src/main/java/heathswitch/policy/subsetting/ZoneFlows.java
@@ -8,7 +8,7 @@
  * How many calls a second go from balancers of one zone to servers of another, so that all servers
  * are equally loaded for their weight and as few calls as can be leave their zone.
  */
-final class Flows {
+final class ZoneFlows {
   /** A flow that is a smaller part of what either end has is left at home: it would cost more. */
   private static final double LEAST_PART = 0.05;
 
@@ -16,14 +16,14 @@
   private final Map<String, Double> due = new TreeMap<>();
   private final Map<String, Map<String, Double>> to = new TreeMap<>();
 
-  Flows(Census census, double[] loads) {
+  ZoneFlows(FleetSnapshot census, double[] loads) {
     double total = 0;
     for (int i = 0; i < loads.length; i++) {
       load.merge(census.instances().get(i).zone(), loads[i], Double::sum);
       total += loads[i];
     }
     double weight = census.weight();
-    for (Census.Server each : census.servers()) {
+    for (FleetSnapshot.Server each : census.servers()) {
       due.merge(each.zone(), each.weight() / weight * total, Double::sum);
     }
     double over = 0;
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -13,7 +13,7 @@
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.runtime.SignalFileReader;
-import heathswitch.proxy.subsetting.Subsetting;
+import heathswitch.proxy.subsetting.SubsetService;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -39,7 +39,7 @@
   private SiteGateway gateway;
   private MaintenanceService work;
   private GossipService peers;
-  private Subsetting subsets;
+  private SubsetService subsets;
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
@@ -78,7 +78,7 @@
     }
     if (config.subset() != null) { // Over what work orders say: what is held is in no plan.
       subsets =
-          new Subsetting(
+          new SubsetService(
               node, peers, config.subset(), config.peers().instance(), config.node().seed());
     }
   }
--- a/src/main/java/heathswitch/proxy/subsetting/Narrowing.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetOverlay.java
@@ -3,7 +3,7 @@
 import heathswitch.policy.api.Health;
 import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.SubsetRole;
-import heathswitch.policy.subsetting.Census;
+import heathswitch.policy.subsetting.FleetSnapshot;
 import heathswitch.proxy.dispatch.Dispatcher;
 import heathswitch.proxy.dispatch.Member;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * Lays over the lists which servers are this balancer's own, and what goes to each of them against
  * the others. On the loop alone.
  */
-final class Narrowing implements Dispatcher.Overlay {
+final class SubsetOverlay implements Dispatcher.Overlay {
   /** A weight that is so little another one is told with the next that is. */
   private static final double CHANGE = 0.05;
 
@@ -79,13 +79,13 @@
   }
 
   /** The servers that are in service by the lists; ill ones among them, as each sees others ill. */
-  List<Census.Server> servers() {
-    List<Census.Server> servers = new ArrayList<>();
+  List<FleetSnapshot.Server> servers() {
+    List<FleetSnapshot.Server> servers = new ArrayList<>();
     for (Member entry : listed.values()) {
       if (entry.health() == Health.READY) {
         double weight = entry.weight() > 0 && entry.weight() < 1e9 ? entry.weight() : 1;
         String zone = entry.zone() == null ? "" : entry.zone();
-        servers.add(new Census.Server(entry.id(), zone, entry.cell(), weight));
+        servers.add(new FleetSnapshot.Server(entry.id(), zone, entry.cell(), weight));
       }
     }
     return servers;
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetPages.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetPages.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.subsetting;
 
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Plan;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.SubsetPlan;
 import heathswitch.proxy.admin.AdminServer;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.ArrayList;
@@ -14,9 +14,9 @@
 final class SubsetPages {
   private static final int MOST_SHOWN = 1000;
 
-  private final Subsetting subsetting;
+  private final SubsetService subsetting;
 
-  SubsetPages(Subsetting subsetting) {
+  SubsetPages(SubsetService subsetting) {
     this.subsetting = subsetting;
   }
 
@@ -25,7 +25,7 @@
   }
 
   private void read(String rest, Consumer<AdminServer.Reply> reply) {
-    Subsetting.Shown shown = subsetting.shown();
+    SubsetService.Shown shown = subsetting.shown();
     if (shown.plan() == null) {
       reply.accept(
           AdminServer.Reply.ok(
@@ -43,8 +43,8 @@
     }
   }
 
-  private Map<String, Object> page(Subsetting.Shown shown) {
-    Plan plan = shown.plan();
+  private Map<String, Object> page(SubsetService.Shown shown) {
+    SubsetPlan plan = shown.plan();
     Map<String, Object> page = new LinkedHashMap<>();
     page.put("instance", subsetting.instance());
     page.put("narrow", true);
@@ -83,9 +83,9 @@
   }
 
   /** Who uses a server, by the plan as this balancer sees it, and why. */
-  private void explain(String server, Plan plan, Consumer<AdminServer.Reply> reply) {
-    Census census = plan.census();
-    Census.Server found =
+  private void explain(String server, SubsetPlan plan, Consumer<AdminServer.Reply> reply) {
+    FleetSnapshot census = plan.census();
+    FleetSnapshot.Server found =
         census.servers().stream().filter(each -> each.name().equals(server)).findAny().orElse(null);
     if (found == null) {
       reply.accept(
@@ -102,7 +102,7 @@
     page.put("here", rounded(uses == null ? 0 : uses.getOrDefault(server, 0.0)));
     List<Object> rows = new ArrayList<>();
     Map<String, Double> users = plan.users(server);
-    for (Census.Instance each : census.instances()) {
+    for (FleetSnapshot.Instance each : census.instances()) {
       Double calls = users.get(each.name());
       if (calls != null && rows.size() < MOST_SHOWN) {
         Map<String, Object> row = new LinkedHashMap<>();
--- a/src/main/java/heathswitch/proxy/subsetting/Subsetting.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetService.java
@@ -3,9 +3,9 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
 import heathswitch.policy.gossip.PeerRecord;
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Plan;
-import heathswitch.policy.subsetting.Subset;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.SubsetPlan;
+import heathswitch.policy.subsetting.SubsetSelector;
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.metrics.Metrics;
@@ -25,7 +25,7 @@
  * This balancer's subset: a thread of its own looks at who is there and what is listed, computes
  * what to use, and hands it to the event loop, which never waits for it.
  */
-public final class Subsetting implements AutoCloseable {
+public final class SubsetService implements AutoCloseable {
   private static final int LOOKS_A_STEP = 10;
   private static final long LEAST_LOOK_MILLIS = 20;
 
@@ -35,26 +35,28 @@
    * @param spread by the plan, the most loaded server against its due
    * @param unseen peers that were there and are not heard any more
    */
-  record Shown(Plan plan, double spread, int unseen, double apart, double moved, long steps) {}
+  record Shown(
+      SubsetPlan plan, double spread, int unseen, double apart, double moved, long steps) {}
 
-  private record Seen(Census census, int unseen) {}
+  private record Seen(FleetSnapshot census, int unseen) {}
 
   private final Node node;
   private final GossipService peers;
   private final SubsetTable table;
   private final String instance;
-  private final Narrowing narrowing = new Narrowing();
-  private final Subset subset;
+  private final SubsetOverlay narrowing = new SubsetOverlay();
+  private final SubsetSelector subset;
   private final ScheduledExecutorService thread;
   private volatile Shown shown = new Shown(null, 1, 0, 0, 0, 0);
 
   /** Lays itself over the node's lists; before its start. */
-  public Subsetting(Node node, GossipService peers, SubsetTable table, String instance, long seed) {
+  public SubsetService(
+      Node node, GossipService peers, SubsetTable table, String instance, long seed) {
     this.node = node;
     this.peers = peers;
     this.table = table;
     this.instance = instance;
-    subset = new Subset(instance, table.rule(), table.pace(), seed ^ instance.hashCode());
+    subset = new SubsetSelector(instance, table.rule(), table.pace(), seed ^ instance.hashCode());
     thread =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -81,7 +83,7 @@
       Seen seen = node.loop().submit(this::see).get();
       if (subset.look(System.nanoTime(), seen.census())) {
         Map<String, Double> uses = subset.uses();
-        Plan plan = subset.plan();
+        SubsetPlan plan = subset.plan();
         Shown before = shown;
         shown =
             new Shown(
@@ -105,7 +107,7 @@
   // ---- on the loop ----
 
   private Seen see() {
-    List<Census.Instance> instances = new ArrayList<>();
+    List<FleetSnapshot.Instance> instances = new ArrayList<>();
     Set<String> addresses = new HashSet<>();
     boolean here = false;
     for (PeerRecord each : peers.presentPeers()) {
@@ -114,14 +116,15 @@
       }
       here |= each.name().equals(instance);
       instances.add(
-          new Census.Instance(each.name(), each.attributes().zone(), each.attributes().load()));
+          new FleetSnapshot.Instance(
+              each.name(), each.attributes().zone(), each.attributes().load()));
     }
     if (!here) { // It has left, and goes on by itself with its own part.
       PeerRecord self = peers.self();
       instances.add(
-          new Census.Instance(instance, self.attributes().zone(), self.attributes().load()));
+          new FleetSnapshot.Instance(instance, self.attributes().zone(), self.attributes().load()));
     }
-    return new Seen(new Census(instances, narrowing.servers()), peers.deadPeerCount());
+    return new Seen(new FleetSnapshot(instances, narrowing.servers()), peers.deadPeerCount());
   }
 
   Shown shown() {
@@ -132,7 +135,7 @@
     return instance;
   }
 
-  Narrowing narrowing() {
+  SubsetOverlay narrowing() {
     return narrowing;
   }
 
--- a/src/main/java/heathswitch/testbed/subsetting/World.java
+++ b/src/main/java/heathswitch/testbed/subsetting/FleetSimulation.java
@@ -1,9 +1,9 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Plan;
-import heathswitch.policy.subsetting.Rule;
-import heathswitch.policy.subsetting.Subset;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.SubsetPlan;
+import heathswitch.policy.subsetting.SubsetSelector;
+import heathswitch.policy.subsetting.SubsetSizing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,7 +18,7 @@
  * Balancers with the real module in virtual time, each with a clock of its own; what changes in the
  * fleet comes to each of them after a time of its own, so that for a while their views differ.
  */
-final class World {
+final class FleetSimulation {
   static final long MILLI = 1_000_000L;
 
   /** News come no later, be they of balancers or of servers. */
@@ -29,7 +29,7 @@
    */
   static final long CALM_NANOS = LATE_NANOS + 40 * 1_500 * MILLI;
 
-  static final Subset.Pace PACE = Subset.Pace.DEFAULT;
+  static final SubsetSelector.Pace PACE = SubsetSelector.Pace.DEFAULT;
   private static final long LOOK_NANOS = 100 * MILLI;
 
   /** What a step may leave over by rounding, and by what is too little to be kept. */
@@ -44,12 +44,12 @@
     double load;
     boolean alive = true;
     boolean paused;
-    Subset subset;
+    SubsetSelector subset;
 
     /** What it was told of the others and of the servers. */
-    final Map<String, Census.Instance> instances = new TreeMap<>();
+    final Map<String, FleetSnapshot.Instance> instances = new TreeMap<>();
 
-    final Map<String, Census.Server> servers = new TreeMap<>();
+    final Map<String, FleetSnapshot.Server> servers = new TreeMap<>();
 
     /** What it used after its last step, by what list and when by its own clock. */
     Map<String, Double> used;
@@ -69,9 +69,9 @@
   private record News(long at, Node to, Runnable what) {}
 
   private final SplittableRandom random;
-  private final Rule rule;
+  private final SubsetSizing rule;
   private final List<Node> nodes = new ArrayList<>();
-  private final Map<String, Census.Server> servers = new TreeMap<>();
+  private final Map<String, FleetSnapshot.Server> servers = new TreeMap<>();
   private final List<News> news = new ArrayList<>();
 
   /** Which side of a split each balancer is on; all on one while there is none. */
@@ -81,7 +81,7 @@
   private int born;
   private String broken;
 
-  World(int instances, int servers, int zones, Rule rule, long seed) {
+  FleetSimulation(int instances, int servers, int zones, SubsetSizing rule, long seed) {
     random = new SplittableRandom(seed);
     this.rule = rule;
     for (int i = 0; i < servers; i++) {
@@ -112,7 +112,8 @@
   private void add(String name, int zones) {
     int number = servers.size();
     servers.put(
-        name, new Census.Server(name, zone(number, zones), number % 7, 1 << random.nextInt(3)));
+        name,
+        new FleetSnapshot.Server(name, zone(number, zones), number % 7, 1 << random.nextInt(3)));
   }
 
   List<Node> nodes() {
@@ -157,7 +158,7 @@
   private void begin(Node node) {
     node.alive = true;
     node.paused = false;
-    node.subset = new Subset(node.name, rule, PACE, random.nextLong());
+    node.subset = new SubsetSelector(node.name, rule, PACE, random.nextLong());
     node.used = null;
     node.beganNanos = clock(node);
     node.instances.clear();
@@ -172,8 +173,8 @@
     }
   }
 
-  private static Census.Instance instance(Node node) {
-    return new Census.Instance(node.name, node.zone, node.load);
+  private static FleetSnapshot.Instance instance(Node node) {
+    return new FleetSnapshot.Instance(node.name, node.zone, node.load);
   }
 
   private void tell(Node to, long mostMillis, Runnable what) {
@@ -227,7 +228,7 @@
       default -> {
         String name = "s-" + born++;
         add(name, zones());
-        Census.Server fresh = servers.get(name);
+        FleetSnapshot.Server fresh = servers.get(name);
         nodes.forEach(node -> tell(node, 6000, () -> list(node, fresh)));
         return "new " + name;
       }
@@ -235,7 +236,7 @@
   }
 
   /** One comes that may have gone again meanwhile. */
-  private void list(Node node, Census.Server fresh) {
+  private void list(Node node, FleetSnapshot.Server fresh) {
     if (servers.containsKey(fresh.name())) {
       node.servers.put(fresh.name(), fresh);
     }
@@ -275,7 +276,7 @@
     split(1);
     nodes.forEach(this::start);
     for (Node node : nodes) {
-      for (Census.Server each : servers.values()) {
+      for (FleetSnapshot.Server each : servers.values()) {
         tell(node, LATE_NANOS / MILLI, () -> list(node, each));
       }
     }
@@ -299,8 +300,8 @@
   }
 
   private void look(Node node) {
-    Census census =
-        new Census(List.copyOf(node.instances.values()), List.copyOf(node.servers.values()));
+    FleetSnapshot census =
+        new FleetSnapshot(List.copyOf(node.instances.values()), List.copyOf(node.servers.values()));
     long clock = clock(node);
     boolean stepped = node.subset.look(clock, census);
     Map<String, Double> uses = node.subset.uses();
@@ -367,9 +368,10 @@
   /** What does not hold although nothing has happened for long, or null. */
   String unsettled() {
     List<Node> alive = nodes.stream().filter(node -> node.alive).toList();
-    Census census =
-        new Census(alive.stream().map(World::instance).toList(), List.copyOf(servers.values()));
-    Plan plan = Plan.of(census, rule);
+    FleetSnapshot census =
+        new FleetSnapshot(
+            alive.stream().map(FleetSimulation::instance).toList(), List.copyOf(servers.values()));
+    SubsetPlan plan = SubsetPlan.of(census, rule);
     Map<String, Double> gets = new TreeMap<>();
     Map<String, Integer> users = new TreeMap<>();
     double total = 0;
@@ -399,7 +401,7 @@
     }
     double weight = census.weight();
     boolean believed = believed();
-    for (Census.Server each : servers.values()) {
+    for (FleetSnapshot.Server each : servers.values()) {
       double due = each.weight() / weight * total;
       if (believed && gets.get(each.name()) > 1.1 * due) {
         return each.name() + " gets " + gets.get(each.name()) + " of " + due;
@@ -423,7 +425,7 @@
   private long cellsFor(Node node) {
     return servers.values().stream()
         .filter(each -> each.zone().equals(node.zone))
-        .map(Census.Server::cell)
+        .map(FleetSnapshot.Server::cell)
         .distinct()
         .count();
   }
@@ -471,7 +473,7 @@
         node.subset.uses().forEach((s, part) -> gets.merge(s, part * node.load, Double::sum));
       }
     }
-    double weight = servers.values().stream().mapToDouble(Census.Server::weight).sum();
+    double weight = servers.values().stream().mapToDouble(FleetSnapshot.Server::weight).sum();
     double worst = 0;
     for (Map.Entry<String, Double> each : gets.entrySet()) {
       double due = servers.get(each.getKey()).weight() / weight * total;
--- a/src/main/java/heathswitch/testbed/subsetting/Sample.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SampleFleets.java
@@ -1,15 +1,15 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Census.Instance;
-import heathswitch.policy.subsetting.Census.Server;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.FleetSnapshot.Instance;
+import heathswitch.policy.subsetting.FleetSnapshot.Server;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Fleets to hold ways against each other on, and what changes in them. */
-final class Sample {
-  private Sample() {}
+final class SampleFleets {
+  private SampleFleets() {}
 
   static Instance instance(String name, double load) {
     return new Instance(name, "", load);
@@ -25,7 +25,7 @@
    * @param unequal whether loads differ by as much as a lognormal with a deviation of 1, so that
    *     some balancers get several times the mean
    */
-  static Census of(int instances, int servers, boolean unequal, long seed) {
+  static FleetSnapshot of(int instances, int servers, boolean unequal, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Instance> some = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
@@ -35,29 +35,29 @@
     for (int i = 0; i < servers; i++) {
       others.add(server("server-" + (10_000 + i), 1));
     }
-    return new Census(some, others);
+    return new FleetSnapshot(some, others);
   }
 
   /** Without one balancer. */
-  static Census without(Census census, Instance gone) {
-    return new Census(
+  static FleetSnapshot without(FleetSnapshot census, Instance gone) {
+    return new FleetSnapshot(
         census.instances().stream().filter(each -> !each.equals(gone)).toList(), census.servers());
   }
 
   /** Without one server. */
-  static Census without(Census census, Server gone) {
-    return new Census(
+  static FleetSnapshot without(FleetSnapshot census, Server gone) {
+    return new FleetSnapshot(
         census.instances(), census.servers().stream().filter(each -> !each.equals(gone)).toList());
   }
 
   /** The balancers of one side of a split, which see all servers. */
-  static Census side(Census census, boolean even) {
+  static FleetSnapshot side(FleetSnapshot census, boolean even) {
     List<Instance> some = new ArrayList<>();
     for (int i = 0; i < census.instances().size(); i++) {
       if (i % 2 == 0 == even) {
         some.add(census.instances().get(i));
       }
     }
-    return new Census(some, census.servers());
+    return new FleetSnapshot(some, census.servers());
   }
 }
--- a/src/main/java/heathswitch/testbed/subsetting/Comparison.java
+++ b/src/main/java/heathswitch/testbed/subsetting/StrategyComparison.java
@@ -1,8 +1,8 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Census.Instance;
-import heathswitch.policy.subsetting.Census.Server;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.FleetSnapshot.Instance;
+import heathswitch.policy.subsetting.FleetSnapshot.Server;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -12,10 +12,10 @@
 import java.util.SplittableRandom;
 
 /** One way by figures: how even, how many connections, and what a change moves. */
-final class Comparison {
+final class StrategyComparison {
   private static final int CHANGES = 8;
 
-  private Comparison() {}
+  private StrategyComparison() {}
 
   /**
    * What a way comes to.
@@ -42,7 +42,7 @@
       double spreadSplit,
       double spreadViews) {}
 
-  static Figures of(Way way, Census census, int width) {
+  static Figures of(SubsettingStrategy way, FleetSnapshot census, int width) {
     Map<String, Map<String, Double>> plan = way.plan(census, width);
     long connections = count(plan);
     double opened = 0;
@@ -51,13 +51,13 @@
     double least = 0;
     for (int i = 0; i < CHANGES; i++) {
       Instance gone = census.instances().get((i * 37 + 5) % census.instances().size());
-      Map<String, Map<String, Double>> after = way.plan(Sample.without(census, gone), width);
+      Map<String, Map<String, Double>> after = way.plan(SampleFleets.without(census, gone), width);
       opened += (double) opened(plan, after) / connections / CHANGES;
       moved += moved(census, plan, after) / CHANGES;
       least += least(census, plan, gone) / CHANGES;
       Server down = census.servers().get((i * 41 + 3) % census.servers().size());
       long had = plan.values().stream().filter(row -> row.containsKey(down.name())).count();
-      long took = opened(plan, way.plan(Sample.without(census, down), width));
+      long took = opened(plan, way.plan(SampleFleets.without(census, down), width));
       lost += (double) took / Math.max(1, had) / CHANGES;
     }
     return new Figures(
@@ -76,8 +76,8 @@
     return plan.values().stream().mapToLong(Map::size).sum();
   }
 
-  static double spread(Census census, Map<String, Map<String, Double>> plan) {
-    Map<String, Double> gets = Way.received(census, plan);
+  static double spread(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
+    Map<String, Double> gets = SubsettingStrategy.received(census, plan);
     double worst = 0;
     for (Server each : census.servers()) {
       double due = each.weight() / census.weight() * census.load();
@@ -86,7 +86,7 @@
     return worst;
   }
 
-  private static long uncovered(Census census, Map<String, Map<String, Double>> plan) {
+  private static long uncovered(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
     Set<String> used = new HashSet<>();
     plan.values().forEach(row -> used.addAll(row.keySet()));
     return census.servers().stream().filter(each -> !used.contains(each.name())).count();
@@ -104,7 +104,7 @@
   }
 
   private static double moved(
-      Census census,
+      FleetSnapshot census,
       Map<String, Map<String, Double>> before,
       Map<String, Map<String, Double>> after) {
     double moved = 0;
@@ -123,8 +123,9 @@
    * What servers lack of their due when one balancer has gone, part of the calls that are left: no
    * plan that is even again moves less.
    */
-  private static double least(Census census, Map<String, Map<String, Double>> plan, Instance gone) {
-    Map<String, Double> gets = Way.received(census, plan);
+  private static double least(
+      FleetSnapshot census, Map<String, Map<String, Double>> plan, Instance gone) {
+    Map<String, Double> gets = SubsettingStrategy.received(census, plan);
     double left = census.load() - gone.load();
     double least = 0;
     for (Server each : census.servers()) {
@@ -135,21 +136,23 @@
     return least / left;
   }
 
-  private static double load(Census census, String name) {
+  private static double load(FleetSnapshot census, String name) {
     return census.instances().stream()
         .filter(each -> each.name().equals(name))
         .mapToDouble(Instance::load)
         .sum();
   }
 
-  private static Map<String, Map<String, Double>> split(Way way, Census census, int width) {
+  private static Map<String, Map<String, Double>> split(
+      SubsettingStrategy way, FleetSnapshot census, int width) {
     Map<String, Map<String, Double>> plan =
-        new LinkedHashMap<>(way.plan(Sample.side(census, true), width));
-    plan.putAll(way.plan(Sample.side(census, false), width));
+        new LinkedHashMap<>(way.plan(SampleFleets.side(census, true), width));
+    plan.putAll(way.plan(SampleFleets.side(census, false), width));
     return plan;
   }
 
-  private static Map<String, Map<String, Double>> views(Way way, Census census, int width) {
+  private static Map<String, Map<String, Double>> views(
+      SubsettingStrategy way, FleetSnapshot census, int width) {
     SplittableRandom random = new SplittableRandom(1);
     Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
     for (Instance each : census.instances()) {
@@ -159,16 +162,16 @@
           seen.add(other);
         }
       }
-      Census view = new Census(seen, census.servers());
+      FleetSnapshot view = new FleetSnapshot(seen, census.servers());
       plan.put(each.name(), way.plan(view, width).get(each.name()));
     }
     return plan;
   }
 
   /** A table of all ways, for the design note. */
-  static String table(Census census, int width) {
+  static String table(FleetSnapshot census, int width) {
     StringBuilder table = new StringBuilder();
-    for (Way way : Way.values()) {
+    for (SubsettingStrategy way : SubsettingStrategy.values()) {
       Figures figures = of(way, census, width);
       table.append(
           String.format(
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetExplorer.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetExplorer.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.policy.subsetting.Rule;
+import heathswitch.policy.subsetting.SubsetSizing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -47,27 +47,27 @@
     SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = new ArrayList<>();
     int zones = random.nextInt(3) == 0 ? 2 : 1;
-    World world =
-        new World(
+    FleetSimulation world =
+        new FleetSimulation(
             2 + random.nextInt(8),
             6 + random.nextInt(20),
             zones,
-            new Rule(2 + random.nextInt(6), 2, 2),
+            new SubsetSizing(2 + random.nextInt(6), 2, 2),
             random.nextLong());
-    world.pass(random.nextLong(20_000 * World.MILLI));
+    world.pass(random.nextLong(20_000 * FleetSimulation.MILLI));
     for (int i = 0; i < STEPS && world.broken() == null; i++) {
       faults.add(world.nowMillis() + " ms " + world.fault());
-      world.pass(random.nextLong(4000 * World.MILLI));
+      world.pass(random.nextLong(4000 * FleetSimulation.MILLI));
     }
     faults.add(world.nowMillis() + " ms well");
     world.heal();
-    world.pass(World.CALM_NANOS);
+    world.pass(FleetSimulation.CALM_NANOS);
     String what = world.broken() != null ? world.broken() : world.unsettled();
     if (what != null) {
       return new Played(new Finding(seed, what, faults), 0);
     }
     Map<String, Map<String, Double>> settled = world.uses();
-    world.pass(5000 * World.MILLI);
+    world.pass(5000 * FleetSimulation.MILLI);
     if (!settled.equals(world.uses())) {
       return new Played(new Finding(seed, "it swings though nothing happens", faults), 0);
     }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -6,10 +6,10 @@
 
 /** Faults in the choice of subsets, and whether the schedules find them. */
 final class SubsetMutants {
-  private static final String PLAN = "heathswitch.policy.subsetting.Plan";
-  private static final String PASSAGE = "heathswitch.policy.subsetting.Passage";
-  private static final String SUBSET = "heathswitch.policy.subsetting.Subset";
-  private static final String CENSUS = "heathswitch.policy.subsetting.Census";
+  private static final String PLAN = "heathswitch.policy.subsetting.SubsetPlan";
+  private static final String PASSAGE = "heathswitch.policy.subsetting.AssignmentTransition";
+  private static final String SUBSET = "heathswitch.policy.subsetting.SubsetSelector";
+  private static final String CENSUS = "heathswitch.policy.subsetting.FleetSnapshot";
 
   static final List<Mutant> ALL =
       List.of(
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -81,7 +81,7 @@
       both.shutdownNow();
     }
     Figures.progress("ways held against each other");
-    Figures.progress(Comparison.table(Sample.of(12, 48, true, 1), 16));
+    Figures.progress(StrategyComparison.table(SampleFleets.of(12, 48, true, 1), 16));
     Figures.progress("schedules in virtual time");
     long schedules = brief ? 200 : 100_000;
     SubsetExplorer.Played played = SubsetExplorer.random(1, schedules);
--- a/src/main/java/heathswitch/testbed/subsetting/Way.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsettingStrategy.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.policy.subsetting.Census;
-import heathswitch.policy.subsetting.Census.Instance;
-import heathswitch.policy.subsetting.Census.Server;
-import heathswitch.policy.subsetting.Plan;
-import heathswitch.policy.subsetting.Rule;
+import heathswitch.policy.subsetting.FleetSnapshot;
+import heathswitch.policy.subsetting.FleetSnapshot.Instance;
+import heathswitch.policy.subsetting.FleetSnapshot.Server;
+import heathswitch.policy.subsetting.SubsetPlan;
+import heathswitch.policy.subsetting.SubsetSizing;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -18,18 +18,18 @@
  * How balancers choose their servers without a word to each other: from the same census each
  * computes the same plan, and uses its own row of it.
  */
-enum Way {
+enum SubsettingStrategy {
   /** Everyone to everyone. */
   ALL {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       return even(census, each -> census.servers());
     }
   },
   /** So many drawn by chance, each balancer by its own name. */
   RANDOM {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       return even(
           census,
           each -> {
@@ -42,7 +42,7 @@
   /** Shuffled rounds of all servers, dealt out by the position in the order of names. */
   POSITION {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       int each = Math.min(width, census.servers().size());
       int hands = census.servers().size() / each;
       Map<String, Integer> positions = new HashMap<>();
@@ -61,7 +61,7 @@
   /** Those that follow on a ring of names. */
   RING {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       List<Server> ring = new ArrayList<>(census.servers());
       ring.sort(Comparator.comparingLong(server -> hash(server.name(), "ring")));
       return even(
@@ -83,7 +83,7 @@
   /** Those whose names suit its own best, by the weighted rendezvous. */
   RENDEZVOUS {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       return even(census, each -> best(census, each, wide(census, each, width)));
     }
   },
@@ -92,7 +92,7 @@
    */
   APERTURE {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       List<Server> ring = new ArrayList<>(census.servers());
       ring.sort(Comparator.comparingLong(server -> hash(server.name(), "ring")));
       // So many turns of all arcs around the ring that each is as wide as is wanted on the mean.
@@ -121,7 +121,7 @@
    */
   SCALED {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       return scaled(census, RENDEZVOUS.plan(census, width));
     }
   },
@@ -130,7 +130,7 @@
    */
   NAMED {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
       // Rounded to a power of two: were it to follow each change, each change would move them all.
       double users = (double) width * census.instances().size() / census.servers().size();
       int many = Math.max(LEAST_USERS, 1 << Math.max(0, Math.round(Math.log(users) / Math.log(2))));
@@ -152,8 +152,8 @@
   /** The same, and how much goes to each of them scaled as above: what balancers do. */
   NAMED_SCALED {
     @Override
-    Map<String, Map<String, Double>> plan(Census census, int width) {
-      Plan plan = Plan.of(census, new Rule(width, LEAST_USERS, LEAST_OWN));
+    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
+      SubsetPlan plan = SubsetPlan.of(census, new SubsetSizing(width, LEAST_USERS, LEAST_OWN));
       Map<String, Map<String, Double>> rows = new LinkedHashMap<>();
       census.instances().forEach(each -> rows.put(each.name(), plan.row(each.name())));
       return rows;
@@ -176,14 +176,14 @@
    *
    * @param width servers of a balancer of mean load
    */
-  abstract Map<String, Map<String, Double>> plan(Census census, int width);
+  abstract Map<String, Map<String, Double>> plan(FleetSnapshot census, int width);
 
   /** Whom a balancer uses. */
   private interface Choice {
     List<Server> of(Instance instance);
   }
 
-  private static Map<String, Map<String, Double>> even(Census census, Choice choice) {
+  private static Map<String, Map<String, Double>> even(FleetSnapshot census, Choice choice) {
     Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
     for (Instance each : census.instances()) {
       List<Server> chosen = choice.of(each);
@@ -196,14 +196,14 @@
   }
 
   /** As many as its load is of the mean, within all that there are. */
-  private static int wide(Census census, Instance each, int width) {
+  private static int wide(FleetSnapshot census, Instance each, int width) {
     double mean = census.load() / census.instances().size();
     long wide = Math.round(width * each.load() / mean);
     return (int) Math.min(census.servers().size(), Math.max(LEAST, wide));
   }
 
   private static Map<String, Map<String, Double>> scaled(
-      Census census, Map<String, Map<String, Double>> plan) {
+      FleetSnapshot census, Map<String, Map<String, Double>> plan) {
     Map<String, Double> due = new HashMap<>();
     for (Server each : census.servers()) {
       due.put(each.name(), each.weight() / census.weight() * census.load());
@@ -220,7 +220,7 @@
     return plan;
   }
 
-  private static List<Instance> users(Census census, Server server, int many) {
+  private static List<Instance> users(FleetSnapshot census, Server server, int many) {
     Map<Instance, Double> scores = new HashMap<>();
     for (Instance each : census.instances()) {
       scores.put(each, -Math.log(drawn(each.name(), server.name())) / each.load());
@@ -235,7 +235,7 @@
     return (hash(instance, server) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
   }
 
-  private static List<Server> best(Census census, Instance each, int many) {
+  private static List<Server> best(FleetSnapshot census, Instance each, int many) {
     Map<Server, Double> scores = new HashMap<>();
     for (Server server : census.servers()) {
       scores.put(server, -Math.log(drawn(each.name(), server.name())) / server.weight());
@@ -246,7 +246,7 @@
   }
 
   /** Calls a second that come to each server by a plan. */
-  static Map<String, Double> received(Census census, Map<String, Map<String, Double>> plan) {
+  static Map<String, Double> received(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
     Map<String, Double> gets = new HashMap<>();
     for (Instance each : census.instances()) {
       plan.get(each.name())
--- a/src/test/java/heathswitch/policy/subsetting/PlanTest.java
+++ b/src/test/java/heathswitch/policy/subsetting/SubsetPlanTest.java
@@ -13,26 +13,26 @@
 import org.junit.jupiter.api.Test;
 
 /** Who uses which server, and for how many calls. */
-class PlanTest {
-  private static final Rule RULE = new Rule(8, 2, 2);
+class SubsetPlanTest {
+  private static final SubsetSizing RULE = new SubsetSizing(8, 2, 2);
 
-  private static Census census(int instances, int servers, String... zones) {
-    List<Census.Instance> some = new ArrayList<>();
+  private static FleetSnapshot census(int instances, int servers, String... zones) {
+    List<FleetSnapshot.Instance> some = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      some.add(new Census.Instance("edge-" + i, zones[i % zones.length], 10 + i % 3 * 20));
+      some.add(new FleetSnapshot.Instance("edge-" + i, zones[i % zones.length], 10 + i % 3 * 20));
     }
-    List<Census.Server> others = new ArrayList<>();
+    List<FleetSnapshot.Server> others = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
-      others.add(new Census.Server("s-" + i, zones[i % zones.length], i % 6, 1 << i % 3));
+      others.add(new FleetSnapshot.Server("s-" + i, zones[i % zones.length], i % 6, 1 << i % 3));
     }
-    return new Census(some, others);
+    return new FleetSnapshot(some, others);
   }
 
-  private static double part(Plan plan, Census census, boolean near) {
+  private static double part(SubsetPlan plan, FleetSnapshot census, boolean near) {
     double sum = 0;
-    for (Census.Instance each : census.instances()) {
+    for (FleetSnapshot.Instance each : census.instances()) {
       Map<String, Double> row = plan.row(each.name());
-      for (Census.Server server : census.servers()) {
+      for (FleetSnapshot.Server server : census.servers()) {
         boolean home = server.zone().equals(each.zone());
         sum += home == near ? row.getOrDefault(server.name(), 0.0) * each.load() : 0;
       }
@@ -42,14 +42,14 @@
 
   @Test
   void itIsTheSameInWhateverOrderOneHears() {
-    Census census = census(12, 40, "a");
-    List<Census.Instance> instances = new ArrayList<>(census.instances());
-    List<Census.Server> servers = new ArrayList<>(census.servers());
+    FleetSnapshot census = census(12, 40, "a");
+    List<FleetSnapshot.Instance> instances = new ArrayList<>(census.instances());
+    List<FleetSnapshot.Server> servers = new ArrayList<>(census.servers());
     Collections.shuffle(instances, new Random(1));
     Collections.shuffle(servers, new Random(2));
-    Plan one = Plan.of(census, RULE);
-    Plan other = Plan.of(new Census(instances, servers), RULE);
-    for (Census.Instance each : instances) {
+    SubsetPlan one = SubsetPlan.of(census, RULE);
+    SubsetPlan other = SubsetPlan.of(new FleetSnapshot(instances, servers), RULE);
+    for (FleetSnapshot.Instance each : instances) {
       assertEquals(one.row(each.name()), other.row(each.name()));
     }
   }
@@ -57,8 +57,8 @@
   /** Equal zones: nothing need leave home, and every server gets its due all the same. */
   @Test
   void nearServersComeFirst() {
-    Census census = census(12, 48, "a", "b");
-    Plan plan = Plan.of(census, RULE);
+    FleetSnapshot census = census(12, 48, "a", "b");
+    SubsetPlan plan = SubsetPlan.of(census, RULE);
     assertTrue(plan.spread() < 1.06, "spread " + plan.spread());
     assertTrue(part(plan, census, true) > 0.9, "at home " + part(plan, census, true));
   }
@@ -66,15 +66,15 @@
   /** All balancers in one zone of two: the far servers get theirs as well. */
   @Test
   void farServersAreNotStarved() {
-    List<Census.Instance> here = new ArrayList<>();
+    List<FleetSnapshot.Instance> here = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      here.add(new Census.Instance("edge-" + i, "a", 25));
+      here.add(new FleetSnapshot.Instance("edge-" + i, "a", 25));
     }
-    Census census = new Census(here, census(1, 48, "a", "b").servers());
-    Plan plan = Plan.of(census, RULE);
+    FleetSnapshot census = new FleetSnapshot(here, census(1, 48, "a", "b").servers());
+    SubsetPlan plan = SubsetPlan.of(census, RULE);
     assertTrue(plan.spread() < 1.05, "spread " + plan.spread());
     double due = 0;
-    for (Census.Server each : census.servers()) {
+    for (FleetSnapshot.Server each : census.servers()) {
       due += each.zone().equals("b") ? each.weight() / census.weight() : 0;
     }
     assertEquals(due, part(plan, census, false), 0.05);
@@ -82,12 +82,12 @@
 
   @Test
   void noBalancerHasFewerCellsThanItIsToHave() {
-    Rule rule = new Rule(4, 2, 4);
-    Census census = census(20, 60, "a");
-    Plan plan = Plan.of(census, rule);
-    for (Census.Instance each : census.instances()) {
+    SubsetSizing rule = new SubsetSizing(4, 2, 4);
+    FleetSnapshot census = census(20, 60, "a");
+    SubsetPlan plan = SubsetPlan.of(census, rule);
+    for (FleetSnapshot.Instance each : census.instances()) {
       Set<Long> cells = new HashSet<>();
-      for (Census.Server server : census.servers()) {
+      for (FleetSnapshot.Server server : census.servers()) {
         if (plan.row(each.name()).containsKey(server.name())) {
           cells.add(server.cell());
         }
@@ -99,29 +99,29 @@
   /** Nobody has told a load yet: all count alike, and the amounts are numbers. */
   @Test
   void loadsOfNothingCountAlike() {
-    List<Census.Instance> quiet = new ArrayList<>();
+    List<FleetSnapshot.Instance> quiet = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      quiet.add(new Census.Instance("edge-" + i, "", 0));
+      quiet.add(new FleetSnapshot.Instance("edge-" + i, "", 0));
     }
-    Plan plan = Plan.of(new Census(quiet, census(1, 9, "").servers()), RULE);
+    SubsetPlan plan = SubsetPlan.of(new FleetSnapshot(quiet, census(1, 9, "").servers()), RULE);
     assertTrue(plan.spread() < 1.01, "spread " + plan.spread());
-    for (Census.Instance each : quiet) {
+    for (FleetSnapshot.Instance each : quiet) {
       assertEquals(
           1, plan.row(each.name()).values().stream().mapToDouble(part -> part).sum(), 1e-9);
     }
     assertEquals(Map.of(), plan.row("nobody"));
-    assertEquals(0, Plan.of(new Census(quiet, List.of()), RULE).pairs());
+    assertEquals(0, SubsetPlan.of(new FleetSnapshot(quiet, List.of()), RULE).pairs());
   }
 
   /** What the others really send stays near what is due, whatever one says of itself. */
   @Test
   void oneThatSaysItHasAMillionCallsIsNotBelieved() {
-    Census census = census(12, 48, "");
-    List<Census.Instance> told = new ArrayList<>(census.instances());
-    told.set(3, new Census.Instance(told.get(3).name(), "", 1e6));
-    Plan plan = Plan.of(new Census(told, census.servers()), RULE);
+    FleetSnapshot census = census(12, 48, "");
+    List<FleetSnapshot.Instance> told = new ArrayList<>(census.instances());
+    told.set(3, new FleetSnapshot.Instance(told.get(3).name(), "", 1e6));
+    SubsetPlan plan = SubsetPlan.of(new FleetSnapshot(told, census.servers()), RULE);
     double[] gets = new double[48];
-    for (Census.Instance each : census.instances()) {
+    for (FleetSnapshot.Instance each : census.instances()) {
       Map<String, Double> row = plan.row(each.name());
       for (int s = 0; s < 48; s++) {
         gets[s] += row.getOrDefault(census.servers().get(s).name(), 0.0) * each.load();
--- a/src/test/java/heathswitch/policy/subsetting/SubsetTest.java
+++ b/src/test/java/heathswitch/policy/subsetting/SubsetSelectorTest.java
@@ -13,33 +13,35 @@
 import org.junit.jupiter.api.Test;
 
 /** One balancer's way from what it uses to what it is to use. */
-class SubsetTest {
+class SubsetSelectorTest {
   private static final long MILLI = 1_000_000L;
-  private static final Subset.Pace PACE = new Subset.Pace(1000 * MILLI, 100 * MILLI, 0.1, 20);
+  private static final SubsetSelector.Pace PACE =
+      new SubsetSelector.Pace(1000 * MILLI, 100 * MILLI, 0.1, 20);
 
-  private final Subset subset = new Subset("edge-0", new Rule(4, 2, 2), PACE, 1);
+  private final SubsetSelector subset =
+      new SubsetSelector("edge-0", new SubsetSizing(4, 2, 2), PACE, 1);
   private long now = 77_000 * MILLI;
 
-  private static Census census(int instances, int servers) {
-    List<Census.Instance> some = new ArrayList<>();
+  private static FleetSnapshot census(int instances, int servers) {
+    List<FleetSnapshot.Instance> some = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      some.add(new Census.Instance("edge-" + i, "", 20));
+      some.add(new FleetSnapshot.Instance("edge-" + i, "", 20));
     }
-    List<Census.Server> others = new ArrayList<>();
+    List<FleetSnapshot.Server> others = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
-      others.add(new Census.Server("s-" + i, "", i, 1));
+      others.add(new FleetSnapshot.Server("s-" + i, "", i, 1));
     }
-    return new Census(some, others);
+    return new FleetSnapshot(some, others);
   }
 
   /** Until it has gone so many steps. */
-  private void steps(int many, Census census) {
+  private void steps(int many, FleetSnapshot census) {
     for (int done = 0; done < many; now += 10 * MILLI) {
       done += subset.look(now, census) ? 1 : 0;
     }
   }
 
-  private void goThere(Census census) {
+  private void goThere(FleetSnapshot census) {
     steps(1, census);
     steps(40, census);
     assertEquals(0, subset.apart(), 1e-9);
@@ -47,7 +49,7 @@
 
   @Test
   void itUsesAllUntilItHasHeardWhoIsThere() {
-    Census census = census(6, 24);
+    FleetSnapshot census = census(6, 24);
     assertFalse(subset.look(now, census));
     now += 999 * MILLI;
     assertFalse(subset.look(now, census));
@@ -61,7 +63,7 @@
   void aChangeIsFollowedInStepsWithNewServersFromTheFirstOn() {
     goThere(census(6, 24));
     Map<String, Double> before = subset.uses();
-    Census less = census(3, 24);
+    FleetSnapshot less = census(3, 24);
     double moved = subset.moved();
     steps(1, less);
     assertEquals(0.1, subset.moved() - moved, 1e-9);
@@ -78,15 +80,15 @@
   void aServerThatIsNotListedIsNotUsed() {
     goThere(census(6, 24));
     String gone = new TreeSet<>(subset.uses().keySet()).first();
-    Census all = census(6, 24);
-    Census less =
-        new Census(
+    FleetSnapshot all = census(6, 24);
+    FleetSnapshot less =
+        new FleetSnapshot(
             all.instances(),
             all.servers().stream().filter(each -> !each.name().equals(gone)).toList());
     steps(1, less);
     assertFalse(subset.uses().containsKey(gone));
-    List<Census.Server> fresh = List.of(new Census.Server("new", "", 1, 1));
-    steps(1, new Census(all.instances(), fresh));
+    List<FleetSnapshot.Server> fresh = List.of(new FleetSnapshot.Server("new", "", 1, 1));
+    steps(1, new FleetSnapshot(all.instances(), fresh));
     assertEquals(Map.of("new", 1.0), subset.uses());
   }
 
@@ -105,10 +107,12 @@
   /** Instances that learn of the same change at once do not move at once. */
   @Test
   void stepsAreDrawnAnewByEach() {
-    Census census = census(200, 50);
+    FleetSnapshot census = census(200, 50);
     List<Long> begins = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      Subset each = new Subset("edge-" + i, new Rule(4, 2, 2), PACE, 1 ^ ("edge-" + i).hashCode());
+      SubsetSelector each =
+          new SubsetSelector(
+              "edge-" + i, new SubsetSizing(4, 2, 2), PACE, 1 ^ ("edge-" + i).hashCode());
       long at = now;
       while (!each.look(at, census)) {
         at += 10 * MILLI;
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -22,7 +22,7 @@
 import testing.Await;
 
 /** Several processes of the program share servers, with faults between them. */
-class SubsetTest {
+class SubsetFleetTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
   private static final int SERVERS = 12;
   private static final String TABLE =
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.policy.subsetting.Rule;
-import heathswitch.policy.subsetting.Subset;
+import heathswitch.policy.subsetting.SubsetSelector;
+import heathswitch.policy.subsetting.SubsetSizing;
 import heathswitch.proxy.config.Document;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -34,8 +34,8 @@
     Document document = read("[peers]\n[subset]\n");
     SubsetTable table = SubsetTable.read(document.root());
     assertEquals(List.of(), document.faults());
-    assertEquals(Rule.DEFAULT, table.rule());
-    assertEquals(Subset.Pace.DEFAULT, table.pace());
+    assertEquals(SubsetSizing.DEFAULT, table.rule());
+    assertEquals(SubsetSelector.Pace.DEFAULT, table.pace());
     assertNull(SubsetTable.read(read("").root()));
   }
 
--- a/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
@@ -34,7 +34,7 @@
     assertEquals(List.of(), trials.undetected(SubsetMutants.ALL));
     Mutant none =
         new Mutant(
-            "heathswitch.policy.subsetting.Plan",
+            "heathswitch.policy.subsetting.SubsetPlan",
             "int wanted = users(rule);",
             "int wanted = (users(rule));");
     assertFalse(trials.isDetected(none, 100, 1));
