--- a/src/main/java/heathswitch/policy/subsetting/AssignmentTransition.java
+++ b/src/main/java/heathswitch/policy/subsetting/AssignmentTransition.java
@@ -6,63 +6,67 @@
 import java.util.TreeMap;
 
 /**
- * The way from what a balancer uses to what it is to use: only a part of its calls goes elsewhere
- * in one step, to new servers from the first step on, and an old one is left when nothing goes
- * there any more.
+ * Moves one balancer from the servers that it uses to those that its plan assigns to it. Each step
+ * shifts a bounded share of its calls. New servers are used from the first step on; a server that
+ * is no longer assigned is dropped once almost no calls go to it.
  */
 public final class AssignmentTransition {
-  /** Servers that are not wanted any more are left when so little goes to all of them together. */
-  private static final double LEAST_PART = 0.02;
+  /**
+   * Servers that are no longer assigned are dropped when each gets less than this share of the
+   * calls divided by the number of servers in use, so that all of them together get less than it.
+   */
+  private static final double DROP_SHARE = 0.02;
 
-  private Map<String, Double> now = new TreeMap<>();
+  private Map<String, Double> current = new TreeMap<>();
 
-  /** Which part of the calls goes to each server; empty before the first step. */
-  public Map<String, Double> now() {
-    return Map.copyOf(now);
+  /** Share of the calls that goes to each server now; empty before the first step. */
+  public Map<String, Double> current() {
+    return Map.copyOf(current);
   }
 
   /**
-   * Goes a step.
+   * Performs one step towards the target.
    *
-   * @param wanted parts of the calls, together 1
-   * @param listed servers that are in service: what goes to others goes to the rest at once
-   * @param most the part of the calls that may go elsewhere in this step
-   * @return the part that does, beside what was lost with servers
+   * @param target shares of the calls by server, sum 1
+   * @param listed servers that are in service; the shares of all others are distributed at once
+   *     over the remaining ones
+   * @param maxMovedShare share of the calls that may move in this step
+   * @return the share that moved, not counting what moved because servers left the list
    */
-  public double step(Map<String, Double> wanted, Set<String> listed, double most) {
-    now.keySet().retainAll(listed);
-    double left = sum(now);
-    if (left <= 0) {
-      now = new TreeMap<>(wanted);
-      return 0; // Nothing is used: there is nothing to be left either.
+  public double step(Map<String, Double> target, Set<String> listed, double maxMovedShare) {
+    current.keySet().retainAll(listed);
+    double remaining = sum(current);
+    if (remaining <= 0) {
+      current = new TreeMap<>(target);
+      return 0; // No server was in use, so no calls were moved away from one.
     }
-    now.replaceAll((server, part) -> part / left);
-    double apart = apart(wanted);
-    double by = apart <= most ? 1 : most / apart;
+    current.replaceAll((server, share) -> share / remaining);
+    double distance = distanceTo(target);
+    double progress = distance <= maxMovedShare ? 1 : maxMovedShare / distance;
     Map<String, Double> next = new TreeMap<>();
-    double least = LEAST_PART / now.size();
-    now.forEach(
-        (server, part) -> {
-          double then = part + by * (wanted.getOrDefault(server, 0.0) - part);
-          if (wanted.containsKey(server) || then > least) {
-            next.put(server, then);
+    double dropBelow = DROP_SHARE / current.size();
+    current.forEach(
+        (server, share) -> {
+          double newShare = share + progress * (target.getOrDefault(server, 0.0) - share);
+          if (target.containsKey(server) || newShare > dropBelow) {
+            next.put(server, newShare);
           }
         });
-    wanted.forEach((server, part) -> next.putIfAbsent(server, by * part));
-    double all = sum(next);
-    next.replaceAll((server, part) -> part / all);
-    now = next;
-    return by * apart;
+    target.forEach((server, share) -> next.putIfAbsent(server, progress * share));
+    double total = sum(next);
+    next.replaceAll((server, share) -> share / total);
+    current = next;
+    return progress * distance;
   }
 
-  /** The part of the calls that goes elsewhere than is wanted. */
-  public double apart(Map<String, Double> wanted) {
-    Map<String, Double> both = new HashMap<>(wanted);
-    now.forEach((server, part) -> both.merge(server, -part, Double::sum));
-    return both.values().stream().mapToDouble(part -> Math.max(0, part)).sum();
+  /** Share of the calls that goes to other servers than the target says. */
+  public double distanceTo(Map<String, Double> target) {
+    Map<String, Double> differences = new HashMap<>(target);
+    current.forEach((server, share) -> differences.merge(server, -share, Double::sum));
+    return differences.values().stream().mapToDouble(each -> Math.max(0, each)).sum();
   }
 
-  private static double sum(Map<String, Double> parts) {
-    return parts.values().stream().mapToDouble(part -> part).sum();
+  private static double sum(Map<String, Double> shares) {
+    return shares.values().stream().mapToDouble(share -> share).sum();
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/FleetSnapshot.java
+++ b/src/main/java/heathswitch/policy/subsetting/FleetSnapshot.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * Balancers and servers as somebody sees them, each in the order of their names.
+ * The balancers and servers that one balancer knows of at one moment, each sorted by name.
  *
- * @param instances balancers that count as there
- * @param servers those that are in service
+ * @param instances the balancers that are present
+ * @param servers the servers that are in service
  */
 public record FleetSnapshot(List<Instance> instances, List<Server> servers) {
   /**
    * A balancer.
    *
-   * @param zone where it is, empty for nowhere in particular
-   * @param load calls a second that come to it
+   * @param zone the zone it runs in, empty if none is configured
+   * @param load calls per second that it receives from clients
    */
   public record Instance(String name, String zone, double load) {}
 
   /**
    * A server.
    *
-   * @param zone where it is, empty for nowhere in particular
-   * @param cell what fails together
-   * @param weight its part of the calls against that of others, above 0
+   * @param zone the zone it runs in, empty if none is configured
+   * @param cell failure domain: servers of one cell fail together
+   * @param weight its relative share of all calls, above 0
    */
   public record Server(String name, String zone, long cell, double weight) {}
 
@@ -32,13 +32,13 @@
     servers = servers.stream().sorted(Comparator.comparing(Server::name)).toList();
   }
 
-  /** Calls a second that come to all. */
-  public double load() {
+  /** Calls per second that all balancers receive together. */
+  public double totalLoad() {
     return instances.stream().mapToDouble(Instance::load).sum();
   }
 
-  /** What all servers weigh together. */
-  public double weight() {
+  /** Sum of the weights of all servers. */
+  public double totalWeight() {
     return servers.stream().mapToDouble(Server::weight).sum();
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/SubsetPlan.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetPlan.java
@@ -11,283 +11,308 @@
 import java.util.stream.IntStream;
 
 /**
- * Who uses which server, and for how many calls. Each server names the balancers that suit it best
- * by their names and loads, each balancer takes the servers that suit it best too; then the calls
- * on each such pair are scaled, balancer by balancer and server by server in turn, until each
- * balancer gives what it has and each server gets what is due to its weight.
+ * The assignment of servers to all balancers of a fleet, with the call rate of each pair. Weighted
+ * rendezvous hashing selects the pairs: each server selects balancers, weighted by their load, and
+ * each balancer selects servers, weighted by their weight. Then the call rates of the pairs are
+ * scaled, by balancer and by server in turn, until each balancer sends its whole load and each
+ * server receives its fair share by weight.
  *
- * <p>The choice follows names, so a change of one moves little; the amounts follow loads and
- * weights, so they add up; see the design note.
+ * <p>The selection depends mainly on names, so that a change of one balancer or server changes few
+ * pairs; the call rates depend on loads and weights, so that the sums are right. See {@code
+ * docs/design/subsets.md}.
  */
 public final class SubsetPlan {
-  private static final int ROUNDS = 40;
+  private static final int SCALING_ROUNDS = 40;
 
-  /** Scaled again and again, what is too much for a server comes down to nothing at all. */
-  private static final double LEAST_PART = 1e-6;
+  /**
+   * Minimum share of a selected pair. Repeated scaling would reduce the rate of a pair whose server
+   * gets too much to zero.
+   */
+  private static final double MIN_SHARE = 1e-6;
 
-  /** Where some balancers have more to give than their servers may get, each looks further. */
-  private static final int MENDS = 16;
+  /** Maximum number of times that balancers with overloaded servers get further servers. */
+  private static final int MAX_REPAIRS = 16;
 
-  /** So much above its due a server may be left. */
-  private static final double EVEN = 1.03;
+  /** A server is overloaded above this multiple of its fair share. */
+  private static final double OVERLOAD_FACTOR = 1.03;
 
-  /** One with less is planned for as if it had that part of the mean: calls may come any time. */
-  private static final double LEAST_LOAD = 0.05;
+  /**
+   * Balancers with less load are planned with this fraction of the mean load, as calls may arrive
+   * at any time.
+   */
+  private static final double MIN_LOAD_FRACTION = 0.05;
 
-  private final FleetSnapshot census;
+  private final FleetSnapshot snapshot;
   private final double[] loads;
-  private final double total;
-  private final double weight;
+  private final double totalLoad;
+  private final double totalWeight;
 
-  /** For each balancer the servers that it uses, and the calls a second that go to each. */
+  /** For each balancer the call rate to each server that it uses, by index of the server. */
   private final List<Map<Integer, double[]>> rows = new ArrayList<>();
 
-  private SubsetPlan(FleetSnapshot census, double[] loads) {
-    this.census = census;
+  private SubsetPlan(FleetSnapshot snapshot, double[] loads) {
+    this.snapshot = snapshot;
     this.loads = loads;
-    total = Arrays.stream(loads).sum();
-    weight = census.weight();
-    census.instances().forEach(any -> rows.add(new LinkedHashMap<>()));
+    totalLoad = Arrays.stream(loads).sum();
+    totalWeight = snapshot.totalWeight();
+    snapshot.instances().forEach(instance -> rows.add(new LinkedHashMap<>()));
   }
 
-  /** The plan that a census comes to; the same wherever it is the same. */
-  public static SubsetPlan of(FleetSnapshot census, SubsetSizing rule) {
-    double mean = census.load() / Math.max(1, census.instances().size());
-    double least = mean > 0 ? LEAST_LOAD * mean : 1;
-    double all = census.load();
-    // Nobody is planned for with more than twice what all others have: one that says so may lie,
-    // and
-    // the others would leave servers to it that it never loads.
+  /** Computes the plan for a snapshot; equal snapshots yield equal plans on every machine. */
+  public static SubsetPlan compute(FleetSnapshot snapshot, SubsetSizing sizing) {
+    double mean = snapshot.totalLoad() / Math.max(1, snapshot.instances().size());
+    double minLoad = mean > 0 ? MIN_LOAD_FRACTION * mean : 1;
+    double totalLoad = snapshot.totalLoad();
+    // No balancer is planned with more than twice the load of all others together. Its report may
+    // be wrong, and the others would leave servers to it that it never loads.
     double[] loads =
-        census.instances().stream()
-            .mapToDouble(each -> Math.max(least, Math.min(each.load(), 2 * (all - each.load()))))
+        snapshot.instances().stream()
+            .mapToDouble(
+                each -> Math.max(minLoad, Math.min(each.load(), 2 * (totalLoad - each.load()))))
             .toArray();
-    SubsetPlan plan = new SubsetPlan(census, loads);
-    if (loads.length > 0 && !census.servers().isEmpty()) {
-      plan.choose(rule, new ZoneFlows(census, loads));
+    SubsetPlan plan = new SubsetPlan(snapshot, loads);
+    if (loads.length > 0 && !snapshot.servers().isEmpty()) {
+      plan.selectPairs(sizing, new ZoneFlows(snapshot, loads));
       plan.scale();
-      for (int i = 0; i < MENDS && plan.mend(); i++) {
+      for (int i = 0; i < MAX_REPAIRS && plan.addServersToOverloadingBalancers(); i++) {
         plan.scale();
       }
     }
     return plan;
   }
 
-  // ---- who ----
+  // ---- selection of the pairs ----
 
-  private void choose(SubsetSizing rule, ZoneFlows flows) {
-    int[] names = census.instances().stream().mapToInt(each -> each.name().hashCode()).toArray();
-    Map<String, int[]> byZone = new HashMap<>();
-    for (String zone : flows.from()) {
-      byZone.put(zone, indices(zone));
+  private void selectPairs(SubsetSizing sizing, ZoneFlows flows) {
+    int[] nameHashes =
+        snapshot.instances().stream().mapToInt(each -> each.name().hashCode()).toArray();
+    Map<String, int[]> instancesByZone = new HashMap<>();
+    for (String zone : flows.sourceZones()) {
+      instancesByZone.put(zone, instancesIn(zone));
     }
-    int wanted = users(rule);
-    for (int s = 0; s < census.servers().size(); s++) {
-      FleetSnapshot.Server server = census.servers().get(s);
-      int name = server.name().hashCode();
-      for (Map.Entry<String, int[]> zone : byZone.entrySet()) {
-        double part = flows.part(zone.getKey(), server.zone());
-        if (part > 0) {
-          int many = (int) Math.max(1, Math.round(wanted * part));
-          int[] named =
-              best(zone.getValue(), many, i -> RendezvousHash.cost(names[i], name, loads[i]));
-          // Falling with the rank, as whoever comes or goes is the last one at most servers.
-          double parts = named.length * (named.length + 1) / 2.0;
-          for (int r = 0; r < named.length; r++) {
-            double calls = part * due(s) * (named.length - r) / parts;
-            rows.get(named[r]).put(s, new double[] {calls});
+    int usersPerServer = usersPerServer(sizing);
+    for (int s = 0; s < snapshot.servers().size(); s++) {
+      FleetSnapshot.Server server = snapshot.servers().get(s);
+      int serverHash = server.name().hashCode();
+      for (Map.Entry<String, int[]> zone : instancesByZone.entrySet()) {
+        double zoneShare = flows.share(zone.getKey(), server.zone());
+        if (zoneShare > 0) {
+          int count = (int) Math.max(1, Math.round(usersPerServer * zoneShare));
+          int[] selected =
+              lowest(
+                  zone.getValue(),
+                  count,
+                  i -> RendezvousHash.score(nameHashes[i], serverHash, loads[i]));
+          // The initial rates fall with the rank: the balancer that a server gains or loses after
+          // a change of the fleet is usually the last of the selected ones.
+          double rankSum = selected.length * (selected.length + 1) / 2.0;
+          for (int rank = 0; rank < selected.length; rank++) {
+            double calls = zoneShare * fairShare(s) * (selected.length - rank) / rankSum;
+            rows.get(selected[rank]).put(s, new double[] {calls});
           }
         }
       }
     }
-    for (int i = 0; i < names.length; i++) {
-      own(i, names[i], rule, flows);
+    for (int i = 0; i < nameHashes.length; i++) {
+      selectOwnServers(i, nameHashes[i], sizing, flows);
     }
   }
 
   /**
-   * A power of two near the number that comes to the wanted width: one that followed the size of
-   * the fleet would change for all servers with each balancer that comes or goes.
+   * Number of balancers that each server selects: a power of two near the one that yields the
+   * configured width. If it followed the size of the fleet exactly, each balancer that joins or
+   * leaves would change the selections of all servers.
    */
-  private int users(SubsetSizing rule) {
-    double near = (double) rule.width() * loads.length / census.servers().size();
-    long doublings = Math.max(0, Math.round(StrictMath.log(near) / StrictMath.log(2)));
-    return Math.min(loads.length, Math.max(rule.users(), 1 << Math.min(30, doublings)));
+  private int usersPerServer(SubsetSizing sizing) {
+    double exact = (double) sizing.width() * loads.length / snapshot.servers().size();
+    long exponent = Math.max(0, Math.round(StrictMath.log(exact) / StrictMath.log(2)));
+    return Math.min(loads.length, Math.max(sizing.minUsers(), 1 << Math.min(30, exponent)));
   }
 
-  private int[] indices(String zone) {
+  private int[] instancesIn(String zone) {
     List<Integer> indices = new ArrayList<>();
-    for (int i = 0; i < census.instances().size(); i++) {
-      if (census.instances().get(i).zone().equals(zone)) {
+    for (int i = 0; i < snapshot.instances().size(); i++) {
+      if (snapshot.instances().get(i).zone().equals(zone)) {
         indices.add(i);
       }
     }
     return indices.stream().mapToInt(each -> each).toArray();
   }
 
-  /** Servers that a balancer takes whoever names it, in as many cells as it has to have. */
-  private void own(int instance, int name, SubsetSizing rule, ZoneFlows flows) {
-    String zone = census.instances().get(instance).zone();
+  /**
+   * Adds the servers that a balancer selects by itself, whichever servers selected it: the best one
+   * of each further cell, until it has selected servers in the minimum number of cells.
+   */
+  private void selectOwnServers(int instance, int nameHash, SubsetSizing sizing, ZoneFlows flows) {
+    String zone = snapshot.instances().get(instance).zone();
     Set<Long> cells = new HashSet<>();
-    int[] able = new int[census.servers().size()];
+    int[] eligible = new int[snapshot.servers().size()];
     int count = 0;
-    for (int s = 0; s < able.length; s++) {
-      if (flows.part(zone, census.servers().get(s).zone()) > 0) {
-        able[count++] = s;
+    for (int s = 0; s < eligible.length; s++) {
+      if (flows.share(zone, snapshot.servers().get(s).zone()) > 0) {
+        eligible[count++] = s;
       }
     }
-    List<FleetSnapshot.Server> all = census.servers();
-    int[] rest = Arrays.copyOf(able, count);
-    while (cells.size() < rule.domains() && rest.length > 0) {
-      int s = best(rest, 1, each -> cost(name, each))[0];
-      cells.add(all.get(s).cell());
-      double calls = flows.part(zone, all.get(s).zone()) * due(s) / loads.length;
+    List<FleetSnapshot.Server> servers = snapshot.servers();
+    int[] remaining = Arrays.copyOf(eligible, count);
+    while (cells.size() < sizing.minCells() && remaining.length > 0) {
+      int s = lowest(remaining, 1, each -> score(nameHash, each))[0];
+      cells.add(servers.get(s).cell());
+      double calls = flows.share(zone, servers.get(s).zone()) * fairShare(s) / loads.length;
       rows.get(instance).putIfAbsent(s, new double[] {calls});
-      rest = Arrays.stream(rest).filter(each -> !cells.contains(all.get(each).cell())).toArray();
+      remaining =
+          Arrays.stream(remaining)
+              .filter(each -> !cells.contains(servers.get(each).cell()))
+              .toArray();
     }
   }
 
   private double weight(int server) {
-    return census.servers().get(server).weight();
+    return snapshot.servers().get(server).weight();
   }
 
-  private interface Cost {
-    double of(int index);
+  private interface Scoring {
+    double score(int index);
   }
 
-  /** So many of them with the least cost, the best first. */
-  private static int[] best(int[] of, int many, Cost cost) {
-    int most = Math.min(many, of.length);
-    int[] best = new int[most];
-    double[] costs = new double[most];
+  /** The candidates with the lowest scores, at most {@code limit} of them, lowest score first. */
+  private static int[] lowest(int[] candidates, int limit, Scoring scoring) {
+    int size = Math.min(limit, candidates.length);
+    int[] lowest = new int[size];
+    double[] scores = new double[size];
     int count = 0;
-    for (int each : of) {
-      double its = cost.of(each);
-      if (count == most && its >= costs[most - 1]) {
+    for (int candidate : candidates) {
+      double score = scoring.score(candidate);
+      if (count == size && score >= scores[size - 1]) {
         continue;
       }
-      int at = count < most ? count++ : most - 1;
-      for (; at > 0 && costs[at - 1] > its; at--) {
-        costs[at] = costs[at - 1];
-        best[at] = best[at - 1];
+      int at = count < size ? count++ : size - 1;
+      for (; at > 0 && scores[at - 1] > score; at--) {
+        scores[at] = scores[at - 1];
+        lowest[at] = lowest[at - 1];
       }
-      costs[at] = its;
-      best[at] = each;
+      scores[at] = score;
+      lowest[at] = candidate;
     }
-    return best;
+    return lowest;
   }
 
-  // ---- how much ----
+  // ---- scaling of the call rates ----
 
   private void scale() {
-    for (int round = 0; round < ROUNDS; round++) {
-      double[] gets = gets();
+    for (int round = 0; round < SCALING_ROUNDS; round++) {
+      double[] received = received();
       for (int i = 0; i < loads.length; i++) {
         double[] sum = {0};
         rows.get(i)
             .forEach(
                 (s, calls) -> {
-                  calls[0] *= due(s) / gets[s];
+                  calls[0] *= fairShare(s) / received[s];
                   sum[0] += calls[0];
                 });
-        double by = loads[i] / sum[0];
-        rows.get(i).values().forEach(calls -> calls[0] *= by);
+        double factor = loads[i] / sum[0];
+        rows.get(i).values().forEach(calls -> calls[0] *= factor);
       }
     }
   }
 
   /**
-   * Has each balancer that loads a server above its due use one more that is under it, the one that
-   * suits it best: some that share too few servers could not be even whatever they gave to each.
-   * False where nothing is left to mend.
+   * Adds one server below its fair share to each balancer that uses an overloaded one: the server
+   * with the lowest score. Balancers that share too few servers cannot load them evenly, however
+   * their calls are distributed.
+   *
+   * @return false if no balancer got another server
    */
-  private boolean mend() {
-    double[] gets = gets();
-    boolean mended = false;
+  private boolean addServersToOverloadingBalancers() {
+    double[] received = received();
+    boolean added = false;
     for (int i = 0; i < loads.length; i++) {
       Map<Integer, double[]> row = rows.get(i);
-      if (row.keySet().stream().anyMatch(s -> gets[s] > EVEN * due(s))) {
-        int[] under =
-            IntStream.range(0, gets.length)
-                .filter(s -> gets[s] < due(s) && !row.containsKey(s))
+      if (row.keySet().stream().anyMatch(s -> received[s] > OVERLOAD_FACTOR * fairShare(s))) {
+        int[] underloaded =
+            IntStream.range(0, received.length)
+                .filter(s -> received[s] < fairShare(s) && !row.containsKey(s))
                 .toArray();
-        int name = census.instances().get(i).name().hashCode();
-        for (int s : best(under, 1, s -> cost(name, s))) {
-          row.put(s, new double[] {due(s) - gets[s]});
-          mended = true;
+        int nameHash = snapshot.instances().get(i).name().hashCode();
+        for (int s : lowest(underloaded, 1, s -> score(nameHash, s))) {
+          row.put(s, new double[] {fairShare(s) - received[s]});
+          added = true;
         }
       }
     }
-    return mended;
+    return added;
   }
 
-  private double cost(int instance, int server) {
-    FleetSnapshot.Server its = census.servers().get(server);
-    return RendezvousHash.cost(instance, its.name().hashCode(), its.weight());
+  private double score(int instanceHash, int server) {
+    FleetSnapshot.Server candidate = snapshot.servers().get(server);
+    return RendezvousHash.score(instanceHash, candidate.name().hashCode(), candidate.weight());
   }
 
-  /** What is due to a server by its weight. */
-  private double due(int server) {
-    return weight(server) / weight * total;
+  /** Call rate that a server is to receive by its weight. */
+  private double fairShare(int server) {
+    return weight(server) / totalWeight * totalLoad;
   }
 
-  /** What comes to each server. */
-  private double[] gets() {
-    double[] gets = new double[census.servers().size()];
-    rows.forEach(row -> row.forEach((s, calls) -> gets[s] += calls[0]));
-    return gets;
+  /** Call rate that each server receives from all balancers. */
+  private double[] received() {
+    double[] received = new double[snapshot.servers().size()];
+    rows.forEach(row -> row.forEach((s, calls) -> received[s] += calls[0]));
+    return received;
   }
 
-  // ---- what it says ----
+  // ---- results ----
 
-  /** Which part of a balancer's calls goes to each server that it uses; empty for a stranger. */
-  public Map<String, Double> row(String instance) {
-    Map<String, Double> parts = new LinkedHashMap<>();
+  /**
+   * Share of a balancer's calls for each server that it uses; empty if the snapshot does not
+   * contain the balancer.
+   */
+  public Map<String, Double> sharesOf(String instance) {
+    Map<String, Double> shares = new LinkedHashMap<>();
     for (int i = 0; i < loads.length; i++) {
-      if (census.instances().get(i).name().equals(instance)) {
+      if (snapshot.instances().get(i).name().equals(instance)) {
         for (Map.Entry<Integer, double[]> each : rows.get(i).entrySet()) {
-          double part = Math.max(LEAST_PART, each.getValue()[0] / loads[i]);
-          parts.put(census.servers().get(each.getKey()).name(), part);
+          double share = Math.max(MIN_SHARE, each.getValue()[0] / loads[i]);
+          shares.put(snapshot.servers().get(each.getKey()).name(), share);
         }
       }
     }
-    double sum = parts.values().stream().mapToDouble(part -> part).sum();
-    parts.replaceAll((server, part) -> part / sum);
-    return parts;
+    double sum = shares.values().stream().mapToDouble(share -> share).sum();
+    shares.replaceAll((server, share) -> share / sum);
+    return shares;
   }
 
-  /** Calls a second that come to a server by each balancer that uses it. */
-  public Map<String, Double> users(String server) {
-    Map<String, Double> users = new LinkedHashMap<>();
+  /** Calls per second that a server receives, by the name of each balancer that uses it. */
+  public Map<String, Double> callRatesByUser(String server) {
+    Map<String, Double> rates = new LinkedHashMap<>();
     for (int i = 0; i < loads.length; i++) {
       for (Map.Entry<Integer, double[]> each : rows.get(i).entrySet()) {
-        if (census.servers().get(each.getKey()).name().equals(server)) {
-          users.put(census.instances().get(i).name(), each.getValue()[0]);
+        if (snapshot.servers().get(each.getKey()).name().equals(server)) {
+          rates.put(snapshot.instances().get(i).name(), each.getValue()[0]);
         }
       }
     }
-    return users;
+    return rates;
   }
 
-  /** Pairs of a balancer and a server that it uses. */
-  public long pairs() {
+  /** Number of pairs of a balancer and a server that it uses. */
+  public long pairCount() {
     return rows.stream().mapToLong(Map::size).sum();
   }
 
-  /** Calls of the most loaded server against what is due to its weight; 0 without servers. */
+  /** Highest ratio of a server's call rate to its fair share by weight; 0 without servers. */
   public double spread() {
-    double[] gets = new double[census.servers().size()];
-    rows.forEach(row -> row.forEach((s, calls) -> gets[s] += calls[0]));
+    double[] received = new double[snapshot.servers().size()];
+    rows.forEach(row -> row.forEach((s, calls) -> received[s] += calls[0]));
     double total = Arrays.stream(loads).sum();
     double worst = 0;
-    for (int s = 0; s < gets.length; s++) {
-      worst = Math.max(worst, gets[s] / due(s));
+    for (int s = 0; s < received.length; s++) {
+      worst = Math.max(worst, received[s] / fairShare(s));
     }
     return worst;
   }
 
-  /** What it was made from. */
-  public FleetSnapshot census() {
-    return census;
+  /** The snapshot that the plan was computed from. */
+  public FleetSnapshot snapshot() {
+    return snapshot;
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/SubsetSelector.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetSelector.java
@@ -6,122 +6,124 @@
 import java.util.SplittableRandom;
 
 /**
- * Which servers one balancer uses, from who is there and what is listed; it is told both again and
- * again, with the time of a monotonic clock of its own in nanoseconds.
+ * Selects the subset of servers that one balancer uses. It is polled with the current fleet
+ * snapshot and the time of the balancer's own monotonic clock in nanoseconds.
  */
 public final class SubsetSelector {
   /**
-   * How fast it follows.
+   * Timing of the steps by which the balancer follows its plan.
    *
-   * @param settleNanos from its start until it narrows at all, up to twice that: first it has to
-   *     hear who is there
-   * @param stepNanos between two steps on the mean; each is drawn anew, so that balancers which
-   *     learn of the same change at once do not move in step
-   * @param mostMoved the part of its calls that goes elsewhere in one step
-   * @param aloneSteps steps for which one that sees nobody any more uses what it used last
+   * @param settleNanos after its start the balancer uses all servers for one to two times this
+   *     long, until it has learned which other balancers are present
+   * @param stepNanos mean interval between two steps; each interval is drawn at random, so that
+   *     balancers that learn of the same change at once do not move in step
+   * @param maxMovedShare maximum share of its calls that moves to other servers in one step
+   * @param isolatedSteps number of steps for which a balancer that no longer sees any other one
+   *     keeps its last subset
    */
-  public record Pace(long settleNanos, long stepNanos, double mostMoved, int aloneSteps) {
-    /** With a step a second. */
+  public record Pace(long settleNanos, long stepNanos, double maxMovedShare, int isolatedSteps) {
+    /** One step per second. */
     public static final Pace DEFAULT = new Pace(3_000_000_000L, 1_000_000_000L, 0.1, 10);
   }
 
   private final String self;
-  private final SubsetSizing rule;
+  private final SubsetSizing sizing;
   private final Pace pace;
   private final SplittableRandom random;
-  private final AssignmentTransition passage = new AssignmentTransition();
+  private final AssignmentTransition transition = new AssignmentTransition();
   private SubsetPlan plan;
-  private boolean begun;
-  private boolean narrow;
-  private long nextNanos;
+  private boolean started;
+  private boolean usesSubset;
+  private long nextStepNanos;
   private int stepsAlone;
-  private boolean met;
-  private double moved;
-  private long steps;
+  private boolean hasSeenOthers;
+  private double totalMovedShare;
+  private long stepCount;
 
   /**
-   * One that uses all servers, as a balancer by itself does.
+   * Creates a selector that uses all servers at first, as a balancer without others does.
    *
-   * @param self the name of its balancer
+   * @param self the name of this balancer
    */
-  public SubsetSelector(String self, SubsetSizing rule, Pace pace, long seed) {
+  public SubsetSelector(String self, SubsetSizing sizing, Pace pace, long seed) {
     this.self = self;
-    this.rule = rule;
+    this.sizing = sizing;
     this.pace = pace;
     random = new SplittableRandom(seed);
   }
 
-  /** Whether a look at this moment would come to anything. */
-  public boolean due(long nowNanos) {
-    return !begun || nowNanos - nextNanos >= 0;
+  /** Whether a call of {@link #poll} at this time could have an effect. */
+  public boolean isPollDue(long nowNanos) {
+    return !started || nowNanos - nextStepNanos >= 0;
   }
 
   /**
-   * Looks at what there is.
+   * Performs a step towards the plan for a snapshot, if a step is due.
    *
-   * @param census who is there, this balancer among them, and the servers in service
-   * @return whether what it uses may have changed
+   * @param snapshot the present balancers, this one among them, and the servers in service
+   * @return whether the shares may have changed
    */
-  public boolean look(long nowNanos, FleetSnapshot census) {
-    if (!begun) {
-      begun = true;
-      nextNanos = nowNanos + (long) (pace.settleNanos() * (1 + random.nextDouble()));
+  public boolean poll(long nowNanos, FleetSnapshot snapshot) {
+    if (!started) {
+      started = true;
+      nextStepNanos = nowNanos + (long) (pace.settleNanos() * (1 + random.nextDouble()));
     }
-    if (!due(nowNanos) || census.servers().isEmpty()) {
+    if (!isPollDue(nowNanos) || snapshot.servers().isEmpty()) {
       return false;
     }
-    nextNanos = nowNanos + (long) (pace.stepNanos() * (0.5 + random.nextDouble()));
-    boolean alone = census.instances().size() < 2;
-    met |= !alone;
+    nextStepNanos = nowNanos + (long) (pace.stepNanos() * (0.5 + random.nextDouble()));
+    boolean alone = snapshot.instances().size() < 2;
+    hasSeenOthers |= !alone;
     stepsAlone = alone ? stepsAlone + 1 : 0;
-    // All others have gone, or the way to them has: what it used was right a moment ago.
-    boolean waits = alone && met && stepsAlone <= pace.aloneSteps();
-    if (plan == null || !waits && !plan.census().equals(census)) {
-      plan = SubsetPlan.of(census, rule);
+    // Either all others have gone or the connection to them has failed. In the second case the
+    // previous plan is still right, so it is kept for a while.
+    boolean keepsPlan = alone && hasSeenOthers && stepsAlone <= pace.isolatedSteps();
+    if (plan == null || !keepsPlan && !plan.snapshot().equals(snapshot)) {
+      plan = SubsetPlan.compute(snapshot, sizing);
     }
     Set<String> listed = new HashSet<>();
-    census.servers().forEach(each -> listed.add(each.name()));
-    Map<String, Double> wanted = plan.row(self);
-    if (waits) {
-      wanted.keySet().retainAll(listed);
-      if (wanted.isEmpty()) {
-        plan = SubsetPlan.of(census, rule);
-        wanted = plan.row(self);
+    snapshot.servers().forEach(each -> listed.add(each.name()));
+    Map<String, Double> target = plan.sharesOf(self);
+    if (keepsPlan) {
+      target.keySet().retainAll(listed);
+      if (target.isEmpty()) {
+        plan = SubsetPlan.compute(snapshot, sizing);
+        target = plan.sharesOf(self);
       }
     }
-    if (wanted.isEmpty()) {
-      return false; // It does not count as there itself.
+    if (target.isEmpty()) {
+      return false; // The snapshot does not contain this balancer.
     }
-    double sum = wanted.values().stream().mapToDouble(part -> part).sum();
-    wanted.replaceAll((server, part) -> part / sum);
-    narrow = true;
-    steps++;
-    moved += passage.step(wanted, listed, pace.mostMoved());
+    double sum = target.values().stream().mapToDouble(share -> share).sum();
+    target.replaceAll((server, share) -> share / sum);
+    usesSubset = true;
+    stepCount++;
+    totalMovedShare += transition.step(target, listed, pace.maxMovedShare());
     return true;
   }
 
-  /** Which part of its calls goes to each server; null while it chooses among all by itself. */
-  public Map<String, Double> uses() {
-    return narrow ? passage.now() : null;
+  /** Share of this balancer's calls for each server; null while it uses all servers. */
+  public Map<String, Double> shares() {
+    return usesSubset ? transition.current() : null;
   }
 
-  /** What it goes towards, or null. */
+  /** The plan that the steps lead to, or null before the first step. */
   public SubsetPlan plan() {
     return plan;
   }
 
-  /** The part of its calls that goes elsewhere than the plan says. */
-  public double apart() {
-    return plan == null ? 0 : passage.apart(plan.row(self));
+  /** Share of this balancer's calls that goes to other servers than the plan says. */
+  public double distanceToPlan() {
+    return plan == null ? 0 : transition.distanceTo(plan.sharesOf(self));
   }
 
-  /** Parts of its calls that have gone elsewhere, added up over all steps. */
-  public double moved() {
-    return moved;
+  /** Sum of the shares that were moved to other servers in all steps. */
+  public double totalMovedShare() {
+    return totalMovedShare;
   }
 
-  /** Steps since its start. */
-  public long steps() {
-    return steps;
+  /** Number of steps since the start. */
+  public long stepCount() {
+    return stepCount;
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/ZoneFlows.java
+++ b/src/main/java/heathswitch/policy/subsetting/ZoneFlows.java
@@ -5,56 +5,65 @@
 import java.util.TreeMap;
 
 /**
- * How many calls a second go from balancers of one zone to servers of another, so that all servers
- * are equally loaded for their weight and as few calls as can be leave their zone.
+ * Call rates from the balancers of each zone to the servers of each zone. Every server gets its
+ * fair share by weight, and as few calls as possible leave their zone.
  */
 final class ZoneFlows {
-  /** A flow that is a smaller part of what either end has is left at home: it would cost more. */
-  private static final double LEAST_PART = 0.05;
+  /**
+   * A flow is dropped if it is a smaller fraction than this of both the load of its source zone and
+   * the fair share of its target zone: connections across zones for so little cost more than they
+   * bring.
+   */
+  private static final double MIN_FLOW_SHARE = 0.05;
 
-  private final Map<String, Double> load = new TreeMap<>();
-  private final Map<String, Double> due = new TreeMap<>();
-  private final Map<String, Map<String, Double>> to = new TreeMap<>();
+  private final Map<String, Double> loadByZone = new TreeMap<>();
+  private final Map<String, Double> fairShareByZone = new TreeMap<>();
+  private final Map<String, Map<String, Double>> flows = new TreeMap<>();
 
-  ZoneFlows(FleetSnapshot census, double[] loads) {
-    double total = 0;
+  ZoneFlows(FleetSnapshot snapshot, double[] loads) {
+    double totalLoad = 0;
     for (int i = 0; i < loads.length; i++) {
-      load.merge(census.instances().get(i).zone(), loads[i], Double::sum);
-      total += loads[i];
+      loadByZone.merge(snapshot.instances().get(i).zone(), loads[i], Double::sum);
+      totalLoad += loads[i];
     }
-    double weight = census.weight();
-    for (FleetSnapshot.Server each : census.servers()) {
-      due.merge(each.zone(), each.weight() / weight * total, Double::sum);
+    double totalWeight = snapshot.totalWeight();
+    for (FleetSnapshot.Server server : snapshot.servers()) {
+      fairShareByZone.merge(server.zone(), server.weight() / totalWeight * totalLoad, Double::sum);
     }
-    double over = 0;
-    for (String zone : load.keySet()) {
-      over += load.get(zone) - home(zone);
+    double totalExcess = 0;
+    for (String zone : loadByZone.keySet()) {
+      totalExcess += loadByZone.get(zone) - localFlow(zone);
     }
-    for (String from : load.keySet()) {
+    for (String source : loadByZone.keySet()) {
       Map<String, Double> row = new TreeMap<>();
-      double left = load.get(from) - home(from);
-      for (String zone : due.keySet()) {
-        double room = due.get(zone) - home(zone);
-        double flow = from.equals(zone) ? home(from) : over > 0 ? left * room / over : 0;
-        if (flow > LEAST_PART * load.get(from) || flow > LEAST_PART * due.get(zone)) {
-          row.put(zone, flow);
+      double excess = loadByZone.get(source) - localFlow(source);
+      for (String target : fairShareByZone.keySet()) {
+        double room = fairShareByZone.get(target) - localFlow(target);
+        double flow =
+            source.equals(target)
+                ? localFlow(source)
+                : totalExcess > 0 ? excess * room / totalExcess : 0;
+        if (flow > MIN_FLOW_SHARE * loadByZone.get(source)
+            || flow > MIN_FLOW_SHARE * fairShareByZone.get(target)) {
+          row.put(target, flow);
         }
       }
-      to.put(from, row);
+      flows.put(source, row);
     }
   }
 
-  private double home(String zone) {
-    return Math.min(load.getOrDefault(zone, 0.0), due.getOrDefault(zone, 0.0));
+  /** Call rate that stays in a zone. */
+  private double localFlow(String zone) {
+    return Math.min(loadByZone.getOrDefault(zone, 0.0), fairShareByZone.getOrDefault(zone, 0.0));
   }
 
-  /** The part of what is due to servers of a zone that comes from balancers of another. */
-  double part(String from, String zone) {
-    return to.get(from).getOrDefault(zone, 0.0) / due.get(zone);
+  /** Fraction of a target zone's fair share that comes from the balancers of a source zone. */
+  double share(String source, String target) {
+    return flows.get(source).getOrDefault(target, 0.0) / fairShareByZone.get(target);
   }
 
-  /** Zones with balancers, in order. */
-  List<String> from() {
-    return List.copyOf(load.keySet());
+  /** Zones with balancers, sorted by name. */
+  List<String> sourceZones() {
+    return List.copyOf(loadByZone.keySet());
   }
 }
--- a/src/main/java/heathswitch/policy/subsetting/package-info.java
+++ b/src/main/java/heathswitch/policy/subsetting/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which servers a balancer is to use, so that the choices of all add up: each computes the same
- * plan from what it knows of the others. No I/O, no clock, no thread.
+ * Deterministic subsetting: each balancer of a fleet computes the same plan from what it knows of
+ * the others, so that their subsets together load all servers evenly. No I/O, clocks or threads.
  */
 package heathswitch.policy.subsetting;
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetOverlay.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetOverlay.java
@@ -12,64 +12,64 @@
 import java.util.Map;
 
 /**
- * Lays over the lists which servers are this balancer's own, and what goes to each of them against
- * the others. On the loop alone.
+ * Overlay over the server lists: marks which servers are in this balancer's subset and sets their
+ * weights within it. Confined to the event loop.
  */
 final class SubsetOverlay implements Dispatcher.Overlay {
-  /** A weight that is so little another one is told with the next that is. */
-  private static final double CHANGE = 0.05;
+  /** Relative change of a weight since it was last published above which it is published again. */
+  private static final double MIN_WEIGHT_CHANGE = 0.05;
 
-  /** As they are listed below this; as long as the list. */
+  /** Members as the underlying list has them, by server id; as long as the list. */
   private final Map<String, Member> listed = new LinkedHashMap<>();
 
-  /** What was told of each. */
-  private final Map<String, Member> told = new LinkedHashMap<>();
+  /** Members as they were last published, by server id. */
+  private final Map<String, Member> published = new LinkedHashMap<>();
 
-  /** The part of the calls for each server, together 1; null for all servers alike. */
-  private Map<String, Double> uses;
+  /** Share of the calls for each server, sum 1; null if all servers are used alike. */
+  private Map<String, Double> shares;
 
   @Override
   public List<Member> apply(ListUpdate form, List<Member> entries) {
     if (form.isFull()) {
       listed.clear();
-      told.clear();
+      published.clear();
     }
-    List<Member> laidOver = new ArrayList<>(entries.size());
+    List<Member> result = new ArrayList<>(entries.size());
     for (Member entry : entries) {
-      Member now = standing(entry);
+      Member overlaid = overlaid(entry);
       if (entry.health() == Health.GONE) {
         listed.remove(entry.id());
-        told.remove(entry.id());
+        published.remove(entry.id());
       } else {
         listed.put(entry.id(), entry);
-        told.put(entry.id(), now);
+        published.put(entry.id(), overlaid);
       }
-      laidOver.add(now);
+      result.add(overlaid);
     }
-    return laidOver;
+    return result;
   }
 
-  private Member standing(Member entry) {
-    if (uses == null || entry.health() == Health.GONE) {
+  private Member overlaid(Member entry) {
+    if (shares == null || entry.health() == Health.GONE) {
       return entry;
     }
-    Double part = uses.get(entry.id());
-    // Weights of its own are 1 on the mean, like those of others as lists state them.
-    return part == null
+    Double share = shares.get(entry.id());
+    // Weights within the subset have a mean of 1, like the weights that lists state.
+    return share == null
         ? entry.withPart(SubsetRole.SPARE, entry.weight())
-        : entry.withPart(SubsetRole.OWN, Math.max(1e-6, part * uses.size()));
+        : entry.withPart(SubsetRole.OWN, Math.max(1e-6, share * shares.size()));
   }
 
-  /** Takes what is used from now on and tells the dispatcher of whatever that changes. */
-  void update(Map<String, Double> now, Dispatcher dispatcher) {
-    uses = now;
+  /** Sets the shares and publishes the members that change by it to the dispatcher. */
+  void update(Map<String, Double> newShares, Dispatcher dispatcher) {
+    shares = newShares;
     List<Member> changed = new ArrayList<>();
     for (Member entry : listed.values()) {
-      Member then = told.get(entry.id());
-      Member next = standing(entry);
-      double more = Math.abs(next.weight() - then.weight());
-      if (next.part() != then.part() || more > CHANGE * then.weight()) {
-        told.put(entry.id(), next);
+      Member previous = published.get(entry.id());
+      Member next = overlaid(entry);
+      double difference = Math.abs(next.weight() - previous.weight());
+      if (next.part() != previous.part() || difference > MIN_WEIGHT_CHANGE * previous.weight()) {
+        published.put(entry.id(), next);
         changed.add(next);
       }
     }
@@ -78,7 +78,10 @@
     }
   }
 
-  /** The servers that are in service by the lists; ill ones among them, as each sees others ill. */
+  /**
+   * The servers that are in service according to the lists. Unhealthy ones are included, because
+   * balancers differ in which servers they find unhealthy.
+   */
   List<FleetSnapshot.Server> servers() {
     List<FleetSnapshot.Server> servers = new ArrayList<>();
     for (Member entry : listed.values()) {
@@ -91,8 +94,8 @@
     return servers;
   }
 
-  /** The part of the calls for each server, or null. */
-  Map<String, Double> uses() {
-    return uses;
+  /** Share of the calls for each server; null if all servers are used alike. */
+  Map<String, Double> shares() {
+    return shares;
   }
 }
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetPages.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetPages.java
@@ -10,67 +10,67 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The pages of subsets on the admin listener, answered on the loop. */
+/** Admin pages about the subset of this balancer; they are served on the event loop. */
 final class SubsetPages {
-  private static final int MOST_SHOWN = 1000;
+  private static final int MAX_ROWS = 1000;
 
-  private final SubsetService subsetting;
+  private final SubsetService service;
 
-  SubsetPages(SubsetService subsetting) {
-    this.subsetting = subsetting;
+  SubsetPages(SubsetService service) {
+    this.service = service;
   }
 
   void add(AdminServer admin) {
     admin.get("subset", this::read);
   }
 
-  private void read(String rest, Consumer<AdminServer.Reply> reply) {
-    SubsetService.Shown shown = subsetting.shown();
-    if (shown.plan() == null) {
+  private void read(String path, Consumer<AdminServer.Reply> reply) {
+    SubsetService.Status status = service.status();
+    if (status.plan() == null) {
       reply.accept(
           AdminServer.Reply.ok(
               Map.of(
                   "instance",
-                  subsetting.instance(),
+                  service.instance(),
                   "narrow",
                   false,
                   "message",
-                  "hears who is there before it narrows; all servers are used")));
-    } else if (rest.isEmpty()) {
-      reply.accept(AdminServer.Reply.ok(page(shown)));
+                  "all servers are used until the other balancers are known")));
+    } else if (path.isEmpty()) {
+      reply.accept(AdminServer.Reply.ok(statusPage(status)));
     } else {
-      explain(QueryStringDecoder.decodeComponent(rest), shown.plan(), reply);
+      explainServer(QueryStringDecoder.decodeComponent(path), status.plan(), reply);
     }
   }
 
-  private Map<String, Object> page(SubsetService.Shown shown) {
-    SubsetPlan plan = shown.plan();
+  private Map<String, Object> statusPage(SubsetService.Status status) {
+    SubsetPlan plan = status.plan();
     Map<String, Object> page = new LinkedHashMap<>();
-    page.put("instance", subsetting.instance());
+    page.put("instance", service.instance());
     page.put("narrow", true);
-    page.put("balancers", plan.census().instances().size());
-    page.put("unseen", shown.unseen());
-    page.put("servers", plan.census().servers().size());
-    Map<String, Double> uses = subsetting.narrowing().uses();
-    page.put("uses", uses == null ? 0 : uses.size());
-    page.put("connected", subsetting.connected());
-    page.put("spread", rounded(shown.spread()));
-    page.put("pairs", plan.pairs());
-    page.put("apart", rounded(shown.apart()));
-    page.put("moved", rounded(shown.moved()));
-    page.put("steps", shown.steps());
+    page.put("balancers", plan.snapshot().instances().size());
+    page.put("unseen", status.unseen());
+    page.put("servers", plan.snapshot().servers().size());
+    Map<String, Double> shares = service.overlay().shares();
+    page.put("uses", shares == null ? 0 : shares.size());
+    page.put("connected", service.connectedServerCount());
+    page.put("spread", rounded(status.spread()));
+    page.put("pairs", plan.pairCount());
+    page.put("apart", rounded(status.distanceToPlan()));
+    page.put("moved", rounded(status.totalMovedShare()));
+    page.put("steps", status.stepCount());
     List<Object> rows = new ArrayList<>();
-    Map<String, Double> wanted = plan.row(subsetting.instance());
-    if (uses != null) {
-      uses.entrySet().stream()
+    Map<String, Double> planned = plan.sharesOf(service.instance());
+    if (shares != null) {
+      shares.entrySet().stream()
           .sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
-          .limit(MOST_SHOWN)
+          .limit(MAX_ROWS)
           .forEach(
               each -> {
                 Map<String, Object> row = new LinkedHashMap<>();
                 row.put("server", each.getKey());
                 row.put("part", rounded(each.getValue()));
-                row.put("wanted", rounded(wanted.getOrDefault(each.getKey(), 0.0)));
+                row.put("wanted", rounded(planned.getOrDefault(each.getKey(), 0.0)));
                 rows.add(row);
               });
     }
@@ -82,29 +82,33 @@
     return Math.round(value * 1e4) / 1e4;
   }
 
-  /** Who uses a server, by the plan as this balancer sees it, and why. */
-  private void explain(String server, SubsetPlan plan, Consumer<AdminServer.Reply> reply) {
-    FleetSnapshot census = plan.census();
+  /** Describes a server and the balancers that use it according to this balancer's plan. */
+  private void explainServer(String server, SubsetPlan plan, Consumer<AdminServer.Reply> reply) {
+    FleetSnapshot snapshot = plan.snapshot();
     FleetSnapshot.Server found =
-        census.servers().stream().filter(each -> each.name().equals(server)).findAny().orElse(null);
+        snapshot.servers().stream()
+            .filter(each -> each.name().equals(server))
+            .findAny()
+            .orElse(null);
     if (found == null) {
       reply.accept(
-          AdminServer.Reply.error(404, "no server " + server + " is in service by this list"));
+          AdminServer.Reply.error(
+              404, "server " + server + " is not in service in this balancer's lists"));
       return;
     }
-    Map<String, Double> uses = subsetting.narrowing().uses();
+    Map<String, Double> shares = service.overlay().shares();
     Map<String, Object> page = new LinkedHashMap<>();
     page.put("server", server);
     page.put("zone", found.zone());
     page.put("cell", found.cell());
     page.put("weight", found.weight());
-    page.put("due", rounded(found.weight() / census.weight() * census.load()));
-    page.put("here", rounded(uses == null ? 0 : uses.getOrDefault(server, 0.0)));
+    page.put("due", rounded(found.weight() / snapshot.totalWeight() * snapshot.totalLoad()));
+    page.put("here", rounded(shares == null ? 0 : shares.getOrDefault(server, 0.0)));
     List<Object> rows = new ArrayList<>();
-    Map<String, Double> users = plan.users(server);
-    for (FleetSnapshot.Instance each : census.instances()) {
-      Double calls = users.get(each.name());
-      if (calls != null && rows.size() < MOST_SHOWN) {
+    Map<String, Double> callRates = plan.callRatesByUser(server);
+    for (FleetSnapshot.Instance each : snapshot.instances()) {
+      Double calls = callRates.get(each.name());
+      if (calls != null && rows.size() < MAX_ROWS) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("balancer", each.name());
         row.put("zone", each.zone());
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetService.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetService.java
@@ -22,144 +22,162 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * This balancer's subset: a thread of its own looks at who is there and what is listed, computes
- * what to use, and hands it to the event loop, which never waits for it.
+ * Keeps this balancer's subset up to date. A dedicated thread takes a snapshot of the fleet,
+ * computes the shares of the servers and hands them to the event loop, which never waits for it.
  */
 public final class SubsetService implements AutoCloseable {
-  private static final int LOOKS_A_STEP = 10;
-  private static final long LEAST_LOOK_MILLIS = 20;
+  private static final int POLLS_PER_STEP = 10;
+  private static final long MIN_POLL_MILLIS = 20;
 
   /**
-   * What people are told; made by the thread, read by the loop.
+   * State for pages and metrics; written by the subset thread, read by the event loop.
    *
-   * @param spread by the plan, the most loaded server against its due
-   * @param unseen peers that were there and are not heard any more
+   * @param plan null until the first step
+   * @param spread highest ratio of a server's planned call rate to its fair share
+   * @param unseen peers that were present before and are not heard of any more
    */
-  record Shown(
-      SubsetPlan plan, double spread, int unseen, double apart, double moved, long steps) {}
+  record Status(
+      SubsetPlan plan,
+      double spread,
+      int unseen,
+      double distanceToPlan,
+      double totalMovedShare,
+      long stepCount) {}
 
-  private record Seen(FleetSnapshot census, int unseen) {}
+  private record View(FleetSnapshot snapshot, int unseen) {}
 
   private final Node node;
   private final GossipService peers;
   private final SubsetTable table;
   private final String instance;
-  private final SubsetOverlay narrowing = new SubsetOverlay();
-  private final SubsetSelector subset;
+  private final SubsetOverlay overlay = new SubsetOverlay();
+  private final SubsetSelector selector;
   private final ScheduledExecutorService thread;
-  private volatile Shown shown = new Shown(null, 1, 0, 0, 0, 0);
+  private volatile Status status = new Status(null, 1, 0, 0, 0, 0);
 
-  /** Lays itself over the node's lists; before its start. */
+  /** Adds the subset overlay to the node's lists; must be called before the node starts. */
   public SubsetService(
       Node node, GossipService peers, SubsetTable table, String instance, long seed) {
     this.node = node;
     this.peers = peers;
     this.table = table;
     this.instance = instance;
-    subset = new SubsetSelector(instance, table.rule(), table.pace(), seed ^ instance.hashCode());
+    selector =
+        new SubsetSelector(instance, table.sizing(), table.pace(), seed ^ instance.hashCode());
     thread =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
-              Thread made = new Thread(task, "subset");
-              made.setDaemon(true);
-              return made;
+              Thread created = new Thread(task, "subset");
+              created.setDaemon(true);
+              return created;
             });
-    node.dispatcher().addOverlay(narrowing);
+    node.dispatcher().addOverlay(overlay);
   }
 
-  /** Looks from now on. */
+  /** Starts polling. */
   public void start() {
-    long every = Math.max(LEAST_LOOK_MILLIS, table.pace().stepNanos() / 1_000_000 / LOOKS_A_STEP);
-    thread.scheduleWithFixedDelay(this::look, every, every, MILLISECONDS);
+    long interval =
+        Math.max(MIN_POLL_MILLIS, table.pace().stepNanos() / 1_000_000 / POLLS_PER_STEP);
+    thread.scheduleWithFixedDelay(this::poll, interval, interval, MILLISECONDS);
   }
 
-  // ---- on its thread ----
+  // ---- on the subset thread ----
 
-  private void look() {
-    if (!subset.due(System.nanoTime())) {
-      return; // What there is may be thousands of servers: nothing is asked of the loop in vain.
+  private void poll() {
+    if (!selector.isPollDue(System.nanoTime())) {
+      return; // Spares the event loop a snapshot of what may be thousands of servers.
     }
     try {
-      Seen seen = node.loop().submit(this::see).get();
-      if (subset.look(System.nanoTime(), seen.census())) {
-        Map<String, Double> uses = subset.uses();
-        SubsetPlan plan = subset.plan();
-        Shown before = shown;
-        shown =
-            new Shown(
+      View view = node.loop().submit(this::takeView).get();
+      if (selector.poll(System.nanoTime(), view.snapshot())) {
+        Map<String, Double> shares = selector.shares();
+        SubsetPlan plan = selector.plan();
+        Status previous = status;
+        status =
+            new Status(
                 plan,
-                before.plan() == plan ? before.spread() : plan.spread(),
-                seen.unseen(),
-                subset.apart(),
-                subset.moved(),
-                subset.steps());
-        node.loop().execute(() -> narrowing.update(uses, node.dispatcher()));
+                previous.plan() == plan ? previous.spread() : plan.spread(),
+                view.unseen(),
+                selector.distanceToPlan(),
+                selector.totalMovedShare(),
+                selector.stepCount());
+        node.loop().execute(() -> overlay.update(shares, node.dispatcher()));
       }
     } catch (RejectedExecutionException e) {
-      // The node has ended.
+      // The event loop has shut down.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | RuntimeException e) {
-      Log.error("subset", "a step failed", e); // Thrown on, it would be the last.
+      // An exception that leaves the task would end the polling.
+      Log.error("subset", "failed to update the subset", e);
     }
   }
 
-  // ---- on the loop ----
+  // ---- on the event loop ----
 
-  private Seen see() {
+  private View takeView() {
     List<FleetSnapshot.Instance> instances = new ArrayList<>();
     Set<String> addresses = new HashSet<>();
-    boolean here = false;
+    boolean selfPresent = false;
     for (PeerRecord each : peers.presentPeers()) {
       if (!addresses.add(each.address())) {
-        continue; // By name the first one there: a process that goes by fifty names is one.
+        continue; // Counts a process once, by its first name, if it is known by several names.
       }
-      here |= each.name().equals(instance);
+      selfPresent |= each.name().equals(instance);
       instances.add(
           new FleetSnapshot.Instance(
               each.name(), each.attributes().zone(), each.attributes().load()));
     }
-    if (!here) { // It has left, and goes on by itself with its own part.
+    if (!selfPresent) { // It has left the peers, and still keeps a subset by itself.
       PeerRecord self = peers.self();
       instances.add(
           new FleetSnapshot.Instance(instance, self.attributes().zone(), self.attributes().load()));
     }
-    return new Seen(new FleetSnapshot(instances, narrowing.servers()), peers.deadPeerCount());
+    return new View(new FleetSnapshot(instances, overlay.servers()), peers.deadPeerCount());
   }
 
-  Shown shown() {
-    return shown;
+  Status status() {
+    return status;
   }
 
   String instance() {
     return instance;
   }
 
-  SubsetOverlay narrowing() {
-    return narrowing;
+  SubsetOverlay overlay() {
+    return overlay;
   }
 
-  int connected() {
+  int connectedServerCount() {
     return node.dispatcher().connectedUpstreamCount();
   }
 
-  /** Adds the pages of subsets to the admin listener. */
+  /** Adds the pages about the subset to the admin listener. */
   public void addPages(AdminServer admin) {
     new SubsetPages(this).add(admin);
   }
 
-  /** Adds what can be read of subsets to the figures. */
+  /** Registers the metrics of the subset. */
   public void addFigures(Metrics metrics) {
     metrics
-        .gauge("subset.servers", "servers that are used", this::uses)
-        .gauge("subset.spread", "most loaded server against its due, planned", () -> shown.spread())
-        .gauge("subset.apart", "part of calls that goes elsewhere", () -> shown.apart())
-        .counter("subset.moved", "parts of calls that went elsewhere", () -> shown.moved());
+        .gauge("subset.servers", "number of servers in use", this::usedServerCount)
+        .gauge(
+            "subset.spread",
+            "highest ratio of a server's planned load to its fair share",
+            () -> status.spread())
+        .gauge(
+            "subset.apart",
+            "share of the calls that does not go as planned yet",
+            () -> status.distanceToPlan())
+        .counter(
+            "subset.moved",
+            "sum of the shares of the calls moved to other servers",
+            () -> status.totalMovedShare());
   }
 
-  private double uses() {
-    Map<String, Double> uses = narrowing.uses();
-    return uses == null ? narrowing.servers().size() : uses.size();
+  private double usedServerCount() {
+    Map<String, Double> shares = overlay.shares();
+    return shares == null ? overlay.servers().size() : shares.size();
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetTable.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetTable.java
@@ -5,36 +5,38 @@
 import heathswitch.proxy.config.Section;
 
 /**
- * The table {@code [subset]} of the configuration.
+ * The table {@code [subset]} of the configuration file.
  *
- * @param rule how wide balancers choose; the same on all of them
- * @param pace how fast this one follows
+ * @param sizing sizes of the subsets; must be the same on all balancers of the fleet
+ * @param pace how fast this balancer follows its plan
  */
-public record SubsetTable(SubsetSizing rule, SubsetSelector.Pace pace) {
-  /** Reads and checks the table; null where there is none, and all servers are used. */
+public record SubsetTable(SubsetSizing sizing, SubsetSelector.Pace pace) {
+  /** Reads and checks the table; null if there is none, so that all servers are used. */
   public static SubsetTable read(Section root) {
     Section table = root.table("subset");
     if (table == null) {
       return null;
     }
     int width = (int) table.whole("width", (long) SubsetSizing.DEFAULT.width(), 1, 1000);
-    int users = (int) table.whole("users", (long) SubsetSizing.DEFAULT.users(), 1, 1000);
-    int domains = (int) table.whole("domains", (long) SubsetSizing.DEFAULT.domains(), 1, 1000);
+    int users = (int) table.whole("users", (long) SubsetSizing.DEFAULT.minUsers(), 1, 1000);
+    int domains = (int) table.whole("domains", (long) SubsetSizing.DEFAULT.minCells(), 1, 1000);
     if (domains > width) {
-      table.fault("domains", "is over the width; as many servers as cells expected");
+      table.fault("domains", "is greater than width; at most as many cells as servers expected");
     }
     long settle = table.nanos("settle", "3s", "0s", "10min");
     long step = table.nanos("step", "1s", "100ms", "1min");
-    double most = table.number("most_moved", SubsetSelector.Pace.DEFAULT.mostMoved(), 0.01, 1.0);
-    int alone =
+    double mostMoved =
+        table.number("most_moved", SubsetSelector.Pace.DEFAULT.maxMovedShare(), 0.01, 1.0);
+    int aloneSteps =
         (int)
-            table.whole("alone_steps", (long) SubsetSelector.Pace.DEFAULT.aloneSteps(), 0, 10_000);
+            table.whole(
+                "alone_steps", (long) SubsetSelector.Pace.DEFAULT.isolatedSteps(), 0, 10_000);
     if (!root.has("peers")) {
-      table.fault("", "without [peers] nobody else is known; that table expected, too");
+      table.fault("", "without table [peers] no other balancer is known; that table expected");
     }
     table.end();
     return new SubsetTable(
         new SubsetSizing(width, users, domains),
-        new SubsetSelector.Pace(settle, step, most, alone));
+        new SubsetSelector.Pace(settle, step, mostMoved, aloneSteps));
   }
 }
--- a/src/main/java/heathswitch/proxy/subsetting/package-info.java
+++ b/src/main/java/heathswitch/proxy/subsetting/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A balancer among others uses a part of the servers: what {@link heathswitch.policy.subsetting}
- * decides, laid over the lists, and shown to people and programs.
+ * Subsetting in a running balancer: lays the subset that {@link heathswitch.policy.subsetting}
+ * selects over the server lists, and serves it on admin pages and as metrics.
  */
 package heathswitch.proxy.subsetting;
--- a/src/main/java/heathswitch/testbed/subsetting/FleetSimulation.java
+++ b/src/main/java/heathswitch/testbed/subsetting/FleetSimulation.java
@@ -15,90 +15,95 @@
 import java.util.TreeSet;
 
 /**
- * Balancers with the real module in virtual time, each with a clock of its own; what changes in the
- * fleet comes to each of them after a time of its own, so that for a while their views differ.
+ * Simulates balancers that run the real subset selection, in virtual time and each with its own
+ * clock. Each change of the fleet reaches each balancer after a random delay, so that their views
+ * differ for a while. Checks what must hold in each step and after the fleet has settled.
  */
 final class FleetSimulation {
   static final long MILLI = 1_000_000L;
 
-  /** News come no later, be they of balancers or of servers. */
-  static final long LATE_NANOS = 6_000 * MILLI;
+  /** Maximum delay after which a balancer learns of a change of balancers or servers. */
+  static final long MAX_DELAY_NANOS = 6_000 * MILLI;
 
   /**
-   * So long after the last news everybody uses what its plan says: steps of a tenth, drawn long.
+   * Time after the last change until every balancer follows its plan exactly: the maximum delay and
+   * 40 steps, which each move at most a tenth of the calls, at the longest interval.
    */
-  static final long CALM_NANOS = LATE_NANOS + 40 * 1_500 * MILLI;
+  static final long CONVERGENCE_NANOS = MAX_DELAY_NANOS + 40 * 1_500 * MILLI;
 
   static final SubsetSelector.Pace PACE = SubsetSelector.Pace.DEFAULT;
-  private static final long LOOK_NANOS = 100 * MILLI;
+  private static final long POLL_NANOS = 100 * MILLI;
 
-  /** What a step may leave over by rounding, and by what is too little to be kept. */
-  private static final double SLACK = 0.021;
+  /** Tolerance for rounding and for servers that are dropped because their share is too small. */
+  private static final double MOVED_SHARE_TOLERANCE = 0.021;
 
   /** One balancer. */
-  static final class Node {
+  static final class Balancer {
     final String name;
     final String zone;
-    final double rate;
-    final long offset;
+    final double clockRate;
+    final long clockOffsetNanos;
     double load;
     boolean alive = true;
     boolean paused;
-    SubsetSelector subset;
+    SubsetSelector selector;
 
-    /** What it was told of the others and of the servers. */
-    final Map<String, FleetSnapshot.Instance> instances = new TreeMap<>();
+    /** The balancers and servers that it knows of. */
+    final Map<String, FleetSnapshot.Instance> knownInstances = new TreeMap<>();
 
-    final Map<String, FleetSnapshot.Server> servers = new TreeMap<>();
+    final Map<String, FleetSnapshot.Server> knownServers = new TreeMap<>();
 
-    /** What it used after its last step, by what list and when by its own clock. */
-    Map<String, Double> used;
+    /** Shares after its last step; null before the first one. */
+    Map<String, Double> lastShares;
 
-    long steppedNanos;
-    long beganNanos;
+    /** Time of its last step, by its own clock. */
+    long lastStepNanos;
 
-    Node(String name, String zone, double load, double rate, long offset) {
+    /** Time of its start, by its own clock. */
+    long startedNanos;
+
+    Balancer(String name, String zone, double load, double clockRate, long clockOffsetNanos) {
       this.name = name;
       this.zone = zone;
       this.load = load;
-      this.rate = rate;
-      this.offset = offset;
+      this.clockRate = clockRate;
+      this.clockOffsetNanos = clockOffsetNanos;
     }
   }
 
-  private record News(long at, Node to, Runnable what) {}
+  private record Update(long atNanos, Balancer receiver, Runnable action) {}
 
   private final SplittableRandom random;
-  private final SubsetSizing rule;
-  private final List<Node> nodes = new ArrayList<>();
+  private final SubsetSizing sizing;
+  private final List<Balancer> balancers = new ArrayList<>();
   private final Map<String, FleetSnapshot.Server> servers = new TreeMap<>();
-  private final List<News> news = new ArrayList<>();
+  private final List<Update> updates = new ArrayList<>();
 
-  /** Which side of a split each balancer is on; all on one while there is none. */
+  /** The side of the network split that each balancer is on; the same for all without a split. */
   private final Map<String, Integer> sides = new HashMap<>();
 
   private long now;
-  private int born;
-  private String broken;
+  private int createdServerCount;
+  private String violation;
 
-  FleetSimulation(int instances, int servers, int zones, SubsetSizing rule, long seed) {
+  FleetSimulation(int balancerCount, int serverCount, int zones, SubsetSizing sizing, long seed) {
     random = new SplittableRandom(seed);
-    this.rule = rule;
-    for (int i = 0; i < servers; i++) {
-      add("s-" + born++, zones);
+    this.sizing = sizing;
+    for (int i = 0; i < serverCount; i++) {
+      addServer("s-" + createdServerCount++, zones);
     }
-    for (int i = 0; i < instances; i++) {
-      Node node =
-          new Node(
+    for (int i = 0; i < balancerCount; i++) {
+      Balancer balancer =
+          new Balancer(
               "edge-" + i,
               zone(i, zones),
               drawLoad(),
               0.98 + 0.04 * random.nextDouble(),
               random.nextLong(1L << 50));
-      nodes.add(node);
-      sides.put(node.name, 0);
+      balancers.add(balancer);
+      sides.put(balancer.name, 0);
     }
-    nodes.forEach(this::begin);
+    balancers.forEach(this::startProcess);
   }
 
   private static String zone(int number, int zones) {
@@ -109,375 +114,403 @@
     return 20 * Math.exp(random.nextGaussian());
   }
 
-  private void add(String name, int zones) {
+  private void addServer(String name, int zones) {
     int number = servers.size();
     servers.put(
         name,
         new FleetSnapshot.Server(name, zone(number, zones), number % 7, 1 << random.nextInt(3)));
   }
 
-  List<Node> nodes() {
-    return nodes;
+  List<Balancer> balancers() {
+    return balancers;
   }
 
   long nowMillis() {
     return now / MILLI;
   }
 
-  /** The first thing that must never be, or null. */
-  String broken() {
-    return broken;
+  /** The first violation of what must hold in each step, or null. */
+  String violation() {
+    return violation;
   }
 
-  private void found(String what) {
-    broken = broken == null ? nowMillis() + " ms: " + what : broken;
+  private void recordViolation(String description) {
+    violation = violation == null ? nowMillis() + " ms: " + description : violation;
   }
 
-  private long clock(Node node) {
-    return node.offset + (long) (now * node.rate);
+  private long clockNanos(Balancer balancer) {
+    return balancer.clockOffsetNanos + (long) (now * balancer.clockRate);
   }
 
-  // ---- what happens ----
+  // ---- changes and faults ----
 
-  /** Its process ends; the others hear of it one after the other. */
-  void kill(Node node) {
-    if (node.alive) {
-      node.alive = false;
-      tellAll(node);
+  /** Ends the process of a balancer; the others learn of it one after the other. */
+  void kill(Balancer balancer) {
+    if (balancer.alive) {
+      balancer.alive = false;
+      sendToAll(balancer);
     }
   }
 
-  /** A new process where there is none. */
-  void start(Node node) {
-    if (!node.alive) {
-      begin(node);
+  /** Starts the process of a balancer if it is not running. */
+  void start(Balancer balancer) {
+    if (!balancer.alive) {
+      startProcess(balancer);
     }
   }
 
-  /** A new process: it hears who is there within the first seconds. */
-  private void begin(Node node) {
-    node.alive = true;
-    node.paused = false;
-    node.subset = new SubsetSelector(node.name, rule, PACE, random.nextLong());
-    node.used = null;
-    node.beganNanos = clock(node);
-    node.instances.clear();
-    node.servers.clear();
-    node.servers.putAll(servers);
-    node.instances.put(node.name, instance(node));
-    for (Node other : nodes) {
-      if (other.alive && other != node && sides.get(other.name).equals(sides.get(node.name))) {
-        tell(node, 1000, () -> hear(node, other));
-        tell(other, LATE_NANOS / MILLI, () -> hear(other, node));
+  /** Starts a process, which learns of the other balancers within the first second. */
+  private void startProcess(Balancer balancer) {
+    balancer.alive = true;
+    balancer.paused = false;
+    balancer.selector = new SubsetSelector(balancer.name, sizing, PACE, random.nextLong());
+    balancer.lastShares = null;
+    balancer.startedNanos = clockNanos(balancer);
+    balancer.knownInstances.clear();
+    balancer.knownServers.clear();
+    balancer.knownServers.putAll(servers);
+    balancer.knownInstances.put(balancer.name, instance(balancer));
+    for (Balancer other : balancers) {
+      if (other.alive
+          && other != balancer
+          && sides.get(other.name).equals(sides.get(balancer.name))) {
+        send(balancer, 1000, () -> learnOf(balancer, other));
+        send(other, MAX_DELAY_NANOS / MILLI, () -> learnOf(other, balancer));
       }
     }
   }
 
-  private static FleetSnapshot.Instance instance(Node node) {
-    return new FleetSnapshot.Instance(node.name, node.zone, node.load);
+  private static FleetSnapshot.Instance instance(Balancer balancer) {
+    return new FleetSnapshot.Instance(balancer.name, balancer.zone, balancer.load);
   }
 
-  private void tell(Node to, long mostMillis, Runnable what) {
-    news.add(new News(now + random.nextLong(mostMillis) * MILLI, to, what));
+  /** Performs an action for a balancer after a random delay. */
+  private void send(Balancer receiver, long maxDelayMillis, Runnable action) {
+    updates.add(new Update(now + random.nextLong(maxDelayMillis) * MILLI, receiver, action));
   }
 
-  private void tellAll(Node of) {
-    for (Node node : nodes) {
-      if (node != of) {
-        tell(node, LATE_NANOS / MILLI, () -> hear(node, of));
+  /** Lets all other balancers learn of the state of one. */
+  private void sendToAll(Balancer subject) {
+    for (Balancer balancer : balancers) {
+      if (balancer != subject) {
+        send(balancer, MAX_DELAY_NANOS / MILLI, () -> learnOf(balancer, subject));
       }
     }
   }
 
-  /** What a node holds of another is what holds when the news come: older ones go behind. */
-  private void hear(Node node, Node of) {
-    if (of.alive && sides.get(of.name).equals(sides.get(node.name))) {
-      node.instances.put(of.name, instance(of));
+  /**
+   * Sets what a balancer knows of another one to the state at the arrival of the update. Updates
+   * that arrive out of order therefore never bring back an older state.
+   */
+  private void learnOf(Balancer balancer, Balancer other) {
+    if (other.alive && sides.get(other.name).equals(sides.get(balancer.name))) {
+      balancer.knownInstances.put(other.name, instance(other));
     } else {
-      node.instances.remove(of.name);
+      balancer.knownInstances.remove(other.name);
     }
   }
 
-  /** Something at random; in words. */
-  String fault() {
-    Node one = nodes.get(random.nextInt(nodes.size()));
+  /** Makes a random change or fault and returns its description. */
+  String injectFault() {
+    Balancer chosen = balancers.get(random.nextInt(balancers.size()));
     switch (random.nextInt(9)) {
       case 0 -> {
-        kill(one);
-        return "kill " + one.name;
+        kill(chosen);
+        return "kill " + chosen.name;
       }
       case 1, 2 -> {
-        start(one);
-        return "start " + one.name;
+        start(chosen);
+        return "start " + chosen.name;
       }
       case 3 -> {
-        one.paused = !one.paused;
-        return (one.paused ? "stop " : "wake ") + one.name;
+        chosen.paused = !chosen.paused;
+        return (chosen.paused ? "pause " : "resume ") + chosen.name;
       }
       case 4 -> {
-        load(one, drawLoad());
-        return "load of " + one.name + ' ' + one.load;
+        setLoad(chosen, drawLoad());
+        return "load of " + chosen.name + ' ' + chosen.load;
       }
       case 5 -> {
         split(random.nextInt(4));
         return "split " + sides;
       }
       case 6 -> {
-        return lose();
+        return removeServer();
       }
       default -> {
-        String name = "s-" + born++;
-        add(name, zones());
-        FleetSnapshot.Server fresh = servers.get(name);
-        nodes.forEach(node -> tell(node, 6000, () -> list(node, fresh)));
-        return "new " + name;
+        String name = "s-" + createdServerCount++;
+        addServer(name, zoneCount());
+        FleetSnapshot.Server added = servers.get(name);
+        balancers.forEach(balancer -> send(balancer, 6000, () -> learnOfServer(balancer, added)));
+        return "add " + name;
       }
     }
   }
 
-  /** One comes that may have gone again meanwhile. */
-  private void list(Node node, FleetSnapshot.Server fresh) {
-    if (servers.containsKey(fresh.name())) {
-      node.servers.put(fresh.name(), fresh);
+  /** Tells a balancer of an added server, unless it has been removed meanwhile. */
+  private void learnOfServer(Balancer balancer, FleetSnapshot.Server server) {
+    if (servers.containsKey(server.name())) {
+      balancer.knownServers.put(server.name(), server);
     }
   }
 
-  private int zones() {
-    return (int) nodes.stream().map(node -> node.zone).distinct().count();
+  private int zoneCount() {
+    return (int) balancers.stream().map(balancer -> balancer.zone).distinct().count();
   }
 
-  private String lose() {
+  private String removeServer() {
     if (servers.size() < 4) {
       return "nothing";
     }
     String name = new ArrayList<>(servers.keySet()).get(random.nextInt(servers.size()));
     servers.remove(name);
-    nodes.forEach(node -> tell(node, 6000, () -> node.servers.remove(name)));
-    return "gone " + name;
+    balancers.forEach(balancer -> send(balancer, 6000, () -> balancer.knownServers.remove(name)));
+    return "remove " + name;
   }
 
-  /** Balancers of other sides are not there any more, those of one's own are. */
+  /**
+   * Splits the network into parts at random, or heals it for one part: balancers see only those on
+   * their own side.
+   */
   void split(int parts) {
-    for (Node node : nodes) {
-      sides.put(node.name, parts < 2 ? 0 : random.nextInt(parts));
+    for (Balancer balancer : balancers) {
+      sides.put(balancer.name, parts < 2 ? 0 : random.nextInt(parts));
     }
-    for (Node node : nodes) {
-      for (Node other : nodes) {
-        if (node != other) {
-          tell(node, LATE_NANOS / MILLI, () -> hear(node, other));
+    for (Balancer balancer : balancers) {
+      for (Balancer other : balancers) {
+        if (balancer != other) {
+          send(balancer, MAX_DELAY_NANOS / MILLI, () -> learnOf(balancer, other));
         }
       }
     }
   }
 
-  /** Nothing is split, stopped or dead any more, and all hear it. */
+  /** Ends all faults: heals the network and resumes or starts all balancers. */
   void heal() {
-    nodes.forEach(node -> node.paused = false);
+    balancers.forEach(balancer -> balancer.paused = false);
     split(1);
-    nodes.forEach(this::start);
-    for (Node node : nodes) {
+    balancers.forEach(this::start);
+    for (Balancer balancer : balancers) {
       for (FleetSnapshot.Server each : servers.values()) {
-        tell(node, LATE_NANOS / MILLI, () -> list(node, each));
+        send(balancer, MAX_DELAY_NANOS / MILLI, () -> learnOfServer(balancer, each));
       }
     }
   }
 
   // ---- time ----
 
-  void pass(long nanos) {
+  /** Advances the virtual time; stops early at a violation. */
+  void advance(long nanos) {
     long until = now + nanos;
-    while (now < until && broken == null) {
-      now += LOOK_NANOS;
-      List<News> due = news.stream().filter(each -> each.at() <= now).toList();
-      news.removeAll(due);
-      due.stream().filter(each -> each.to().alive).forEach(each -> each.what().run());
-      for (Node node : nodes) {
-        if (node.alive && !node.paused) {
-          look(node);
+    while (now < until && violation == null) {
+      now += POLL_NANOS;
+      List<Update> due = updates.stream().filter(each -> each.atNanos() <= now).toList();
+      updates.removeAll(due);
+      due.stream().filter(each -> each.receiver().alive).forEach(each -> each.action().run());
+      for (Balancer balancer : balancers) {
+        if (balancer.alive && !balancer.paused) {
+          poll(balancer);
         }
       }
     }
   }
 
-  private void look(Node node) {
-    FleetSnapshot census =
-        new FleetSnapshot(List.copyOf(node.instances.values()), List.copyOf(node.servers.values()));
-    long clock = clock(node);
-    boolean stepped = node.subset.look(clock, census);
-    Map<String, Double> uses = node.subset.uses();
-    if (uses == null) {
-      if (node.used != null) {
-        found(node.name + " uses all again");
-      } else if (clock - node.beganNanos > 2 * PACE.settleNanos() + 2 * LOOK_NANOS) {
-        found(node.name + " does not narrow");
+  private void poll(Balancer balancer) {
+    FleetSnapshot snapshot =
+        new FleetSnapshot(
+            List.copyOf(balancer.knownInstances.values()),
+            List.copyOf(balancer.knownServers.values()));
+    long nowNanos = clockNanos(balancer);
+    boolean stepped = balancer.selector.poll(nowNanos, snapshot);
+    Map<String, Double> shares = balancer.selector.shares();
+    if (shares == null) {
+      if (balancer.lastShares != null) {
+        recordViolation(balancer.name + " uses all servers again");
+      } else if (nowNanos - balancer.startedNanos > 2 * PACE.settleNanos() + 2 * POLL_NANOS) {
+        recordViolation(balancer.name + " does not switch to a subset");
       }
       return;
     }
-    if (node.used == null && clock - node.beganNanos < PACE.settleNanos()) {
-      found(node.name + " narrows before it has heard who is there");
+    if (balancer.lastShares == null && nowNanos - balancer.startedNanos < PACE.settleNanos()) {
+      recordViolation(balancer.name + " switches to a subset before the settle time has passed");
     }
     if (stepped) {
-      if (node.used != null && clock - node.steppedNanos < PACE.stepNanos() / 2) {
-        found(node.name + " steps twice within half a step");
+      if (balancer.lastShares != null && nowNanos - balancer.lastStepNanos < PACE.stepNanos() / 2) {
+        recordViolation(balancer.name + " makes two steps within half a step interval");
       }
-      judge(node, uses);
-      node.steppedNanos = clock;
-      node.used = uses;
-    } else if (!uses.equals(node.used)) {
-      found(node.name + " uses others without a step");
+      checkStep(balancer, shares);
+      balancer.lastStepNanos = nowNanos;
+      balancer.lastShares = shares;
+    } else if (!shares.equals(balancer.lastShares)) {
+      recordViolation(balancer.name + " changes its shares without a step");
     }
   }
 
-  /** What one step may do. */
-  private void judge(Node node, Map<String, Double> uses) {
+  /** Checks what must hold after each step. */
+  private void checkStep(Balancer balancer, Map<String, Double> shares) {
     double sum = 0;
-    for (Map.Entry<String, Double> each : uses.entrySet()) {
+    for (Map.Entry<String, Double> each : shares.entrySet()) {
       sum += each.getValue();
       if (!(each.getValue() > 0)) {
-        found(node.name + " gives " + each.getValue() + " to " + each.getKey());
+        recordViolation(
+            balancer.name + " sends a share of " + each.getValue() + " to " + each.getKey());
       }
-      if (!node.servers.containsKey(each.getKey())) {
-        found(node.name + " uses " + each.getKey() + ", which is not listed");
+      if (!balancer.knownServers.containsKey(each.getKey())) {
+        recordViolation(balancer.name + " uses " + each.getKey() + ", which is not listed");
       }
     }
     if (Math.abs(sum - 1) > 1e-6) {
-      found(node.name + " gives " + sum + " of its calls");
+      recordViolation(balancer.name + " sends shares with a sum of " + sum);
     }
-    if (node.used == null) {
+    if (balancer.lastShares == null) {
       return;
     }
     double kept = 0;
-    for (Map.Entry<String, Double> each : node.used.entrySet()) {
-      kept += node.servers.containsKey(each.getKey()) ? each.getValue() : 0;
+    for (Map.Entry<String, Double> each : balancer.lastShares.entrySet()) {
+      kept += balancer.knownServers.containsKey(each.getKey()) ? each.getValue() : 0;
     }
     if (kept <= 0) {
       return;
     }
     double moved = 0;
-    for (Map.Entry<String, Double> each : uses.entrySet()) {
-      double then = node.used.getOrDefault(each.getKey(), 0.0) / kept;
-      moved += Math.max(0, each.getValue() - then);
+    for (Map.Entry<String, Double> each : shares.entrySet()) {
+      double previous = balancer.lastShares.getOrDefault(each.getKey(), 0.0) / kept;
+      moved += Math.max(0, each.getValue() - previous);
     }
-    if (moved > PACE.mostMoved() + SLACK) {
-      found(node.name + " moves " + moved + " of its calls in a step");
+    if (moved > PACE.maxMovedShare() + MOVED_SHARE_TOLERANCE) {
+      recordViolation(balancer.name + " moves a share of " + moved + " of its calls in one step");
     }
   }
 
-  // ---- when all is calm ----
+  // ---- after the fleet has settled ----
 
-  /** What does not hold although nothing has happened for long, or null. */
-  String unsettled() {
-    List<Node> alive = nodes.stream().filter(node -> node.alive).toList();
-    FleetSnapshot census =
+  /** What does not hold although nothing has changed for long, or null. */
+  String settledViolation() {
+    List<Balancer> alive = balancers.stream().filter(balancer -> balancer.alive).toList();
+    FleetSnapshot snapshot =
         new FleetSnapshot(
             alive.stream().map(FleetSimulation::instance).toList(), List.copyOf(servers.values()));
-    SubsetPlan plan = SubsetPlan.of(census, rule);
-    Map<String, Double> gets = new TreeMap<>();
+    SubsetPlan plan = SubsetPlan.compute(snapshot, sizing);
+    Map<String, Double> received = new TreeMap<>();
     Map<String, Integer> users = new TreeMap<>();
     double total = 0;
-    for (Node node : alive) {
-      Map<String, Double> uses = node.subset.uses();
-      if (uses == null || !uses.keySet().equals(plan.row(node.name).keySet())) {
-        return node.name + " uses " + uses + ", not " + plan.row(node.name);
+    for (Balancer balancer : alive) {
+      Map<String, Double> shares = balancer.selector.shares();
+      if (shares == null || !shares.keySet().equals(plan.sharesOf(balancer.name).keySet())) {
+        return balancer.name + " uses " + shares + ", not " + plan.sharesOf(balancer.name);
       }
-      double apart = node.subset.apart();
-      if (apart > 1e-6) {
-        return node.name + " is " + apart + " apart from its plan";
+      double distance = balancer.selector.distanceToPlan();
+      if (distance > 1e-6) {
+        return balancer.name + " sends a share of " + distance + " otherwise than planned";
       }
       Set<Long> cells = new HashSet<>();
-      uses.keySet().forEach(each -> cells.add(servers.get(each).cell()));
-      total += node.load;
-      uses.forEach(
-          (server, part) -> {
-            gets.merge(server, part * node.load, Double::sum);
+      shares.keySet().forEach(each -> cells.add(servers.get(each).cell()));
+      total += balancer.load;
+      shares.forEach(
+          (server, share) -> {
+            received.merge(server, share * balancer.load, Double::sum);
             users.merge(server, 1, Integer::sum);
           });
-      if (cells.size() < Math.min(rule.domains(), cellsFor(node))) {
-        return node.name + " has " + cells.size() + " cells";
+      if (cells.size() < Math.min(sizing.minCells(), cellsInZoneOf(balancer))) {
+        return balancer.name + " uses servers in only " + cells.size() + " cells";
       }
     }
-    if (!new TreeSet<>(gets.keySet()).equals(new TreeSet<>(servers.keySet()))) {
-      return "not used: " + servers.keySet() + " but " + gets.keySet();
+    if (!new TreeSet<>(received.keySet()).equals(new TreeSet<>(servers.keySet()))) {
+      return "servers are " + servers.keySet() + " but only these are used: " + received.keySet();
     }
-    double weight = census.weight();
-    boolean believed = believed();
+    double totalWeight = snapshot.totalWeight();
+    boolean plausible = loadsArePlausible();
     for (FleetSnapshot.Server each : servers.values()) {
-      double due = each.weight() / weight * total;
-      if (believed && gets.get(each.name()) > 1.1 * due) {
-        return each.name() + " gets " + gets.get(each.name()) + " of " + due;
+      double fairShare = each.weight() / totalWeight * total;
+      if (plausible && received.get(each.name()) > 1.1 * fairShare) {
+        return each.name()
+            + " gets "
+            + received.get(each.name())
+            + " calls/s, its fair share is "
+            + fairShare;
       }
-      if (zones() < 2 && users.get(each.name()) < Math.min(rule.users(), alive.size())) {
-        return each.name() + " has " + users.get(each.name()) + " users";
+      if (zoneCount() < 2 && users.get(each.name()) < Math.min(sizing.minUsers(), alive.size())) {
+        return each.name() + " is used by only " + users.get(each.name()) + " balancers";
       }
     }
     return null;
   }
 
-  /** Whether no load is above twice what all others have: such a one is not planned for. */
-  boolean believed() {
-    double sum = nodes.stream().filter(node -> node.alive).mapToDouble(node -> node.load).sum();
-    return nodes.stream()
-        .filter(node -> node.alive)
-        .allMatch(node -> node.load <= 2 * (sum - node.load));
-  }
-
-  /** Cells that a balancer can have: those of its zone at least, if servers are there. */
-  private long cellsFor(Node node) {
+  /**
+   * Whether no load is above twice the load of all other balancers together; plans cap higher ones,
+   * so that servers are not evenly loaded.
+   */
+  boolean loadsArePlausible() {
+    double sum =
+        balancers.stream()
+            .filter(balancer -> balancer.alive)
+            .mapToDouble(balancer -> balancer.load)
+            .sum();
+    return balancers.stream()
+        .filter(balancer -> balancer.alive)
+        .allMatch(balancer -> balancer.load <= 2 * (sum - balancer.load));
+  }
+
+  /** Number of cells with servers in the zone of a balancer. */
+  private long cellsInZoneOf(Balancer balancer) {
     return servers.values().stream()
-        .filter(each -> each.zone().equals(node.zone))
+        .filter(each -> each.zone().equals(balancer.zone))
         .map(FleetSnapshot.Server::cell)
         .distinct()
         .count();
   }
 
-  /** What all use, to be compared with later. */
-  Map<String, Map<String, Double>> uses() {
-    Map<String, Map<String, Double>> uses = new TreeMap<>();
-    nodes.stream()
-        .filter(node -> node.alive)
-        .forEach(node -> uses.put(node.name, node.subset.uses()));
-    return uses;
+  /** The shares of all running balancers; null for a balancer that still uses all servers. */
+  Map<String, Map<String, Double>> shares() {
+    Map<String, Map<String, Double>> shares = new TreeMap<>();
+    balancers.stream()
+        .filter(balancer -> balancer.alive)
+        .forEach(balancer -> shares.put(balancer.name, balancer.selector.shares()));
+    return shares;
   }
 
-  /** Servers that nobody uses; one that has not narrowed yet uses all. */
+  /** Servers that no balancer uses; empty while any balancer still uses all servers. */
   Set<String> uncovered() {
-    Set<String> left = new TreeSet<>(servers.keySet());
-    for (Map<String, Double> each : uses().values()) {
+    Set<String> uncovered = new TreeSet<>(servers.keySet());
+    for (Map<String, Double> each : shares().values()) {
       if (each == null) {
         return Set.of();
       }
-      left.removeAll(each.keySet());
+      uncovered.removeAll(each.keySet());
     }
-    return left;
+    return uncovered;
   }
 
-  /** Pairs of a balancer and a server that it uses, those that narrow alone. */
-  int pairs() {
-    return uses().values().stream().mapToInt(each -> each == null ? 0 : each.size()).sum();
+  /** Number of pairs of a balancer and a server, without balancers that still use all servers. */
+  int pairCount() {
+    return shares().values().stream().mapToInt(each -> each == null ? 0 : each.size()).sum();
   }
 
-  /** A load that is another one from now on, as all hear by and by. */
-  void load(Node node, double perSecond) {
-    node.load = perSecond;
-    node.instances.put(node.name, instance(node));
-    tellAll(node);
+  /** Changes the load of a balancer; the others learn of it after a delay. */
+  void setLoad(Balancer balancer, double perSecond) {
+    balancer.load = perSecond;
+    balancer.knownInstances.put(balancer.name, instance(balancer));
+    sendToAll(balancer);
   }
 
-  /** The most loaded server against what is due to its weight, by what is used now. */
+  /** Highest ratio of a server's current call rate to its fair share by weight. */
   double spread() {
-    Map<String, Double> gets = new TreeMap<>();
+    Map<String, Double> received = new TreeMap<>();
     double total = 0;
-    for (Node node : nodes) {
-      if (node.alive) {
-        total += node.load;
-        node.subset.uses().forEach((s, part) -> gets.merge(s, part * node.load, Double::sum));
+    for (Balancer balancer : balancers) {
+      if (balancer.alive) {
+        total += balancer.load;
+        balancer
+            .selector
+            .shares()
+            .forEach((s, share) -> received.merge(s, share * balancer.load, Double::sum));
       }
     }
-    double weight = servers.values().stream().mapToDouble(FleetSnapshot.Server::weight).sum();
+    double totalWeight = servers.values().stream().mapToDouble(FleetSnapshot.Server::weight).sum();
     double worst = 0;
-    for (Map.Entry<String, Double> each : gets.entrySet()) {
-      double due = servers.get(each.getKey()).weight() / weight * total;
-      worst = Math.max(worst, each.getValue() / due);
+    for (Map.Entry<String, Double> each : received.entrySet()) {
+      double fairShare = servers.get(each.getKey()).weight() / totalWeight * total;
+      worst = Math.max(worst, each.getValue() / fairShare);
     }
     return worst;
   }
--- a/src/main/java/heathswitch/testbed/subsetting/SampleFleets.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SampleFleets.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Fleets to hold ways against each other on, and what changes in them. */
+/** Synthetic fleets for comparing subsetting strategies, and changes to them. */
 final class SampleFleets {
   private SampleFleets() {}
 
@@ -20,44 +20,50 @@
   }
 
   /**
-   * One with names by number.
+   * Creates a fleet with numbered names.
    *
-   * @param unequal whether loads differ by as much as a lognormal with a deviation of 1, so that
-   *     some balancers get several times the mean
+   * @param unequal whether loads are lognormally distributed with a standard deviation of 1 (of the
+   *     logarithm), so that some balancers get several times the mean; otherwise all are 1
    */
-  static FleetSnapshot of(int instances, int servers, boolean unequal, long seed) {
+  static FleetSnapshot create(int instanceCount, int serverCount, boolean unequal, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Instance> some = new ArrayList<>();
-    for (int i = 0; i < instances; i++) {
-      some.add(instance("edge-" + (1000 + i), unequal ? Math.exp(random.nextGaussian()) : 1));
+    List<Instance> instances = new ArrayList<>();
+    for (int i = 0; i < instanceCount; i++) {
+      instances.add(instance("edge-" + (1000 + i), unequal ? Math.exp(random.nextGaussian()) : 1));
     }
-    List<Server> others = new ArrayList<>();
-    for (int i = 0; i < servers; i++) {
-      others.add(server("server-" + (10_000 + i), 1));
+    List<Server> servers = new ArrayList<>();
+    for (int i = 0; i < serverCount; i++) {
+      servers.add(server("server-" + (10_000 + i), 1));
     }
-    return new FleetSnapshot(some, others);
+    return new FleetSnapshot(instances, servers);
   }
 
-  /** Without one balancer. */
-  static FleetSnapshot without(FleetSnapshot census, Instance gone) {
+  /** The fleet without one balancer. */
+  static FleetSnapshot without(FleetSnapshot snapshot, Instance removed) {
     return new FleetSnapshot(
-        census.instances().stream().filter(each -> !each.equals(gone)).toList(), census.servers());
+        snapshot.instances().stream().filter(each -> !each.equals(removed)).toList(),
+        snapshot.servers());
   }
 
-  /** Without one server. */
-  static FleetSnapshot without(FleetSnapshot census, Server gone) {
+  /** The fleet without one server. */
+  static FleetSnapshot without(FleetSnapshot snapshot, Server removed) {
     return new FleetSnapshot(
-        census.instances(), census.servers().stream().filter(each -> !each.equals(gone)).toList());
+        snapshot.instances(),
+        snapshot.servers().stream().filter(each -> !each.equals(removed)).toList());
   }
 
-  /** The balancers of one side of a split, which see all servers. */
-  static FleetSnapshot side(FleetSnapshot census, boolean even) {
-    List<Instance> some = new ArrayList<>();
-    for (int i = 0; i < census.instances().size(); i++) {
+  /**
+   * One side of a network split: every second balancer, which all see all servers.
+   *
+   * @param even whether to take the balancers with even or with odd indices
+   */
+  static FleetSnapshot splitSide(FleetSnapshot snapshot, boolean even) {
+    List<Instance> instances = new ArrayList<>();
+    for (int i = 0; i < snapshot.instances().size(); i++) {
       if (i % 2 == 0 == even) {
-        some.add(census.instances().get(i));
+        instances.add(snapshot.instances().get(i));
       }
     }
-    return new FleetSnapshot(some, census.servers());
+    return new FleetSnapshot(instances, snapshot.servers());
   }
 }
--- a/src/main/java/heathswitch/testbed/subsetting/StrategyComparison.java
+++ b/src/main/java/heathswitch/testbed/subsetting/StrategyComparison.java
@@ -11,181 +11,194 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One way by figures: how even, how many connections, and what a change moves. */
+/**
+ * Measures a subsetting strategy: how evenly it loads the servers, how many connections it needs,
+ * and how much a change of the fleet moves.
+ */
 final class StrategyComparison {
   private static final int CHANGES = 8;
 
   private StrategyComparison() {}
 
   /**
-   * What a way comes to.
+   * Results for one strategy.
    *
-   * @param connections pairs of a balancer and a server
-   * @param spread calls of the most loaded server against its due
-   * @param uncovered servers that nobody uses
-   * @param openedByLeave connections that the others open when one balancer leaves, part of all
-   * @param openedByLoss likewise when one server leaves, against those that it had: 1 is the least
-   *     if each that used it takes another
-   * @param movedByLeave part of the others' calls that goes elsewhere when one balancer leaves
-   * @param leastByLeave the least that it could be if all are to be even again
-   * @param spreadSplit in two halves of which neither sees the other, over both
-   * @param spreadViews where each balancer lacks one in twenty of the others, by chance
+   * @param connections number of pairs of a balancer and a server
+   * @param spread highest ratio of a server's call rate to its fair share
+   * @param uncovered number of servers that no balancer uses
+   * @param openedByLeave connections that the other balancers open when one balancer leaves,
+   *     divided by all connections
+   * @param openedByLoss connections that the balancers open when one server leaves, divided by the
+   *     connections that this server had; 1 is the minimum if each of its users takes another one
+   * @param movedByLeave share of the other balancers' calls that moves to other servers when one
+   *     balancer leaves
+   * @param minMovedByLeave lower bound of movedByLeave if all servers are to be evenly loaded again
+   * @param spreadSplit spread over both halves of a network split, neither of which sees the other
+   * @param spreadPartialViews spread if each balancer fails to see each other one with a
+   *     probability of 1/20
    */
-  record Figures(
+  record Result(
       long connections,
       double spread,
       long uncovered,
       double openedByLeave,
       double openedByLoss,
       double movedByLeave,
-      double leastByLeave,
+      double minMovedByLeave,
       double spreadSplit,
-      double spreadViews) {}
+      double spreadPartialViews) {}
 
-  static Figures of(SubsettingStrategy way, FleetSnapshot census, int width) {
-    Map<String, Map<String, Double>> plan = way.plan(census, width);
-    long connections = count(plan);
-    double opened = 0;
-    double moved = 0;
-    double lost = 0;
-    double least = 0;
+  static Result measure(SubsettingStrategy strategy, FleetSnapshot snapshot, int width) {
+    Map<String, Map<String, Double>> plan = strategy.plan(snapshot, width);
+    long connections = countConnections(plan);
+    double openedByLeave = 0;
+    double movedByLeave = 0;
+    double openedByLoss = 0;
+    double minMovedByLeave = 0;
     for (int i = 0; i < CHANGES; i++) {
-      Instance gone = census.instances().get((i * 37 + 5) % census.instances().size());
-      Map<String, Map<String, Double>> after = way.plan(SampleFleets.without(census, gone), width);
-      opened += (double) opened(plan, after) / connections / CHANGES;
-      moved += moved(census, plan, after) / CHANGES;
-      least += least(census, plan, gone) / CHANGES;
-      Server down = census.servers().get((i * 41 + 3) % census.servers().size());
-      long had = plan.values().stream().filter(row -> row.containsKey(down.name())).count();
-      long took = opened(plan, way.plan(SampleFleets.without(census, down), width));
-      lost += (double) took / Math.max(1, had) / CHANGES;
+      Instance gone = snapshot.instances().get((i * 37 + 5) % snapshot.instances().size());
+      Map<String, Map<String, Double>> after =
+          strategy.plan(SampleFleets.without(snapshot, gone), width);
+      openedByLeave += (double) openedConnections(plan, after) / connections / CHANGES;
+      movedByLeave += movedShare(snapshot, plan, after) / CHANGES;
+      minMovedByLeave += minMovedShare(snapshot, plan, gone) / CHANGES;
+      Server lost = snapshot.servers().get((i * 41 + 3) % snapshot.servers().size());
+      long userCount = plan.values().stream().filter(row -> row.containsKey(lost.name())).count();
+      long opened =
+          openedConnections(plan, strategy.plan(SampleFleets.without(snapshot, lost), width));
+      openedByLoss += (double) opened / Math.max(1, userCount) / CHANGES;
     }
-    return new Figures(
+    return new Result(
         connections,
-        spread(census, plan),
-        uncovered(census, plan),
-        opened,
-        lost,
-        moved,
-        least,
-        spread(census, split(way, census, width)),
-        spread(census, views(way, census, width)));
+        spread(snapshot, plan),
+        uncovered(snapshot, plan),
+        openedByLeave,
+        openedByLoss,
+        movedByLeave,
+        minMovedByLeave,
+        spread(snapshot, planInSplit(strategy, snapshot, width)),
+        spread(snapshot, planWithPartialViews(strategy, snapshot, width)));
   }
 
-  private static long count(Map<String, Map<String, Double>> plan) {
+  private static long countConnections(Map<String, Map<String, Double>> plan) {
     return plan.values().stream().mapToLong(Map::size).sum();
   }
 
-  static double spread(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
-    Map<String, Double> gets = SubsettingStrategy.received(census, plan);
+  /** Highest ratio of a server's call rate to its fair share by weight. */
+  static double spread(FleetSnapshot snapshot, Map<String, Map<String, Double>> plan) {
+    Map<String, Double> received = SubsettingStrategy.received(snapshot, plan);
     double worst = 0;
-    for (Server each : census.servers()) {
-      double due = each.weight() / census.weight() * census.load();
-      worst = Math.max(worst, gets.getOrDefault(each.name(), 0.0) / due);
+    for (Server each : snapshot.servers()) {
+      double fairShare = each.weight() / snapshot.totalWeight() * snapshot.totalLoad();
+      worst = Math.max(worst, received.getOrDefault(each.name(), 0.0) / fairShare);
     }
     return worst;
   }
 
-  private static long uncovered(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
+  private static long uncovered(FleetSnapshot snapshot, Map<String, Map<String, Double>> plan) {
     Set<String> used = new HashSet<>();
     plan.values().forEach(row -> used.addAll(row.keySet()));
-    return census.servers().stream().filter(each -> !used.contains(each.name())).count();
+    return snapshot.servers().stream().filter(each -> !used.contains(each.name())).count();
   }
 
-  /** Connections of those that stay which were not there before. */
-  private static long opened(
+  /** Number of new connections of the balancers that are in both plans. */
+  private static long openedConnections(
       Map<String, Map<String, Double>> before, Map<String, Map<String, Double>> after) {
     long opened = 0;
     for (Map.Entry<String, Map<String, Double>> each : after.entrySet()) {
-      Set<String> had = before.get(each.getKey()).keySet();
-      opened += each.getValue().keySet().stream().filter(server -> !had.contains(server)).count();
+      Set<String> previous = before.get(each.getKey()).keySet();
+      opened +=
+          each.getValue().keySet().stream().filter(server -> !previous.contains(server)).count();
     }
     return opened;
   }
 
-  private static double moved(
-      FleetSnapshot census,
+  /** Share of the calls of the remaining balancers that goes to other servers than before. */
+  private static double movedShare(
+      FleetSnapshot snapshot,
       Map<String, Map<String, Double>> before,
       Map<String, Map<String, Double>> after) {
     double moved = 0;
-    for (Instance each : census.instances()) {
-      Map<String, Double> then = before.get(each.name());
-      Map<String, Double> now = after.get(each.name());
-      for (Map.Entry<String, Double> part : now == null ? then.entrySet() : now.entrySet()) {
-        double more = now == null ? 0 : part.getValue() - then.getOrDefault(part.getKey(), 0.0);
-        moved += Math.max(0, more) * each.load();
+    for (Instance each : snapshot.instances()) {
+      Map<String, Double> previous = before.get(each.name());
+      Map<String, Double> current = after.get(each.name());
+      for (Map.Entry<String, Double> share :
+          current == null ? previous.entrySet() : current.entrySet()) {
+        double increase =
+            current == null ? 0 : share.getValue() - previous.getOrDefault(share.getKey(), 0.0);
+        moved += Math.max(0, increase) * each.load();
       }
     }
-    return moved / after.keySet().stream().mapToDouble(name -> load(census, name)).sum();
+    return moved / after.keySet().stream().mapToDouble(name -> load(snapshot, name)).sum();
   }
 
   /**
-   * What servers lack of their due when one balancer has gone, part of the calls that are left: no
-   * plan that is even again moves less.
+   * Calls that servers lack to their fair share after one balancer has left, divided by the
+   * remaining calls. Every plan that loads all servers evenly again moves at least this share.
    */
-  private static double least(
-      FleetSnapshot census, Map<String, Map<String, Double>> plan, Instance gone) {
-    Map<String, Double> gets = SubsettingStrategy.received(census, plan);
-    double left = census.load() - gone.load();
-    double least = 0;
-    for (Server each : census.servers()) {
-      double its = plan.get(gone.name()).getOrDefault(each.name(), 0.0) * gone.load();
-      double has = gets.getOrDefault(each.name(), 0.0) - its;
-      least += Math.max(0, each.weight() / census.weight() * left - has);
+  private static double minMovedShare(
+      FleetSnapshot snapshot, Map<String, Map<String, Double>> plan, Instance gone) {
+    Map<String, Double> received = SubsettingStrategy.received(snapshot, plan);
+    double remainingLoad = snapshot.totalLoad() - gone.load();
+    double lacking = 0;
+    for (Server each : snapshot.servers()) {
+      double lost = plan.get(gone.name()).getOrDefault(each.name(), 0.0) * gone.load();
+      double kept = received.getOrDefault(each.name(), 0.0) - lost;
+      lacking += Math.max(0, each.weight() / snapshot.totalWeight() * remainingLoad - kept);
     }
-    return least / left;
+    return lacking / remainingLoad;
   }
 
-  private static double load(FleetSnapshot census, String name) {
-    return census.instances().stream()
+  private static double load(FleetSnapshot snapshot, String name) {
+    return snapshot.instances().stream()
         .filter(each -> each.name().equals(name))
         .mapToDouble(Instance::load)
         .sum();
   }
 
-  private static Map<String, Map<String, Double>> split(
-      SubsettingStrategy way, FleetSnapshot census, int width) {
+  private static Map<String, Map<String, Double>> planInSplit(
+      SubsettingStrategy strategy, FleetSnapshot snapshot, int width) {
     Map<String, Map<String, Double>> plan =
-        new LinkedHashMap<>(way.plan(SampleFleets.side(census, true), width));
-    plan.putAll(way.plan(SampleFleets.side(census, false), width));
+        new LinkedHashMap<>(strategy.plan(SampleFleets.splitSide(snapshot, true), width));
+    plan.putAll(strategy.plan(SampleFleets.splitSide(snapshot, false), width));
     return plan;
   }
 
-  private static Map<String, Map<String, Double>> views(
-      SubsettingStrategy way, FleetSnapshot census, int width) {
+  private static Map<String, Map<String, Double>> planWithPartialViews(
+      SubsettingStrategy strategy, FleetSnapshot snapshot, int width) {
     SplittableRandom random = new SplittableRandom(1);
     Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
-    for (Instance each : census.instances()) {
+    for (Instance each : snapshot.instances()) {
       List<Instance> seen = new ArrayList<>();
-      for (Instance other : census.instances()) {
+      for (Instance other : snapshot.instances()) {
         if (other.equals(each) || random.nextInt(20) > 0) {
           seen.add(other);
         }
       }
-      FleetSnapshot view = new FleetSnapshot(seen, census.servers());
-      plan.put(each.name(), way.plan(view, width).get(each.name()));
+      FleetSnapshot view = new FleetSnapshot(seen, snapshot.servers());
+      plan.put(each.name(), strategy.plan(view, width).get(each.name()));
     }
     return plan;
   }
 
-  /** A table of all ways, for the design note. */
-  static String table(FleetSnapshot census, int width) {
+  /** The results of all strategies as rows of a Markdown table. */
+  static String table(FleetSnapshot snapshot, int width) {
     StringBuilder table = new StringBuilder();
-    for (SubsettingStrategy way : SubsettingStrategy.values()) {
-      Figures figures = of(way, census, width);
+    for (SubsettingStrategy strategy : SubsettingStrategy.values()) {
+      Result result = measure(strategy, snapshot, width);
       table.append(
           String.format(
               "| %s | %d | %.3f | %d | %.4f | %.2f | %.4f | %.4f | %.3f | %.3f |%n",
-              way.name().toLowerCase(java.util.Locale.ROOT),
-              figures.connections(),
-              figures.spread(),
-              figures.uncovered(),
-              figures.openedByLeave(),
-              figures.openedByLoss(),
-              figures.movedByLeave(),
-              figures.leastByLeave(),
-              figures.spreadSplit(),
-              figures.spreadViews()));
+              strategy.name().toLowerCase(java.util.Locale.ROOT),
+              result.connections(),
+              result.spread(),
+              result.uncovered(),
+              result.openedByLeave(),
+              result.openedByLoss(),
+              result.movedByLeave(),
+              result.minMovedByLeave(),
+              result.spreadSplit(),
+              result.spreadPartialViews()));
     }
     return table.toString();
   }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetExplorer.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetExplorer.java
@@ -8,69 +8,73 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.LongStream;
 
-/** Many schedules of changes and faults, each by a seed, and what has to hold in each of them. */
+/**
+ * Runs random schedules of changes and faults in simulated fleets, each reproducible by its seed,
+ * and checks what must hold in all of them.
+ */
 final class SubsetExplorer {
-  private static final int STEPS = 16;
+  private static final int FAULTS_PER_SCHEDULE = 16;
 
   private SubsetExplorer() {}
 
-  /** What did not hold, after which faults. */
-  record Finding(long seed, String what, List<String> faults) {}
+  /** A violation, and the changes and faults of its schedule. */
+  record Finding(long seed, String violation, List<String> faults) {}
 
-  /** The first finding or null, and the worst spread of all that came to rest. */
-  record Played(Finding finding, double spreadWorst) {}
+  /** A finding or null, and the highest spread of all fleets after they have settled. */
+  record Result(Finding finding, double worstSpread) {}
 
-  /** So many schedules on all cores. */
-  static Played random(long from, long schedules) {
+  /** Runs schedules with consecutive seeds on all cores until one yields a finding. */
+  static Result runSchedules(long firstSeed, long schedules) {
     AtomicReference<Finding> found = new AtomicReference<>();
     double worst =
-        LongStream.range(from, from + schedules)
+        LongStream.range(firstSeed, firstSeed + schedules)
             .parallel()
             .mapToDouble(
                 seed -> {
                   if (found.get() != null) {
                     return 0;
                   }
-                  Played played = play(seed);
-                  if (played.finding() != null) {
-                    found.compareAndSet(null, played.finding());
+                  Result result = runSchedule(seed);
+                  if (result.finding() != null) {
+                    found.compareAndSet(null, result.finding());
                   }
-                  return played.spreadWorst();
+                  return result.worstSpread();
                 })
             .max()
             .orElse(0);
-    return new Played(found.get(), worst);
+    return new Result(found.get(), worst);
   }
 
-  /** One schedule. */
-  static Played play(long seed) {
+  /** Runs one schedule. */
+  static Result runSchedule(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = new ArrayList<>();
     int zones = random.nextInt(3) == 0 ? 2 : 1;
-    FleetSimulation world =
+    FleetSimulation fleet =
         new FleetSimulation(
             2 + random.nextInt(8),
             6 + random.nextInt(20),
             zones,
             new SubsetSizing(2 + random.nextInt(6), 2, 2),
             random.nextLong());
-    world.pass(random.nextLong(20_000 * FleetSimulation.MILLI));
-    for (int i = 0; i < STEPS && world.broken() == null; i++) {
-      faults.add(world.nowMillis() + " ms " + world.fault());
-      world.pass(random.nextLong(4000 * FleetSimulation.MILLI));
+    fleet.advance(random.nextLong(20_000 * FleetSimulation.MILLI));
+    for (int i = 0; i < FAULTS_PER_SCHEDULE && fleet.violation() == null; i++) {
+      faults.add(fleet.nowMillis() + " ms " + fleet.injectFault());
+      fleet.advance(random.nextLong(4000 * FleetSimulation.MILLI));
     }
-    faults.add(world.nowMillis() + " ms well");
-    world.heal();
-    world.pass(FleetSimulation.CALM_NANOS);
-    String what = world.broken() != null ? world.broken() : world.unsettled();
-    if (what != null) {
-      return new Played(new Finding(seed, what, faults), 0);
+    faults.add(fleet.nowMillis() + " ms all faults end");
+    fleet.heal();
+    fleet.advance(FleetSimulation.CONVERGENCE_NANOS);
+    String violation = fleet.violation() != null ? fleet.violation() : fleet.settledViolation();
+    if (violation != null) {
+      return new Result(new Finding(seed, violation, faults), 0);
     }
-    Map<String, Map<String, Double>> settled = world.uses();
-    world.pass(5000 * FleetSimulation.MILLI);
-    if (!settled.equals(world.uses())) {
-      return new Played(new Finding(seed, "it swings though nothing happens", faults), 0);
+    Map<String, Map<String, Double>> settled = fleet.shares();
+    fleet.advance(5000 * FleetSimulation.MILLI);
+    if (!settled.equals(fleet.shares())) {
+      return new Result(
+          new Finding(seed, "shares change without a change of the fleet", faults), 0);
     }
-    return new Played(null, world.believed() ? world.spread() : 0);
+    return new Result(null, fleet.loadsArePlausible() ? fleet.spread() : 0);
   }
 }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -4,41 +4,44 @@
 import heathswitch.testbed.mutants.MutantTrials;
 import java.util.List;
 
-/** Faults in the choice of subsets, and whether the schedules find them. */
+/** Mutants of the subset selection; the schedules of {@link SubsetExplorer} must detect each. */
 final class SubsetMutants {
   private static final String PLAN = "heathswitch.policy.subsetting.SubsetPlan";
-  private static final String PASSAGE = "heathswitch.policy.subsetting.AssignmentTransition";
-  private static final String SUBSET = "heathswitch.policy.subsetting.SubsetSelector";
-  private static final String CENSUS = "heathswitch.policy.subsetting.FleetSnapshot";
+  private static final String TRANSITION = "heathswitch.policy.subsetting.AssignmentTransition";
+  private static final String SELECTOR = "heathswitch.policy.subsetting.SubsetSelector";
+  private static final String SNAPSHOT = "heathswitch.policy.subsetting.FleetSnapshot";
 
   static final List<Mutant> ALL =
       List.of(
-          new Mutant(PLAN, "private static final int ROUNDS = 40;", "static final int ROUNDS = 1;"),
-          new Mutant(PLAN, "if (part > 0) {", "if (part > 0.5 && server.cell() > 0) {"),
-          new Mutant(PLAN, "Math.max(rule.users(), 1 <<", "Math.max(1, 1 <<"),
-          new Mutant(PLAN, "cells.size() < rule.domains()", "cells.size() < 1"),
-          new Mutant(PASSAGE, "    now.keySet().retainAll(listed);\n", ""),
-          new Mutant(PASSAGE, "apart <= most ? 1 : most / apart;", "1;"),
           new Mutant(
-              PASSAGE,
-              "    wanted.forEach((server, part) -> next.putIfAbsent(server, by * part));\n",
+              PLAN,
+              "private static final int SCALING_ROUNDS = 40;",
+              "static final int SCALING_ROUNDS = 1;"),
+          new Mutant(PLAN, "if (zoneShare > 0) {", "if (zoneShare > 0.5 && server.cell() > 0) {"),
+          new Mutant(PLAN, "Math.max(sizing.minUsers(), 1 <<", "Math.max(1, 1 <<"),
+          new Mutant(PLAN, "cells.size() < sizing.minCells()", "cells.size() < 1"),
+          new Mutant(TRANSITION, "    current.keySet().retainAll(listed);\n", ""),
+          new Mutant(TRANSITION, "distance <= maxMovedShare ? 1 : maxMovedShare / distance;", "1;"),
+          new Mutant(
+              TRANSITION,
+              "    target.forEach((server, share) -> next.putIfAbsent(server, progress * share));\n",
               ""),
-          new Mutant(PASSAGE, "    next.replaceAll((server, part) -> part / all);\n", ""),
+          new Mutant(TRANSITION, "    next.replaceAll((server, share) -> share / total);\n", ""),
           new Mutant(
-              PASSAGE,
-              "if (wanted.containsKey(server) || then > least) {",
-              "if (wanted.containsKey(server)) {"),
+              TRANSITION,
+              "if (target.containsKey(server) || newShare > dropBelow) {",
+              "if (target.containsKey(server)) {"),
           new Mutant(
-              SUBSET,
-              "nextNanos = nowNanos + (long) (pace.settleNanos() *",
-              "nextNanos = nowNanos + (long) (0.1 * pace.settleNanos() *"),
+              SELECTOR,
+              "nextStepNanos = nowNanos + (long) (pace.settleNanos() *",
+              "nextStepNanos = nowNanos + (long) (0.1 * pace.settleNanos() *"),
           new Mutant(
-              SUBSET,
+              SELECTOR,
               "nowNanos + (long) (pace.stepNanos() * (0.5 +",
               "nowNanos + (long) (pace.stepNanos() * (0.1 +"),
-          new Mutant(SUBSET, "!waits && !plan.census().equals(census)", "false"),
+          new Mutant(SELECTOR, "!keepsPlan && !plan.snapshot().equals(snapshot)", "false"),
           new Mutant(
-              CENSUS,
+              SNAPSHOT,
               "servers = servers.stream().sorted(",
               "servers = servers.stream().skip(1).sorted("));
 
@@ -50,10 +53,13 @@
         SubsetMutants.class);
   }
 
-  /** Called in the loader of the copy; what it throws is a fault that shows, too. */
+  /**
+   * Whether the schedules detect a fault; called by reflection in the class loader of the mutant.
+   * An exception counts as detection, too.
+   */
   static boolean shows(long schedules, int depth) {
     try {
-      return SubsetExplorer.random(1, schedules * depth).finding() != null;
+      return SubsetExplorer.runSchedules(1, schedules * depth).finding() != null;
     } catch (RuntimeException e) {
       return true;
     }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -26,19 +26,30 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Several processes that each use a part of the servers, through growth, kills, a split and stops,
- * beside as many that use all of them; and the module under schedules of faults in virtual time.
+ * Measures subsetting: a fleet of processes that use subsets goes through growth, kills, a network
+ * split and pauses, at the same time as a fleet of equal size that uses all servers. Also compares
+ * the subsetting strategies and runs schedules of faults in virtual time.
  */
 public final class SubsetsMeasurement implements Measurement {
   private static final long SEED = 29;
-  private static final long WAIT_MILLIS = 120_000;
+  private static final long TIMEOUT_MILLIS = 120_000;
 
-  /** Loads of the instances against each other, again and again. */
-  private static final double[] LOADS = {1, 0.4, 2.5, 0.8, 1.3, 0.6, 3, 1, 0.5, 1.6, 0.7, 2};
+  /** Relative loads of the instances, repeated if there are more instances. */
+  private static final double[] RELATIVE_LOADS = {
+    1, 0.4, 2.5, 0.8, 1.3, 0.6, 3, 1, 0.5, 1.6, 0.7, 2
+  };
 
-  /** An instance goes by its plan when a smaller part of its calls goes elsewhere. */
-  private static final double CALM = 0.02;
+  /** An instance has settled when a smaller share of its calls differs from its plan. */
+  private static final double MAX_SETTLED_DISTANCE = 0.02;
 
+  /**
+   * Dimensions of a measurement.
+   *
+   * @param first number of instances that are started first
+   * @param perSecond calls per second of all clients together
+   * @param phaseMillis duration of each phase in which the spread is measured
+   * @param pausesMillis durations for which instances are paused, one after the other
+   */
   private record Size(
       int instances,
       int first,
@@ -46,10 +57,10 @@
       int width,
       double perSecond,
       long phaseMillis,
-      List<Integer> pauses) {}
+      List<Integer> pausesMillis) {}
 
-  /** What one fleet came to. */
-  private static final class Run {
+  /** Results of one fleet. */
+  private static final class FleetResult {
     final Map<String, Double> spread = new HashMap<>();
     final List<Double> detectMillis = Collections.synchronizedList(new ArrayList<>());
     int connections;
@@ -60,7 +71,7 @@
     long doubles;
     int falseDeaths;
     double moved;
-    double movedLeast;
+    double minMoved;
   }
 
   @Override
@@ -69,90 +80,92 @@
         brief
             ? new Size(5, 2, 16, 4, 250, 3000, List.of(1000))
             : new Size(12, 4, 48, 16, 600, 15_000, List.of(1000, 3000, 10_000));
-    Figures.progress("parts of the servers, and beside it all servers for all");
-    ExecutorService both = Executors.newFixedThreadPool(2);
-    Run full;
-    Run part;
+    Figures.progress("a fleet with subsets and, at the same time, a fleet that uses all servers");
+    ExecutorService executor = Executors.newFixedThreadPool(2);
+    FleetResult full;
+    FleetResult subset;
     try {
-      Future<Run> all = both.submit(new Play(size, false)::run);
-      part = new Play(size, true).run();
-      full = all.get();
+      Future<FleetResult> pendingFull = executor.submit(new FleetRun(size, false)::run);
+      subset = new FleetRun(size, true).run();
+      full = pendingFull.get();
     } finally {
-      both.shutdownNow();
+      executor.shutdownNow();
     }
-    Figures.progress("ways held against each other");
-    Figures.progress(StrategyComparison.table(SampleFleets.of(12, 48, true, 1), 16));
+    Figures.progress("comparison of the subsetting strategies");
+    Figures.progress(StrategyComparison.table(SampleFleets.create(12, 48, true, 1), 16));
     Figures.progress("schedules in virtual time");
     long schedules = brief ? 200 : 100_000;
-    SubsetExplorer.Played played = SubsetExplorer.random(1, schedules);
-    if (played.finding() != null) {
-      Figures.progress(played.finding().toString());
+    SubsetExplorer.Result explored = SubsetExplorer.runSchedules(1, schedules);
+    if (explored.finding() != null) {
+      Figures.progress(explored.finding().toString());
     }
     List<Mutant> tried = brief ? SubsetMutants.ALL.subList(0, 4) : SubsetMutants.ALL;
-    List<Mutant> unseen = SubsetMutants.trials().undetected(tried);
-    unseen.forEach(mutant -> Figures.progress("not found: " + mutant));
-    double[] detect = part.detectMillis.stream().mapToDouble(each -> each).sorted().toArray();
-    int many = brief ? 100 : 1000;
+    List<Mutant> undetected = SubsetMutants.trials().undetected(tried);
+    undetected.forEach(mutant -> Figures.progress("not detected: " + mutant));
+    double[] detectMillis =
+        subset.detectMillis.stream().mapToDouble(each -> each).sorted().toArray();
+    int largeFleet = brief ? 100 : 1000;
     return new Figures()
         .add("instances", size.instances())
         .add("servers", size.servers())
-        .add("connections", part.connections)
+        .add("connections", subset.connections)
         .add("connections_full", full.connections)
-        .add("spread", round(part.spread.get("grown")))
+        .add("spread", round(subset.spread.get("grown")))
         .add("spread_full", round(full.spread.get("grown")))
-        .add("spread_first", round(part.spread.get("first")))
-        .add("spread_after_growth", round(part.spread.get("grown")))
-        .add("spread_after_shrink", round(part.spread.get("shrunk")))
-        .add("spread_in_split", round(part.spread.get("split")))
-        .add("spread_healed", round(part.spread.get("healed")))
+        .add("spread_first", round(subset.spread.get("first")))
+        .add("spread_after_growth", round(subset.spread.get("grown")))
+        .add("spread_after_shrink", round(subset.spread.get("shrunk")))
+        .add("spread_in_split", round(subset.spread.get("split")))
+        .add("spread_healed", round(subset.spread.get("healed")))
         .add("spread_shrunk_full", round(full.spread.get("shrunk")))
-        .add("moved_share", round(part.moved))
-        .add("moved_least", round(part.movedLeast))
-        .add("uncovered", part.uncovered)
-        .add("p99_ratio", round(part.p99 / full.p99))
-        .add("goodput_share", round(part.goodput / full.goodput))
-        .add("lost", part.lost)
-        .add("double_runs", part.doubles)
-        .add("false_deaths", part.falseDeaths)
+        .add("moved_share", round(subset.moved))
+        .add("moved_least", round(subset.minMoved))
+        .add("uncovered", subset.uncovered)
+        .add("p99_ratio", round(subset.p99 / full.p99))
+        .add("goodput_share", round(subset.goodput / full.goodput))
+        .add("lost", subset.lost)
+        .add("double_runs", subset.doubles)
+        .add("false_deaths", subset.falseDeaths)
         .rounded(
             "detect_p99_ms",
-            detect.length == 0
+            detectMillis.length == 0
                 ? -1
-                : detect[(int) Math.min(detect.length - 1, detect.length * .99)])
+                : detectMillis[(int) Math.min(detectMillis.length - 1, detectMillis.length * .99)])
         .rounded("msgs_per_member_s_10", GossipTraffic.messagesPerMemberPerSecond(10))
-        .rounded("msgs_per_member_s_" + many, GossipTraffic.messagesPerMemberPerSecond(many))
-        .add("sim_spread_worst", round(played.spreadWorst()))
+        .rounded(
+            "msgs_per_member_s_" + largeFleet, GossipTraffic.messagesPerMemberPerSecond(largeFleet))
+        .add("sim_spread_worst", round(explored.worstSpread()))
         .add("schedules", schedules)
-        .add("violations", played.finding() == null ? 0 : 1)
+        .add("violations", explored.finding() == null ? 0 : 1)
         .add("mutants", tried.size())
-        .add("mutants_found", tried.size() - unseen.size());
+        .add("mutants_found", tried.size() - undetected.size());
   }
 
   private static double round(double value) {
     return Math.round(value * 1e4) / 1e4;
   }
 
-  /** One fleet through all phases. */
-  private static final class Play {
+  /** Takes one fleet through all phases. */
+  private static final class FleetRun {
     private final Size size;
-    private final boolean narrow;
-    private final Run run = new Run();
+    private final boolean subsetting;
+    private final FleetResult result = new FleetResult();
     private final Map<Node, OpenLoop> loads = new HashMap<>();
-    private final List<OpenLoop> all = new ArrayList<>();
-    private final long began = System.nanoTime();
+    private final List<OpenLoop> allLoads = new ArrayList<>();
+    private final long startedNanos = System.nanoTime();
     private Fleet fleet;
 
-    Play(Size size, boolean narrow) {
+    FleetRun(Size size, boolean subsetting) {
       this.size = size;
-      this.narrow = narrow;
+      this.subsetting = subsetting;
     }
 
-    Run run() throws Exception {
+    FleetResult run() throws Exception {
       try (Fleet started = new Fleet(SEED)) {
         fleet = started;
         fleet.servers(size.servers(), "front", Shape.warm(4, 64, ServiceTime.exponential(5)));
         fleet.gossiping("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").first(size.first());
-        if (narrow) {
+        if (subsetting) {
           fleet.subsetting(
               "width = "
                   + size.width()
@@ -163,47 +176,49 @@
         List<Node> first = nodes.subList(0, size.first());
         List<Node> others = nodes.subList(size.first(), nodes.size());
         load(first);
-        calm(first, first.size());
-        phase("first");
-        say("growth to " + nodes.size());
+        awaitSettled(first, first.size());
+        measureSpread("first");
+        progress("growth to " + nodes.size());
         fleet.rise(others);
         load(nodes);
-        calm(nodes, nodes.size());
-        phase("grown");
-        leave(nodes);
-        shrink(first, others);
-        split(nodes);
-        pauses(nodes);
-        judge();
+        awaitSettled(nodes, nodes.size());
+        measureSpread("grown");
+        leaveAndReturn(nodes);
+        killAndRestart(first, others);
+        splitAndHeal(nodes);
+        pauseOneByOne(nodes);
+        collectResults();
       }
-      return run;
+      return result;
     }
 
-    private void say(String what) {
-      if (narrow) {
-        Figures.progress("  " + (System.nanoTime() - began) / 1_000_000_000L + " s " + what);
+    /** Reports progress of the fleet with subsets only. */
+    private void progress(String message) {
+      if (subsetting) {
+        Figures.progress(
+            "  " + (System.nanoTime() - startedNanos) / 1_000_000_000L + " s " + message);
       }
     }
 
-    /** All clients at these instances, by their loads against each other. */
+    /** Distributes the load of all clients over these instances, by their relative loads. */
     private void load(List<Node> nodes) throws InterruptedException {
       double sum = 0;
       for (Node node : nodes) {
-        sum += factor(node);
+        sum += relativeLoad(node);
       }
       for (Node node : nodes) {
-        OpenLoop before = loads.remove(node);
-        if (before != null) {
-          before.stop();
+        OpenLoop previous = loads.remove(node);
+        if (previous != null) {
+          previous.stop();
         }
-        OpenLoop load = fleet.load(node, size.perSecond() * factor(node) / sum);
+        OpenLoop load = fleet.load(node, size.perSecond() * relativeLoad(node) / sum);
         loads.put(node, load);
-        all.add(load);
+        allLoads.add(load);
       }
     }
 
-    private double factor(Node node) {
-      return LOADS[fleet.nodes().indexOf(node) % LOADS.length];
+    private double relativeLoad(Node node) {
+      return RELATIVE_LOADS[fleet.nodes().indexOf(node) % RELATIVE_LOADS.length];
     }
 
     private void unload(List<Node> nodes) throws InterruptedException {
@@ -224,142 +239,149 @@
       return page.get(key) instanceof Number number ? number.doubleValue() : -1;
     }
 
-    private static void await(String what, BooleanSupplier condition) throws Exception {
-      long until = System.nanoTime() + WAIT_MILLIS * 1_000_000L;
+    private static void await(String description, BooleanSupplier condition) throws Exception {
+      long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
       while (!condition.getAsBoolean()) {
-        if (System.nanoTime() > until) {
-          throw new TimeoutException("waited in vain: " + what);
+        if (System.nanoTime() > deadline) {
+          throw new TimeoutException("timed out: " + description);
         }
         Thread.sleep(5);
       }
     }
 
-    /** Each sees so many balancers and uses what its plan says. */
-    private void calm(List<Node> nodes, int balancers) throws Exception {
+    /** Waits until each node sees this many balancers and follows its plan. */
+    private void awaitSettled(List<Node> nodes, int balancers) throws Exception {
       for (Node node : nodes) {
         await(
-            node.name() + " sees " + balancers,
+            node.name() + " sees " + balancers + " balancers",
             () ->
-                narrow
+                subsetting
                     ? settled(page(node, "subset"), balancers)
                     : number(page(node, "peers"), "there") == balancers);
       }
-      // Loads are told as they are known better: what follows from that has to come to rest, too.
+      // Reported loads become more exact with time; the changes that follow must settle, too.
       Thread.sleep(2 * size.phaseMillis() / 3);
       for (Node node : nodes) {
-        await(node.name() + " is calm", () -> !narrow || settled(page(node, "subset"), balancers));
+        await(
+            node.name() + " has settled",
+            () -> !subsetting || settled(page(node, "subset"), balancers));
       }
     }
 
     private static boolean settled(Map<String, Object> page, int balancers) {
       return number(page, "balancers") == balancers
-          && Math.abs(number(page, "apart")) < CALM
+          && Math.abs(number(page, "apart")) < MAX_SETTLED_DISTANCE
           && number(page, "uses") > 0;
     }
 
-    /** Calls of the most loaded server against the mean while nothing changes. */
-    private void phase(String name) throws InterruptedException {
+    /** Measures the calls of the most loaded server, divided by the mean, while nothing changes. */
+    private void measureSpread(String name) throws InterruptedException {
       long[] before = received();
       for (OpenLoop load : loads.values()) {
         load.tally().interval();
       }
       Thread.sleep(size.phaseMillis());
       long[] after = received();
-      long most = 0;
+      long max = 0;
       long sum = 0;
       for (int i = 0; i < after.length; i++) {
         long calls = after[i] - before[i];
-        run.uncovered += calls == 0 ? 1 : 0;
-        most = Math.max(most, calls);
+        result.uncovered += calls == 0 ? 1 : 0;
+        max = Math.max(max, calls);
         sum += calls;
       }
-      run.spread.put(name, (double) most * after.length / sum);
+      result.spread.put(name, (double) max * after.length / sum);
       if (name.equals("grown")) {
         var latencies = new org.HdrHistogram.Histogram(3_600_000_000L, 3);
         for (Map.Entry<Node, OpenLoop> each : loads.entrySet()) {
           latencies.add(each.getValue().tally().interval());
-          run.connections += (int) number(page(each.getKey(), "status"), "connected_servers");
+          result.connections += (int) number(page(each.getKey(), "status"), "connected_servers");
         }
-        run.p99 = latencies.getValueAtPercentile(99);
+        result.p99 = latencies.getValueAtPercentile(99);
       }
-      say(name + ": spread " + round(run.spread.get(name)));
+      progress(name + ": spread " + round(result.spread.get(name)));
     }
 
     private long[] received() {
       return fleet.servers().stream().mapToLong(StandIn::received).toArray();
     }
 
-    /** One leaves in order; its clients go. What the others move is counted, and the least. */
-    private void leave(List<Node> nodes) throws Exception {
-      Node gone = nodes.get(nodes.size() - 1);
+    /**
+     * Shuts one instance down and starts it again. Measures the share of the calls that the others
+     * move to other servers because it leaves, and the lower bound of that share.
+     */
+    private void leaveAndReturn(List<Node> nodes) throws Exception {
+      Node leaving = nodes.get(nodes.size() - 1);
       List<Node> rest = nodes.subList(0, nodes.size() - 1);
       Map<Node, Double> moved = new HashMap<>();
       rest.forEach(node -> moved.put(node, number(page(node, "subset"), "moved")));
       double total = 0;
       for (Node node : rest) {
-        total += factor(node);
+        total += relativeLoad(node);
       }
-      double least = 0;
-      if (narrow && page(gone, "subset").get("own") instanceof List<?> rows) {
+      double minMoved = 0;
+      if (subsetting && page(leaving, "subset").get("own") instanceof List<?> rows) {
         for (Object each : rows) {
-          double its = ((Number) ((Map<?, ?>) each).get("part")).doubleValue();
-          least += Math.max(0, its - 1.0 / size.servers()) * factor(gone) / total;
+          double share = ((Number) ((Map<?, ?>) each).get("part")).doubleValue();
+          minMoved += Math.max(0, share - 1.0 / size.servers()) * relativeLoad(leaving) / total;
         }
       }
-      unload(List.of(gone));
-      gone.end();
-      calm(rest, rest.size());
+      unload(List.of(leaving));
+      leaving.end();
+      awaitSettled(rest, rest.size());
       double sum = 0;
       for (Node node : rest) {
-        sum += (number(page(node, "subset"), "moved") - moved.get(node)) * factor(node) / total;
+        sum +=
+            (number(page(node, "subset"), "moved") - moved.get(node)) * relativeLoad(node) / total;
       }
-      run.moved = sum;
-      run.movedLeast = least;
-      say("one has left: moved " + round(sum) + ", least " + round(least));
-      fleet.rise(List.of(gone));
+      result.moved = sum;
+      result.minMoved = minMoved;
+      progress("one instance has left: moved " + round(sum) + ", minimum " + round(minMoved));
+      fleet.rise(List.of(leaving));
       load(nodes);
-      calm(nodes, nodes.size());
+      awaitSettled(nodes, nodes.size());
     }
 
-    /** Many die in one moment, are found out, and come back. */
-    private void shrink(List<Node> stay, List<Node> die) throws Exception {
-      say("kill of " + die.size());
-      unload(die);
-      load(stay);
-      long killed = System.nanoTime();
-      fleet.each(die, Node::kill);
+    /** Kills many instances at once, measures when the others detect it, and starts them again. */
+    private void killAndRestart(List<Node> remaining, List<Node> killed) throws Exception {
+      progress("kill of " + killed.size());
+      unload(killed);
+      load(remaining);
+      long killedNanos = System.nanoTime();
+      fleet.each(killed, Node::kill);
       List<Thread> watchers = new ArrayList<>();
-      for (Node node : stay) {
-        Thread watcher = new Thread(() -> detect(node, die, killed), "watch");
+      for (Node node : remaining) {
+        Thread watcher = new Thread(() -> recordDetectionTimes(node, killed, killedNanos), "watch");
         watcher.start();
         watchers.add(watcher);
       }
       for (Thread watcher : watchers) {
         watcher.join();
       }
-      calm(stay, stay.size());
-      phase("shrunk");
-      say("they come back");
-      fleet.rise(die);
+      awaitSettled(remaining, remaining.size());
+      measureSpread("shrunk");
+      progress("restart of the killed instances");
+      fleet.rise(killed);
       load(fleet.nodes());
-      calm(fleet.nodes(), fleet.nodes().size());
+      awaitSettled(fleet.nodes(), fleet.nodes().size());
     }
 
-    private void detect(Node at, List<Node> dead, long killedNanos) {
-      Set<String> left = new java.util.HashSet<>(dead.stream().map(Node::name).toList());
-      while (!left.isEmpty() && System.nanoTime() - killedNanos < WAIT_MILLIS * 1_000_000L) {
-        for (String name : dead(at)) {
-          if (left.remove(name)) {
-            run.detectMillis.add((System.nanoTime() - killedNanos) / 1e6);
+    private void recordDetectionTimes(Node observer, List<Node> killed, long killedNanos) {
+      Set<String> undetected = new java.util.HashSet<>(killed.stream().map(Node::name).toList());
+      while (!undetected.isEmpty()
+          && System.nanoTime() - killedNanos < TIMEOUT_MILLIS * 1_000_000L) {
+        for (String name : deadPeers(observer)) {
+          if (undetected.remove(name)) {
+            result.detectMillis.add((System.nanoTime() - killedNanos) / 1e6);
           }
         }
       }
     }
 
-    /** Those that a node holds for dead. */
-    private static List<String> dead(Node at) {
+    /** Names of the peers that a node considers dead. */
+    private static List<String> deadPeers(Node observer) {
       List<String> dead = new ArrayList<>();
-      if (page(at, "peers").get("peers") instanceof List<?> rows) {
+      if (page(observer, "peers").get("peers") instanceof List<?> rows) {
         for (Object each : rows) {
           Map<?, ?> row = (Map<?, ?>) each;
           if ("dead".equals(row.get("standing"))) {
@@ -370,61 +392,64 @@
       return dead;
     }
 
-    private void split(List<Node> nodes) throws Exception {
-      say("split");
+    private void splitAndHeal(List<Node> nodes) throws Exception {
+      progress("network split");
       int half = nodes.size() / 2;
       List<Node> one = nodes.subList(0, half);
       List<Node> other = nodes.subList(half, nodes.size());
       fleet.split(one, other, true);
-      calm(one, one.size());
-      calm(other, other.size());
-      phase("split");
+      awaitSettled(one, one.size());
+      awaitSettled(other, other.size());
+      measureSpread("split");
       fleet.split(one, other, false);
-      calm(nodes, nodes.size());
-      phase("healed");
+      awaitSettled(nodes, nodes.size());
+      measureSpread("healed");
     }
 
-    /** One is stopped after the other, for longer each time; a short stop kills nobody. */
-    private void pauses(List<Node> nodes) throws Exception {
-      for (int i = 0; i < size.pauses().size(); i++) {
+    /**
+     * Pauses instances one after the other, for longer each time. The others must not declare any
+     * running instance dead meanwhile, and no instance at all after the pause.
+     */
+    private void pauseOneByOne(List<Node> nodes) throws Exception {
+      for (int i = 0; i < size.pausesMillis().size(); i++) {
         Node node = nodes.get(1 + i % (nodes.size() - 1));
-        say("stop of " + node.name() + " for " + size.pauses().get(i) + " ms");
+        progress("pause of " + node.name() + " for " + size.pausesMillis().get(i) + " ms");
         unload(List.of(node));
         node.pause();
-        long until = System.nanoTime() + size.pauses().get(i) * 1_000_000L;
+        long until = System.nanoTime() + size.pausesMillis().get(i) * 1_000_000L;
         while (System.nanoTime() < until) {
           for (Node each : nodes) {
             if (each != node) {
-              run.falseDeaths +=
-                  (int) dead(each).stream().filter(d -> !d.equals(node.name())).count();
+              result.falseDeaths +=
+                  (int) deadPeers(each).stream().filter(name -> !name.equals(node.name())).count();
             }
           }
           Thread.sleep(100);
         }
         node.resume();
-        calm(nodes, nodes.size());
+        awaitSettled(nodes, nodes.size());
         load(nodes);
       }
-      calm(nodes, nodes.size());
+      awaitSettled(nodes, nodes.size());
       for (Node each : nodes) {
-        run.falseDeaths += dead(each).size();
+        result.falseDeaths += deadPeers(each).size();
       }
     }
 
-    private void judge() throws Exception {
+    private void collectResults() throws Exception {
       for (OpenLoop load : loads.values()) {
         load.stop();
       }
       long served = 0;
       long calls = 0;
-      for (OpenLoop load : all) {
+      for (OpenLoop load : allLoads) {
         served += load.tally().count(Tally.Result.SERVED);
         calls += load.tally().total();
       }
-      run.goodput = (double) served / Math.max(1, calls);
-      run.lost = fleet.ledger().lost();
-      run.doubles = fleet.ledger().doubles(path -> path.contains("publish"));
-      say(calls + " calls, " + Arrays.toString(received()));
+      result.goodput = (double) served / Math.max(1, calls);
+      result.lost = fleet.ledger().lost();
+      result.doubles = fleet.ledger().doubles(id -> id.contains("publish"));
+      progress(calls + " calls, " + Arrays.toString(received()));
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsettingStrategy.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsettingStrategy.java
@@ -15,244 +15,257 @@
 import java.util.SplittableRandom;
 
 /**
- * How balancers choose their servers without a word to each other: from the same census each
- * computes the same plan, and uses its own row of it.
+ * Strategies by which balancers select subsets without communication: each balancer computes the
+ * same plan from the same snapshot of the fleet, and uses its own part of it.
  */
 enum SubsettingStrategy {
-  /** Everyone to everyone. */
+  /** Every balancer uses all servers. */
   ALL {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      return even(census, each -> census.servers());
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      return weighted(snapshot, each -> snapshot.servers());
     }
   },
-  /** So many drawn by chance, each balancer by its own name. */
+  /** Each balancer uses a random sample of servers, seeded by its name. */
   RANDOM {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      return even(
-          census,
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      return weighted(
+          snapshot,
           each -> {
-            List<Server> drawn = new ArrayList<>(census.servers());
-            shuffle(drawn, hash(each.name(), ""));
-            return drawn.subList(0, wide(census, each, width));
+            List<Server> sample = new ArrayList<>(snapshot.servers());
+            shuffle(sample, hash(each.name(), ""));
+            return sample.subList(0, subsetSize(snapshot, each, width));
           });
     }
   },
-  /** Shuffled rounds of all servers, dealt out by the position in the order of names. */
+  /**
+   * Deterministic subsetting: in each round all servers are shuffled and divided into subsets,
+   * which go to the balancers in the order of their names.
+   */
   POSITION {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      int each = Math.min(width, census.servers().size());
-      int hands = census.servers().size() / each;
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      int size = Math.min(width, snapshot.servers().size());
+      int subsetsPerRound = snapshot.servers().size() / size;
       Map<String, Integer> positions = new HashMap<>();
-      census.instances().forEach(one -> positions.put(one.name(), positions.size()));
-      return even(
-          census,
-          one -> {
-            int position = positions.get(one.name());
-            List<Server> round = new ArrayList<>(census.servers());
-            shuffle(round, position / hands);
-            int from = position % hands * each;
-            return round.subList(from, from + each);
+      snapshot.instances().forEach(each -> positions.put(each.name(), positions.size()));
+      return weighted(
+          snapshot,
+          each -> {
+            int position = positions.get(each.name());
+            List<Server> shuffled = new ArrayList<>(snapshot.servers());
+            shuffle(shuffled, position / subsetsPerRound);
+            int from = position % subsetsPerRound * size;
+            return shuffled.subList(from, from + size);
           });
     }
   },
-  /** Those that follow on a ring of names. */
+  /** Consistent hashing: each balancer uses the servers that follow it on a ring of hashes. */
   RING {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      List<Server> ring = new ArrayList<>(census.servers());
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      List<Server> ring = new ArrayList<>(snapshot.servers());
       ring.sort(Comparator.comparingLong(server -> hash(server.name(), "ring")));
-      return even(
-          census,
+      return weighted(
+          snapshot,
           each -> {
-            long at = hash(each.name(), "ring");
+            long position = hash(each.name(), "ring");
             int from = 0;
-            while (from < ring.size() && hash(ring.get(from).name(), "ring") < at) {
+            while (from < ring.size() && hash(ring.get(from).name(), "ring") < position) {
               from++;
             }
-            List<Server> next = new ArrayList<>();
-            for (int i = 0; i < wide(census, each, width); i++) {
-              next.add(ring.get((from + i) % ring.size()));
+            List<Server> successors = new ArrayList<>();
+            for (int i = 0; i < subsetSize(snapshot, each, width); i++) {
+              successors.add(ring.get((from + i) % ring.size()));
             }
-            return next;
+            return successors;
           });
     }
   },
-  /** Those whose names suit its own best, by the weighted rendezvous. */
+  /** Weighted rendezvous hashing: each balancer uses the servers with the lowest scores for it. */
   RENDEZVOUS {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      return even(census, each -> best(census, each, wide(census, each, width)));
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      return weighted(
+          snapshot, each -> lowestServers(snapshot, each, subsetSize(snapshot, each, width)));
     }
   },
   /**
-   * An arc of the ring of servers as long as its load, one behind the other, with parts at ends.
+   * Deterministic aperture: each balancer uses an arc of the ring of servers with a length
+   * proportional to its load. The arcs follow one another, and a server at an end of an arc gets a
+   * fraction of the calls that a whole one gets.
    */
   APERTURE {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      List<Server> ring = new ArrayList<>(census.servers());
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      List<Server> ring = new ArrayList<>(snapshot.servers());
       ring.sort(Comparator.comparingLong(server -> hash(server.name(), "ring")));
-      // So many turns of all arcs around the ring that each is as wide as is wanted on the mean.
-      double turns = Math.max(1, (double) width * census.instances().size() / ring.size());
+      // Number of times that all arcs together go around the ring, so that their mean length is
+      // width.
+      double turns = Math.max(1, (double) width * snapshot.instances().size() / ring.size());
       Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
-      double at = 0;
-      for (Instance each : census.instances()) {
-        double length = turns * ring.size() * each.load() / census.load();
+      double start = 0;
+      for (Instance each : snapshot.instances()) {
+        double length = turns * ring.size() * each.load() / snapshot.totalLoad();
         Map<String, Double> row = new LinkedHashMap<>();
-        double end = at + length;
-        for (double from = at; from < end - 1e-9; ) {
+        double end = start + length;
+        for (double from = start; from < end - 1e-9; ) {
           double until = Math.min(end, Math.floor(from + 1e-9) + 1);
           String server = ring.get((int) Math.floor(from + 1e-9) % ring.size()).name();
           row.merge(server, (until - from) / length, Double::sum);
           from = until;
         }
         plan.put(each.name(), row);
-        at = end;
+        start = end;
       }
       return plan;
     }
   },
   /**
-   * Servers by the weighted rendezvous, and how much goes to each of them scaled, row and column in
-   * turn, until each balancer gives what it has and each server gets what is due to its weight.
+   * Selects servers as {@link #RENDEZVOUS} does and scales the call rates by balancer and by server
+   * in turn, until each balancer sends its whole load and each server receives its fair share.
    */
   SCALED {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      return scaled(census, RENDEZVOUS.plan(census, width));
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      return scaled(snapshot, RENDEZVOUS.plan(snapshot, width));
     }
   },
   /**
-   * Each server names the balancers that suit it best, by their loads; each takes its best, too.
+   * Each server selects balancers by rendezvous hashing weighted by load, and each balancer also
+   * selects servers by itself.
    */
   NAMED {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      // Rounded to a power of two: were it to follow each change, each change would move them all.
-      double users = (double) width * census.instances().size() / census.servers().size();
-      int many = Math.max(LEAST_USERS, 1 << Math.max(0, Math.round(Math.log(users) / Math.log(2))));
-      Map<String, List<Server>> chosen = new HashMap<>();
-      for (Instance each : census.instances()) {
-        chosen.put(each.name(), new ArrayList<>(best(census, each, LEAST_OWN)));
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      // Rounded to a power of two: an exact count would change with each balancer, for all servers.
+      double exact = (double) width * snapshot.instances().size() / snapshot.servers().size();
+      int usersPerServer =
+          Math.max(MIN_USERS, 1 << Math.max(0, Math.round(Math.log(exact) / Math.log(2))));
+      Map<String, List<Server>> selected = new HashMap<>();
+      for (Instance each : snapshot.instances()) {
+        selected.put(each.name(), new ArrayList<>(lowestServers(snapshot, each, MIN_OWN)));
       }
-      for (Server server : census.servers()) {
-        for (Instance user : users(census, server, many)) {
-          List<Server> row = chosen.get(user.name());
-          if (!row.contains(server)) {
-            row.add(server);
+      for (Server server : snapshot.servers()) {
+        for (Instance user : lowestInstances(snapshot, server, usersPerServer)) {
+          List<Server> subset = selected.get(user.name());
+          if (!subset.contains(server)) {
+            subset.add(server);
           }
         }
       }
-      return even(census, each -> chosen.get(each.name()));
+      return weighted(snapshot, each -> selected.get(each.name()));
     }
   },
-  /** The same, and how much goes to each of them scaled as above: what balancers do. */
+  /** {@link SubsetPlan}, which balancers use: {@link #NAMED} with call rates scaled as above. */
   NAMED_SCALED {
     @Override
-    Map<String, Map<String, Double>> plan(FleetSnapshot census, int width) {
-      SubsetPlan plan = SubsetPlan.of(census, new SubsetSizing(width, LEAST_USERS, LEAST_OWN));
+    Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
+      SubsetPlan plan = SubsetPlan.compute(snapshot, new SubsetSizing(width, MIN_USERS, MIN_OWN));
       Map<String, Map<String, Double>> rows = new LinkedHashMap<>();
-      census.instances().forEach(each -> rows.put(each.name(), plan.row(each.name())));
+      snapshot.instances().forEach(each -> rows.put(each.name(), plan.sharesOf(each.name())));
       return rows;
     }
   };
 
-  private static final int ROUNDS = 40;
+  private static final int SCALING_ROUNDS = 40;
 
-  /** No server has fewer balancers that use it, where there are as many. */
-  private static final int LEAST_USERS = 2;
+  /** Minimum number of balancers that use each server, if the fleet has that many. */
+  private static final int MIN_USERS = 2;
 
-  /** Servers that a balancer takes whoever names it. */
-  private static final int LEAST_OWN = 2;
+  /** Number of servers that each balancer selects by itself. */
+  private static final int MIN_OWN = 2;
 
-  /** No balancer has fewer: so many may fail before it has none. */
-  private static final int LEAST = 4;
+  /** Minimum size of a subset, so that a balancer keeps a server when some of them fail. */
+  private static final int MIN_SUBSET_SIZE = 4;
 
   /**
-   * What each balancer uses, and which part of its calls goes there.
+   * Computes the share of its calls that each balancer sends to each server, by balancer and
+   * server.
    *
-   * @param width servers of a balancer of mean load
+   * @param width number of servers in the subset of a balancer of mean load
    */
-  abstract Map<String, Map<String, Double>> plan(FleetSnapshot census, int width);
+  abstract Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width);
 
-  /** Whom a balancer uses. */
-  private interface Choice {
+  /** Selects the subset of a balancer. */
+  private interface Selection {
     List<Server> of(Instance instance);
   }
 
-  private static Map<String, Map<String, Double>> even(FleetSnapshot census, Choice choice) {
+  /** A plan in which each balancer sends calls to its servers in proportion to their weights. */
+  private static Map<String, Map<String, Double>> weighted(
+      FleetSnapshot snapshot, Selection selection) {
     Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
-    for (Instance each : census.instances()) {
-      List<Server> chosen = choice.of(each);
-      double weight = chosen.stream().mapToDouble(Server::weight).sum();
+    for (Instance each : snapshot.instances()) {
+      List<Server> subset = selection.of(each);
+      double totalWeight = subset.stream().mapToDouble(Server::weight).sum();
       Map<String, Double> row = new LinkedHashMap<>();
-      chosen.forEach(server -> row.put(server.name(), server.weight() / weight));
+      subset.forEach(server -> row.put(server.name(), server.weight() / totalWeight));
       plan.put(each.name(), row);
     }
     return plan;
   }
 
-  /** As many as its load is of the mean, within all that there are. */
-  private static int wide(FleetSnapshot census, Instance each, int width) {
-    double mean = census.load() / census.instances().size();
-    long wide = Math.round(width * each.load() / mean);
-    return (int) Math.min(census.servers().size(), Math.max(LEAST, wide));
+  /** Size of the subset of a balancer, proportional to its load; at most all servers. */
+  private static int subsetSize(FleetSnapshot snapshot, Instance each, int width) {
+    double meanLoad = snapshot.totalLoad() / snapshot.instances().size();
+    long size = Math.round(width * each.load() / meanLoad);
+    return (int) Math.min(snapshot.servers().size(), Math.max(MIN_SUBSET_SIZE, size));
   }
 
   private static Map<String, Map<String, Double>> scaled(
-      FleetSnapshot census, Map<String, Map<String, Double>> plan) {
-    Map<String, Double> due = new HashMap<>();
-    for (Server each : census.servers()) {
-      due.put(each.name(), each.weight() / census.weight() * census.load());
+      FleetSnapshot snapshot, Map<String, Map<String, Double>> plan) {
+    Map<String, Double> fairShares = new HashMap<>();
+    for (Server each : snapshot.servers()) {
+      fairShares.put(each.name(), each.weight() / snapshot.totalWeight() * snapshot.totalLoad());
     }
-    for (int round = 0; round < ROUNDS; round++) {
-      Map<String, Double> gets = received(census, plan);
-      for (Instance each : census.instances()) {
+    for (int round = 0; round < SCALING_ROUNDS; round++) {
+      Map<String, Double> received = received(snapshot, plan);
+      for (Instance each : snapshot.instances()) {
         Map<String, Double> row = plan.get(each.name());
-        row.replaceAll((server, part) -> part * due.get(server) / gets.get(server));
-        double sum = row.values().stream().mapToDouble(part -> part).sum();
-        row.replaceAll((server, part) -> part / sum);
+        row.replaceAll((server, share) -> share * fairShares.get(server) / received.get(server));
+        double sum = row.values().stream().mapToDouble(share -> share).sum();
+        row.replaceAll((server, share) -> share / sum);
       }
     }
     return plan;
   }
 
-  private static List<Instance> users(FleetSnapshot census, Server server, int many) {
+  private static List<Instance> lowestInstances(FleetSnapshot snapshot, Server server, int limit) {
     Map<Instance, Double> scores = new HashMap<>();
-    for (Instance each : census.instances()) {
-      scores.put(each, -Math.log(drawn(each.name(), server.name())) / each.load());
+    for (Instance each : snapshot.instances()) {
+      scores.put(each, -Math.log(uniform(each.name(), server.name())) / each.load());
     }
-    List<Instance> order = new ArrayList<>(census.instances());
+    List<Instance> order = new ArrayList<>(snapshot.instances());
     order.sort(Comparator.comparingDouble(scores::get));
-    return order.subList(0, Math.min(many, order.size()));
+    return order.subList(0, Math.min(limit, order.size()));
   }
 
-  /** Above 0 and below 1, alike for a pair of names. */
-  private static double drawn(String instance, String server) {
+  /** A pseudo-random number between 0 and 1, both excluded, that depends only on the two names. */
+  private static double uniform(String instance, String server) {
     return (hash(instance, server) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
   }
 
-  private static List<Server> best(FleetSnapshot census, Instance each, int many) {
+  private static List<Server> lowestServers(FleetSnapshot snapshot, Instance each, int count) {
     Map<Server, Double> scores = new HashMap<>();
-    for (Server server : census.servers()) {
-      scores.put(server, -Math.log(drawn(each.name(), server.name())) / server.weight());
+    for (Server server : snapshot.servers()) {
+      scores.put(server, -Math.log(uniform(each.name(), server.name())) / server.weight());
     }
-    List<Server> order = new ArrayList<>(census.servers());
+    List<Server> order = new ArrayList<>(snapshot.servers());
     order.sort(Comparator.comparingDouble(scores::get));
-    return order.subList(0, many);
+    return order.subList(0, count);
   }
 
-  /** Calls a second that come to each server by a plan. */
-  static Map<String, Double> received(FleetSnapshot census, Map<String, Map<String, Double>> plan) {
-    Map<String, Double> gets = new HashMap<>();
-    for (Instance each : census.instances()) {
+  /** Calls per second that each server receives under a plan. */
+  static Map<String, Double> received(
+      FleetSnapshot snapshot, Map<String, Map<String, Double>> plan) {
+    Map<String, Double> received = new HashMap<>();
+    for (Instance each : snapshot.instances()) {
       plan.get(each.name())
-          .forEach((server, part) -> gets.merge(server, part * each.load(), Double::sum));
+          .forEach((server, share) -> received.merge(server, share * each.load(), Double::sum));
     }
-    return gets;
+    return received;
   }
 
   private static void shuffle(List<Server> servers, long seed) {
@@ -260,17 +273,17 @@
     Server[] all = servers.toArray(Server[]::new);
     for (int i = all.length - 1; i > 0; i--) {
       int other = random.nextInt(i + 1);
-      Server moved = all[i];
+      Server swapped = all[i];
       all[i] = all[other];
-      all[other] = moved;
+      all[other] = swapped;
     }
     servers.clear();
     servers.addAll(Arrays.asList(all));
   }
 
-  /** A number that two names stand for, alike for any pair of them. */
+  /** A pseudo-random number that depends only on the two names. */
   private static long hash(String one, String other) {
-    long both = (long) one.hashCode() << 32 | other.hashCode() & 0xffffffffL;
-    return new SplittableRandom(both).nextLong();
+    long seed = (long) one.hashCode() << 32 | other.hashCode() & 0xffffffffL;
+    return new SplittableRandom(seed).nextLong();
   }
 }
--- a/src/main/java/heathswitch/testbed/subsetting/package-info.java
+++ b/src/main/java/heathswitch/testbed/subsetting/package-info.java
@@ -1,2 +1,5 @@
-/** Ways to give each balancer a part of the servers, compared by figures; see the design note. */
+/**
+ * Compares subsetting strategies by measured properties, simulates fleets that use subsetting, and
+ * measures them with real processes; see {@code docs/design/subsets.md}.
+ */
 package heathswitch.testbed.subsetting;
--- a/src/test/java/heathswitch/policy/subsetting/SubsetPlanTest.java
+++ b/src/test/java/heathswitch/policy/subsetting/SubsetPlanTest.java
@@ -12,125 +12,131 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who uses which server, and for how many calls. */
+/** Tests the selection of pairs and their call rates in {@link SubsetPlan}. */
 class SubsetPlanTest {
-  private static final SubsetSizing RULE = new SubsetSizing(8, 2, 2);
+  private static final SubsetSizing SIZING = new SubsetSizing(8, 2, 2);
 
-  private static FleetSnapshot census(int instances, int servers, String... zones) {
-    List<FleetSnapshot.Instance> some = new ArrayList<>();
-    for (int i = 0; i < instances; i++) {
-      some.add(new FleetSnapshot.Instance("edge-" + i, zones[i % zones.length], 10 + i % 3 * 20));
+  private static FleetSnapshot snapshot(int instanceCount, int serverCount, String... zones) {
+    List<FleetSnapshot.Instance> instances = new ArrayList<>();
+    for (int i = 0; i < instanceCount; i++) {
+      instances.add(
+          new FleetSnapshot.Instance("edge-" + i, zones[i % zones.length], 10 + i % 3 * 20));
     }
-    List<FleetSnapshot.Server> others = new ArrayList<>();
-    for (int i = 0; i < servers; i++) {
-      others.add(new FleetSnapshot.Server("s-" + i, zones[i % zones.length], i % 6, 1 << i % 3));
+    List<FleetSnapshot.Server> servers = new ArrayList<>();
+    for (int i = 0; i < serverCount; i++) {
+      servers.add(new FleetSnapshot.Server("s-" + i, zones[i % zones.length], i % 6, 1 << i % 3));
     }
-    return new FleetSnapshot(some, others);
+    return new FleetSnapshot(instances, servers);
   }
 
-  private static double part(SubsetPlan plan, FleetSnapshot census, boolean near) {
+  /** Share of all calls that the plan keeps within their zone, or that it sends to other zones. */
+  private static double callShare(SubsetPlan plan, FleetSnapshot snapshot, boolean sameZone) {
     double sum = 0;
-    for (FleetSnapshot.Instance each : census.instances()) {
-      Map<String, Double> row = plan.row(each.name());
-      for (FleetSnapshot.Server server : census.servers()) {
-        boolean home = server.zone().equals(each.zone());
-        sum += home == near ? row.getOrDefault(server.name(), 0.0) * each.load() : 0;
+    for (FleetSnapshot.Instance each : snapshot.instances()) {
+      Map<String, Double> shares = plan.sharesOf(each.name());
+      for (FleetSnapshot.Server server : snapshot.servers()) {
+        boolean local = server.zone().equals(each.zone());
+        sum += local == sameZone ? shares.getOrDefault(server.name(), 0.0) * each.load() : 0;
       }
     }
-    return sum / census.load();
+    return sum / snapshot.totalLoad();
   }
 
   @Test
-  void itIsTheSameInWhateverOrderOneHears() {
-    FleetSnapshot census = census(12, 40, "a");
-    List<FleetSnapshot.Instance> instances = new ArrayList<>(census.instances());
-    List<FleetSnapshot.Server> servers = new ArrayList<>(census.servers());
+  void planDoesNotDependOnTheOrderOfTheInput() {
+    FleetSnapshot snapshot = snapshot(12, 40, "a");
+    List<FleetSnapshot.Instance> instances = new ArrayList<>(snapshot.instances());
+    List<FleetSnapshot.Server> servers = new ArrayList<>(snapshot.servers());
     Collections.shuffle(instances, new Random(1));
     Collections.shuffle(servers, new Random(2));
-    SubsetPlan one = SubsetPlan.of(census, RULE);
-    SubsetPlan other = SubsetPlan.of(new FleetSnapshot(instances, servers), RULE);
+    SubsetPlan plan = SubsetPlan.compute(snapshot, SIZING);
+    SubsetPlan planOfShuffled = SubsetPlan.compute(new FleetSnapshot(instances, servers), SIZING);
     for (FleetSnapshot.Instance each : instances) {
-      assertEquals(one.row(each.name()), other.row(each.name()));
+      assertEquals(plan.sharesOf(each.name()), planOfShuffled.sharesOf(each.name()));
     }
   }
 
-  /** Equal zones: nothing need leave home, and every server gets its due all the same. */
+  /** The zones are equal: every server gets its fair share although few calls leave their zone. */
   @Test
-  void nearServersComeFirst() {
-    FleetSnapshot census = census(12, 48, "a", "b");
-    SubsetPlan plan = SubsetPlan.of(census, RULE);
+  void prefersServersInTheSameZone() {
+    FleetSnapshot snapshot = snapshot(12, 48, "a", "b");
+    SubsetPlan plan = SubsetPlan.compute(snapshot, SIZING);
     assertTrue(plan.spread() < 1.06, "spread " + plan.spread());
-    assertTrue(part(plan, census, true) > 0.9, "at home " + part(plan, census, true));
+    assertTrue(
+        callShare(plan, snapshot, true) > 0.9,
+        "share in the same zone " + callShare(plan, snapshot, true));
   }
 
-  /** All balancers in one zone of two: the far servers get theirs as well. */
+  /** All balancers are in one of two zones: servers in the other one get their fair share, too. */
   @Test
-  void farServersAreNotStarved() {
-    List<FleetSnapshot.Instance> here = new ArrayList<>();
+  void serversInAZoneWithoutBalancersGetTheirFairShare() {
+    List<FleetSnapshot.Instance> instances = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      here.add(new FleetSnapshot.Instance("edge-" + i, "a", 25));
+      instances.add(new FleetSnapshot.Instance("edge-" + i, "a", 25));
     }
-    FleetSnapshot census = new FleetSnapshot(here, census(1, 48, "a", "b").servers());
-    SubsetPlan plan = SubsetPlan.of(census, RULE);
+    FleetSnapshot snapshot = new FleetSnapshot(instances, snapshot(1, 48, "a", "b").servers());
+    SubsetPlan plan = SubsetPlan.compute(snapshot, SIZING);
     assertTrue(plan.spread() < 1.05, "spread " + plan.spread());
-    double due = 0;
-    for (FleetSnapshot.Server each : census.servers()) {
-      due += each.zone().equals("b") ? each.weight() / census.weight() : 0;
+    double fairShare = 0;
+    for (FleetSnapshot.Server each : snapshot.servers()) {
+      fairShare += each.zone().equals("b") ? each.weight() / snapshot.totalWeight() : 0;
     }
-    assertEquals(due, part(plan, census, false), 0.05);
+    assertEquals(fairShare, callShare(plan, snapshot, false), 0.05);
   }
 
   @Test
-  void noBalancerHasFewerCellsThanItIsToHave() {
-    SubsetSizing rule = new SubsetSizing(4, 2, 4);
-    FleetSnapshot census = census(20, 60, "a");
-    SubsetPlan plan = SubsetPlan.of(census, rule);
-    for (FleetSnapshot.Instance each : census.instances()) {
+  void eachBalancerUsesServersInTheMinimumNumberOfCells() {
+    SubsetSizing sizing = new SubsetSizing(4, 2, 4);
+    FleetSnapshot snapshot = snapshot(20, 60, "a");
+    SubsetPlan plan = SubsetPlan.compute(snapshot, sizing);
+    for (FleetSnapshot.Instance each : snapshot.instances()) {
       Set<Long> cells = new HashSet<>();
-      for (FleetSnapshot.Server server : census.servers()) {
-        if (plan.row(each.name()).containsKey(server.name())) {
+      for (FleetSnapshot.Server server : snapshot.servers()) {
+        if (plan.sharesOf(each.name()).containsKey(server.name())) {
           cells.add(server.cell());
         }
       }
-      assertTrue(cells.size() >= 4, each.name() + " has " + cells);
+      assertTrue(cells.size() >= 4, each.name() + " uses cells " + cells);
     }
   }
 
-  /** Nobody has told a load yet: all count alike, and the amounts are numbers. */
+  /** No balancer has reported a load yet: all count the same, and no share is NaN. */
   @Test
-  void loadsOfNothingCountAlike() {
-    List<FleetSnapshot.Instance> quiet = new ArrayList<>();
+  void balancersWithoutLoadCountTheSame() {
+    List<FleetSnapshot.Instance> idle = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      quiet.add(new FleetSnapshot.Instance("edge-" + i, "", 0));
+      idle.add(new FleetSnapshot.Instance("edge-" + i, "", 0));
     }
-    SubsetPlan plan = SubsetPlan.of(new FleetSnapshot(quiet, census(1, 9, "").servers()), RULE);
+    SubsetPlan plan =
+        SubsetPlan.compute(new FleetSnapshot(idle, snapshot(1, 9, "").servers()), SIZING);
     assertTrue(plan.spread() < 1.01, "spread " + plan.spread());
-    for (FleetSnapshot.Instance each : quiet) {
+    for (FleetSnapshot.Instance each : idle) {
       assertEquals(
-          1, plan.row(each.name()).values().stream().mapToDouble(part -> part).sum(), 1e-9);
+          1, plan.sharesOf(each.name()).values().stream().mapToDouble(share -> share).sum(), 1e-9);
     }
-    assertEquals(Map.of(), plan.row("nobody"));
-    assertEquals(0, SubsetPlan.of(new FleetSnapshot(quiet, List.of()), RULE).pairs());
+    assertEquals(Map.of(), plan.sharesOf("unknown"));
+    assertEquals(0, SubsetPlan.compute(new FleetSnapshot(idle, List.of()), SIZING).pairCount());
   }
 
-  /** What the others really send stays near what is due, whatever one says of itself. */
+  /** A false report of one balancer must not overload servers with the real calls of the others. */
   @Test
-  void oneThatSaysItHasAMillionCallsIsNotBelieved() {
-    FleetSnapshot census = census(12, 48, "");
-    List<FleetSnapshot.Instance> told = new ArrayList<>(census.instances());
-    told.set(3, new FleetSnapshot.Instance(told.get(3).name(), "", 1e6));
-    SubsetPlan plan = SubsetPlan.of(new FleetSnapshot(told, census.servers()), RULE);
-    double[] gets = new double[48];
-    for (FleetSnapshot.Instance each : census.instances()) {
-      Map<String, Double> row = plan.row(each.name());
+  void implausiblyHighReportedLoadIsCapped() {
+    FleetSnapshot snapshot = snapshot(12, 48, "");
+    List<FleetSnapshot.Instance> reported = new ArrayList<>(snapshot.instances());
+    reported.set(3, new FleetSnapshot.Instance(reported.get(3).name(), "", 1e6));
+    SubsetPlan plan = SubsetPlan.compute(new FleetSnapshot(reported, snapshot.servers()), SIZING);
+    double[] received = new double[48];
+    for (FleetSnapshot.Instance each : snapshot.instances()) {
+      Map<String, Double> shares = plan.sharesOf(each.name());
       for (int s = 0; s < 48; s++) {
-        gets[s] += row.getOrDefault(census.servers().get(s).name(), 0.0) * each.load();
+        received[s] += shares.getOrDefault(snapshot.servers().get(s).name(), 0.0) * each.load();
       }
     }
     double worst = 0;
     for (int s = 0; s < 48; s++) {
-      double due = census.servers().get(s).weight() / census.weight() * census.load();
-      worst = Math.max(worst, gets[s] / due);
+      double fairShare =
+          snapshot.servers().get(s).weight() / snapshot.totalWeight() * snapshot.totalLoad();
+      worst = Math.max(worst, received[s] / fairShare);
     }
     assertTrue(worst < 3, "worst " + worst);
   }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import testing.Await;
 
-/** Several processes of the program share servers, with faults between them. */
+/** Runs several balancer processes that share servers, with faults between them. */
 class SubsetFleetTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
   private static final int SERVERS = 12;
@@ -43,12 +43,12 @@
   }
 
   private void load(Fleet fleet, List<Node> nodes) {
-    // Unequal loads: the second gets three times what the others get.
+    // Unequal loads: the second balancer gets three times as many calls as each of the others.
     nodes.forEach(
         node -> loads.put(node, fleet.load(node, node == fleet.nodes().get(1) ? 90 : 30)));
   }
 
-  private void verdict(Fleet fleet) throws InterruptedException {
+  private void stopLoadsAndCheckLedger(Fleet fleet) throws InterruptedException {
     for (OpenLoop load : loads.values()) {
       load.stop();
     }
@@ -68,51 +68,54 @@
     return page.get(key) instanceof Number number ? number.doubleValue() : -1;
   }
 
-  /** The servers that a node uses. */
-  private static TreeSet<String> own(Node node) {
-    TreeSet<String> own = new TreeSet<>();
+  /** The servers in the subset of a balancer. */
+  private static TreeSet<String> subsetOf(Node node) {
+    TreeSet<String> subset = new TreeSet<>();
     if (page(node).get("own") instanceof List<?> rows) {
-      rows.forEach(row -> own.add(String.valueOf(((Map<?, ?>) row).get("server"))));
+      rows.forEach(row -> subset.add(String.valueOf(((Map<?, ?>) row).get("server"))));
     }
-    return own;
+    return subset;
   }
 
-  private static TreeSet<String> used(List<Node> nodes) {
+  private static TreeSet<String> usedServers(List<Node> nodes) {
     TreeSet<String> used = new TreeSet<>();
-    nodes.forEach(node -> used.addAll(own(node)));
+    nodes.forEach(node -> used.addAll(subsetOf(node)));
     return used;
   }
 
-  /** Each counts as many balancers and uses what its plan says. */
-  private static void awaitCalm(List<Node> nodes, int balancers) throws InterruptedException {
+  /**
+   * Waits until each node counts this many balancers and follows its plan, and all servers are
+   * used.
+   */
+  private static void awaitSettled(List<Node> nodes, int balancers) throws InterruptedException {
     for (Node node : nodes) {
       Await.until(
-          node.name() + " is among " + balancers,
+          node.name() + " counts " + balancers + " balancers",
           () -> {
             Map<String, Object> page = page(node);
             return number(page, "balancers") == balancers
                 && Math.abs(number(page, "apart")) < 0.005;
           });
     }
-    Await.until("all servers are used", () -> used(nodes).size() == SERVERS);
+    Await.until("all servers are used", () -> usedServers(nodes).size() == SERVERS);
   }
 
   /**
-   * Waits until a balancer uses some servers only, and names them. Where the others' beats come
-   * late, on a busy machine say, it uses all for a moment, as it has to.
+   * Waits until a balancer does not use all servers, and returns its subset. If heartbeats of the
+   * others arrive late, as on a busy machine, a balancer correctly uses all servers for a moment.
    */
   private static TreeSet<String> awaitSubset(Node node) throws InterruptedException {
-    AtomicReference<TreeSet<String>> some = new AtomicReference<>();
+    AtomicReference<TreeSet<String>> subset = new AtomicReference<>();
     Await.until(
-        node.name() + " uses some servers only",
+        node.name() + " uses only some of the servers",
         () -> {
-          some.set(own(node));
-          return some.get().size() < SERVERS;
+          subset.set(subsetOf(node));
+          return subset.get().size() < SERVERS;
         });
-    return some.get();
+    return subset.get();
   }
 
-  /** Calls of the most loaded server over some seconds against the mean. */
+  /** Calls of the most loaded server during 3 s, divided by the mean. */
   private static double spread(Fleet fleet) {
     try {
       long[] before = fleet.servers().stream().mapToLong(StandIn::received).toArray();
@@ -132,14 +135,14 @@
   }
 
   @Test
-  void serversStayEvenlyUsedAsTheFleetGrowsAndShrinks() throws Exception {
+  void serversAreEvenlyLoadedWhenTheFleetGrowsAndShrinks() throws Exception {
     try (Fleet fleet = fleet(61, 4, 2)) {
       List<Node> nodes = fleet.nodes();
-      awaitCalm(nodes.subList(0, 2), 2);
+      awaitSettled(nodes.subList(0, 2), 2);
       fleet.rise(nodes.subList(2, 4));
       load(fleet, nodes.subList(2, 4));
-      awaitCalm(nodes, 4);
-      Await.until("evenly used by four", () -> spread(fleet) < 1.25);
+      awaitSettled(nodes, 4);
+      Await.until("servers are evenly loaded by four balancers", () -> spread(fleet) < 1.25);
       int pairs = 0;
       for (Node node : nodes) {
         pairs += (int) number(page(node), "uses");
@@ -147,109 +150,118 @@
       assertTrue(pairs < 0.75 * 4 * SERVERS, "pairs " + pairs);
       assertTrue(
           number(page(nodes.get(1)), "uses") > number(page(nodes.get(0)), "uses"),
-          "whoever has more calls uses more servers");
+          "the balancer with more calls uses more servers");
       loads.remove(nodes.get(3)).stop();
       nodes.get(3).kill();
-      awaitCalm(nodes.subList(0, 3), 3);
-      Await.until("evenly used by three", () -> spread(fleet) < 1.25);
+      awaitSettled(nodes.subList(0, 3), 3);
+      Await.until("servers are evenly loaded by three balancers", () -> spread(fleet) < 1.25);
       assertEquals(1, number(page(nodes.get(0)), "unseen"));
-      verdict(fleet);
+      stopLoadsAndCheckLedger(fleet);
     }
   }
 
-  /** Neither half leaves a server out, and none gets twice what is due to it. */
+  /** Neither half leaves a server unused, and no server gets twice its fair share. */
   @Test
-  void bothSidesOfASplitUseAllServersEvenly() throws Exception {
+  void bothSidesOfANetworkSplitLoadAllServersEvenly() throws Exception {
     try (Fleet fleet = fleet(62, 4, 4)) {
       List<Node> nodes = fleet.nodes();
-      awaitCalm(nodes, 4);
+      awaitSettled(nodes, 4);
       fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), true);
-      awaitCalm(nodes.subList(0, 2), 2);
-      awaitCalm(nodes.subList(2, 4), 2);
-      Await.until("evenly used by both halves", () -> spread(fleet) < 1.3);
+      awaitSettled(nodes.subList(0, 2), 2);
+      awaitSettled(nodes.subList(2, 4), 2);
+      Await.until("servers are evenly loaded by both halves", () -> spread(fleet) < 1.3);
       fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), false);
-      awaitCalm(nodes, 4);
-      verdict(fleet);
+      awaitSettled(nodes, 4);
+      stopLoadsAndCheckLedger(fleet);
     }
   }
 
-  /** It uses what it used for a while, and then all: nobody else may be there at all. */
+  /**
+   * It keeps its subset for a while, and then uses all servers: it may be the only balancer left.
+   */
   @Test
-  void oneThatSeesNobodyAnyMoreComesToUseAllServers() throws Exception {
+  void anIsolatedBalancerFinallyUsesAllServers() throws Exception {
     try (Fleet fleet = fleet(63, 3, 3)) {
       List<Node> nodes = fleet.nodes();
-      Node alone = nodes.get(2);
-      awaitCalm(nodes, 3);
-      awaitSubset(alone);
-      fleet.split(List.of(alone), nodes.subList(0, 2), true);
+      Node isolated = nodes.get(2);
+      awaitSettled(nodes, 3);
+      awaitSubset(isolated);
+      fleet.split(List.of(isolated), nodes.subList(0, 2), true);
       Await.until(
-          "it uses all, by itself",
-          () -> own(alone).size() == SERVERS && number(page(alone), "unseen") == 2);
-      awaitCalm(nodes.subList(0, 2), 2);
-      // Stopped and back, it is one of them again.
-      fleet.split(List.of(alone), nodes.subList(0, 2), false);
-      awaitCalm(nodes, 3);
-      loads.remove(alone).stop();
-      alone.pause();
+          "the isolated balancer uses all servers",
+          () -> subsetOf(isolated).size() == SERVERS && number(page(isolated), "unseen") == 2);
+      awaitSettled(nodes.subList(0, 2), 2);
+      // After it is paused and resumed, it takes part again.
+      fleet.split(List.of(isolated), nodes.subList(0, 2), false);
+      awaitSettled(nodes, 3);
+      loads.remove(isolated).stop();
+      isolated.pause();
       Thread.sleep(3000);
-      alone.resume();
-      awaitCalm(nodes, 3);
-      verdict(fleet);
+      isolated.resume();
+      awaitSettled(nodes, 3);
+      stopLoadsAndCheckLedger(fleet);
     }
   }
 
-  /** A machine that is taken off the lists is in no plan, whoever hears of it first. */
+  /** A removed server leaves all plans, whichever balancer gets the new list first. */
   @Test
-  void aServerThatIsTakenOffTheListsIsReplacedInEachSubset() throws Exception {
+  void aServerRemovedFromTheListsIsReplacedInEachSubset() throws Exception {
     try (Fleet fleet = fleet(64, 3, 3)) {
       List<Node> nodes = fleet.nodes();
-      awaitCalm(nodes, 3);
+      awaitSettled(nodes, 3);
       List<StandIn> rest = new ArrayList<>(fleet.servers());
-      StandIn gone = rest.remove(4);
+      StandIn removed = rest.remove(4);
       for (Node node : nodes) {
         fleet.list(node, rest);
       }
       for (Node node : nodes) {
         Await.until(
-            node.name() + " has heard of it",
-            () -> number(page(node), "servers") == SERVERS - 1 && !own(node).contains(gone.name()));
+            node.name() + " no longer uses the removed server",
+            () ->
+                number(page(node), "servers") == SERVERS - 1
+                    && !subsetOf(node).contains(removed.name()));
       }
-      Await.until("all others are used", () -> used(nodes).size() == SERVERS - 1);
-      long calls = gone.received();
+      Await.until("all other servers are used", () -> usedServers(nodes).size() == SERVERS - 1);
+      long calls = removed.received();
       Thread.sleep(500);
-      assertEquals(calls, gone.received());
-      assertFalse(own(nodes.get(0)).isEmpty());
-      Map<String, Object> why = nodes.get(0).get("subset/" + rest.get(0).name());
-      assertTrue(((List<?>) why.get("users")).size() >= 2, why::toString);
-      verdict(fleet);
+      assertEquals(calls, removed.received());
+      assertFalse(subsetOf(nodes.get(0)).isEmpty());
+      Map<String, Object> serverPage = nodes.get(0).get("subset/" + rest.get(0).name());
+      assertTrue(((List<?>) serverPage.get("users")).size() >= 2, serverPage::toString);
+      stopLoadsAndCheckLedger(fleet);
     }
   }
 
-  /** All servers of one balancer fail: it goes to others' rather than refuse, and comes back. */
+  /**
+   * All servers in the subset of one balancer fail: it uses servers outside its subset instead of
+   * refusing calls, and returns when its own servers have recovered.
+   */
   @Test
-  void whereItsOwnServersFailOthersTakeTheCalls() throws Exception {
+  void usesServersOutsideTheSubsetWhileItsOwnServersFail() throws Exception {
     try (Fleet fleet = fleet(65, 3, 3)) {
       List<Node> nodes = fleet.nodes();
-      awaitCalm(nodes, 3);
-      Node one = nodes.get(0);
-      TreeSet<String> own = awaitSubset(one);
+      awaitSettled(nodes, 3);
+      Node node = nodes.get(0);
+      TreeSet<String> subset = awaitSubset(node);
       List<StandIn> failing =
-          fleet.servers().stream().filter(each -> own.contains(each.name())).toList();
+          fleet.servers().stream().filter(each -> subset.contains(each.name())).toList();
       failing.forEach(each -> each.faults().errors(1));
-      long beyond = beyond(fleet, own);
-      Await.until("calls go elsewhere", () -> beyond(fleet, own) > beyond + 50);
-      Await.until("most are served", () -> served(loads.get(one)) > 0.7);
+      long before = receivedOutside(fleet, subset);
+      Await.until(
+          "calls go to servers outside the subset",
+          () -> receivedOutside(fleet, subset) > before + 50);
+      Await.until("most calls are served", () -> servedShare(loads.get(node)) > 0.7);
       failing.forEach(each -> each.faults().errors(0));
       Await.until(
-          "its own take them again",
-          // Their windows open again by and by: now and then a call still finds no room there.
-          () -> number(page(one), "connected") <= own(one).size() + 2);
-      verdict(fleet);
+          "its own servers get the calls again",
+          // Their windows grow again only slowly, so some calls still find no room there.
+          () -> number(page(node), "connected") <= subsetOf(node).size() + 2);
+      stopLoadsAndCheckLedger(fleet);
     }
   }
 
-  /** The part of the calls of a second that is served. */
-  private static double served(OpenLoop load) {
+  /** Share of the calls that are served during one second. */
+  private static double servedShare(OpenLoop load) {
     try {
       long served = load.tally().count(Tally.Result.SERVED);
       long total = load.tally().total();
@@ -262,10 +274,10 @@
     }
   }
 
-  /** Calls that came to other servers than these. */
-  private static long beyond(Fleet fleet, TreeSet<String> own) {
+  /** Number of calls received by servers outside a subset. */
+  private static long receivedOutside(Fleet fleet, TreeSet<String> subset) {
     return fleet.servers().stream()
-        .filter(each -> !own.contains(each.name()))
+        .filter(each -> !subset.contains(each.name()))
         .mapToLong(StandIn::received)
         .sum();
   }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table [subset]. */
+/** Tests reading the table [subset] of the configuration file. */
 class SubsetTableTest {
   @TempDir Path folder;
 
@@ -30,22 +30,24 @@
   }
 
   @Test
-  void anEmptyOneHasTheDefaults() throws Exception {
+  void anEmptyTableHasTheDefaultValues() throws Exception {
     Document document = read("[peers]\n[subset]\n");
     SubsetTable table = SubsetTable.read(document.root());
     assertEquals(List.of(), document.faults());
-    assertEquals(SubsetSizing.DEFAULT, table.rule());
+    assertEquals(SubsetSizing.DEFAULT, table.sizing());
     assertEquals(SubsetSelector.Pace.DEFAULT, table.pace());
     assertNull(SubsetTable.read(read("").root()));
   }
 
   @Test
-  void faultsAreNamedWithTheirPlace() throws Exception {
+  void faultsAreReportedWithTheirPosition() throws Exception {
     assertEquals(
-        List.of("1:1: subset: without [peers] nobody else is known; that table expected, too"),
+        List.of(
+            "1:1: subset: without table [peers] no other balancer is known; that table expected"),
         faults("[subset]\n"));
     assertEquals(
-        List.of("3:1: subset.domains: is over the width; as many servers as cells expected"),
+        List.of(
+            "3:1: subset.domains: is greater than width; at most as many cells as servers expected"),
         faults("[peers]\n[subset]\ndomains = 9\nwidth = 8\n"));
     assertEquals(
         List.of("3:1: subset.most_moved: is 0; a number from 0.01 to 1.0 expected"),
