--- a/src/test/java/heathswitch/testbed/subsetting/FleetSimulationTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/FleetSimulationTest.java
@@ -9,102 +9,114 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Fleets that grow and shrink, in virtual time. */
+/** Tests subsetting in simulated fleets that grow, shrink and are split, in virtual time. */
 class FleetSimulationTest {
-  private static final SubsetSizing RULE = new SubsetSizing(16, 2, 2);
+  private static final SubsetSizing SIZING = new SubsetSizing(16, 2, 2);
   private static final long SECOND = 1000 * FleetSimulation.MILLI;
 
-  private static void calm(FleetSimulation world) {
-    world.pass(FleetSimulation.CALM_NANOS);
-    assertNull(world.broken());
-    assertNull(world.unsettled());
-    assertTrue(world.spread() < 1.1, "spread " + world.spread());
+  /** Lets the fleet settle and checks that it loads all servers evenly. */
+  private static void awaitSettled(FleetSimulation fleet) {
+    fleet.advance(FleetSimulation.CONVERGENCE_NANOS);
+    assertNull(fleet.violation());
+    assertNull(fleet.settledViolation());
+    assertTrue(fleet.spread() < 1.1, "spread " + fleet.spread());
   }
 
-  /** No server is left out on the way, whoever has heard of whom. */
+  /** No server is unused at any time, although the views of the balancers differ meanwhile. */
   @Test
-  void fourGrowToFortyOneByOneAndBack() {
-    FleetSimulation world = new FleetSimulation(40, 96, 1, RULE, 3);
-    List<FleetSimulation.Node> later = world.nodes().subList(4, 40);
-    later.forEach(world::kill);
-    calm(world);
-    for (FleetSimulation.Node each : later) {
-      world.start(each);
-      world.pass(3 * SECOND);
-      assertEquals(Set.of(), world.uncovered());
+  void growsFromFourToFortyBalancersOneByOneAndBack() {
+    FleetSimulation fleet = new FleetSimulation(40, 96, 1, SIZING, 3);
+    List<FleetSimulation.Balancer> later = fleet.balancers().subList(4, 40);
+    later.forEach(fleet::kill);
+    awaitSettled(fleet);
+    for (FleetSimulation.Balancer each : later) {
+      fleet.start(each);
+      fleet.advance(3 * SECOND);
+      assertEquals(Set.of(), fleet.uncovered());
     }
-    calm(world);
-    assertTrue(world.pairs() < 0.4 * 40 * 96, "pairs " + world.pairs());
-    for (FleetSimulation.Node each : later) {
-      world.kill(each);
-      world.pass(5 * SECOND);
+    awaitSettled(fleet);
+    assertTrue(fleet.pairCount() < 0.4 * 40 * 96, "pairs " + fleet.pairCount());
+    for (FleetSimulation.Balancer each : later) {
+      fleet.kill(each);
+      fleet.advance(5 * SECOND);
     }
-    calm(world);
+    awaitSettled(fleet);
   }
 
   @Test
-  void fourGrowToFortyAtOnceAndSevenInTenDieAndComeBack() {
-    FleetSimulation world = new FleetSimulation(40, 96, 1, RULE, 4);
-    List<FleetSimulation.Node> later = world.nodes().subList(4, 40);
-    later.forEach(world::kill);
-    calm(world);
-    later.forEach(world::start);
-    calm(world);
-    world.nodes().subList(12, 40).forEach(world::kill);
-    calm(world);
-    world.nodes().forEach(world::start);
-    calm(world);
+  void settlesAfterGrowthAtOnceAndAfterSevenInTenDieAndReturn() {
+    FleetSimulation fleet = new FleetSimulation(40, 96, 1, SIZING, 4);
+    List<FleetSimulation.Balancer> later = fleet.balancers().subList(4, 40);
+    later.forEach(fleet::kill);
+    awaitSettled(fleet);
+    later.forEach(fleet::start);
+    awaitSettled(fleet);
+    fleet.balancers().subList(12, 40).forEach(fleet::kill);
+    awaitSettled(fleet);
+    fleet.balancers().forEach(fleet::start);
+    awaitSettled(fleet);
   }
 
-  /** Within a second, as when a region is led elsewhere; and one with half of all. */
+  /**
+   * The load moves at once, as when the traffic of a region is redirected; at last one balancer has
+   * half of the load.
+   */
   @Test
-  void loadsMoveFromOneZoneToTheOther() {
-    FleetSimulation world = new FleetSimulation(12, 48, 2, RULE, 5);
-    world.nodes().forEach(node -> world.load(node, node.zone.equals("z0") ? 50 : 10));
-    calm(world);
-    world.nodes().forEach(node -> world.load(node, node.zone.equals("z0") ? 10 : 50));
-    calm(world);
-    world.nodes().forEach(node -> world.load(node, node == world.nodes().get(5) ? 330 : 30));
-    calm(world);
+  void settlesAfterTheLoadMovesFromOneZoneToTheOther() {
+    FleetSimulation fleet = new FleetSimulation(12, 48, 2, SIZING, 5);
+    fleet
+        .balancers()
+        .forEach(balancer -> fleet.setLoad(balancer, balancer.zone.equals("z0") ? 50 : 10));
+    awaitSettled(fleet);
+    fleet
+        .balancers()
+        .forEach(balancer -> fleet.setLoad(balancer, balancer.zone.equals("z0") ? 10 : 50));
+    awaitSettled(fleet);
+    fleet
+        .balancers()
+        .forEach(
+            balancer -> fleet.setLoad(balancer, balancer == fleet.balancers().get(5) ? 330 : 30));
+    awaitSettled(fleet);
   }
 
-  /** Both halves and the whole in turn, news of each late: every server has a user all the time. */
+  /** Balancers learn late of each split and its end: every server is used all the time. */
   @Test
-  void aSplitThatHealsAndBreaksEverySecondLeavesNoServerOut() {
-    FleetSimulation world = new FleetSimulation(12, 48, 1, RULE, 8);
-    calm(world);
+  void aSplitThatComesAndGoesEverySecondLeavesNoServerUnused() {
+    FleetSimulation fleet = new FleetSimulation(12, 48, 1, SIZING, 8);
+    awaitSettled(fleet);
     for (int i = 0; i < 30; i++) {
-      world.split(i % 2 == 0 ? 2 : 1);
-      world.pass(SECOND);
-      assertEquals(Set.of(), world.uncovered());
-      assertTrue(world.spread() < 2, "spread " + world.spread());
+      fleet.split(i % 2 == 0 ? 2 : 1);
+      fleet.advance(SECOND);
+      assertEquals(Set.of(), fleet.uncovered());
+      assertTrue(fleet.spread() < 2, "spread " + fleet.spread());
     }
-    world.heal();
-    calm(world);
+    fleet.heal();
+    awaitSettled(fleet);
   }
 
   /**
-   * Either side spreads what it has over all servers, so that neither doubles what the other does.
+   * Each side distributes its calls over all servers, so that no server gets a double share from
+   * several sides.
    */
   @Test
-  void twoAndThreePartsOfAFleetUseAllServersEvenly() {
+  void twoOrThreeSidesOfASplitLoadAllServersEvenly() {
     for (int parts = 2; parts <= 3; parts++) {
-      FleetSimulation world = new FleetSimulation(18, 48, 1, RULE, 9);
-      world.nodes().forEach(node -> world.load(node, 30));
-      calm(world);
-      world.split(parts);
-      world.pass(FleetSimulation.CALM_NANOS);
-      assertNull(world.broken());
-      assertEquals(Set.of(), world.uncovered());
-      assertTrue(world.spread() < 1.1, parts + " parts: spread " + world.spread());
-      world.heal();
-      calm(world);
+      FleetSimulation fleet = new FleetSimulation(18, 48, 1, SIZING, 9);
+      fleet.balancers().forEach(balancer -> fleet.setLoad(balancer, 30));
+      awaitSettled(fleet);
+      fleet.split(parts);
+      fleet.advance(FleetSimulation.CONVERGENCE_NANOS);
+      assertNull(fleet.violation());
+      assertEquals(Set.of(), fleet.uncovered());
+      assertTrue(fleet.spread() < 1.1, parts + " parts: spread " + fleet.spread());
+      fleet.heal();
+      awaitSettled(fleet);
     }
   }
 
   @Test
-  void threeBeforeManyAndManyBeforeThree() {
-    calm(new FleetSimulation(3, 300, 1, RULE, 6));
-    calm(new FleetSimulation(60, 3, 1, RULE, 7));
+  void settlesWithFewBalancersOrFewServers() {
+    awaitSettled(new FleetSimulation(3, 300, 1, SIZING, 6));
+    awaitSettled(new FleetSimulation(60, 3, 1, SIZING, 7));
   }
 }
--- a/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/subsetting/SubsetExplorerTest.java
@@ -10,33 +10,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fleets that share servers, under many schedules in virtual time. */
+/** Runs simulated fleets under many random schedules of faults, in virtual time. */
 class SubsetExplorerTest {
   @Test
-  void nothingIsBrokenAndAllComesToRest() {
-    SubsetExplorer.Played played = SubsetExplorer.random(1, 300);
-    assertNull(played.finding(), () -> String.valueOf(played.finding()));
-    assertTrue(played.spreadWorst() < 1.1, "spread " + played.spreadWorst());
+  void schedulesYieldNoViolationAndSettleEvenly() {
+    SubsetExplorer.Result result = SubsetExplorer.runSchedules(1, 300);
+    assertNull(result.finding(), () -> String.valueOf(result.finding()));
+    assertTrue(result.worstSpread() < 1.1, "spread " + result.worstSpread());
   }
 
-  /** Schedules that were found to break something, among many thousands. */
+  /** Seeds that once yielded a violation, found among many thousands. */
   @Test
-  void whatWasFoundOnceHolds() {
+  void seedsOfFormerFindingsYieldNoViolation() {
     for (long seed : new long[] {1209}) {
-      assertNull(SubsetExplorer.play(seed).finding(), () -> "seed " + seed);
+      assertNull(SubsetExplorer.runSchedule(seed).finding(), () -> "seed " + seed);
     }
   }
 
-  /** The checker itself: faults put into copies are found, a copy without one is not. */
+  /** Checks the checker: every mutant is detected, and a change without effect is not. */
   @Test
-  void everyFaultIsFound() {
+  void everyMutantIsDetected() {
     MutantTrials trials = SubsetMutants.trials();
     assertEquals(List.of(), trials.undetected(SubsetMutants.ALL));
-    Mutant none =
+    Mutant equivalent =
         new Mutant(
             "heathswitch.policy.subsetting.SubsetPlan",
-            "int wanted = users(rule);",
-            "int wanted = (users(rule));");
-    assertFalse(trials.isDetected(none, 100, 1));
+            "int usersPerServer = usersPerServer(sizing);",
+            "int usersPerServer = (usersPerServer(sizing));");
+    assertFalse(trials.isDetected(equivalent, 100, 1));
   }
 }
