--- a/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetMutants.java
@@ -57,7 +57,7 @@
    * Whether the schedules detect a fault; called by reflection in the class loader of the mutant.
    * An exception counts as detection, too.
    */
-  static boolean shows(long schedules, int depth) {
+  static boolean detectsFault(long schedules, int depth) {
     try {
       return SubsetExplorer.runSchedules(1, schedules * depth).finding() != null;
     } catch (RuntimeException e) {
