--- a/src/main/java/heathswitch/proxy/cli/Asking.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminRequests.java
@@ -10,29 +10,29 @@
 import picocli.CommandLine.Model.CommandSpec;
 
 /** What every command does that asks a running balancer. */
-final class Asking {
-  /** One question to the admin listener. */
-  interface Question {
-    AdminClient.Answer to(AdminClient admin) throws IOException;
+final class AdminRequests {
+  /** One request to the admin listener. */
+  interface Request {
+    AdminClient.Answer sendTo(AdminClient admin) throws IOException;
   }
 
-  private Asking() {}
+  private AdminRequests() {}
 
   /** The configuration, or null with its faults told. */
-  static StandaloneConfig config(CommandSpec spec, Path file) {
+  static StandaloneConfig readConfig(CommandSpec spec, Path file) {
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     result.faults().forEach(fault -> spec.commandLine().getErr().println(fault));
     return result.config();
   }
 
-  /** As it stands in a path or behind a question mark. */
-  static String encoded(String text) {
+  /** As it stands in a path or behind a request mark. */
+  static String urlEncode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8);
   }
 
   /** Asks, and shows the answer; the exit code. */
-  static int ask(CommandSpec spec, Path config, Question question) {
-    StandaloneConfig read = config(spec, config);
+  static int sendAndPrint(CommandSpec spec, Path config, Request request) {
+    StandaloneConfig read = readConfig(spec, config);
     if (read == null) {
       return 1;
     }
@@ -43,7 +43,7 @@
       return 1;
     }
     try {
-      AdminClient.Answer answer = question.to(new AdminClient(read.admin().listen()));
+      AdminClient.Answer answer = request.sendTo(new AdminClient(read.admin().listen()));
       JSON pretty = JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT);
       (answer.status() == 200 ? out : err).println(pretty.asString(answer.body()));
       return answer.status() == 200 ? 0 : 1;
--- a/src/main/java/heathswitch/proxy/cli/GatewayCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/GatewayCommand.java
@@ -17,7 +17,7 @@
 
   @Command(name = "status", description = "Shows the links, calls and room of a running balancer.")
   int status(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
-    return Asking.ask(spec, config, admin -> admin.get("gateway"));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.get("gateway"));
   }
 
   @Command(
@@ -26,13 +26,13 @@
   int drain(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "SITE[/ADDRESS:PORT]") String link) {
-    return Asking.ask(spec, config, admin -> admin.post("gateway/drain/" + link));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.post("gateway/drain/" + link));
   }
 
   @Command(name = "resume", description = "Uses a link, or all links to a site, again.")
   int resume(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "SITE[/ADDRESS:PORT]") String link) {
-    return Asking.ask(spec, config, admin -> admin.post("gateway/resume/" + link));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.post("gateway/resume/" + link));
   }
 }
--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -39,7 +39,7 @@
   int check(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
-    StandaloneConfig read = Asking.config(spec, config);
+    StandaloneConfig read = AdminRequests.readConfig(spec, config);
     if (read == null) {
       return 1;
     }
@@ -77,7 +77,7 @@
     return ask(config, admin -> admin.post("members/confirm/" + version));
   }
 
-  private int ask(Path config, Asking.Question question) {
-    return Asking.ask(spec, config, question);
+  private int ask(Path config, AdminRequests.Request request) {
+    return AdminRequests.sendAndPrint(spec, config, request);
   }
 }
--- a/src/main/java/heathswitch/proxy/cli/PeersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/PeersCommand.java
@@ -21,14 +21,14 @@
 
   @Command(name = "list", description = "Shows who is there, as a running balancer sees it.")
   int list(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
-    return Asking.ask(spec, config, admin -> admin.get("peers"));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.get("peers"));
   }
 
   @Command(
       name = "leave",
       description = "Has the others count a balancer as gone; it goes on serving by itself.")
   int leave(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
-    return Asking.ask(spec, config, admin -> admin.post("peers/leave"));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.post("peers/leave"));
   }
 
   @Command(name = "key", description = "Prints a line for the file of keys, with a new secret.")
--- a/src/main/java/heathswitch/proxy/cli/SubsetCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/SubsetCommand.java
@@ -17,13 +17,14 @@
 
   @Command(name = "show", description = "Shows what a running balancer uses, and its plan.")
   int show(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
-    return Asking.ask(spec, config, admin -> admin.get("subset"));
+    return AdminRequests.sendAndPrint(spec, config, admin -> admin.get("subset"));
   }
 
   @Command(name = "explain", description = "Shows who uses a server, and for how many calls.")
   int explain(
       @Parameters(paramLabel = "SERVER") String server,
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
-    return Asking.ask(spec, config, admin -> admin.get("subset/" + Asking.encoded(server)));
+    return AdminRequests.sendAndPrint(
+        spec, config, admin -> admin.get("subset/" + AdminRequests.urlEncode(server)));
   }
 }
--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -57,7 +57,7 @@
       name = "init",
       description = "Makes the folder of one that votes: once, for a new installation.")
   int init() {
-    StandaloneConfig read = Asking.config(spec, config);
+    StandaloneConfig read = AdminRequests.readConfig(spec, config);
     if (read == null || read.work() == null) {
       err().println(config + ": no usable table [work]");
       return 1;
@@ -100,14 +100,14 @@
             ? String.join(
                 "|", who, why, kind, zone, cell, String.join(",", ids), String.join(",", instances))
             : key;
-    StringBuilder path = new StringBuilder("work/ask?key=").append(Asking.encoded(named));
-    instances.forEach(each -> path.append("&balancer=").append(Asking.encoded(each)));
-    ids.forEach(id -> path.append("&machine=").append(Asking.encoded(id)));
-    path.append("&kind=").append(Asking.encoded(kind));
-    path.append("&zone=").append(Asking.encoded(zone));
-    path.append("&cell=").append(Asking.encoded(cell));
-    path.append("&who=").append(Asking.encoded(who));
-    path.append("&why=").append(Asking.encoded(why));
+    StringBuilder path = new StringBuilder("work/ask?key=").append(AdminRequests.urlEncode(named));
+    instances.forEach(each -> path.append("&balancer=").append(AdminRequests.urlEncode(each)));
+    ids.forEach(id -> path.append("&machine=").append(AdminRequests.urlEncode(id)));
+    path.append("&kind=").append(AdminRequests.urlEncode(kind));
+    path.append("&zone=").append(AdminRequests.urlEncode(zone));
+    path.append("&cell=").append(AdminRequests.urlEncode(cell));
+    path.append("&who=").append(AdminRequests.urlEncode(who));
+    path.append("&why=").append(AdminRequests.urlEncode(why));
     path.append("&urgent=").append(urgent);
     path.append("&at_once=").append(atOnce);
     path.append("&for_ms=").append(duration.toMillis());
@@ -250,7 +250,7 @@
   int done(
       @Parameters(paramLabel = "ORDER") long order,
       @Parameters(paramLabel = "MACHINE", arity = "0..1") String machine) {
-    String one = machine == null ? "" : "/" + Asking.encoded(machine);
+    String one = machine == null ? "" : "/" + AdminRequests.urlEncode(machine);
     return told(answer(admin -> admin.post("work/done/" + order + one)));
   }
 
@@ -270,7 +270,7 @@
   int vote(
       @Parameters(paramLabel = "INSTANCE") String instance,
       @Option(names = "--no", description = "It votes no longer.") boolean no) {
-    String path = (no ? "work/unvote/" : "work/vote/") + Asking.encoded(instance);
+    String path = (no ? "work/unvote/" : "work/vote/") + AdminRequests.urlEncode(instance);
     return told(answer(admin -> admin.post(path)));
   }
 
@@ -280,7 +280,7 @@
   int fence(
       @Parameters(paramLabel = "INSTANCE") String instance,
       @Option(names = "--forget", description = "It will not come back either.") boolean forget) {
-    String path = (forget ? "work/forget/" : "work/fence/") + Asking.encoded(instance);
+    String path = (forget ? "work/forget/" : "work/fence/") + AdminRequests.urlEncode(instance);
     return told(answer(admin -> admin.post(path)));
   }
 
@@ -293,8 +293,8 @@
   }
 
   /** The answer, or null with the reason told. */
-  private AdminClient.Answer answer(Asking.Question question) {
-    StandaloneConfig read = Asking.config(spec, config);
+  private AdminClient.Answer answer(AdminRequests.Request request) {
+    StandaloneConfig read = AdminRequests.readConfig(spec, config);
     if (read == null) {
       return null;
     }
@@ -303,7 +303,7 @@
       return null;
     }
     try {
-      return question.to(new AdminClient(read.admin().listen()));
+      return request.sendTo(new AdminClient(read.admin().listen()));
     } catch (IOException e) {
       err().println(read.admin().listen() + " does not answer: " + e.getMessage());
       return null;
--- a/src/main/java/heathswitch/proxy/consensus/Ways.java
+++ b/src/main/java/heathswitch/proxy/consensus/PeerNameResolver.java
@@ -16,18 +16,18 @@
  * library tells everybody the addresses that whoever leads uses, and an instance may be known to
  * each of the others by another one; so in the log a peer's address is its name.
  */
-final class Ways extends NameResolverProvider {
+final class PeerNameResolver extends NameResolverProvider {
   private static final String SCHEME = "heathswitch";
 
   /** One for the process, like the library's own registry; as many as there are peers. */
   private static final Map<String, InetSocketAddress> ADDRESSES = new ConcurrentHashMap<>();
 
   static {
-    NameResolverRegistry.getDefaultRegistry().register(new Ways());
+    NameResolverRegistry.getDefaultRegistry().register(new PeerNameResolver());
   }
 
   /** The address of a peer as it stands in the log. */
-  static String to(Peer peer) {
+  static String register(Peer peer) {
     ADDRESSES.put(peer.name(), peer.address());
     return SCHEME + ":///" + peer.name();
   }
--- a/src/main/java/heathswitch/proxy/consensus/Replica.java
+++ b/src/main/java/heathswitch/proxy/consensus/Replica.java
@@ -13,11 +13,11 @@
    *     to be relied on
    * @return what is told to whoever submitted it
    */
-  byte[] take(long index, long stampMillis, byte[] entry);
+  byte[] apply(long index, long stampMillis, byte[] entry);
 
   /** All that was computed so far. */
-  byte[] save();
+  byte[] toSnapshot();
 
   /** Goes on from what was saved. */
-  void load(byte[] saved);
+  void restore(byte[] snapshot);
 }
--- a/src/main/java/heathswitch/proxy/consensus/LogMachine.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicaStateMachine.java
@@ -28,7 +28,7 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /** Hands the log to a {@link Replica}, with the time of each entry by a {@link LogClock}. */
-final class LogMachine extends BaseStateMachine {
+final class ReplicaStateMachine extends BaseStateMachine {
   private static final int HEADER_BYTES = 16;
 
   private final Replica replica;
@@ -49,11 +49,11 @@
   private final Runnable failed;
 
   /** With what is to be done, on any thread, when nothing can be written or taken any more. */
-  LogMachine(Replica replica, Runnable failed) {
+  ReplicaStateMachine(Replica replica, Runnable failed) {
     this(replica, failed, new LogClock(), -1);
   }
 
-  private LogMachine(Replica replica, Runnable failed, LogClock clock, long taken) {
+  private ReplicaStateMachine(Replica replica, Runnable failed, LogClock clock, long taken) {
     this.replica = replica;
     this.failed = failed;
     this.clock = clock;
@@ -63,8 +63,8 @@
   /**
    * One for the same log opened anew, when this one has ended: it hands on what is not taken yet.
    */
-  LogMachine successor() {
-    return new LogMachine(replica, failed, clock, taken);
+  ReplicaStateMachine successor() {
+    return new ReplicaStateMachine(replica, failed, clock, taken);
   }
 
   /** The last entry that the replica has been handed, or -1. */
@@ -72,7 +72,7 @@
     return taken;
   }
 
-  String trouble() {
+  String failure() {
     return trouble;
   }
 
@@ -123,7 +123,7 @@
       clock.restore(saved.getLong());
       byte[] rest = new byte[saved.remaining()];
       saved.get(rest);
-      replica.load(rest);
+      replica.restore(rest);
       taken = latest.getIndex();
     }
     setLastAppliedTermIndex(latest.getTermIndex());
@@ -135,7 +135,7 @@
     if (broken || last == null || last.getIndex() < 0 || last.getIndex() < taken) {
       return -1; // Nothing taken yet, or what is saved would be of a later entry.
     }
-    byte[] saved = replica.save();
+    byte[] saved = replica.toSnapshot();
     ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + saved.length);
     synchronized (clock) {
       bytes.putLong(clock.appliedMillis());
@@ -188,7 +188,7 @@
       synchronized (clock) {
         time = clock.apply(entry.getTerm(), term, stamp);
       }
-      byte[] answer = replica.take(entry.getIndex(), time, bytes);
+      byte[] answer = replica.apply(entry.getIndex(), time, bytes);
       taken = entry.getIndex();
       updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(answer)));
--- a/src/main/java/heathswitch/proxy/consensus/Agreement.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicatedLog.java
@@ -45,9 +45,9 @@
  * This instance's part of the log. Entries may be submitted from any thread, at any instance; none
  * of it runs on an event loop that serves requests.
  */
-public final class Agreement implements AutoCloseable {
+public final class ReplicatedLog implements AutoCloseable {
   /** Greatest size of an entry; an order of ten thousand machines has about half a megabyte. */
-  public static final int MOST_ENTRY_BYTES = 2 << 20;
+  public static final int MAX_ENTRY_BYTES = 2 << 20;
 
   /** Entries of this instance that wait for their answer; one more is refused. */
   private static final int MOST_WAITING = 1024;
@@ -57,7 +57,7 @@
   private static final int SUBMITTERS = 4;
   private static final int OWN_SUBMITTERS = 2;
 
-  private static final long HAND_ON_MILLIS = 2000;
+  private static final long TRANSFER_TIMEOUT_MILLIS = 2000;
   private static final int TRIES = 100;
   private static final long BETWEEN_TRIES_MILLIS = 50;
 
@@ -100,7 +100,7 @@
   /** Both are replaced where the log is opened anew. */
   private volatile RaftServer server;
 
-  private volatile LogMachine machine;
+  private volatile ReplicaStateMachine machine;
   private final AtomicBoolean opening = new AtomicBoolean();
   private boolean closed;
 
@@ -125,11 +125,11 @@
    * @param listen where others reach it
    * @param folder of this instance alone; made if it is not there
    */
-  public Agreement(
+  public ReplicatedLog(
       String self, InetSocketAddress listen, List<Peer> peers, Path folder, Replica replica)
       throws IOException {
     Files.createDirectories(folder);
-    machine = new LogMachine(replica, this::leaveOff);
+    machine = new ReplicaStateMachine(replica, this::leaveOff);
     group = group(peers);
     this.self = self;
     this.peers = List.copyOf(group.getPeers());
@@ -191,7 +191,7 @@
       all.add(
           RaftPeer.newBuilder()
               .setId(peer.name())
-              .setAddress(Ways.to(peer))
+              .setAddress(PeerNameResolver.register(peer))
               .setStartupRole(peer.votes() ? RaftPeerRole.FOLLOWER : RaftPeerRole.LISTENER)
               .build());
     }
@@ -204,7 +204,7 @@
   }
 
   /** Likewise, before all that others submit here. */
-  public CompletableFuture<byte[]> submitFirst(Supplier<byte[]> entry) {
+  public CompletableFuture<byte[]> submitPriority(Supplier<byte[]> entry) {
     return on(own, () -> send(entry.get()));
   }
 
@@ -236,8 +236,8 @@
   }
 
   private byte[] send(byte[] entry) throws IOException {
-    if (entry.length > MOST_ENTRY_BYTES) {
-      throw new IOException("an entry of " + entry.length + " bytes; at most " + MOST_ENTRY_BYTES);
+    if (entry.length > MAX_ENTRY_BYTES) {
+      throw new IOException("an entry of " + entry.length + " bytes; at most " + MAX_ENTRY_BYTES);
     }
     for (int tries = 1; ; tries++) {
       IOException failure;
@@ -268,12 +268,12 @@
   }
 
   /** What is known of the peers beside the library, for a change of those that vote. */
-  public interface Obstacle {
+  public interface VoterChangeCheck {
     /**
      * Why those that vote can't be these, one of whom is new or null; empty if they can. Asked
      * again and again.
      */
-    String to(List<String> voters, String joins);
+    String obstacle(List<String> voters, String addedVoter);
   }
 
   /**
@@ -284,11 +284,12 @@
    * <p>Two things of the library stand behind the waiting, both seen. It counts a peer that has not
    * voted so far as one that has the log, whether it runs or not: the others may then be one short,
    * and whoever led steps down and leads no more for ten seconds. And a peer refuses its vote to
-   * others until it has opened its log anew, see {@link #watch}.
+   * others until it has opened its log anew, see {@link #reopenIfStuck}.
    *
    * @param peer one of the peers that the configuration names
    */
-  public CompletableFuture<List<String>> vote(String peer, boolean votes, Obstacle obstacle) {
+  public CompletableFuture<List<String>> changeVoter(
+      String peer, boolean votes, VoterChangeCheck voterChangeCheck) {
     return on(
         submitters,
         () -> {
@@ -307,7 +308,7 @@
           List<String> after =
               voting.stream().map(each -> each.getId().toString()).sorted().toList();
           boolean joins = votes && !before.contains(peer);
-          await("not changed: ", () -> obstacle.to(after, joins ? peer : null));
+          await("not changed: ", () -> voterChangeCheck.obstacle(after, joins ? peer : null));
           settle(voting, other);
           if (votes) {
             // One of its own: the other waits for long before it tries a peer again that was dead.
@@ -367,7 +368,7 @@
    * others vote in its place, holds itself for a voter, and where it asks for votes before it has
    * heard of the change, as on a busy machine, whoever leads tells it to end.
    */
-  public void watch(long nowNanos) {
+  public void reopenIfStuck(long nowNanos) {
     boolean ended = false;
     boolean wrong = false;
     boolean led = false;
@@ -410,7 +411,7 @@
 
   private synchronized void openAnew(String why) {
     try {
-      if (closed || !trouble().isEmpty()) {
+      if (closed || !failure().isEmpty()) {
         return;
       }
       if (!closes(server)) {
@@ -477,7 +478,7 @@
   }
 
   /** Has another of those that vote lead; its name. */
-  public CompletableFuture<String> handOn() {
+  public CompletableFuture<String> transferLeadership() {
     return on(
         own,
         () -> {
@@ -487,7 +488,8 @@
               try {
                 RaftPeerId next = RaftPeerId.valueOf(name);
                 RaftClientReply reply =
-                    clients.call(client -> client.admin().transferLeadership(next, HAND_ON_MILLIS));
+                    clients.call(
+                        client -> client.admin().transferLeadership(next, TRANSFER_TIMEOUT_MILLIS));
                 if (reply.isSuccess()) {
                   return name;
                 }
@@ -506,8 +508,8 @@
   }
 
   /** Why this instance's log has stopped for good, or empty. */
-  public String trouble() {
-    return machine.trouble();
+  public String failure() {
+    return machine.failure();
   }
 
   /**
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceReplica.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceReplica.java
@@ -112,7 +112,7 @@
    */
   record Applied(CommandResult result, long index) {}
 
-  /** Parses what {@link #take} has returned, maybe on another instance. */
+  /** Parses what {@link #apply} has returned, maybe on another instance. */
   static Applied decodeResult(byte[] json) {
     Map<String, Object> tree = parseJson(json);
     return new Applied(
@@ -124,7 +124,7 @@
   }
 
   @Override
-  public byte[] take(long index, long stampMillis, byte[] entry) {
+  public byte[] apply(long index, long stampMillis, byte[] entry) {
     Map<String, Object> tree = parseJson(entry);
     if (!(tree.get("format") instanceof Number format)
         || format.intValue() < FormatSupport.FIRST
@@ -201,13 +201,13 @@
   }
 
   @Override
-  public synchronized byte[] save() {
+  public synchronized byte[] toSnapshot() {
     return toJson(state.toSnapshot());
   }
 
   @Override
-  public synchronized void load(byte[] saved) {
-    state = MaintenanceState.fromSnapshot(parseJson(saved));
+  public synchronized void restore(byte[] snapshot) {
+    state = MaintenanceState.fromSnapshot(parseJson(snapshot));
     publishedChanges = -1;
     publishChanges();
   }
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceService.java
@@ -11,7 +11,7 @@
 import heathswitch.policy.maintenance.Machine;
 import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.proxy.admin.AdminServer;
-import heathswitch.proxy.consensus.Agreement;
+import heathswitch.proxy.consensus.ReplicatedLog;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
@@ -76,7 +76,7 @@
   private final Node node;
   private final MaintenanceConfig config;
   private final MaintenanceReplica replica;
-  private final Agreement agreement;
+  private final ReplicatedLog replicatedLog;
   private final InstanceSession session;
   private final MaintenanceOverlay overlay = new MaintenanceOverlay();
   private final OrderProgressLogger progress = new OrderProgressLogger();
@@ -119,8 +119,8 @@
             config.rules(),
             new FormatSupport(LATEST_FORMAT, config.peers().size()));
     try {
-      agreement =
-          new Agreement(
+      replicatedLog =
+          new ReplicatedLog(
               config.instance(), config.listen(), config.peers(), config.folder(), replica);
     } catch (IOException | RuntimeException e) {
       throw new StartException("the log of work orders cannot be opened: " + e);
@@ -144,18 +144,19 @@
 
   /** Blocks until this balancer has joined, which takes a majority of the voters. */
   public void start() throws IOException, InterruptedException {
-    agreement.start();
+    replicatedLog.start();
     node.loop().scheduleAtFixedRate(this::step, 0, STEP_MILLIS, MILLISECONDS);
     long loggedNanos = System.nanoTime();
     while (!node.loop().submit(session::joined).syncUninterruptibly().getNow()) {
       if (System.nanoTime() - loggedNanos > MILLISECONDS.toNanos(LOG_INTERVAL_MILLIS)) {
         loggedNanos = System.nanoTime();
         Log.warn(
-            "work", "not joined yet, so no clients are accepted; leader: " + agreement.leader());
+            "work",
+            "not joined yet, so no clients are accepted; leader: " + replicatedLog.leader());
       }
       Thread.sleep(STEP_MILLIS);
     }
-    Log.info("work", config.instance() + " has joined; " + agreement.leader() + " leads");
+    Log.info("work", config.instance() + " has joined; " + replicatedLog.leader() + " leads");
   }
 
   // ---- on the log's thread ----
@@ -263,7 +264,7 @@
     long now = System.nanoTime();
     if (now - watchedNanos > MILLISECONDS.toNanos(WATCH_INTERVAL_MILLIS)) {
       watchedNanos = now;
-      agreement.watch(now);
+      replicatedLog.reopenIfStuck(now);
     }
     if (session.isLogStalled(now)
         && now - stallLoggedNanos > MILLISECONDS.toNanos(LOG_INTERVAL_MILLIS)) {
@@ -275,7 +276,7 @@
 
   /** Why this instance does not follow the log; empty if it does. On the event loop. */
   String trouble() {
-    String failed = agreement.trouble();
+    String failed = replicatedLog.failure();
     return !failed.isEmpty()
         ? failed
         : session.isLogStalled(System.nanoTime())
@@ -290,10 +291,10 @@
     if (draining
         && mustLeave()
         && now - transferNanos > MILLISECONDS.toNanos(TRANSFER_INTERVAL_MILLIS)
-        && agreement.leader().equals(config.instance())) {
+        && replicatedLog.leader().equals(config.instance())) {
       transferNanos = now;
-      agreement
-          .handOn()
+      replicatedLog
+          .transferLeadership()
           .whenComplete(
               (to, failure) ->
                   Log.info(
@@ -317,7 +318,7 @@
     return draining
         && System.nanoTime() - drainingNanos > MILLISECONDS.toNanos(DRAIN_MILLIS)
         && node.dispatcher().liveRequestCount() == 0
-        && !agreement.leader().equals(config.instance());
+        && !replicatedLog.leader().equals(config.instance());
   }
 
   @Override
@@ -373,12 +374,12 @@
   @Override
   public boolean expiryDue() {
     return replica.view().expiryDue(System.nanoTime())
-        && agreement.leader().equals(config.instance());
+        && replicatedLog.leader().equals(config.instance());
   }
 
   @Override
   public boolean logStopped() {
-    return !agreement.trouble().isEmpty();
+    return !replicatedLog.failure().isEmpty();
   }
 
   @Override
@@ -395,8 +396,8 @@
 
   /** Submits a command of the session, ahead of those that operators submit here. */
   private CompletableFuture<CommandResult> submit(Command command) {
-    return agreement
-        .submitFirst(() -> replica.encode(command))
+    return replicatedLog
+        .submitPriority(() -> replica.encode(command))
         .thenApply(answer -> MaintenanceReplica.decodeResult(answer).result());
   }
 
@@ -404,7 +405,7 @@
    * Completes once the command is applied here, too, so that the next query here sees its effect.
    */
   CompletableFuture<CommandResult> submitAndApply(Command command) {
-    return agreement
+    return replicatedLog
         .submit(() -> replica.encode(command))
         .thenApply(MaintenanceReplica::decodeResult)
         .thenCompose(
@@ -430,7 +431,7 @@
   CompletableFuture<List<String>> setVoter(String peer, boolean votes) {
     // Set by the first check: reading the state may wait for the log's thread.
     AtomicLong sinceMillis = new AtomicLong(-1);
-    return agreement.vote(
+    return replicatedLog.changeVoter(
         peer,
         votes,
         (voters, joins) ->
@@ -444,14 +445,14 @@
   /** The voters, as far as this instance knows. */
   List<String> voters() {
     try {
-      return agreement.voters();
+      return replicatedLog.voters();
     } catch (IOException e) {
       return List.of();
     }
   }
 
   String leader() {
-    return agreement.leader();
+    return replicatedLog.leader();
   }
 
   /** Milliseconds left of the lease, or -1 if the instance sends without one; on the event loop. */
@@ -480,6 +481,6 @@
   @Override
   public void close() {
     queries.shutdownNow();
-    agreement.close();
+    replicatedLog.close();
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/World.java
+++ b/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
@@ -24,7 +24,7 @@
  * up, overtaken or taken twice; instances stop, die, come back with or without their disk; whoever
  * leads changes. The log itself is one list: that it is, is the library's to keep.
  */
-final class World {
+final class MaintenanceSimulation {
   static final ServerGroup GROUP = new ServerGroup("store", "a");
   static final List<String> MACHINES = List.of("m1", "m2", "m3", "m4");
 
@@ -47,8 +47,8 @@
   private static final int MOST_PENDING = 64;
   private static final int MOST_SHOWN = 80;
 
-  /** What holds in every state; its name is what a finding says. */
-  enum Property {
+  /** What holds in every state; its name is what a violation says. */
+  enum Invariant {
     /** No call begins at a machine from when it is out until somebody says that it is done. */
     OUT_MEANS_OUT,
     /** Capacity, machines out at once and in one cell are within the rules. */
@@ -67,12 +67,13 @@
     NOT_STUCK
   }
 
-  /** A property that did not hold, and after which events. */
-  record Finding(Property property, String what, boolean stops, int limited, List<Event> events) {
+  /** A invariant that did not hold, and after which events. */
+  record Violation(
+      Invariant invariant, String what, boolean stops, int limited, List<Event> events) {
     @Override
     public String toString() {
       StringBuilder text =
-          new StringBuilder(property + ": " + what + "; stops " + stops + ", limits " + limited);
+          new StringBuilder(invariant + ": " + what + "; stops " + stops + ", limits " + limited);
       events.stream()
           .limit(MOST_SHOWN)
           .forEach(
@@ -115,8 +116,8 @@
   record Event(Kind kind, int at) {}
 
   /** Something that was said and has not been answered. */
-  private static final class Said {
-    final Sim by;
+  private static final class PendingCommand {
+    final SimulatedInstance by;
     final InstanceSession process;
     final Command command;
     final int form;
@@ -124,7 +125,7 @@
     long readMillis;
     boolean repeated;
 
-    Said(Sim by, Command command, int form) {
+    PendingCommand(SimulatedInstance by, Command command, int form) {
       this.form = form;
       this.by = by;
       this.process = by == null ? null : by.participant;
@@ -134,8 +135,8 @@
 
   private record Entry(long term, long readTerm, long readMillis, Command command, int form) {}
 
-  private final List<Sim> sims = new ArrayList<>();
-  private final List<Said> pending = new ArrayList<>();
+  private final List<SimulatedInstance> instances = new ArrayList<>();
+  private final List<PendingCommand> pending = new ArrayList<>();
   private final List<Entry> log = new ArrayList<>();
 
   /** What anybody may have been told: all of the log, taken at once. */
@@ -148,7 +149,7 @@
   private final List<LogClock> clocks = new ArrayList<>();
   private final List<Event> events = new ArrayList<>();
   private final boolean stops;
-  private Finding finding;
+  private Violation violation;
   private long now;
   private long term = 1;
   private int leader;
@@ -164,7 +165,7 @@
   private boolean ill;
 
   /** One of so many kinds of limits. */
-  World(boolean stops, int limited) {
+  MaintenanceSimulation(boolean stops, int limited) {
     this.stops = stops;
     this.limited = limited;
     MaintenanceRules rules = rules();
@@ -173,8 +174,9 @@
     for (int i = 0; i < INSTANCES; i++) {
       FormatSupport release =
           new FormatSupport(i == older ? FormatSupport.FIRST : FormatSupport.LATEST, INSTANCES);
-      sims.add(
-          new Sim(this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
+      instances.add(
+          new SimulatedInstance(
+              this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
       clocks.add(new LogClock());
     }
   }
@@ -196,33 +198,33 @@
     return ++draws;
   }
 
-  Finding finding() {
-    return finding;
+  Violation violation() {
+    return violation;
   }
 
   MaintenanceState settled() {
     return all;
   }
 
-  private void found(Property property, String what) {
-    if (finding == null) {
-      finding = new Finding(property, what, stops, limited, List.copyOf(events));
+  private void violated(Invariant invariant, String what) {
+    if (violation == null) {
+      violation = new Violation(invariant, what, stops, limited, List.copyOf(events));
     }
   }
 
   // ---- told by the instances ----
 
-  void began(Sim by, String machine) {
+  void began(SimulatedInstance by, String machine) {
     for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (each.machine().equals(machine) && each.phase() == Phase.OUT) {
-        found(Property.OUT_MEANS_OUT, by.name + " began a call at " + machine);
+        violated(Invariant.OUT_MEANS_OUT, by.name + " began a call at " + machine);
       }
     }
   }
 
-  void said(Sim by, Command command) {
+  void said(SimulatedInstance by, Command command) {
     if (!by.cut && pending.size() < MOST_PENDING) {
-      pending.add(new Said(by, command, by.settled.formatVersion()));
+      pending.add(new PendingCommand(by, command, by.settled.formatVersion()));
     } else {
       by.participant.onResult(command, null, by.clock(), by);
     }
@@ -236,17 +238,17 @@
     list.add(new Event(Kind.PASS, 10));
     list.add(new Event(Kind.PASS, 120));
     list.add(new Event(Kind.PASS, 700));
-    for (int i = 0; i < sims.size(); i++) {
-      Sim sim = sims.get(i);
-      if (sim.runs()) {
-        if (sim.taken < log.size() && !sim.cut && !sim.stuck) {
+    for (int i = 0; i < instances.size(); i++) {
+      SimulatedInstance instance = instances.get(i);
+      if (instance.runs()) {
+        if (instance.taken < log.size() && !instance.cut && !instance.stuck) {
           list.add(new Event(Kind.TAKE, i));
         }
         list.add(new Event(Kind.STEP, i));
         for (int m = 0; m < 2; m++) {
           list.add(new Event(Kind.DECIDE, i * 4 + m));
         }
-        if (!sim.calls.isEmpty()) {
+        if (!instance.calls.isEmpty()) {
           list.add(new Event(Kind.WRITE, i));
           list.add(new Event(Kind.END, i));
         }
@@ -254,17 +256,17 @@
         list.add(new Event(Kind.STICK, i));
         list.add(new Event(Kind.LEAD, i));
       }
-      if (sim.alive && sim.paused) {
+      if (instance.alive && instance.paused) {
         list.add(new Event(Kind.WAKE, i));
       }
-      list.add(new Event(sim.cut ? Kind.HEAL : Kind.CUT, i));
-      if (sim.alive) {
+      list.add(new Event(instance.cut ? Kind.HEAL : Kind.CUT, i));
+      if (instance.alive) {
         list.add(new Event(Kind.KILL, i));
       } else {
         list.add(new Event(Kind.START, i));
         list.add(new Event(Kind.LOSE, i));
         list.add(new Event(Kind.FENCE, i));
-        if (sim.release.latestFormat() < FormatSupport.LATEST) {
+        if (instance.release.latestFormat() < FormatSupport.LATEST) {
           list.add(new Event(Kind.UPGRADE, i));
         }
       }
@@ -290,7 +292,7 @@
   }
 
   /** Lets one event happen; one that cannot is passed over. */
-  World play(Event event) {
+  MaintenanceSimulation play(Event event) {
     if (!can(event)) {
       return this;
     }
@@ -298,43 +300,43 @@
     int at = event.at();
     switch (event.kind()) {
       case PASS -> now += at * MILLI;
-      case TAKE -> take(sims.get(at));
-      case STEP -> sims.get(at).step();
+      case TAKE -> take(instances.get(at));
+      case STEP -> instances.get(at).step();
       case READ -> read();
       case APPEND -> append(false);
       case DROP -> drop();
       case DEFER -> pending.add(pending.remove(0));
       case REPEAT -> append(true);
-      case DECIDE -> sims.get(at / 4).decide(MACHINES.get(at % 4));
-      case WRITE -> sims.get(at).write();
-      case END -> sims.get(at).calls.removeIf(call -> call.written);
-      case PAUSE -> sims.get(at).paused = true;
-      case WAKE -> sims.get(at).paused = false;
+      case DECIDE -> instances.get(at / 4).decide(MACHINES.get(at % 4));
+      case WRITE -> instances.get(at).write();
+      case END -> instances.get(at).calls.removeIf(call -> call.written);
+      case PAUSE -> instances.get(at).paused = true;
+      case WAKE -> instances.get(at).paused = false;
       case KILL -> {
-        sims.get(at).kill();
+        instances.get(at).kill();
         leader = leader == at ? -1 : leader; // It comes back as one that follows.
       }
       case START -> start(at);
       case UPGRADE -> {
-        sims.get(at).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
+        instances.get(at).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
         start(at);
       }
       case ILL -> ill = !ill;
       case STICK -> { // Its disk is full, until its next start, or it hears nothing.
-        sims.get(at).stuck = true;
-        sims.get(at).deaf = (now >>> 20 & 1) == 0;
+        instances.get(at).stuck = true;
+        instances.get(at).deaf = (now >>> 20 & 1) == 0;
       }
       case LOSE -> {
-        sims.get(at).start(false);
+        instances.get(at).start(false);
         clocks.set(at, new LogClock());
       }
-      case CUT -> sims.get(at).cut = true;
-      case HEAL -> sims.get(at).cut = false;
+      case CUT -> instances.get(at).cut = true;
+      case HEAL -> instances.get(at).cut = false;
       case LEAD -> lead(at);
       case ASK -> ask(at);
       case DONE -> say(new Command.Done(at, null));
       case CANCEL -> say(new Command.Cancel(at));
-      case FENCE -> say(new Command.Fence(sims.get(at).name, false));
+      case FENCE -> say(new Command.Fence(instances.get(at).name, false));
     }
     check();
     return this;
@@ -342,7 +344,7 @@
 
   /** A new process with its disk. */
   private void start(int at) {
-    sims.get(at).start(true);
+    instances.get(at).start(true);
     LogClock clock = new LogClock();
     clock.restore(clocks.get(at).appliedMillis());
     clocks.set(at, clock);
@@ -351,70 +353,72 @@
   /** Whether it can happen in this state. */
   private boolean can(Event event) {
     return switch (event.kind()) {
-      case START, LOSE, UPGRADE -> !sims.get(event.at()).alive;
-      case STEP, WRITE, END, PAUSE, LEAD, STICK -> sims.get(event.at()).runs();
+      case START, LOSE, UPGRADE -> !instances.get(event.at()).alive;
+      case STEP, WRITE, END, PAUSE, LEAD, STICK -> instances.get(event.at()).runs();
       case TAKE -> {
-        Sim sim = sims.get(event.at());
-        yield sim.runs() && !sim.cut && !sim.stuck && sim.taken < log.size();
+        SimulatedInstance instance = instances.get(event.at());
+        yield instance.runs() && !instance.cut && !instance.stuck && instance.taken < log.size();
       }
-      case DECIDE -> sims.get(event.at() / 4).runs();
+      case DECIDE -> instances.get(event.at() / 4).runs();
       case READ, APPEND, DROP, REPEAT, DEFER -> !pending.isEmpty();
       default -> true;
     };
   }
 
-  private void take(Sim sim) {
-    Entry entry = log.get(sim.taken);
+  private void take(SimulatedInstance instance) {
+    Entry entry = log.get(instance.taken);
     long stamp =
-        clocks.get(sims.indexOf(sim)).apply(entry.term(), entry.readTerm(), entry.readMillis());
-    if (entry.form() > sim.release.latestFormat()) {
-      found(Property.FORMS, sim.name + " is given an entry of form " + entry.form());
-    }
-    sim.take(sim.taken + 1, stamp, entry.command());
-    if (!sim.settled.toSnapshot().equals(computed.get(sim.taken - 1))) {
-      found(
-          Property.SAME,
-          sim.name
+        clocks
+            .get(instances.indexOf(instance))
+            .apply(entry.term(), entry.readTerm(), entry.readMillis());
+    if (entry.form() > instance.release.latestFormat()) {
+      violated(Invariant.FORMS, instance.name + " is given an entry of form " + entry.form());
+    }
+    instance.take(instance.taken + 1, stamp, entry.command());
+    if (!instance.settled.toSnapshot().equals(computed.get(instance.taken - 1))) {
+      violated(
+          Invariant.SAME,
+          instance.name
               + " differs after entry "
-              + sim.taken
+              + instance.taken
               + ": "
-              + sim.settled.toSnapshot()
+              + instance.settled.toSnapshot()
               + " and "
-              + computed.get(sim.taken - 1));
+              + computed.get(instance.taken - 1));
     }
   }
 
   /** Whoever leads has taken all entries of earlier terms before it reads its clock. */
   private void lead(int at) {
-    Sim sim = sims.get(at);
-    if (!sim.cut && !sim.stuck) {
+    SimulatedInstance instance = instances.get(at);
+    if (!instance.cut && !instance.stuck) {
       leader = at;
       term++;
-      while (sim.taken < log.size()) {
-        take(sim);
+      while (instance.taken < log.size()) {
+        take(instance);
       }
     }
   }
 
   private boolean led() {
-    return leader >= 0 && sims.get(leader).runs() && !sims.get(leader).stuck;
+    return leader >= 0 && instances.get(leader).runs() && !instances.get(leader).stuck;
   }
 
-  boolean leads(Sim sim) {
-    return led() && sims.get(leader) == sim;
+  boolean leads(SimulatedInstance instance) {
+    return led() && instances.get(leader) == instance;
   }
 
   private void read() {
-    Said said = pending.get(0);
+    PendingCommand said = pending.get(0);
     if (led()) {
       said.readTerm = term;
-      said.readMillis = clocks.get(leader).read(term, sims.get(leader).clock());
+      said.readMillis = clocks.get(leader).read(term, instances.get(leader).clock());
     }
   }
 
   private void append(boolean again) {
-    Said said = pending.get(0);
-    if (!led() || sims.get(leader).cut) {
+    PendingCommand said = pending.get(0);
+    if (!led() || instances.get(leader).cut) {
       return;
     }
     if (said.readTerm < 0) {
@@ -438,8 +442,8 @@
     answer(pending.remove(0), null);
   }
 
-  private void answer(Said said, CommandResult reply) {
-    Sim by = said.by;
+  private void answer(PendingCommand said, CommandResult reply) {
+    SimulatedInstance by = said.by;
     if (by != null && by.alive && by.participant == said.process) {
       // One that is stopped hears it when it wakes, and by its own clock then; this is no sooner.
       by.participant.onResult(said.command, by.cut ? null : reply, by.clock(), by);
@@ -447,7 +451,7 @@
   }
 
   private void say(Command command) {
-    pending.add(0, new Said(null, command, all.formatVersion()));
+    pending.add(0, new PendingCommand(null, command, all.formatVersion()));
     append(false);
     pending.removeIf(said -> said.by == null);
   }
@@ -455,8 +459,8 @@
   private void ask(int number) {
     List<Machine> machines = new ArrayList<>();
     if (number == BALANCERS) {
-      machines.add(Machine.balancer(sims.get(2).name));
-      machines.add(Machine.balancer(sims.get(1).name));
+      machines.add(Machine.balancer(instances.get(2).name));
+      machines.add(Machine.balancer(instances.get(1).name));
     }
     for (int i = 0; i <= number % 3 && number != BALANCERS; i++) {
       int m = (number + i) % MACHINES.size();
@@ -489,7 +493,7 @@
     int balancers = 0;
     for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (!held.add(each.machine())) {
-        found(Property.ONE_ORDER, each.machine() + " is with two orders");
+        violated(Invariant.ONE_ORDER, each.machine() + " is with two orders");
       }
       String balancer = Machine.instance(each.machine());
       balancers += balancer != null ? 1 : 0;
@@ -497,10 +501,10 @@
         out++;
         long cell = MACHINES.indexOf(each.machine()) / 2;
         if (cells.merge(cell, 1, Integer::sum) > rules.maxOutInCell()) {
-          found(Property.FLOORS, "too many machines of one cell are out");
+          violated(Invariant.FLOORS, "too many machines of one cell are out");
         }
         if (orders.merge(each.order(), 1, Integer::sum) > all.request(each.order()).atOnce()) {
-          found(Property.AT_ONCE, "order " + each.order() + " has too many machines out");
+          violated(Invariant.AT_ONCE, "order " + each.order() + " has too many machines out");
         }
       }
     }
@@ -511,61 +515,61 @@
       }
     }
     if (balancers > 1) {
-      found(Property.FLOORS, balancers + " balancers are away");
+      violated(Invariant.FLOORS, balancers + " balancers are away");
     }
     double least = 0;
     for (CapacityFloor floor : rules.floors()) {
       least = floor.minShare() * MACHINES.size();
     }
     if (out > rules.maxOut() || MACHINES.size() - out < least) {
-      found(Property.FLOORS, out + " machines are out");
+      violated(Invariant.FLOORS, out + " machines are out");
     }
-    for (Sim sim : sims) {
+    for (SimulatedInstance instance : instances) {
       if (stops
-          && sim.runs()
-          && sim.participant.joined()
-          && sim.participant.maySend(sim.clock())
-          && !all.hasJoined(sim.name, sim.participant.incarnation())) {
-        found(Property.LEASE, sim.name + " may send and is fenced");
+          && instance.runs()
+          && instance.participant.joined()
+          && instance.participant.maySend(instance.clock())
+          && !all.hasJoined(instance.name, instance.participant.incarnation())) {
+        violated(Invariant.LEASE, instance.name + " may send and is fenced");
       }
     }
   }
 
   /** A balancer that is out comes back when somebody says so, whatever process it has. */
   private void stays(String balancer, Phase phase) {
-    for (Sim sim : sims) {
-      if (sim.name.equals(balancer)) {
+    for (SimulatedInstance instance : instances) {
+      if (instance.name.equals(balancer)) {
         if (phase == Phase.OUT) {
           wentOut.add(balancer);
           if (all.hasJoined(balancer, all.incarnation(balancer))) {
-            found(Property.OUT_MEANS_OUT, balancer + " is out and has joined");
+            violated(Invariant.OUT_MEANS_OUT, balancer + " is out and has joined");
           }
         } else if (phase == Phase.RETURNING
             && wentOut.remove(balancer)
             && events.get(events.size() - 1).kind() != Kind.DONE) {
-          found(Property.OUT_MEANS_OUT, balancer + " came back by itself");
+          violated(Invariant.OUT_MEANS_OUT, balancer + " came back by itself");
         }
       }
     }
   }
 
   /** All is well again, and people say of whatever is out that it is done: nothing may be left. */
-  World calm() {
+  MaintenanceSimulation calm() {
     int dead = -1;
     ill = false;
-    for (int i = 0; i < sims.size(); i++) {
-      Sim sim = sims.get(i);
-      sim.cut = false;
-      sim.paused = false;
-      if (sim.stuck && !stops) {
+    for (int i = 0; i < instances.size(); i++) {
+      SimulatedInstance instance = instances.get(i);
+      instance.cut = false;
+      instance.paused = false;
+      if (instance.stuck && !stops) {
         play(new Event(Kind.KILL, i)); // By whoever is told that its log stands still.
       }
-      if ((sim.stuck || !sim.alive) && dead < 0 && asked <= BALANCERS) {
+      if ((instance.stuck || !instance.alive) && dead < 0 && asked <= BALANCERS) {
         dead = i; // One stays dead, or without a disk: the others go on without it.
-      } else if (sim.stuck) {
+      } else if (instance.stuck) {
         play(new Event(Kind.KILL, i));
         play(new Event(Kind.START, i));
-      } else if (!sim.alive) {
+      } else if (!instance.alive) {
         play(new Event(Kind.START, i));
       }
     }
@@ -573,12 +577,12 @@
     if (dead >= 0 && !stops) {
       play(new Event(Kind.FENCE, dead));
     }
-    for (int round = 0; round < 2000 && finding == null; round++) {
+    for (int round = 0; round < 2000 && violation == null; round++) {
       play(new Event(Kind.PASS, 30));
       if (dead >= 0 && !stops && round == 20) {
         play(new Event(Kind.FENCE, dead)); // What it said before it died has come only now.
       }
-      for (int i = 0; i < sims.size(); i++) {
+      for (int i = 0; i < instances.size(); i++) {
         play(new Event(Kind.STEP, i));
         play(new Event(Kind.WRITE, i));
         play(new Event(Kind.END, i));
@@ -586,20 +590,20 @@
       for (int k = pending.size(); k > 0; k--) {
         play(new Event(Kind.APPEND, 0));
       }
-      for (int i = 0; i < sims.size(); i++) {
-        while (i != dead && sims.get(i).taken < log.size()) {
+      for (int i = 0; i < instances.size(); i++) {
+        while (i != dead && instances.get(i).taken < log.size()) {
           play(new Event(Kind.TAKE, i));
         }
       }
-      for (int i = 0; i < sims.size(); i++) {
+      for (int i = 0; i < instances.size(); i++) {
         MaintenanceState.AwayMachine own = null;
         for (MaintenanceState.AwayMachine each : all.awayMachines()) {
-          own = sims.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
+          own = instances.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
         }
         if (own != null && own.phase() == Phase.OUT && i != dead) {
           play(new Event(Kind.KILL, i)); // The upgrade that it was taken out for.
           play(new Event(Kind.START, i));
-          play(new Event(Kind.LEAD, (i + 1) % sims.size()));
+          play(new Event(Kind.LEAD, (i + 1) % instances.size()));
           play(new Event(Kind.DONE, (int) own.order()));
         }
       }
@@ -614,9 +618,9 @@
         phases.remove(Phase.ABANDONED);
         left |= !phases.isEmpty();
       }
-      for (int i = 0; i < sims.size(); i++) {
-        Sim sim = sims.get(i);
-        left |= i != dead && !sim.participant.maySend(sim.clock());
+      for (int i = 0; i < instances.size(); i++) {
+        SimulatedInstance instance = instances.get(i);
+        left |= i != dead && !instance.participant.maySend(instance.clock());
       }
       if (!left && round > 5) {
         return this;
@@ -625,28 +629,29 @@
     StringBuilder left = new StringBuilder();
     all.orderIds()
         .forEach(order -> left.append(order).append(all.machineStatuses(order, 9)).append(' '));
-    found(Property.NOT_STUCK, left + " with " + all.instanceStatuses());
+    violated(Invariant.NOT_STUCK, left + " with " + all.instanceStatuses());
     return this;
   }
 
   /** Plays so many events drawn by a seed, then calm; what did not hold, or null. */
-  static Finding random(long seed, int steps) {
+  static Violation random(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
     boolean stops = random.nextInt(4) > 0;
     int releases = random.nextInt(4) > 0 ? 0 : LIMITS.size();
-    World world = new World(stops, releases + random.nextInt(LIMITS.size()));
-    for (int i = 0; i < steps && world.finding == null; i++) {
-      List<Event> possible = world.possible();
+    MaintenanceSimulation simulation =
+        new MaintenanceSimulation(stops, releases + random.nextInt(LIMITS.size()));
+    for (int i = 0; i < steps && simulation.violation == null; i++) {
+      List<Event> possible = simulation.possible();
       Event event = possible.get(random.nextInt(possible.size()));
       if (rare(event.kind()) && random.nextInt(8) > 0) {
         continue;
       }
-      world.play(event);
+      simulation.play(event);
       if (random.nextInt(3) > 0) {
-        world.busy(random);
+        simulation.busy(random);
       }
     }
-    return world.finding == null ? world.calm().finding : world.finding;
+    return simulation.violation == null ? simulation.calm().violation : simulation.violation;
   }
 
   private static boolean rare(Kind kind) {
@@ -658,14 +663,14 @@
 
   /** Something of what goes on all the time, so that faults meet an instance at work. */
   private void busy(SplittableRandom random) {
-    int i = random.nextInt(sims.size());
-    Sim sim = sims.get(i);
-    if (sim.runs()) {
+    int i = random.nextInt(instances.size());
+    SimulatedInstance instance = instances.get(i);
+    if (instance.runs()) {
       play(new Event(Kind.STEP, i));
       if (!pending.isEmpty()) {
         play(new Event(Kind.APPEND, 0));
       }
-      if (!sim.cut && sim.taken < log.size()) {
+      if (!instance.cut && instance.taken < log.size()) {
         play(new Event(Kind.TAKE, i));
       }
     }
--- a/src/main/java/heathswitch/testbed/maintenance/Sim.java
+++ b/src/main/java/heathswitch/testbed/maintenance/SimulatedInstance.java
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /** One instance in virtual time: the real participant and the real state, with calls in flight. */
-final class Sim implements InstanceSession.LocalView {
+final class SimulatedInstance implements InstanceSession.LocalView {
   private static final int ENDING_STEPS = 6;
   private static final long RETURN_NANOS = 300_000_000L;
 
@@ -30,7 +30,7 @@
   }
 
   final String name;
-  private final World world;
+  private final MaintenanceSimulation simulation;
   private final MaintenanceRules rules;
   private final boolean stops;
 
@@ -68,15 +68,15 @@
   final List<Call> calls = new ArrayList<>();
   private final Map<String, Long> backNanos = new HashMap<>();
 
-  Sim(
-      World world,
+  SimulatedInstance(
+      MaintenanceSimulation simulation,
       String name,
       MaintenanceRules rules,
       boolean stops,
       double rate,
       long offset,
       FormatSupport release) {
-    this.world = world;
+    this.simulation = simulation;
     this.name = name;
     this.rules = rules;
     this.stops = stops;
@@ -88,7 +88,7 @@
   }
 
   long clock() {
-    return offset + (long) (world.now() * rate);
+    return offset + (long) (simulation.now() * rate);
   }
 
   boolean runs() {
@@ -151,7 +151,7 @@
       if (!call.written) {
         if (participant.maySend(clock())) {
           call.written = true;
-          world.began(this, call.machine);
+          simulation.began(this, call.machine);
         } else {
           calls.remove(call); // Ends as never sent.
         }
@@ -167,7 +167,7 @@
       calls.clear(); // What is owed at the end of the lease is given up, if a moment later.
     }
     for (Command command : participant.step(clock(), this)) {
-      world.said(this, command);
+      simulation.said(this, command);
     }
   }
 
@@ -190,10 +190,10 @@
 
   @Override
   public CapacityReport capacityReport() {
-    double worth = World.MACHINES.size() - world.ill();
+    double worth = MaintenanceSimulation.MACHINES.size() - simulation.ill();
     List<String> warm = new ArrayList<>();
     for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
-      if (!World.MACHINES.contains(each.machine())) {
+      if (!MaintenanceSimulation.MACHINES.contains(each.machine())) {
         continue; // A balancer.
       }
       boolean returned =
@@ -206,7 +206,9 @@
     }
     Map<ServerGroup, CapacityReport.Capacity> groups =
         new TreeMap<>((a, b) -> a.kind().compareTo(b.kind()));
-    groups.put(World.GROUP, new CapacityReport.Capacity(World.MACHINES.size(), worth));
+    groups.put(
+        MaintenanceSimulation.GROUP,
+        new CapacityReport.Capacity(MaintenanceSimulation.MACHINES.size(), worth));
     return new CapacityReport(settled.appliedIndex(), groups, new java.util.HashSet<>(warm));
   }
 
@@ -219,7 +221,7 @@
   public List<MaintenanceState.AwayMachine> drainedMachines() {
     List<MaintenanceState.AwayMachine> empty = new ArrayList<>();
     for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
-      if (World.MACHINES.contains(each.machine())
+      if (MaintenanceSimulation.MACHINES.contains(each.machine())
           && each.phase() == Phase.EMPTYING
           && calls.stream().noneMatch(call -> call.machine.equals(each.machine()))) {
         empty.add(each);
@@ -245,7 +247,7 @@
 
   @Override
   public boolean expiryDue() {
-    return world.leads(this)
+    return simulation.leads(this)
         && settled.nowMillis() + (clock() - tookNanos) / 1_000_000 >= settled.nextExpiryMillis();
   }
 
@@ -256,6 +258,6 @@
 
   @Override
   public long newIncarnation() {
-    return world.draw();
+    return simulation.draw();
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkExplorer.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkExplorer.java
@@ -10,12 +10,12 @@
 final class WorkExplorer {
   private WorkExplorer() {}
 
-  /** What was played, and the first property that did not hold, or null. */
-  record Played(long schedules, World.Finding finding) {}
+  /** What was played, and the first invariant that did not hold, or null. */
+  record Result(long schedules, MaintenanceSimulation.Violation violation) {}
 
   /** So many schedules, each by a seed of its own, on all cores. */
-  static Played random(long from, long schedules, int steps) {
-    AtomicReference<World.Finding> found = new AtomicReference<>();
+  static Result randomSchedules(long from, long schedules, int steps) {
+    AtomicReference<MaintenanceSimulation.Violation> found = new AtomicReference<>();
     AtomicLong played = new AtomicLong();
     LongStream.range(from, from + schedules)
         .parallel()
@@ -23,47 +23,49 @@
             seed -> {
               if (found.get() == null) {
                 played.incrementAndGet();
-                World.Finding finding = World.random(seed, steps);
-                if (finding != null) {
-                  found.compareAndSet(null, finding);
+                MaintenanceSimulation.Violation violation =
+                    MaintenanceSimulation.random(seed, steps);
+                if (violation != null) {
+                  found.compareAndSet(null, violation);
                 }
               }
             });
-    return new Played(played.get(), found.get());
+    return new Result(played.get(), found.get());
   }
 
   /** Every order of so many events from each starting state; two orders are asked for in them. */
-  static Played orders(int depth) {
-    AtomicReference<World.Finding> found = new AtomicReference<>();
+  static Result eventSequences(int depth) {
+    AtomicReference<MaintenanceSimulation.Violation> found = new AtomicReference<>();
     AtomicLong played = new AtomicLong();
-    List<List<World.Event>> starts = starts();
+    List<List<MaintenanceSimulation.Event>> starts = starts();
     for (boolean stops : new boolean[] {true, false}) {
-      for (List<World.Event> start : starts) {
-        List<World.Event> first = replay(stops, 0, start).possible();
+      for (List<MaintenanceSimulation.Event> start : starts) {
+        List<MaintenanceSimulation.Event> first = replay(stops, 0, start).possible();
         first.parallelStream()
             .forEach(
                 event -> {
-                  List<World.Event> path = new ArrayList<>(start);
+                  List<MaintenanceSimulation.Event> path = new ArrayList<>(start);
                   path.add(event);
                   descend(stops, path, depth - 1, found, played);
                 });
       }
     }
-    return new Played(played.get(), found.get());
+    return new Result(played.get(), found.get());
   }
 
   /** The same fault after as few events as leaving some out can make it; null stays null. */
-  static World.Finding shortened(World.Finding finding) {
-    if (finding == null || finding.property() == World.Property.NOT_STUCK) {
-      return finding; // What is left over is told by its text, not by its last events.
+  static MaintenanceSimulation.Violation shorten(MaintenanceSimulation.Violation violation) {
+    if (violation == null || violation.invariant() == MaintenanceSimulation.Invariant.NOT_STUCK) {
+      return violation; // What is left over is told by its text, not by its last events.
     }
-    World.Finding shortest = finding;
-    for (int piece = Math.max(1, finding.events().size() / 2); piece > 0; piece /= 2) {
+    MaintenanceSimulation.Violation shortest = violation;
+    for (int piece = Math.max(1, violation.events().size() / 2); piece > 0; piece /= 2) {
       for (int at = 0; at < shortest.events().size(); ) {
-        List<World.Event> fewer = new ArrayList<>(shortest.events());
+        List<MaintenanceSimulation.Event> fewer = new ArrayList<>(shortest.events());
         fewer.subList(at, Math.min(at + piece, fewer.size())).clear();
-        World.Finding same = replay(shortest.stops(), shortest.limited(), fewer).finding();
-        if (same != null && same.property() == finding.property()) {
+        MaintenanceSimulation.Violation same =
+            replay(shortest.stops(), shortest.limited(), fewer).violation();
+        if (same != null && same.invariant() == violation.invariant()) {
           shortest = same;
         } else {
           at += piece;
@@ -73,27 +75,28 @@
     return shortest;
   }
 
-  private static World replay(boolean stops, int limited, List<World.Event> path) {
-    World world = new World(stops, limited);
-    path.forEach(world::play);
-    return world;
+  private static MaintenanceSimulation replay(
+      boolean stops, int limited, List<MaintenanceSimulation.Event> path) {
+    MaintenanceSimulation simulation = new MaintenanceSimulation(stops, limited);
+    path.forEach(simulation::play);
+    return simulation;
   }
 
   private static void descend(
       boolean stops,
-      List<World.Event> path,
+      List<MaintenanceSimulation.Event> path,
       int depth,
-      AtomicReference<World.Finding> found,
+      AtomicReference<MaintenanceSimulation.Violation> found,
       AtomicLong played) {
     if (found.get() != null) {
       return;
     }
-    World world = replay(stops, 0, path);
+    MaintenanceSimulation simulation = replay(stops, 0, path);
     played.incrementAndGet();
-    if (world.finding() != null) {
-      found.compareAndSet(null, world.finding());
+    if (simulation.violation() != null) {
+      found.compareAndSet(null, simulation.violation());
     } else if (depth > 0) {
-      for (World.Event event : world.possible()) {
+      for (MaintenanceSimulation.Event event : simulation.possible()) {
         path.add(event);
         descend(stops, path, depth - 1, found, played);
         path.remove(path.size() - 1);
@@ -102,25 +105,25 @@
   }
 
   /** All inside; a machine being emptied; one out; one out and a call decided; one fenced. */
-  private static List<List<World.Event>> starts() {
-    List<World.Event> inside = new ArrayList<>();
+  private static List<List<MaintenanceSimulation.Event>> starts() {
+    List<MaintenanceSimulation.Event> inside = new ArrayList<>();
     round(inside);
     round(inside);
-    List<World.Event> emptying = new ArrayList<>(inside);
-    emptying.add(event(World.Kind.DECIDE, 4));
-    emptying.add(event(World.Kind.WRITE, 1));
-    emptying.add(event(World.Kind.ASK, 0));
-    emptying.add(event(World.Kind.ASK, 3));
-    List<World.Event> stopped = new ArrayList<>(inside);
-    stopped.add(event(World.Kind.DECIDE, 8));
-    stopped.add(event(World.Kind.PAUSE, 2));
-    stopped.add(event(World.Kind.ASK, 0));
-    List<World.Event> fenced = new ArrayList<>(stopped);
+    List<MaintenanceSimulation.Event> emptying = new ArrayList<>(inside);
+    emptying.add(event(MaintenanceSimulation.Kind.DECIDE, 4));
+    emptying.add(event(MaintenanceSimulation.Kind.WRITE, 1));
+    emptying.add(event(MaintenanceSimulation.Kind.ASK, 0));
+    emptying.add(event(MaintenanceSimulation.Kind.ASK, 3));
+    List<MaintenanceSimulation.Event> stopped = new ArrayList<>(inside);
+    stopped.add(event(MaintenanceSimulation.Kind.DECIDE, 8));
+    stopped.add(event(MaintenanceSimulation.Kind.PAUSE, 2));
+    stopped.add(event(MaintenanceSimulation.Kind.ASK, 0));
+    List<MaintenanceSimulation.Event> fenced = new ArrayList<>(stopped);
     for (int i = 0; i < 14; i++) {
       round(fenced);
     }
-    List<World.Event> out = new ArrayList<>(emptying);
-    out.add(event(World.Kind.END, 1));
+    List<MaintenanceSimulation.Event> out = new ArrayList<>(emptying);
+    out.add(event(MaintenanceSimulation.Kind.END, 1));
     round(out);
     round(out);
     round(out);
@@ -128,23 +131,23 @@
   }
 
   /** A while in which all that can goes its way. */
-  private static void round(List<World.Event> path) {
-    path.add(event(World.Kind.PASS, 120));
+  private static void round(List<MaintenanceSimulation.Event> path) {
+    path.add(event(MaintenanceSimulation.Kind.PASS, 120));
     for (int i = 0; i < 3; i++) {
-      path.add(event(World.Kind.STEP, i));
+      path.add(event(MaintenanceSimulation.Kind.STEP, i));
     }
     // What there is of it; an event that cannot happen is passed over.
     for (int i = 0; i < 6; i++) {
-      path.add(event(World.Kind.APPEND, 0));
+      path.add(event(MaintenanceSimulation.Kind.APPEND, 0));
     }
     for (int k = 0; k < 6; k++) {
       for (int i = 0; i < 3; i++) {
-        path.add(event(World.Kind.TAKE, i));
+        path.add(event(MaintenanceSimulation.Kind.TAKE, i));
       }
     }
   }
 
-  private static World.Event event(World.Kind kind, int at) {
-    return new World.Event(kind, at);
+  private static MaintenanceSimulation.Event event(MaintenanceSimulation.Kind kind, int at) {
+    return new MaintenanceSimulation.Event(kind, at);
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -121,13 +121,13 @@
       both.shutdownNow();
     }
     Figures.progress("schedules in virtual time");
-    WorkExplorer.Played random = WorkExplorer.random(1, brief ? 1000 : 100_000, 200);
-    WorkExplorer.Played orders = WorkExplorer.orders(brief ? 2 : 3);
+    WorkExplorer.Result random = WorkExplorer.randomSchedules(1, brief ? 1000 : 100_000, 200);
+    WorkExplorer.Result orders = WorkExplorer.eventSequences(brief ? 2 : 3);
     int violations = 0;
-    for (WorkExplorer.Played each : List.of(random, orders)) {
-      if (each.finding() != null) {
+    for (WorkExplorer.Result each : List.of(random, orders)) {
+      if (each.violation() != null) {
         violations++;
-        Figures.progress(WorkExplorer.shortened(each.finding()).toString());
+        Figures.progress(WorkExplorer.shorten(each.violation()).toString());
       }
     }
     List<Mutant> tried = brief ? WorkMutants.ALL.subList(0, 16) : WorkMutants.ALL;
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMutants.java
@@ -88,8 +88,8 @@
   /** Called in the loader of the copy; what it throws is a fault that shows, too. */
   static boolean detectsFault(long schedules, int depth) {
     try {
-      return WorkExplorer.random(1, schedules, 200).finding() != null
-          || WorkExplorer.orders(depth).finding() != null;
+      return WorkExplorer.randomSchedules(1, schedules, 200).violation() != null
+          || WorkExplorer.eventSequences(depth).violation() != null;
     } catch (RuntimeException e) {
       return true;
     }
--- a/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
@@ -14,15 +14,15 @@
 class WorkExplorerTest {
   @Test
   void noScheduleOfFaultsBreaksAProperty() {
-    WorkExplorer.Played played = WorkExplorer.random(1, 3000, 200);
-    assertNull(played.finding(), () -> WorkExplorer.shortened(played.finding()).toString());
+    WorkExplorer.Result played = WorkExplorer.randomSchedules(1, 3000, 200);
+    assertNull(played.violation(), () -> WorkExplorer.shorten(played.violation()).toString());
     assertTrue(played.schedules() >= 3000);
   }
 
   @Test
   void noOrderOfThreeEventsBreaksAProperty() {
-    WorkExplorer.Played played = WorkExplorer.orders(3);
-    assertNull(played.finding(), () -> WorkExplorer.shortened(played.finding()).toString());
+    WorkExplorer.Result played = WorkExplorer.eventSequences(3);
+    assertNull(played.violation(), () -> WorkExplorer.shorten(played.violation()).toString());
     assertTrue(played.schedules() > 10_000);
   }
 
