--- a/src/main/java/heathswitch/policy/subsetting/AssignmentTransition.java
+++ b/src/main/java/heathswitch/policy/subsetting/AssignmentTransition.java
@@ -59,7 +59,7 @@
     return progress * distance;
   }
 
-  /** Share of the calls that goes to other servers than the target says. */
+  /** Share of the calls that goes to different servers than the target says. */
   public double distanceTo(Map<String, Double> target) {
     Map<String, Double> differences = new HashMap<>(target);
     current.forEach((server, share) -> differences.merge(server, -share, Double::sum));
--- a/src/main/java/heathswitch/policy/subsetting/SubsetPlan.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetPlan.java
@@ -25,8 +25,8 @@
   private static final int SCALING_ROUNDS = 40;
 
   /**
-   * Minimum share of a selected pair. Repeated scaling would reduce the rate of a pair whose server
-   * gets too much to zero.
+   * Minimum share of a selected pair. Without it, repeated scaling could reduce the rate of a pair
+   * to zero if its server gets too many calls.
    */
   private static final double MIN_SHARE = 1e-6;
 
--- a/src/main/java/heathswitch/policy/subsetting/SubsetSelector.java
+++ b/src/main/java/heathswitch/policy/subsetting/SubsetSelector.java
@@ -112,7 +112,7 @@
     return plan;
   }
 
-  /** Share of this balancer's calls that goes to other servers than the plan says. */
+  /** Share of this balancer's calls that goes to different servers than the plan says. */
   public double distanceToPlan() {
     return plan == null ? 0 : transition.distanceTo(plan.sharesOf(self));
   }
--- a/src/main/java/heathswitch/testbed/subsetting/FleetSimulation.java
+++ b/src/main/java/heathswitch/testbed/subsetting/FleetSimulation.java
@@ -37,7 +37,7 @@
   /** Tolerance for rounding and for servers that are dropped because their share is too small. */
   private static final double MOVED_SHARE_TOLERANCE = 0.021;
 
-  /** One balancer. */
+  /** A simulated balancer. */
   static final class Balancer {
     final String name;
     final String zone;
@@ -71,6 +71,7 @@
     }
   }
 
+  /** An action that takes effect for one balancer at a later time. */
   private record Update(long atNanos, Balancer receiver, Runnable action) {}
 
   private final SplittableRandom random;
@@ -260,7 +261,7 @@
 
   private String removeServer() {
     if (servers.size() < 4) {
-      return "nothing";
+      return "no server to remove";
     }
     String name = new ArrayList<>(servers.keySet()).get(random.nextInt(servers.size()));
     servers.remove(name);
@@ -437,8 +438,8 @@
   }
 
   /**
-   * Whether no load is above twice the load of all other balancers together; plans cap higher ones,
-   * so that servers are not evenly loaded.
+   * Whether no load is above twice the load of all other balancers together. Plans cap higher
+   * loads, and then the servers are not loaded evenly.
    */
   boolean loadsArePlausible() {
     double sum =
@@ -451,7 +452,7 @@
         .allMatch(balancer -> balancer.load <= 2 * (sum - balancer.load));
   }
 
-  /** Number of cells with servers in the zone of a balancer. */
+  /** Number of cells that a balancer can use at least: those with servers in its zone. */
   private long cellsInZoneOf(Balancer balancer) {
     return servers.values().stream()
         .filter(each -> each.zone().equals(balancer.zone))
--- a/src/main/java/heathswitch/testbed/subsetting/StrategyComparison.java
+++ b/src/main/java/heathswitch/testbed/subsetting/StrategyComparison.java
@@ -34,7 +34,7 @@
    *     balancer leaves
    * @param minMovedByLeave lower bound of movedByLeave if all servers are to be evenly loaded again
    * @param spreadSplit spread over both halves of a network split, neither of which sees the other
-   * @param spreadPartialViews spread if each balancer fails to see each other one with a
+   * @param spreadPartialViews spread if each balancer fails to see each of the others with a
    *     probability of 1/20
    */
   record Result(
@@ -113,7 +113,7 @@
     return opened;
   }
 
-  /** Share of the calls of the remaining balancers that goes to other servers than before. */
+  /** Share of the calls of the remaining balancers that goes to different servers than before. */
   private static double movedShare(
       FleetSnapshot snapshot,
       Map<String, Map<String, Double>> before,
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Calls that servers lack to their fair share after one balancer has left, divided by the
-   * remaining calls. Every plan that loads all servers evenly again moves at least this share.
+   * Calls by which servers fall short of their fair share after one balancer has left, divided by
+   * the remaining calls. Every plan that loads all servers evenly again moves at least this share.
    */
   private static double minMovedShare(
       FleetSnapshot snapshot, Map<String, Map<String, Double>> plan, Instance gone) {
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -68,7 +68,7 @@
     double goodput;
     int uncovered;
     long lost;
-    long doubles;
+    long doubleRuns;
     int falseDeaths;
     double moved;
     double minMoved;
@@ -124,7 +124,7 @@
         .add("p99_ratio", round(subset.p99 / full.p99))
         .add("goodput_share", round(subset.goodput / full.goodput))
         .add("lost", subset.lost)
-        .add("double_runs", subset.doubles)
+        .add("double_runs", subset.doubleRuns)
         .add("false_deaths", subset.falseDeaths)
         .rounded(
             "detect_p99_ms",
@@ -178,7 +178,7 @@
         load(first);
         awaitSettled(first, first.size());
         measureSpread("first");
-        progress("growth to " + nodes.size());
+        progress("growth to " + nodes.size() + " instances");
         fleet.rise(others);
         load(nodes);
         awaitSettled(nodes, nodes.size());
@@ -227,9 +227,9 @@
       }
     }
 
-    private static Map<String, Object> page(Node node, String page) {
+    private static Map<String, Object> page(Node node, String path) {
       try {
-        return node.get(page);
+        return node.get(path);
       } catch (IOException e) {
         return Map.of();
       }
@@ -243,7 +243,7 @@
       long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
       while (!condition.getAsBoolean()) {
         if (System.nanoTime() > deadline) {
-          throw new TimeoutException("timed out: " + description);
+          throw new TimeoutException("timed out waiting until " + description);
         }
         Thread.sleep(5);
       }
@@ -256,7 +256,7 @@
             node.name() + " sees " + balancers + " balancers",
             () ->
                 subsetting
-                    ? settled(page(node, "subset"), balancers)
+                    ? isSettled(page(node, "subset"), balancers)
                     : number(page(node, "peers"), "there") == balancers);
       }
       // Reported loads become more exact with time; the changes that follow must settle, too.
@@ -264,11 +264,11 @@
       for (Node node : nodes) {
         await(
             node.name() + " has settled",
-            () -> !subsetting || settled(page(node, "subset"), balancers));
+            () -> !subsetting || isSettled(page(node, "subset"), balancers));
       }
     }
 
-    private static boolean settled(Map<String, Object> page, int balancers) {
+    private static boolean isSettled(Map<String, Object> page, int balancers) {
       return number(page, "balancers") == balancers
           && Math.abs(number(page, "apart")) < MAX_SETTLED_DISTANCE
           && number(page, "uses") > 0;
@@ -344,7 +344,7 @@
 
     /** Kills many instances at once, measures when the others detect it, and starts them again. */
     private void killAndRestart(List<Node> remaining, List<Node> killed) throws Exception {
-      progress("kill of " + killed.size());
+      progress("kill of " + killed.size() + " instances");
       unload(killed);
       load(remaining);
       long killedNanos = System.nanoTime();
@@ -407,8 +407,9 @@
     }
 
     /**
-     * Pauses instances one after the other, for longer each time. The others must not declare any
-     * running instance dead meanwhile, and no instance at all after the pause.
+     * Pauses instances one after the other, for longer each time. A short pause must not make the
+     * others declare an instance dead. Counts as false deaths the running instances that are
+     * considered dead during a pause, and all instances that are considered dead at the end.
      */
     private void pauseOneByOne(List<Node> nodes) throws Exception {
       for (int i = 0; i < size.pausesMillis().size(); i++) {
@@ -448,7 +449,7 @@
       }
       result.goodput = (double) served / Math.max(1, calls);
       result.lost = fleet.ledger().lost();
-      result.doubles = fleet.ledger().doubles(id -> id.contains("publish"));
+      result.doubleRuns = fleet.ledger().doubles(id -> id.contains("publish"));
       progress(calls + " calls, " + Arrays.toString(received()));
     }
   }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsettingStrategy.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsettingStrategy.java
@@ -101,8 +101,7 @@
     Map<String, Map<String, Double>> plan(FleetSnapshot snapshot, int width) {
       List<Server> ring = new ArrayList<>(snapshot.servers());
       ring.sort(Comparator.comparingLong(server -> hash(server.name(), "ring")));
-      // Number of times that all arcs together go around the ring, so that their mean length is
-      // width.
+      // Number of times that all arcs together go around the ring; makes their mean length width.
       double turns = Math.max(1, (double) width * snapshot.instances().size() / ring.size());
       Map<String, Map<String, Double>> plan = new LinkedHashMap<>();
       double start = 0;
@@ -177,7 +176,7 @@
   /** Number of servers that each balancer selects by itself. */
   private static final int MIN_OWN = 2;
 
-  /** Minimum size of a subset, so that a balancer keeps a server when some of them fail. */
+  /** Minimum size of a subset: this many servers may fail before a balancer has none left. */
   private static final int MIN_SUBSET_SIZE = 4;
 
   /**
