--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -39,7 +39,7 @@
   int check(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
-    StandaloneConfig read = Asking.config(spec, config);
+    StandaloneConfig read = AdminRequests.readConfig(spec, config);
     if (read == null) {
       return 1;
     }
@@ -47,7 +47,7 @@
         MembersCheck.check(read.members(), files, System.currentTimeMillis());
     report.faults().forEach(out()::println);
     report.lines().forEach(out()::println);
-    return report.good() ? 0 : 1;
+    return report.acceptable() ? 0 : 1;
   }
 
   @Command(
@@ -56,8 +56,7 @@
   int seal(@Parameters(paramLabel = "FILE") Path file) {
     try {
       String text = BoundedFile.text(BoundedFile.read(file, MOST_SEALED_BYTES));
-      AtomicFile.write(
-          file.toRealPath(), MembersCheck.sealed(text).getBytes(StandardCharsets.UTF_8));
+      AtomicFile.write(file.toRealPath(), MembersCheck.seal(text).getBytes(StandardCharsets.UTF_8));
       return 0;
     } catch (IOException e) {
       err().println(file + ": " + e.getMessage());
@@ -77,7 +76,7 @@
     return ask(config, admin -> admin.post("members/confirm/" + version));
   }
 
-  private int ask(Path config, Asking.Question question) {
-    return Asking.ask(spec, config, question);
+  private int ask(Path config, AdminRequests.Request request) {
+    return AdminRequests.sendAndPrint(spec, config, request);
   }
 }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -43,7 +43,7 @@
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
-      throws MembersWatcher.CannotStart,
+      throws MembersWatcher.StartException,
           SiteGateway.CannotStart,
           MaintenanceService.StartException,
           GossipService.StartException {
@@ -51,7 +51,7 @@
     this.config = config;
     members = MembersWatcher.open(config.members());
     long watch = config.admin() == null ? WATCH_NANOS : config.admin().watchNanos();
-    node = new Node(config.node(), members::on, watch);
+    node = new Node(config.node(), members::bindTo, watch);
     if (config.grpc() != null) {
       NodeSettings settings = config.node();
       grpc =
