--- a/src/main/java/heathswitch/proxy/consensus/LogClients.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogClients.java
@@ -10,18 +10,18 @@
 import org.apache.ratis.client.RaftClient;
 
 /**
- * The clients by which this instance asks for entries of the log. Each is used by one thread at a
- * time: the library's client looks its connection up twice for one call, and where another thread
- * drops that connection in between, because a peer has just died, the call fails with a {@link
- * NullPointerException} and without having been sent.
+ * A pool of the Raft clients with which this instance submits entries to the log. Each is used by
+ * one thread at a time: the library's client looks up its connection twice per call, and if another
+ * thread drops that connection in between, because a peer has just died, the call fails with a
+ * {@link NullPointerException} without having been sent.
  *
- * <p>There are at most as many clients as threads that call at once, and the one that was used last
- * is used first, so that calls one after another share one set of connections.
+ * <p>There are at most as many clients as threads that call concurrently. The most recently used
+ * client is reused first, so that consecutive calls share one set of connections.
  */
 final class LogClients implements AutoCloseable {
-  /** What is asked of a client. */
+  /** A call made with a client. */
   interface Call<T> {
-    T by(RaftClient client) throws IOException;
+    T execute(RaftClient client) throws IOException;
   }
 
   private final Supplier<RaftClient> factory;
@@ -33,11 +33,11 @@
     this.factory = factory;
   }
 
-  /** Runs a call on a client that nobody else uses meanwhile. */
+  /** Runs a call with a client that no other thread uses meanwhile. */
   <T> T call(Call<T> call) throws IOException {
     RaftClient client = borrow();
     try {
-      return call.by(client);
+      return call.execute(client);
     } finally {
       release(client);
     }
@@ -45,7 +45,7 @@
 
   private synchronized RaftClient borrow() throws IOException {
     if (closed) {
-      throw new IOException("ending");
+      throw new IOException("the log clients are closed");
     }
     RaftClient client = idle.poll();
     if (client == null) {
@@ -59,19 +59,19 @@
     idle.push(client);
   }
 
-  /** Closes all of them, also those in use: whoever waits for an answer is not to go on waiting. */
+  /** Closes all clients, also those in use, so that no caller goes on waiting for an answer. */
   @Override
   public void close() {
-    for (RaftClient each : ended()) {
+    for (RaftClient each : markClosed()) {
       try {
         each.close();
       } catch (IOException e) {
-        Log.warn("agreement", "end: " + e);
+        Log.warn("agreement", "closing a client failed: " + e);
       }
     }
   }
 
-  private synchronized List<RaftClient> ended() {
+  private synchronized List<RaftClient> markClosed() {
     closed = true;
     return List.copyOf(all);
   }
--- a/src/main/java/heathswitch/proxy/consensus/LogSettings.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogSettings.java
@@ -14,88 +14,88 @@
 import org.apache.ratis.util.SizeInBytes;
 import org.apache.ratis.util.TimeDuration;
 
-/** The library's settings for the log of one instance and for its clients: times and sizes. */
+/** Raft library settings for the log of one instance and for its clients: timeouts and sizes. */
 final class LogSettings {
   /**
-   * Whoever led counts as lost after a time between these, drawn anew each time; both well above a
-   * collection of garbage and a busy disk, and so that a new one leads within two seconds.
+   * Bounds of the randomized election timeout. Both are well above a garbage collection pause and a
+   * write to a busy disk, yet low enough for a new leader within two seconds.
    */
-  private static final long ELECTION_FROM_MILLIS = 350;
+  private static final long MIN_ELECTION_TIMEOUT_MILLIS = 350;
 
-  private static final long ELECTION_TO_MILLIS = 650;
+  private static final long MAX_ELECTION_TIMEOUT_MILLIS = 650;
 
-  /** Also how long a client waits for the answer to one try. */
-  private static final long REQUEST_MILLIS = 700;
+  /** Also how long a client waits for the answer to one attempt. */
+  private static final long REQUEST_TIMEOUT_MILLIS = 700;
 
   /**
-   * Files of the log that are kept in memory, within its bytes. Each new leader begins one, and a
-   * log that is closed in the moment in which the library lets go of the oldest never ends: it
-   * holds the log's lock and waits for a thread that waits for that lock.
+   * Log segments cached in memory, as far as {@link #CACHE_BYTES} allows. Each new leader begins a
+   * segment. Closing a log while the library evicts its oldest segment deadlocks: the closing
+   * thread holds the log's lock and waits for a thread that waits for that lock.
    */
-  private static final int MOST_CACHED = 64;
+  private static final int MAX_CACHED_SEGMENTS = 64;
 
   /**
-   * Entries in one message to an instance that lacks many. It has to take them and answer before
-   * the request's time is up: of 4 MB in one message a slow machine answered too late, and whoever
-   * led began anew with the same, again and again.
+   * Entries in one append message to a peer that lags. It has to append them and answer within the
+   * request timeout: with 4 MB in one message a slow machine answered too late, and the leader sent
+   * the same message again and again.
    */
-  private static final int MOST_SENT = 64;
+  private static final int MAX_APPEND_ENTRIES = 64;
 
-  /** Entries between two snapshots; the log before the last one is not kept. */
+  /** Entries between two snapshots; the log before the latest one is purged. */
   private static final long SNAPSHOT_ENTRIES = 20_000;
 
-  private static final int SNAPSHOTS_KEPT = 2;
-  private static final SizeInBytes FILE_BYTES = SizeInBytes.valueOf("4MB");
-  private static final SizeInBytes FIRST_FILE_BYTES = SizeInBytes.valueOf("64KB");
-  private static final SizeInBytes CACHED_BYTES = SizeInBytes.valueOf("8MB");
-  private static final SizeInBytes MESSAGE_BYTES = SizeInBytes.valueOf("4MB");
+  private static final int RETAINED_SNAPSHOTS = 2;
+  private static final SizeInBytes SEGMENT_BYTES = SizeInBytes.valueOf("4MB");
+  private static final SizeInBytes PREALLOCATED_BYTES = SizeInBytes.valueOf("64KB");
+  private static final SizeInBytes CACHE_BYTES = SizeInBytes.valueOf("8MB");
+  private static final SizeInBytes MAX_APPEND_BYTES = SizeInBytes.valueOf("4MB");
 
   private LogSettings() {}
 
   /**
-   * Of an instance that takes part.
+   * Settings of the Raft server of an instance.
    *
-   * @param listen where others reach it
-   * @param folder of this instance alone
+   * @param listen where peers reach it
+   * @param folder its storage directory, shared with no other instance
    */
   static RaftProperties server(InetSocketAddress listen, Path folder) {
-    RaftProperties settings = new RaftProperties();
-    RaftConfigKeys.Rpc.setType(settings, SupportedRpcType.GRPC);
-    GrpcConfigKeys.Server.setHost(settings, listen.getAddress().getHostAddress());
-    GrpcConfigKeys.Server.setPort(settings, listen.getPort());
-    RaftServerConfigKeys.setStorageDir(settings, List.of(folder.toFile()));
-    setTimes(settings);
-    setSizes(settings);
-    RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(settings, true);
-    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(settings, SNAPSHOT_ENTRIES);
-    RaftServerConfigKeys.Snapshot.setRetentionFileNum(settings, SNAPSHOTS_KEPT);
-    return settings;
+    RaftProperties properties = new RaftProperties();
+    RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
+    GrpcConfigKeys.Server.setHost(properties, listen.getAddress().getHostAddress());
+    GrpcConfigKeys.Server.setPort(properties, listen.getPort());
+    RaftServerConfigKeys.setStorageDir(properties, List.of(folder.toFile()));
+    setTimeouts(properties);
+    setSizes(properties);
+    RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
+    RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, SNAPSHOT_ENTRIES);
+    RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, RETAINED_SNAPSHOTS);
+    return properties;
   }
 
-  /** Of one that asks for entries. */
+  /** Settings of a client that submits entries. */
   static RaftProperties client() {
-    RaftProperties settings = new RaftProperties();
-    RaftConfigKeys.Rpc.setType(settings, SupportedRpcType.GRPC);
-    RaftClientConfigKeys.Rpc.setRequestTimeout(settings, millis(REQUEST_MILLIS));
-    return settings;
+    RaftProperties properties = new RaftProperties();
+    RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
+    RaftClientConfigKeys.Rpc.setRequestTimeout(properties, millis(REQUEST_TIMEOUT_MILLIS));
+    return properties;
   }
 
-  private static void setTimes(RaftProperties settings) {
-    RaftServerConfigKeys.Rpc.setTimeoutMin(settings, millis(ELECTION_FROM_MILLIS));
-    RaftServerConfigKeys.Rpc.setTimeoutMax(settings, millis(ELECTION_TO_MILLIS));
-    RaftServerConfigKeys.Rpc.setRequestTimeout(settings, millis(REQUEST_MILLIS));
+  private static void setTimeouts(RaftProperties properties) {
+    RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(MIN_ELECTION_TIMEOUT_MILLIS));
+    RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(MAX_ELECTION_TIMEOUT_MILLIS));
+    RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(REQUEST_TIMEOUT_MILLIS));
   }
 
-  private static void setSizes(RaftProperties settings) {
-    RaftServerConfigKeys.Log.setSegmentSizeMax(settings, FILE_BYTES);
-    RaftServerConfigKeys.Log.setPreallocatedSize(settings, FIRST_FILE_BYTES);
-    RaftServerConfigKeys.Log.setSegmentCacheNumMax(settings, MOST_CACHED);
-    RaftServerConfigKeys.Log.setSegmentCacheSizeMax(settings, CACHED_BYTES);
+  private static void setSizes(RaftProperties properties) {
+    RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SEGMENT_BYTES);
+    RaftServerConfigKeys.Log.setPreallocatedSize(properties, PREALLOCATED_BYTES);
+    RaftServerConfigKeys.Log.setSegmentCacheNumMax(properties, MAX_CACHED_SEGMENTS);
+    RaftServerConfigKeys.Log.setSegmentCacheSizeMax(properties, CACHE_BYTES);
     RaftServerConfigKeys.Log.setCorruptionPolicy(
-        settings, RaftServerConfigKeys.Log.CorruptionPolicy.WARN_AND_RETURN);
-    RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(settings, true);
-    RaftServerConfigKeys.Log.Appender.setBufferByteLimit(settings, MESSAGE_BYTES);
-    RaftServerConfigKeys.Log.Appender.setBufferElementLimit(settings, MOST_SENT);
+        properties, RaftServerConfigKeys.Log.CorruptionPolicy.WARN_AND_RETURN);
+    RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
+    RaftServerConfigKeys.Log.Appender.setBufferByteLimit(properties, MAX_APPEND_BYTES);
+    RaftServerConfigKeys.Log.Appender.setBufferElementLimit(properties, MAX_APPEND_ENTRIES);
   }
 
   private static TimeDuration millis(long millis) {
--- a/src/main/java/heathswitch/proxy/consensus/Peer.java
+++ b/src/main/java/heathswitch/proxy/consensus/Peer.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * An instance that holds the log.
+ * An instance that keeps a copy of the replicated log.
  *
- * @param address where this instance reaches it; others may know it by another
- * @param votes whether it is one of those whose majority settles an entry
+ * @param address where this instance reaches it; other instances may reach it at another address
+ * @param votes whether it is initially one of the voters, whose majority commits an entry
  */
 public record Peer(String name, InetSocketAddress address, boolean votes) {}
--- a/src/main/java/heathswitch/proxy/consensus/PeerNameResolver.java
+++ b/src/main/java/heathswitch/proxy/consensus/PeerNameResolver.java
@@ -12,21 +12,21 @@
 import org.apache.ratis.thirdparty.io.grpc.Status;
 
 /**
- * Finds peers by their names at the addresses that this instance's own configuration states. The
- * library tells everybody the addresses that whoever leads uses, and an instance may be known to
- * each of the others by another one; so in the log a peer's address is its name.
+ * Resolves peer names to the addresses in this instance's own configuration. The library
+ * distributes the addresses that the leader uses to all peers, but each peer may reach an instance
+ * at a different address; so a peer's address in the log is its name.
  */
 final class PeerNameResolver extends NameResolverProvider {
   private static final String SCHEME = "heathswitch";
 
-  /** One for the process, like the library's own registry; as many as there are peers. */
+  /** Shared by the process, as is the library's resolver registry; one entry for each peer. */
   private static final Map<String, InetSocketAddress> ADDRESSES = new ConcurrentHashMap<>();
 
   static {
     NameResolverRegistry.getDefaultRegistry().register(new PeerNameResolver());
   }
 
-  /** The address of a peer as it stands in the log. */
+  /** Registers a peer's address; returns the target URI that stands for it in the log. */
   static String register(Peer peer) {
     ADDRESSES.put(peer.name(), peer.address());
     return SCHEME + ":///" + peer.name();
--- a/src/main/java/heathswitch/proxy/consensus/Replica.java
+++ b/src/main/java/heathswitch/proxy/consensus/Replica.java
@@ -1,23 +1,24 @@
 package heathswitch.proxy.consensus;
 
 /**
- * What is computed from the log, alike on every instance. Calls come one at a time, in the log's
- * order, from a thread of the log; an exception stops the log on this instance for good.
+ * The state that each instance computes from the replicated log, the same on all instances. Calls
+ * come one at a time, in log order, from the log's thread; an exception stops the log on this
+ * instance for good.
  */
 public interface Replica {
   /**
-   * Takes an entry.
+   * Applies a committed entry.
    *
-   * @param index its number in the log
-   * @param stampMillis when whoever led took it, on the log's own clock; negative where that is not
-   *     to be relied on
-   * @return what is told to whoever submitted it
+   * @param index its index in the log
+   * @param stampMillis when the leader accepted the entry, in the log's own time; negative if that
+   *     time is not reliable
+   * @return the answer for the submitter of the entry
    */
   byte[] apply(long index, long stampMillis, byte[] entry);
 
-  /** All that was computed so far. */
+  /** Serializes the whole state. */
   byte[] toSnapshot();
 
-  /** Goes on from what was saved. */
+  /** Replaces the state by that of a snapshot. */
   void restore(byte[] snapshot);
 }
--- a/src/main/java/heathswitch/proxy/consensus/ReplicaStateMachine.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicaStateMachine.java
@@ -27,7 +27,10 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 
-/** Hands the log to a {@link Replica}, with the time of each entry by a {@link LogClock}. */
+/**
+ * The Ratis state machine that applies log entries to a {@link Replica}, with the time of each
+ * entry by a {@link LogClock}. It stamps each entry with the leader's term and clock reading.
+ */
 final class ReplicaStateMachine extends BaseStateMachine {
   private static final int HEADER_BYTES = 16;
 
@@ -35,65 +38,75 @@
   private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
   private RaftGroupId group;
 
-  /** Read by those who submit, moved on by the log's thread. */
+  /** Read when an entry is submitted, advanced by the log's thread. */
   private final LogClock clock;
 
-  /** The last entry that the replica has been handed, -1 for none. */
-  private volatile long taken;
+  /** Index of the last entry that was applied to the replica, -1 for none. */
+  private volatile long appliedIndex;
 
-  private volatile boolean broken;
+  /** Whether an entry could not be applied. */
+  private volatile boolean applyFailed;
 
-  /** Why nothing is taken any more, or empty. */
-  private volatile String trouble = "";
+  /** Why no entry is applied any more, or empty. */
+  private volatile String failure = "";
 
-  private final Runnable failed;
+  private final Runnable onFailure;
 
-  /** With what is to be done, on any thread, when nothing can be written or taken any more. */
-  ReplicaStateMachine(Replica replica, Runnable failed) {
-    this(replica, failed, new LogClock(), -1);
+  /**
+   * Creates a state machine that has applied nothing yet.
+   *
+   * @param onFailure called, on any thread, once entries can no longer be written or applied
+   */
+  ReplicaStateMachine(Replica replica, Runnable onFailure) {
+    this(replica, onFailure, new LogClock(), -1);
   }
 
-  private ReplicaStateMachine(Replica replica, Runnable failed, LogClock clock, long taken) {
+  private ReplicaStateMachine(
+      Replica replica, Runnable onFailure, LogClock clock, long appliedIndex) {
     this.replica = replica;
-    this.failed = failed;
+    this.onFailure = onFailure;
     this.clock = clock;
-    this.taken = taken;
+    this.appliedIndex = appliedIndex;
   }
 
   /**
-   * One for the same log opened anew, when this one has ended: it hands on what is not taken yet.
+   * A state machine for the same log when it is reopened after this one was closed: it continues
+   * with the first entry that is not applied yet.
    */
   ReplicaStateMachine successor() {
-    return new ReplicaStateMachine(replica, failed, clock, taken);
+    return new ReplicaStateMachine(replica, onFailure, clock, appliedIndex);
   }
 
-  /** The last entry that the replica has been handed, or -1. */
-  long taken() {
-    return taken;
+  /** Index of the last entry that was applied to the replica, or -1. */
+  long appliedIndex() {
+    return appliedIndex;
   }
 
+  /** Why this instance's log has stopped for good, or empty. */
   String failure() {
-    return trouble;
+    return failure;
   }
 
-  void stop(String why, Throwable cause) {
-    trouble = why + "; this instance takes no part until its next start";
-    Log.error("agreement", trouble, cause, "reason", String.valueOf(cause));
-    failed.run();
+  /** Records and logs the failure, then notifies the owner. */
+  void fail(String reason, Throwable cause) {
+    failure = reason + "; this instance does not participate until it is restarted";
+    Log.error("agreement", failure, cause, "reason", String.valueOf(cause));
+    onFailure.run();
   }
 
   @Override
-  public void initialize(RaftServer server, RaftGroupId id, RaftStorage folder) throws IOException {
-    super.initialize(server, id, folder);
+  public void initialize(RaftServer server, RaftGroupId id, RaftStorage raftStorage)
+      throws IOException {
+    super.initialize(server, id, raftStorage);
     group = id;
-    storage.init(folder);
-    load();
+    storage.init(raftStorage);
+    restoreLatestSnapshot();
   }
 
   @Override
   public void reinitialize() throws IOException {
     storage.loadLatestSnapshot();
-    load();
+    restoreLatestSnapshot();
     if (getLifeCycleState() == LifeCycle.State.PAUSED) {
       getLifeCycle().transition(LifeCycle.State.STARTING);
       getLifeCycle().transition(LifeCycle.State.RUNNING);
@@ -113,18 +126,18 @@
     return storage;
   }
 
-  private void load() throws IOException {
+  private void restoreLatestSnapshot() throws IOException {
     SingleFileSnapshotInfo latest = storage.getLatestSnapshot();
     if (latest == null) {
       return;
     }
-    if (latest.getIndex() > taken) {
-      ByteBuffer saved = ByteBuffer.wrap(Files.readAllBytes(latest.getFile().getPath()));
-      clock.restore(saved.getLong());
-      byte[] rest = new byte[saved.remaining()];
-      saved.get(rest);
-      replica.restore(rest);
-      taken = latest.getIndex();
+    if (latest.getIndex() > appliedIndex) {
+      ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(latest.getFile().getPath()));
+      clock.restore(file.getLong());
+      byte[] snapshot = new byte[file.remaining()];
+      file.get(snapshot);
+      replica.restore(snapshot);
+      appliedIndex = latest.getIndex();
     }
     setLastAppliedTermIndex(latest.getTermIndex());
   }
@@ -132,15 +145,15 @@
   @Override
   public long takeSnapshot() throws IOException {
     TermIndex last = getLastAppliedTermIndex();
-    if (broken || last == null || last.getIndex() < 0 || last.getIndex() < taken) {
-      return -1; // Nothing taken yet, or what is saved would be of a later entry.
+    if (applyFailed || last == null || last.getIndex() < 0 || last.getIndex() < appliedIndex) {
+      return -1; // Nothing applied yet, or the replica is ahead of the index to save.
     }
-    byte[] saved = replica.toSnapshot();
-    ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + saved.length);
+    byte[] snapshot = replica.toSnapshot();
+    ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + snapshot.length);
     synchronized (clock) {
       bytes.putLong(clock.appliedMillis());
     }
-    bytes.put(saved);
+    bytes.put(snapshot);
     File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
     AtomicFile.write(file.toPath(), bytes.array());
     MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
@@ -153,7 +166,7 @@
   public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
     ByteString entry = request.getMessage().getContent();
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
-    stamp(header);
+    writeHeader(header);
     return TransactionContext.newBuilder()
         .setStateMachine(this)
         .setClientRequest(request)
@@ -161,7 +174,7 @@
         .build();
   }
 
-  private void stamp(ByteBuffer header) throws IOException {
+  private void writeHeader(ByteBuffer header) throws IOException {
     long term = getServer().join().getDivision(group).getInfo().getCurrentTerm();
     synchronized (clock) {
       header.putLong(term).putLong(clock.read(term, System.nanoTime()));
@@ -172,44 +185,44 @@
   public CompletableFuture<Message> applyTransaction(TransactionContext context) {
     var entry = context.getLogEntry();
     try {
-      if (broken) {
+      if (applyFailed) {
         throw new IllegalStateException("the log has stopped on this instance");
       }
-      if (entry.getIndex() <= taken) {
+      if (entry.getIndex() <= appliedIndex) {
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         return CompletableFuture.completedFuture(Message.EMPTY);
       }
       ByteBuffer data = entry.getStateMachineLogEntry().getLogData().asReadOnlyByteBuffer();
-      long term = data.getLong();
-      long stamp = data.getLong();
+      long readTerm = data.getLong();
+      long readMillis = data.getLong();
       byte[] bytes = new byte[data.remaining()];
       data.get(bytes);
-      long time;
+      long stampMillis;
       synchronized (clock) {
-        time = clock.apply(entry.getTerm(), term, stamp);
+        stampMillis = clock.apply(entry.getTerm(), readTerm, readMillis);
       }
-      byte[] answer = replica.apply(entry.getIndex(), time, bytes);
-      taken = entry.getIndex();
+      byte[] answer = replica.apply(entry.getIndex(), stampMillis, bytes);
+      appliedIndex = entry.getIndex();
       updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
       return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(answer)));
     } catch (RuntimeException e) {
-      // What comes after it would be computed from another state than everybody else's.
-      if (!broken) {
-        broken = true;
-        stop("entry " + entry.getIndex() + " could not be taken: " + e.getMessage(), e);
+      // Later entries would be applied to a state that differs from the other instances'.
+      if (!applyFailed) {
+        applyFailed = true;
+        fail("entry " + entry.getIndex() + " could not be applied: " + e.getMessage(), e);
       }
       return CompletableFuture.failedFuture(e);
     }
   }
 
   @Override
-  public void notifyLeaderChanged(RaftGroupMemberId here, RaftPeerId leader) {
-    Log.info("agreement", leader + " leads");
+  public void notifyLeaderChanged(RaftGroupMemberId self, RaftPeerId leader) {
+    Log.info("agreement", "leader: " + leader);
   }
 
   @Override
   public void notifyLogFailed(
       Throwable cause, org.apache.ratis.proto.RaftProtos.LogEntryProto entry) {
-    stop("the log could not be written: " + cause.getMessage(), cause);
+    fail("the log could not be written: " + cause.getMessage(), cause);
   }
 }
--- a/src/main/java/heathswitch/proxy/consensus/ReplicatedLog.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicatedLog.java
@@ -42,47 +42,50 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * This instance's part of the log. Entries may be submitted from any thread, at any instance; none
- * of it runs on an event loop that serves requests.
+ * This instance's replica of the log, a Raft server, together with the clients that submit entries
+ * to it. Entries may be submitted from any thread and on any instance; no work is done on the event
+ * loops that serve requests.
  */
 public final class ReplicatedLog implements AutoCloseable {
-  /** Greatest size of an entry; an order of ten thousand machines has about half a megabyte. */
+  /** Maximum size of an entry; an order of ten thousand machines takes about half a megabyte. */
   public static final int MAX_ENTRY_BYTES = 2 << 20;
 
-  /** Entries of this instance that wait for their answer; one more is refused. */
-  private static final int MOST_WAITING = 1024;
+  /** Maximum number of queued entries of this instance; further ones are refused. */
+  private static final int MAX_QUEUED = 1024;
 
-  private static final String LOOPS = "org.apache.ratis.thirdparty.io.netty.eventLoopThreads";
+  private static final String EVENT_LOOPS_PROPERTY =
+      "org.apache.ratis.thirdparty.io.netty.eventLoopThreads";
 
   private static final int SUBMITTERS = 4;
-  private static final int OWN_SUBMITTERS = 2;
+  private static final int PRIORITY_SUBMITTERS = 2;
 
   private static final long TRANSFER_TIMEOUT_MILLIS = 2000;
-  private static final int TRIES = 100;
-  private static final long BETWEEN_TRIES_MILLIS = 50;
+  private static final int MAX_ATTEMPTS = 100;
+  private static final long RETRY_DELAY_MILLIS = 50;
 
-  /** So often a role has to be wrong: a change of those that vote takes some steps. */
-  private static final int LOOKS_WRONG = 3;
+  /** Consecutive checks that must find a wrong role: a change of the voters takes several steps. */
+  private static final int WRONG_ROLE_CHECKS = 3;
 
-  /** Renewals of others come each second at least. */
-  private static final long STILL_MILLIS = 6000;
+  /** Lease renewals of other instances arrive at least once a second. */
+  private static final long STALL_TIMEOUT_MILLIS = 6000;
 
-  private static final long MOST_STILL_MILLIS = 60_000;
+  /** Bound of the timeout, which doubles each time that it is reached. */
+  private static final long MAX_STALL_TIMEOUT_MILLIS = 60_000;
 
-  /** A change of those that vote waits so long for whoever is not there yet. */
-  private static final long VOTE_MILLIS = 4000;
+  /** How long a change of the voters waits for a peer that is not ready yet. */
+  private static final long VOTER_WAIT_MILLIS = 4000;
 
-  /** A log that has not closed by then does not. */
-  private static final long CLOSE_SECONDS = 10;
+  /** A log that has not closed by then never will. */
+  private static final long CLOSE_TIMEOUT_SECONDS = 10;
 
-  /** All logs of one fleet have one name: two fleets never meet at one address. */
-  private static final RaftGroupId GROUP =
+  /** The same Raft group id for every fleet: two fleets never share an address. */
+  private static final RaftGroupId GROUP_ID =
       RaftGroupId.valueOf(UUID.fromString("6c1d2a04-7c0e-4c4b-9d53-2b8f5b7c9a11"));
 
   static {
-    // Its event loops would be two for each core; what instances say to each other is little.
-    if (System.getProperty(LOOPS) == null) {
-      System.setProperty(LOOPS, "2");
+    // The default is two event loops per core; traffic between instances needs far fewer.
+    if (System.getProperty(EVENT_LOOPS_PROPERTY) == null) {
+      System.setProperty(EVENT_LOOPS_PROPERTY, "2");
     }
   }
 
@@ -93,92 +96,96 @@
   private final String self;
   private final List<RaftPeer> peers;
   private final RaftGroup group;
-  private final RaftProperties settings;
+  private final RaftProperties properties;
   private final Parameters parameters = new Parameters();
   private final LogClients clients;
 
-  /** Both are replaced where the log is opened anew. */
+  /** This and the state machine are replaced when the log is reopened. */
   private volatile RaftServer server;
 
-  private volatile ReplicaStateMachine machine;
-  private final AtomicBoolean opening = new AtomicBoolean();
+  private volatile ReplicaStateMachine stateMachine;
+  private final AtomicBoolean reopening = new AtomicBoolean();
   private boolean closed;
 
-  /** Looks in a row at which the library's role for this instance was not that of the log. */
-  private int looksWrong;
+  /** Consecutive checks in which the Raft role of this instance contradicted the configuration. */
+  private int wrongRoleChecks;
 
-  /** The last entry that was seen to be taken, since when, and how long that may go on. */
-  private long lastTaken;
+  /** The last applied index that was seen, since when, and how long it may stay the same. */
+  private long lastAppliedIndex;
 
-  private long movedNanos = System.nanoTime();
-  private long stillMillis = STILL_MILLIS;
+  private long advancedNanos = System.nanoTime();
+  private long stallTimeoutMillis = STALL_TIMEOUT_MILLIS;
 
   private final ThreadPoolExecutor submitters;
 
-  /** For what keeps this instance in: it must not wait behind what people ask for. */
-  private final ThreadPoolExecutor own;
+  /**
+   * For entries that keep this instance's session alive; they must not queue behind operators'
+   * entries.
+   */
+  private final ThreadPoolExecutor prioritySubmitters;
 
   /**
    * Opens the log; {@link #start} must follow.
    *
    * @param self the name of this instance, one of the peers
-   * @param listen where others reach it
-   * @param folder of this instance alone; made if it is not there
+   * @param listen where peers reach it
+   * @param folder its storage directory, shared with no other instance; created if missing
    */
   public ReplicatedLog(
       String self, InetSocketAddress listen, List<Peer> peers, Path folder, Replica replica)
       throws IOException {
     Files.createDirectories(folder);
-    machine = new ReplicaStateMachine(replica, this::leaveOff);
+    stateMachine = new ReplicaStateMachine(replica, this::closeFailedServer);
     group = group(peers);
     this.self = self;
     this.peers = List.copyOf(group.getPeers());
-    settings = LogSettings.server(listen, folder);
-    server = open();
-    clients = new LogClients(this::client);
-    submitters = threads(SUBMITTERS, "agreement-submit");
-    own = threads(OWN_SUBMITTERS, "agreement-own");
+    properties = LogSettings.server(listen, folder);
+    server = newServer();
+    clients = new LogClients(this::newClient);
+    submitters = newExecutor(SUBMITTERS, "agreement-submit");
+    prioritySubmitters = newExecutor(PRIORITY_SUBMITTERS, "agreement-own");
   }
 
-  private RaftServer open() throws IOException {
+  private RaftServer newServer() throws IOException {
     return RaftServer.newBuilder()
         .setServerId(RaftPeerId.valueOf(self))
         .setGroup(group)
-        .setStateMachine(machine)
-        .setProperties(settings)
+        .setStateMachine(stateMachine)
+        .setProperties(properties)
         .setParameters(parameters)
         .setOption(RaftStorage.StartupOption.RECOVER)
         .build();
   }
 
-  private RaftClient client() {
-    RaftProperties asking = LogSettings.client();
+  private RaftClient newClient() {
+    RaftProperties clientProperties = LogSettings.client();
     ClientId id = ClientId.randomId();
     return RaftClient.newBuilder()
         .setClientId(id)
         .setRaftGroup(group)
-        .setProperties(asking)
-        .setClientRpc(new GrpcFactory(parameters).newRaftClientRpc(id, asking))
+        .setProperties(clientProperties)
+        .setClientRpc(new GrpcFactory(parameters).newRaftClientRpc(id, clientProperties))
         .setRetryPolicy(
-            RetryPolicies.retryUpToMaximumCountWithFixedSleep(TRIES, millis(BETWEEN_TRIES_MILLIS)))
+            RetryPolicies.retryUpToMaximumCountWithFixedSleep(
+                MAX_ATTEMPTS, millis(RETRY_DELAY_MILLIS)))
         .build();
   }
 
-  private static ThreadPoolExecutor threads(int count, String name) {
-    ThreadPoolExecutor threads =
+  private static ThreadPoolExecutor newExecutor(int count, String name) {
+    ThreadPoolExecutor executor =
         new ThreadPoolExecutor(
             count,
             count,
             1,
             SECONDS,
-            new ArrayBlockingQueue<>(MOST_WAITING),
+            new ArrayBlockingQueue<>(MAX_QUEUED),
             task -> {
               Thread thread = new Thread(task, name);
               thread.setDaemon(true);
               return thread;
             });
-    threads.allowCoreThreadTimeOut(true);
-    return threads;
+    executor.allowCoreThreadTimeOut(true);
+    return executor;
   }
 
   private static TimeDuration millis(long millis) {
@@ -195,33 +202,34 @@
               .setStartupRole(peer.votes() ? RaftPeerRole.FOLLOWER : RaftPeerRole.LISTENER)
               .build());
     }
-    return RaftGroup.valueOf(GROUP, all);
+    return RaftGroup.valueOf(GROUP_ID, all);
   }
 
-  /** Takes part from now on. */
+  /** Starts the Raft server, so that this instance participates in the log. */
   public void start() throws IOException {
     server.start();
   }
 
-  /** Likewise, before all that others submit here. */
+  /** Like {@link #submit}, ahead of all entries that are submitted with that method here. */
   public CompletableFuture<byte[]> submitPriority(Supplier<byte[]> entry) {
-    return on(own, () -> send(entry.get()));
+    return runOn(prioritySubmitters, () -> send(entry.get()));
   }
 
   /**
-   * Has an entry taken by all. It may have been taken although the answer is an error: whoever
-   * submits it again must make it the same entry.
+   * Submits an entry to be committed and applied by all instances. After an error the entry may
+   * have been committed nevertheless, so a caller that retries must make the entry idempotent.
    *
-   * @param entry writes it, on a thread of this class
+   * @param entry serializes the entry, on a thread of this class
+   * @return the answer of the leader's replica
    */
   public CompletableFuture<byte[]> submit(Supplier<byte[]> entry) {
-    return on(submitters, () -> send(entry.get()));
+    return runOn(submitters, () -> send(entry.get()));
   }
 
-  private static <T> CompletableFuture<T> on(ThreadPoolExecutor threads, Task<T> task) {
+  private static <T> CompletableFuture<T> runOn(ThreadPoolExecutor executor, Task<T> task) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     try {
-      threads.execute(
+      executor.execute(
           () -> {
             try {
               answer.complete(task.run());
@@ -230,16 +238,17 @@
             }
           });
     } catch (RejectedExecutionException e) {
-      answer.completeExceptionally(new IOException("too many entries wait", e));
+      answer.completeExceptionally(new IOException("too many entries are queued", e));
     }
     return answer;
   }
 
   private byte[] send(byte[] entry) throws IOException {
     if (entry.length > MAX_ENTRY_BYTES) {
-      throw new IOException("an entry of " + entry.length + " bytes; at most " + MAX_ENTRY_BYTES);
+      throw new IOException(
+          "entry of " + entry.length + " bytes exceeds the maximum of " + MAX_ENTRY_BYTES);
     }
-    for (int tries = 1; ; tries++) {
+    for (int attempt = 1; ; attempt++) {
       IOException failure;
       try {
         Message message = Message.valueOf(ByteString.copyFrom(entry));
@@ -251,69 +260,76 @@
       } catch (LeaderSteppingDownException e) {
         failure = e;
       }
-      // Leadership is being handed on: the entry was not taken, and somebody else takes it soon.
-      if (!(failure instanceof LeaderSteppingDownException) || tries >= TRIES) {
-        throw new IOException("not taken: " + failure, failure);
+      // A leader that transfers its leadership rejects entries; the next leader will accept this.
+      if (!(failure instanceof LeaderSteppingDownException) || attempt >= MAX_ATTEMPTS) {
+        throw new IOException("entry not committed: " + failure, failure);
       }
       pause();
     }
   }
 
-  /** The names of those that vote, as far as this instance knows. */
+  /** The names of the voters, as far as this instance knows. */
   public List<String> voters() throws IOException {
-    return server.getDivision(GROUP).getRaftConf().getCurrentPeers().stream()
+    return server.getDivision(GROUP_ID).getRaftConf().getCurrentPeers().stream()
         .map(peer -> peer.getId().toString())
         .sorted()
         .toList();
   }
 
-  /** What is known of the peers beside the library, for a change of those that vote. */
+  /** Checks a change of the voters by what is known of the peers outside the Raft library. */
   public interface VoterChangeCheck {
     /**
-     * Why those that vote can't be these, one of whom is new or null; empty if they can. Asked
-     * again and again.
+     * Why these peers cannot be the voters yet, or empty if they can. Called repeatedly.
+     *
+     * @param addedVoter the one of them that is not a voter yet, or null
      */
     String obstacle(List<String> voters, String addedVoter);
   }
 
   /**
-   * Has a peer vote from now on, or no longer; one at a time, so that a majority of those before
-   * and one of those after always have a member in common. Returns when a majority has settled it,
-   * and whoever is to vote has the log and knows that it votes.
+   * Makes a peer a voter, or a listener that does not vote. Only one peer is changed at a time, so
+   * that any majority of the old voters and any majority of the new ones have a member in common.
+   * Completes with the new voters once a majority has committed the change and an added voter has
+   * the log and knows that it votes.
    *
-   * <p>Two things of the library stand behind the waiting, both seen. It counts a peer that has not
-   * voted so far as one that has the log, whether it runs or not: the others may then be one short,
-   * and whoever led steps down and leads no more for ten seconds. And a peer refuses its vote to
-   * others until it has opened its log anew, see {@link #reopenIfStuck}.
+   * <p>The waiting is for two observed traits of the library. It takes a peer that has not voted so
+   * far for one that has the log, whether it runs or not: the others may then be one short of a
+   * majority, the leader steps down, and it does not lead again for ten seconds. And an added voter
+   * refuses its vote to candidates until it has reopened its log, see {@link #reopenIfStuck}.
    *
-   * @param peer one of the peers that the configuration names
+   * @param peer one of the configured peers
    */
   public CompletableFuture<List<String>> changeVoter(
       String peer, boolean votes, VoterChangeCheck voterChangeCheck) {
-    return on(
+    return runOn(
         submitters,
         () -> {
-          List<RaftPeer> voting = new ArrayList<>();
-          List<RaftPeer> other = new ArrayList<>();
+          List<RaftPeer> voters = new ArrayList<>();
+          List<RaftPeer> listeners = new ArrayList<>();
           List<String> before = voters();
           for (RaftPeer each : peers) {
             String name = each.getId().toString();
-            boolean now = name.equals(peer) ? votes : before.contains(name);
-            (now ? voting : other).add(each);
+            boolean willVote = name.equals(peer) ? votes : before.contains(name);
+            (willVote ? voters : listeners).add(each);
           }
-          if (voting.isEmpty() || peers.stream().noneMatch(each -> is(each, peer))) {
+          if (voters.isEmpty() || peers.stream().noneMatch(each -> is(each, peer))) {
             throw new IOException(
-                voting.isEmpty() ? "somebody must vote" : "no peer " + peer + " is configured");
+                voters.isEmpty()
+                    ? "the last voter cannot be removed"
+                    : "no peer " + peer + " is configured");
           }
           List<String> after =
-              voting.stream().map(each -> each.getId().toString()).sorted().toList();
-          boolean joins = votes && !before.contains(peer);
-          await("not changed: ", () -> voterChangeCheck.obstacle(after, joins ? peer : null));
-          settle(voting, other);
+              voters.stream().map(each -> each.getId().toString()).sorted().toList();
+          boolean added = votes && !before.contains(peer);
+          awaitNoObstacle(
+              "voters not changed: ", () -> voterChangeCheck.obstacle(after, added ? peer : null));
+          setConfiguration(voters, listeners);
           if (votes) {
-            // One of its own: the other waits for long before it tries a peer again that was dead.
-            try (RaftClient fresh = client()) {
-              await("settled, but ask again: ", () -> refuses(fresh, peer));
+            // A new client: a pooled one backs off for long from a peer that it has found dead.
+            try (RaftClient newClient = newClient()) {
+              awaitNoObstacle(
+                  "voters changed, but repeat the request: ",
+                  () -> notVotingReason(newClient, peer));
             }
           }
           return after;
@@ -321,129 +337,142 @@
   }
 
   /**
-   * Has those that vote changed. A peer that comes to vote opens its log anew in the middle of it;
-   * where that takes long, on a busy machine, and another voter is dead, whoever led steps down for
-   * want of a majority, and nobody leads until the peer is back.
+   * Commits a change of the voters. An added voter reopens its log in the middle of the change; if
+   * that takes long, as on a busy machine, and another voter is dead, the leader steps down for
+   * lack of a majority, and there is no leader until the added voter is back.
    */
-  private void settle(List<RaftPeer> voting, List<RaftPeer> other) throws IOException {
+  private void setConfiguration(List<RaftPeer> voters, List<RaftPeer> listeners)
+      throws IOException {
     RaftClientReply reply;
     try {
-      reply = clients.call(client -> client.admin().setConfiguration(voting, other));
+      reply = clients.call(client -> client.admin().setConfiguration(voters, listeners));
     } catch (RaftRetryFailureException e) {
-      throw new IOException("not settled in time, ask again: nobody leads", e);
+      throw new IOException(
+          "change of the voters not committed in time, repeat the request: there is no leader", e);
     }
     if (!reply.isSuccess()) {
-      throw new IOException("not changed: " + reply.getException());
+      throw new IOException("voters not changed: " + reply.getException());
     }
   }
 
-  /** Why a peer that is to vote does not do so yet, by its own word, or an empty text. */
-  private static String refuses(RaftClient by, String peer) {
+  /** Why an added voter does not vote yet, by its own account, or empty if it does. */
+  private static String notVotingReason(RaftClient client, String peer) {
     try {
       RaftPeerRole role =
-          by.getGroupManagementApi(RaftPeerId.valueOf(peer))
-              .info(GROUP)
+          client
+              .getGroupManagementApi(RaftPeerId.valueOf(peer))
+              .info(GROUP_ID)
               .getRoleInfoProto()
               .getRole();
-      return role == RaftPeerRole.LISTENER ? peer + " refuses its vote yet" : "";
-    } catch (IOException | RuntimeException e) { // The library's own, while it opens its log.
-      return peer + " does not say whether it votes: " + e.getMessage();
+      return role == RaftPeerRole.LISTENER ? peer + " does not vote yet" : "";
+    } catch (IOException | RuntimeException e) { // Also while the peer reopens its log.
+      return peer + " does not answer whether it votes: " + e.getMessage();
     }
   }
 
   /**
-   * Has the log opened anew, with what has been taken from it kept, where the library does not get
-   * on by itself. To be called again and again, from one thread; returns at once.
-   *
-   * <p>Those that vote were changed and this instance is one of them now, or no longer: the library
-   * gives it its part as it opens the log and leaves it so. One that came to vote refused its vote
-   * to others for good, so that of three with one dead nobody led.
-   *
-   * <p>Somebody leads and nothing has come for long, while every instance that is there settles
-   * something each second: on a machine that was held up while all began, whoever led sent an
-   * instance the same entries for thirteen minutes, and each answer to an earlier try undid the
-   * next.
+   * Reopens the log, keeping the applied state, in cases from which the library does not recover by
+   * itself. To be called periodically, from one thread; returns at once.
    *
-   * <p>The library has closed the log by itself: one that comes back with an empty folder, after
-   * others vote in its place, holds itself for a voter, and where it asks for votes before it has
-   * heard of the change, as on a busy machine, whoever leads tells it to end.
+   * <ul>
+   *   <li>The voters were changed and this instance has become a voter, or is none any more: the
+   *       library assigns the role when it opens the log and does not change it afterwards. A peer
+   *       that became a voter refused its vote to candidates for good, so that three voters of
+   *       which one was dead had no leader.
+   *   <li>There is a leader, but no entry has arrived for long, although every running instance
+   *       submits one each second: on a machine that stalled while all instances started, the
+   *       leader sent an instance the same entries for thirteen minutes, as each answer to an
+   *       earlier attempt undid the next one.
+   *   <li>The library has closed the log by itself: an instance that returns with an empty folder
+   *       after others were made voters in its place takes itself for a voter; if it requests votes
+   *       before it has learned of the change, as on a busy machine, the leader tells it to shut
+   *       down.
+   * </ul>
    */
   public void reopenIfStuck(long nowNanos) {
-    boolean ended = false;
-    boolean wrong = false;
-    boolean led = false;
-    long taken = machine.taken();
+    boolean closedByLibrary = false;
+    boolean wrongRole = false;
+    boolean following = false;
+    long appliedIndex = stateMachine.appliedIndex();
     try {
-      RaftServer.Division division = server.getDivision(GROUP);
-      RaftConfiguration settled = division.getRaftConf();
+      RaftServer.Division division = server.getDivision(GROUP_ID);
+      RaftConfiguration configuration = division.getRaftConf();
       RaftPeerRole role = division.getInfo().getCurrentRole();
-      boolean votes = settled.getCurrentPeers().stream().anyMatch(each -> is(each, self));
+      boolean votes = configuration.getCurrentPeers().stream().anyMatch(each -> is(each, self));
       LifeCycle.State state = division.getInfo().getLifeCycleState();
       boolean running = state == LifeCycle.State.RUNNING;
-      ended = state == LifeCycle.State.CLOSED;
-      wrong =
+      closedByLibrary = state == LifeCycle.State.CLOSED;
+      wrongRole =
           running
-              && settled.getPreviousPeers().isEmpty()
+              && configuration.getPreviousPeers().isEmpty()
               && role == (votes ? RaftPeerRole.LISTENER : RaftPeerRole.FOLLOWER);
-      led = running && role != RaftPeerRole.LEADER && division.getInfo().getLeaderId() != null;
+      following =
+          running && role != RaftPeerRole.LEADER && division.getInfo().getLeaderId() != null;
     } catch (IOException e) {
-      // Ending, or being opened.
+      // The log is being closed or opened.
     }
-    looksWrong = wrong ? looksWrong + 1 : 0;
-    if (taken != lastTaken) {
-      stillMillis = STILL_MILLIS;
+    wrongRoleChecks = wrongRole ? wrongRoleChecks + 1 : 0;
+    if (appliedIndex != lastAppliedIndex) {
+      stallTimeoutMillis = STALL_TIMEOUT_MILLIS;
     }
-    if (!led || taken != lastTaken) {
-      lastTaken = taken;
-      movedNanos = nowNanos;
+    if (!following || appliedIndex != lastAppliedIndex) {
+      lastAppliedIndex = appliedIndex;
+      advancedNanos = nowNanos;
     }
-    boolean still = nowNanos - movedNanos > MILLISECONDS.toNanos(stillMillis);
-    if ((ended || looksWrong >= LOOKS_WRONG || still) && opening.compareAndSet(false, true)) {
-      // Where nobody settles anything it would be in vain each time.
-      stillMillis = still ? Math.min(MOST_STILL_MILLIS, 2 * stillMillis) : STILL_MILLIS;
-      looksWrong = 0;
-      movedNanos = nowNanos;
-      String why =
-          ended ? "told to end" : still ? "nothing came for long" : "those that vote were changed";
-      apart("agreement-open", () -> openAnew(why));
+    boolean stalled = nowNanos - advancedNanos > MILLISECONDS.toNanos(stallTimeoutMillis);
+    if ((closedByLibrary || wrongRoleChecks >= WRONG_ROLE_CHECKS || stalled)
+        && reopening.compareAndSet(false, true)) {
+      // Back off: if no entries are submitted at all, reopening never helps.
+      stallTimeoutMillis =
+          stalled
+              ? Math.min(MAX_STALL_TIMEOUT_MILLIS, 2 * stallTimeoutMillis)
+              : STALL_TIMEOUT_MILLIS;
+      wrongRoleChecks = 0;
+      advancedNanos = nowNanos;
+      String reason =
+          closedByLibrary
+              ? "closed by the library"
+              : stalled ? "no entry received for too long" : "voters were changed";
+      runInThread("agreement-open", () -> reopen(reason));
     }
   }
 
-  private synchronized void openAnew(String why) {
+  private synchronized void reopen(String reason) {
     try {
       if (closed || !failure().isEmpty()) {
         return;
       }
-      if (!closes(server)) {
-        String open = "the log could not be closed to be opened anew";
-        machine.stop(open, new TimeoutException("not within " + CLOSE_SECONDS + " s"));
+      if (!closeWithinTimeout(server)) {
+        String message = "the log could not be closed to reopen it";
+        stateMachine.fail(
+            message, new TimeoutException("not within " + CLOSE_TIMEOUT_SECONDS + " s"));
         return;
       }
-      machine = machine.successor();
-      server = open();
+      stateMachine = stateMachine.successor();
+      server = newServer();
       server.start();
-      Log.info("agreement", "opened anew: " + why);
+      Log.info("agreement", "reopened: " + reason);
     } catch (IOException | RuntimeException e) {
-      machine.stop("the log could not be opened anew: " + e.getMessage(), e);
+      stateMachine.fail("the log could not be reopened: " + e.getMessage(), e);
     } finally {
-      opening.set(false);
+      reopening.set(false);
     }
   }
 
-  private boolean closes(RaftServer ending) throws IOException {
+  private boolean closeWithinTimeout(RaftServer closing) throws IOException {
     CompletableFuture<Void> closed = new CompletableFuture<>();
-    apart(
+    runInThread(
         "agreement-close",
         () -> {
           try {
-            ending.close();
+            closing.close();
             closed.complete(null);
           } catch (IOException | RuntimeException e) {
             closed.completeExceptionally(e);
           }
         });
     try {
-      closed.get(CLOSE_SECONDS, SECONDS);
+      closed.get(CLOSE_TIMEOUT_SECONDS, SECONDS);
       return true;
     } catch (TimeoutException e) {
       return false;
@@ -451,18 +480,18 @@
       throw new IOException(e.getCause());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("ending", e);
+      throw new IOException("interrupted while waiting", e);
     }
   }
 
-  private static void await(String before, Supplier<String> obstacle) throws IOException {
-    for (long waited = 0; ; waited += BETWEEN_TRIES_MILLIS) {
-      String why = obstacle.get();
-      if (why.isEmpty()) {
+  private static void awaitNoObstacle(String prefix, Supplier<String> obstacle) throws IOException {
+    for (long waitedMillis = 0; ; waitedMillis += RETRY_DELAY_MILLIS) {
+      String reason = obstacle.get();
+      if (reason.isEmpty()) {
         return;
       }
-      if (waited >= VOTE_MILLIS) {
-        throw new IOException(before + why);
+      if (waitedMillis >= VOTER_WAIT_MILLIS) {
+        throw new IOException(prefix + reason);
       }
       pause();
     }
@@ -470,19 +499,19 @@
 
   private static void pause() throws IOException {
     try {
-      Thread.sleep(BETWEEN_TRIES_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("ending", e);
+      throw new IOException("interrupted while waiting", e);
     }
   }
 
-  /** Has another of those that vote lead; its name. */
+  /** Transfers leadership to another voter; completes with its name. */
   public CompletableFuture<String> transferLeadership() {
-    return on(
-        own,
+    return runOn(
+        prioritySubmitters,
         () -> {
-          IOException last = new IOException("nobody else votes");
+          IOException lastFailure = new IOException("there is no other voter");
           for (String name : voters()) {
             if (!name.equals(self)) {
               try {
@@ -493,13 +522,15 @@
                 if (reply.isSuccess()) {
                   return name;
                 }
-                last = new IOException(name + " does not take it: " + reply.getException());
+                lastFailure =
+                    new IOException(
+                        name + " does not take over leadership: " + reply.getException());
               } catch (IOException e) {
-                last = e;
+                lastFailure = e;
               }
             }
           }
-          throw last;
+          throw lastFailure;
         });
   }
 
@@ -509,52 +540,53 @@
 
   /** Why this instance's log has stopped for good, or empty. */
   public String failure() {
-    return machine.failure();
+    return stateMachine.failure();
   }
 
   /**
-   * Of one whose log has stopped the others hear nothing any more: half there, it would be sent
-   * everything again and again. It still asks whoever leads, to say that it has ended.
+   * Closes the Raft server after its log has failed: if it went on answering peers, the leader
+   * would send it the same entries again and again. The clients stay open, so that this instance
+   * can still submit that its session has ended.
    */
-  private void leaveOff() {
-    apart(
+  private void closeFailedServer() {
+    runInThread(
         "agreement-end",
         () -> {
           try {
             server.close();
           } catch (IOException e) {
-            Log.warn("agreement", "end: " + e);
+            Log.warn("agreement", "closing failed: " + e);
           }
         });
   }
 
-  private static void apart(String name, Runnable task) {
+  private static void runInThread(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Who leads as far as this instance knows, or an empty text. */
+  /** The name of the leader as far as this instance knows, or empty. */
   public String leader() {
     try {
-      RaftPeerId leader = server.getDivision(GROUP).getInfo().getLeaderId();
+      RaftPeerId leader = server.getDivision(GROUP_ID).getInfo().getLeaderId();
       return leader == null ? "" : leader.toString();
     } catch (IOException e) {
       return "";
     }
   }
 
-  /** Ends this instance's part. */
+  /** Stops submitting entries and closes the Raft server. */
   @Override
   public synchronized void close() {
     closed = true;
     submitters.shutdownNow();
-    own.shutdownNow();
+    prioritySubmitters.shutdownNow();
     for (AutoCloseable each : List.of(clients, server)) {
       try {
         each.close();
       } catch (Exception e) {
-        Log.warn("agreement", "end: " + e);
+        Log.warn("agreement", "closing failed: " + e);
       }
     }
   }
--- a/src/test/java/heathswitch/proxy/consensus/LogClientsTest.java
+++ b/src/test/java/heathswitch/proxy/consensus/LogClientsTest.java
@@ -13,14 +13,14 @@
 import org.apache.ratis.client.RaftClient;
 import org.junit.jupiter.api.Test;
 
-/** No client of the log is used by two threads at once, and none is left open. */
+/** {@link LogClients} gives no client to two threads at once and leaves none open. */
 class LogClientsTest {
-  private final AtomicInteger made = new AtomicInteger();
+  private final AtomicInteger created = new AtomicInteger();
   private final AtomicInteger closed = new AtomicInteger();
-  private final LogClients clients = new LogClients(this::client);
+  private final LogClients clients = new LogClients(this::newClient);
 
-  private RaftClient client() {
-    made.incrementAndGet();
+  private RaftClient newClient() {
+    created.incrementAndGet();
     return (RaftClient)
         Proxy.newProxyInstance(
             LogClientsTest.class.getClassLoader(),
@@ -35,9 +35,9 @@
   }
 
   @Test
-  void callsAtTheSameTimeHaveClientsOfTheirOwn() throws Exception {
+  void concurrentCallsUseSeparateClients() throws Exception {
     CompletableFuture<RaftClient> first = new CompletableFuture<>();
-    CompletableFuture<Void> end = new CompletableFuture<>();
+    CompletableFuture<Void> finish = new CompletableFuture<>();
     CompletableFuture<Void> running =
         CompletableFuture.runAsync(
             () -> {
@@ -45,22 +45,22 @@
                 clients.call(
                     client -> {
                       first.complete(client);
-                      return end.join();
+                      return finish.join();
                     });
               } catch (IOException e) {
                 first.completeExceptionally(e);
               }
             });
-    RaftClient held = first.get(10, TimeUnit.SECONDS);
+    RaftClient inUse = first.get(10, TimeUnit.SECONDS);
     RaftClient other = clients.call(client -> client);
-    assertNotSame(held, other);
-    end.complete(null);
+    assertNotSame(inUse, other);
+    finish.complete(null);
     running.get(10, TimeUnit.SECONDS);
-    assertEquals(2, made.get());
+    assertEquals(2, created.get());
   }
 
   @Test
-  void callsOneAfterAnotherShareOne() throws Exception {
+  void consecutiveCallsShareOneClient() throws Exception {
     RaftClient first = clients.call(client -> client);
     assertThrows(
         IOException.class,
@@ -70,14 +70,14 @@
                   throw new IOException("refused");
                 }));
     assertSame(first, clients.call(client -> client));
-    assertEquals(1, made.get());
+    assertEquals(1, created.get());
   }
 
   @Test
-  void closingClosesAllAndTakesNoMoreCalls() throws Exception {
+  void closeClosesAllClientsAndRejectsFurtherCalls() throws Exception {
     clients.call(outer -> clients.call(inner -> inner));
     clients.close();
-    assertEquals(2, made.get());
+    assertEquals(2, created.get());
     assertEquals(2, closed.get());
     assertThrows(IOException.class, () -> clients.call(client -> client));
   }
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -434,7 +434,8 @@
       List<Node> rest = fleet.nodes().subList(0, 3);
       fleet.split(rest, List.of(apart), true);
       Await.until(
-          "the log is reopened", () -> hasLogged(apart, "opened anew: nothing came for long"));
+          "the log is reopened",
+          () -> hasLogged(apart, "reopened: no entry received for too long"));
       assertEquals("out", phase(apart, order), "its applied state is kept");
       fleet.split(rest, List.of(apart), false);
       long next = ask(rest.get(0), "front-2");
