--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -13,7 +13,7 @@
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.runtime.Log;
 import heathswitch.proxy.runtime.SignalFileReader;
-import heathswitch.proxy.subsetting.Subsetting;
+import heathswitch.proxy.subsetting.SubsetService;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -39,11 +39,11 @@
   private SiteGateway gateway;
   private MaintenanceService work;
   private GossipService peers;
-  private Subsetting subsets;
+  private SubsetService subsets;
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
-      throws MembersWatcher.CannotStart,
+      throws MembersWatcher.StartException,
           SiteGateway.CannotStart,
           MaintenanceService.StartException,
           GossipService.StartException {
@@ -51,7 +51,7 @@
     this.config = config;
     members = MembersWatcher.open(config.members());
     long watch = config.admin() == null ? WATCH_NANOS : config.admin().watchNanos();
-    node = new Node(config.node(), members::on, watch);
+    node = new Node(config.node(), members::bindTo, watch);
     if (config.grpc() != null) {
       NodeSettings settings = config.node();
       grpc =
@@ -79,7 +79,7 @@
     }
     if (config.subset() != null) { // Over what work orders say: what is held is in no plan.
       subsets =
-          new Subsetting(
+          new SubsetService(
               node, peers, config.subset(), config.peers().instance(), config.node().seed());
     }
   }
