--- a/src/main/java/heathswitch/proxy/cli/AdminClient.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminClient.java
@@ -9,11 +9,11 @@
 import java.net.URL;
 import java.util.Map;
 
-/** Asks the admin listener of a running balancer. */
+/** An HTTP client of the admin listener of a running balancer. */
 final class AdminClient {
-  private static final int MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
-  /** An answer of the listener. */
+  /** An answer of the listener; the body is its JSON object. */
   record Answer(int status, Map<String, Object> body) {}
 
   private final InetSocketAddress address;
@@ -34,8 +34,8 @@
     String host = address.getAddress().getHostAddress();
     URL url = new URL("http", host, address.getPort(), "/" + path);
     HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-    connection.setConnectTimeout(MILLIS);
-    connection.setReadTimeout(MILLIS);
+    connection.setConnectTimeout(TIMEOUT_MILLIS);
+    connection.setReadTimeout(TIMEOUT_MILLIS);
     connection.setRequestMethod(method);
     if (method.equals("POST")) {
       connection.setRequestProperty(AdminServer.INTENT, "command line");
--- a/src/main/java/heathswitch/proxy/cli/AdminRequests.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminRequests.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Model.CommandSpec;
 
-/** What every command does that asks a running balancer. */
+/** Helpers for the commands that send a request to the admin listener of a running balancer. */
 final class AdminRequests {
   /** One request to the admin listener. */
   interface Request {
@@ -18,37 +18,38 @@
 
   private AdminRequests() {}
 
-  /** The configuration, or null with its faults told. */
+  /** Reads the configuration; prints its faults and returns null if it is unusable. */
   static StandaloneConfig readConfig(CommandSpec spec, Path file) {
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     result.faults().forEach(fault -> spec.commandLine().getErr().println(fault));
     return result.config();
   }
 
-  /** As it stands in a path or behind a request mark. */
+  /** Encodes text for a path segment or a query parameter. */
   static String urlEncode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8);
   }
 
-  /** Asks, and shows the answer; the exit code. */
+  /** Sends the request and prints the answer; returns the exit code. */
   static int sendAndPrint(CommandSpec spec, Path config, Request request) {
-    StandaloneConfig read = readConfig(spec, config);
-    if (read == null) {
+    StandaloneConfig parsed = readConfig(spec, config);
+    if (parsed == null) {
       return 1;
     }
     PrintWriter out = spec.commandLine().getOut();
     PrintWriter err = spec.commandLine().getErr();
-    if (read.admin() == null) {
-      err.println(config + ": the table [admin] is missing, so no balancer can be asked");
+    if (parsed.admin() == null) {
+      err.println(
+          config + ": the table [admin] is missing, so requests cannot be sent to the balancer");
       return 1;
     }
     try {
-      AdminClient.Answer answer = request.sendTo(new AdminClient(read.admin().listen()));
+      AdminClient.Answer answer = request.sendTo(new AdminClient(parsed.admin().listen()));
       JSON pretty = JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT);
       (answer.status() == 200 ? out : err).println(pretty.asString(answer.body()));
       return answer.status() == 200 ? 0 : 1;
     } catch (IOException e) {
-      err.println(read.admin().listen() + " does not answer: " + e.getMessage());
+      err.println(parsed.admin().listen() + " does not answer: " + e.getMessage());
       return 1;
     }
   }
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -24,10 +24,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line of installations with a configuration of their own. */
+/**
+ * The top-level command of standalone installations, which are configured by a TOML file: {@code
+ * serve}, {@code check} and the groups of subcommands.
+ */
 @Command(
     name = "heathswitch",
-    description = "A load balancer that decides by a delay window for each server.",
+    description = "A load balancer that picks servers by a delay window for each of them.",
     mixinStandardHelpOptions = true,
     subcommands = {
       MembersCommand.class,
@@ -37,14 +40,14 @@
       SubsetCommand.class
     })
 public final class Commands {
-  /** What a command returns when the process goes on running. */
+  /** Exit code of a command after which the process keeps running. */
   static final int RUNNING = -1;
 
   @Spec private CommandSpec spec;
 
   private Commands() {}
 
-  /** Carries out a command line; the exit code, or -1 where the process is to go on. */
+  /** Executes a command line; returns the exit code, or -1 if the process is to keep running. */
   public static int run(String... args) {
     return new CommandLine(new Commands()).execute(args);
   }
@@ -78,11 +81,11 @@
       err().println(file + ": " + e.getMessage());
       return 1;
     }
-    Signals.onHangUp(balancer::reload); // Before it can be seen as ready.
+    Signals.onHangUp(balancer::reload); // Before the balancer can report readiness.
     balancer.node().shutdown().installHook();
     try {
       balancer.start();
-    } catch (Exception e) { // Netty throws the cause of a failed bind undeclared.
+    } catch (Exception e) { // Netty throws the cause of a failed bind without declaring it.
       err().println(file + ": cannot listen: " + e.getMessage());
       balancer.node().shutdown().removeHook();
       balancer.stop();
@@ -93,7 +96,9 @@
     return RUNNING;
   }
 
-  @Command(name = "check", description = "Reads all that a start would read and names every fault.")
+  @Command(
+      name = "check",
+      description = "Validates all files that serve would read and prints every fault.")
   int check(@Parameters(paramLabel = "FILE", description = "TOML file") Path file) {
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     result.faults().forEach(fault -> out().println(fault));
@@ -108,14 +113,14 @@
     }
     report.lines().forEach(out()::println);
     GatewayTable gateway = result.config().gateway();
-    String unusable = gateway == null ? null : SiteGateway.fault(gateway);
-    if (unusable != null) {
-      out().println(unusable);
+    String gatewayFault = gateway == null ? null : SiteGateway.fault(gateway);
+    if (gatewayFault != null) {
+      out().println(gatewayFault);
     }
     PeersTable peers = result.config().peers();
-    String unread = peers == null ? null : GossipService.keyFileError(peers);
-    if (unread != null) {
-      out().println(unread);
+    String peersFault = peers == null ? null : GossipService.keyFileError(peers);
+    if (peersFault != null) {
+      out().println(peersFault);
     }
     MaintenanceConfigCheck.Found floors =
         result.config().work() == null || !report.faults().isEmpty()
@@ -124,7 +129,10 @@
     floors.faults().forEach(out()::println);
     floors.notes().forEach(out()::println);
     boolean good =
-        report.acceptable() && unusable == null && unread == null && floors.faults().isEmpty();
+        report.acceptable()
+            && gatewayFault == null
+            && peersFault == null
+            && floors.faults().isEmpty();
     if (good) {
       out().println(file + ": ok");
     }
--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -15,13 +15,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Lists of servers: judged, asked about, confirmed. */
+/** The commands that check, seal, show and confirm lists of servers. */
 @Command(
     name = "members",
-    description = "Lists of servers: judged, asked about, confirmed.",
+    description = "Checks, seals, shows and confirms lists of servers.",
     mixinStandardHelpOptions = true)
 final class MembersCommand {
-  private static final int MOST_SEALED_BYTES = 64 << 20;
+  private static final int MAX_FILE_BYTES = 64 << 20;
 
   @Spec private CommandSpec spec;
 
@@ -35,16 +35,17 @@
 
   @Command(
       name = "check",
-      description = "Says what a running balancer would say to these files in place of its own.")
+      description =
+          "Checks files as a running balancer would if they replaced its configured ones.")
   int check(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
-    StandaloneConfig read = AdminRequests.readConfig(spec, config);
-    if (read == null) {
+    StandaloneConfig parsed = AdminRequests.readConfig(spec, config);
+    if (parsed == null) {
       return 1;
     }
     MembersCheck.Report report =
-        MembersCheck.check(read.members(), files, System.currentTimeMillis());
+        MembersCheck.check(parsed.members(), files, System.currentTimeMillis());
     report.faults().forEach(out()::println);
     report.lines().forEach(out()::println);
     return report.acceptable() ? 0 : 1;
@@ -52,10 +53,10 @@
 
   @Command(
       name = "seal",
-      description = "Writes a file's last line: how many servers it has, and a digest.")
+      description = "Writes the closing line of a file: its number of servers and a digest.")
   int seal(@Parameters(paramLabel = "FILE") Path file) {
     try {
-      String text = BoundedFile.text(BoundedFile.read(file, MOST_SEALED_BYTES));
+      String text = BoundedFile.text(BoundedFile.read(file, MAX_FILE_BYTES));
       AtomicFile.write(file.toRealPath(), MembersCheck.seal(text).getBytes(StandardCharsets.UTF_8));
       return 0;
     } catch (IOException e) {
@@ -69,7 +70,7 @@
     return ask(config, admin -> admin.get("members"));
   }
 
-  @Command(name = "confirm", description = "Has a list taken that was held back.")
+  @Command(name = "confirm", description = "Accepts a list that is held back for confirmation.")
   int confirm(
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config,
       @Parameters(paramLabel = "VERSION") long version) {
--- a/src/main/java/heathswitch/proxy/cli/PeersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/PeersCommand.java
@@ -9,32 +9,35 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Who is there among the balancers. */
+/** The commands that show and manage the membership of the balancers. */
 @Command(
     name = "peers",
-    description = "Who is there among the balancers.",
+    description = "Shows and manages the membership of the balancers.",
     mixinStandardHelpOptions = true)
 final class PeersCommand {
   private static final int SECRET_BYTES = 32;
 
   @Spec private CommandSpec spec;
 
-  @Command(name = "list", description = "Shows who is there, as a running balancer sees it.")
+  @Command(
+      name = "list",
+      description = "Shows the state of all balancers, as seen by a running one.")
   int list(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
     return AdminRequests.sendAndPrint(spec, config, admin -> admin.get("peers"));
   }
 
   @Command(
       name = "leave",
-      description = "Has the others count a balancer as gone; it goes on serving by itself.")
+      description =
+          "Announces to the other balancers that one leaves; it keeps serving on its own.")
   int leave(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
     return AdminRequests.sendAndPrint(spec, config, admin -> admin.post("peers/leave"));
   }
 
-  @Command(name = "key", description = "Prints a line for the file of keys, with a new secret.")
+  @Command(name = "key", description = "Prints a line for the key file, with a new secret.")
   int key(@Parameters(paramLabel = "ID") String id) {
     if (!id.matches("[A-Za-z0-9_.-]{1,16}")) {
-      spec.commandLine().getErr().println("1 to 16 of A-Z a-z 0-9 . _ - expected");
+      spec.commandLine().getErr().println("the ID must be 1 to 16 characters of A-Z a-z 0-9 . _ -");
       return 1;
     }
     byte[] secret = new byte[SECRET_BYTES];
--- a/src/main/java/heathswitch/proxy/cli/SubsetCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/SubsetCommand.java
@@ -7,20 +7,24 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Which servers a balancer uses, one among many. */
+/** The commands that show which subset of the servers a balancer uses. */
 @Command(
     name = "subset",
-    description = "Which servers a balancer uses, one among many.",
+    description = "Shows which subset of the servers a balancer uses.",
     mixinStandardHelpOptions = true)
 final class SubsetCommand {
   @Spec private CommandSpec spec;
 
-  @Command(name = "show", description = "Shows what a running balancer uses, and its plan.")
+  @Command(
+      name = "show",
+      description = "Shows the servers that a running balancer uses, and its plan.")
   int show(@Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
     return AdminRequests.sendAndPrint(spec, config, admin -> admin.get("subset"));
   }
 
-  @Command(name = "explain", description = "Shows who uses a server, and for how many calls.")
+  @Command(
+      name = "explain",
+      description = "Shows which balancers use a server, and for how many calls.")
   int explain(
       @Parameters(paramLabel = "SERVER") String server,
       @Option(names = "--config", required = true, paramLabel = "CONFIG") Path config) {
--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -16,18 +16,18 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** Machines taken out for work: asked for, watched, given back. */
+/** The commands that request, follow and finish maintenance orders, and manage voters. */
 @Command(
     name = "work",
     description = {
-      "Machines taken out for work: asked for, watched, given back.",
-      "Exit codes: 0 done, 1 cannot be asked, 3 refused, 4 will not go out any more."
+      "Takes machines out for maintenance: requests, follows and finishes orders.",
+      "Exit codes: 0 done, 1 no usable answer, 3 refused, 4 will not go out any more."
     },
     mixinStandardHelpOptions = true)
 final class WorkCommand {
   static final int REFUSED = 3;
-  static final int NEVER = 4;
-  private static final long LOOK_MILLIS = 100;
+  static final int WILL_NOT_GO_OUT = 4;
+  private static final long POLL_MILLIS = 100;
 
   @Spec private CommandSpec spec;
 
@@ -36,13 +36,14 @@
       required = true,
       paramLabel = "CONFIG",
       scope = ScopeType.INHERIT,
-      description = "The configuration of the balancer to ask; any instance will do.")
+      description =
+          "Configuration of the balancer that receives the request; any instance will do.")
   private Path config;
 
   @Option(
       names = "--json",
       scope = ScopeType.INHERIT,
-      description = "Answers as the admin listener gives them.")
+      description = "Prints the JSON answers of the admin listener.")
   private boolean json;
 
   private PrintWriter out() {
@@ -55,24 +56,26 @@
 
   @Command(
       name = "init",
-      description = "Makes the folder of one that votes: once, for a new installation.")
+      description = "Creates the folder of a voter: once, for a new installation.")
   int init() {
-    StandaloneConfig read = AdminRequests.readConfig(spec, config);
-    if (read == null || read.work() == null) {
+    StandaloneConfig parsed = AdminRequests.readConfig(spec, config);
+    if (parsed == null || parsed.work() == null) {
       err().println(config + ": no usable table [work]");
       return 1;
     }
     try {
-      boolean made = VoterFolder.create(read.work());
-      out().println(read.work().folder() + (made ? " is made" : " is there already"));
+      boolean created = VoterFolder.create(parsed.work());
+      out().println(parsed.work().folder() + (created ? " created" : " exists already"));
       return 0;
     } catch (IOException e) {
-      err().println(read.work().folder() + ": " + e.getMessage());
+      err().println(parsed.work().folder() + ": " + e.getMessage());
       return 1;
     }
   }
 
-  @Command(name = "request", description = "Asks for machines; the same request twice is one.")
+  @Command(
+      name = "request",
+      description = "Requests machines; repeating the same request makes no second order.")
   int request(
       @Option(names = "--machine", paramLabel = "ID") List<String> machines,
       @Option(names = "--balancer", paramLabel = "INSTANCE") List<String> balancers,
@@ -90,17 +93,19 @@
       @Option(names = "--urgent") boolean urgent,
       @Option(names = "--why", required = true) String why,
       @Option(names = "--who", defaultValue = "${sys:user.name}") String who,
-      @Option(names = "--key", defaultValue = "", description = "names this request") String key,
+      @Option(names = "--key", defaultValue = "", description = "identifies this request")
+          String key,
       @Option(names = "--wait", description = "Returns when the machines are out.") boolean wait)
       throws InterruptedException {
     List<String> ids = machines == null ? List.of() : machines;
     List<String> instances = balancers == null ? List.of() : balancers;
-    String named =
+    String requestKey =
         key.isEmpty()
             ? String.join(
                 "|", who, why, kind, zone, cell, String.join(",", ids), String.join(",", instances))
             : key;
-    StringBuilder path = new StringBuilder("work/ask?key=").append(AdminRequests.urlEncode(named));
+    StringBuilder path =
+        new StringBuilder("work/ask?key=").append(AdminRequests.urlEncode(requestKey));
     instances.forEach(each -> path.append("&balancer=").append(AdminRequests.urlEncode(each)));
     ids.forEach(id -> path.append("&machine=").append(AdminRequests.urlEncode(id)));
     path.append("&kind=").append(AdminRequests.urlEncode(kind));
@@ -114,9 +119,9 @@
     path.append("&after=").append(after);
     path.append("&not_before_ms=").append(notBefore.toMillis());
     path.append("&not_after_ms=").append(notAfter.toMillis());
-    AdminClient.Answer answer = answer(admin -> admin.post(path.toString()));
+    AdminClient.Answer answer = send(admin -> admin.post(path.toString()));
     if (answer == null || answer.status() != 200) {
-      return told(answer);
+      return printResult(answer);
     }
     long order = ((Number) answer.body().get("order")).longValue();
     out().println(json ? text(answer) : "order " + order + " " + answer.body().get("message"));
@@ -124,32 +129,33 @@
     return wait ? waitFor(order) : 0;
   }
 
-  /** Until as many machines are out as may be at once, or no more will go. */
+  /** Waits until as many machines are out as may be out at once, or no more will go out. */
   private int waitFor(long order) throws InterruptedException {
-    boolean silent = false;
+    boolean unreachable = false;
     while (true) {
-      AdminClient.Answer answer = silent ? quiet(order) : answer(at -> at.get("work/" + order));
-      silent = answer == null; // Said once.
+      AdminClient.Answer answer =
+          unreachable ? orderPageOrNull(order) : send(admin -> admin.get("work/" + order));
+      unreachable = answer == null; // The error is printed only once.
       if (answer != null && answer.status() == 200) {
         Map<?, ?> phases = (Map<?, ?>) answer.body().get("phases");
         long out = count(phases, "out");
-        long coming = count(phases, "waiting") + count(phases, "emptying");
+        long pending = count(phases, "waiting") + count(phases, "emptying");
         long atOnce = ((Number) answer.body().get("at_once")).longValue();
-        if (out > 0 && (out >= atOnce || coming == 0)) {
+        if (out > 0 && (out >= atOnce || pending == 0)) {
           out().println(json ? text(answer) : "order " + order + " is out");
           return 0;
         }
-        if (out + coming == 0) {
+        if (out + pending == 0) {
           err().println("order " + order + " will not go out any more");
-          return NEVER;
+          return WILL_NOT_GO_OUT;
         }
       }
-      Thread.sleep(LOOK_MILLIS); // A balancer that restarts answers again.
+      Thread.sleep(POLL_MILLIS); // A balancer that is restarting will answer again.
     }
   }
 
-  /** An order's page, or null without a word. */
-  private AdminClient.Answer quiet(long order) {
+  /** An order's page, or null without an error message. */
+  private AdminClient.Answer orderPageOrNull(long order) {
     try {
       return new AdminClient(StandaloneConfig.read(config).config().admin().listen())
           .get("work/" + order);
@@ -164,20 +170,22 @@
 
   @Command(name = "list", description = "Shows all orders and instances.")
   int list() {
-    AdminClient.Answer answer = answer(admin -> admin.get("work"));
+    AdminClient.Answer answer = send(admin -> admin.get("work"));
     if (json || answer == null || answer.status() != 200) {
-      return told(answer);
+      return printResult(answer);
     }
     Map<String, Object> page = answer.body();
-    out().println("entry " + page.get("entry") + ", " + page.get("leader") + " leads");
+    out().println("entry " + page.get("entry") + ", leader " + page.get("leader"));
     String trouble = String.valueOf(page.getOrDefault("trouble", ""));
     if (!trouble.isEmpty()) {
-      out().println("here: " + trouble);
+      out().println("not following the log: " + trouble);
     }
     for (Object each : (List<?>) page.get("instances")) {
       Map<?, ?> row = (Map<?, ?>) each;
       String fenced = Boolean.TRUE.equals(row.get("fenced")) ? "  fenced" : "";
-      out().printf("%-16s heard %s ms ago%s%n", row.get("name"), row.get("heard_ms_ago"), fenced);
+      out()
+          .printf(
+              "%-16s last heard %s ms ago%s%n", row.get("name"), row.get("heard_ms_ago"), fenced);
     }
     for (Object each : (List<?>) page.get("orders")) {
       Map<?, ?> row = (Map<?, ?>) each;
@@ -198,17 +206,17 @@
   @Command(
       name = "show",
       aliases = "explain",
-      description = "Shows where each machine of an order stands, and what it waits for.")
+      description = "Shows the phase of each machine of an order, and what it waits for.")
   int show(@Parameters(paramLabel = "ORDER") long order) {
-    AdminClient.Answer answer = answer(admin -> admin.get("work/" + order));
+    AdminClient.Answer answer = send(admin -> admin.get("work/" + order));
     if (json || answer == null || answer.status() != 200) {
-      return told(answer);
+      return printResult(answer);
     }
-    show(answer.body());
+    printOrder(answer.body());
     return 0;
   }
 
-  private void show(Map<String, Object> page) {
+  private void printOrder(Map<String, Object> page) {
     out().println("order " + page.get("order") + " of " + page.get("who") + ": " + page.get("why"));
     for (Object each : (List<?>) page.get("standings")) {
       Map<?, ?> row = (Map<?, ?>) each;
@@ -220,68 +228,77 @@
     out().flush();
   }
 
-  @Command(name = "watch", description = "Shows an order each time that it has moved on.")
+  @Command(
+      name = "watch",
+      description = "Shows an order each time the phase of one of its machines changes.")
   int watch(@Parameters(paramLabel = "ORDER") long order) throws InterruptedException {
-    Object before = null;
+    Object previous = null;
     while (true) {
-      AdminClient.Answer answer = answer(admin -> admin.get("work/" + order));
+      AdminClient.Answer answer = send(admin -> admin.get("work/" + order));
       if (answer == null || answer.status() != 200) {
-        return told(answer);
+        return printResult(answer);
       }
       Map<?, ?> phases = (Map<?, ?>) answer.body().get("phases");
-      if (!phases.equals(before)) {
-        before = phases;
+      if (!phases.equals(previous)) {
+        previous = phases;
         if (json) {
           out().println(text(answer));
           out().flush();
         } else {
-          show(answer.body());
+          printOrder(answer.body());
         }
       }
       long ended = count(phases, "done") + count(phases, "abandoned");
       if (ended == ((Number) answer.body().get("machines")).longValue()) {
         return 0;
       }
-      Thread.sleep(LOOK_MILLIS);
+      Thread.sleep(POLL_MILLIS);
     }
   }
 
-  @Command(name = "done", description = "Puts machines back: all that are out, or one.")
+  @Command(
+      name = "done",
+      description = "Ends the work and returns machines to service: all that are out, or one.")
   int done(
       @Parameters(paramLabel = "ORDER") long order,
       @Parameters(paramLabel = "MACHINE", arity = "0..1") String machine) {
-    String one = machine == null ? "" : "/" + AdminRequests.urlEncode(machine);
-    return told(answer(admin -> admin.post("work/done/" + order + one)));
+    String machinePath = machine == null ? "" : "/" + AdminRequests.urlEncode(machine);
+    return printResult(send(admin -> admin.post("work/done/" + order + machinePath)));
   }
 
-  @Command(name = "extend", description = "The work takes longer.")
+  @Command(name = "extend", description = "Extends the time for which the machines are out.")
   int extend(
       @Parameters(paramLabel = "ORDER") long order,
       @Parameters(paramLabel = "TIME", description = "ISO 8601, such as PT30M") Duration by) {
-    return told(answer(admin -> admin.post("work/extend/" + order + '/' + by.toMillis())));
+    return printResult(send(admin -> admin.post("work/extend/" + order + '/' + by.toMillis())));
   }
 
-  @Command(name = "cancel", description = "What is not out yet will not go.")
+  @Command(
+      name = "cancel",
+      description = "Cancels an order: machines that are not out yet will not go out.")
   int cancel(@Parameters(paramLabel = "ORDER") long order) {
-    return told(answer(admin -> admin.post("work/cancel/" + order)));
+    return printResult(send(admin -> admin.post("work/cancel/" + order)));
   }
 
-  @Command(name = "vote", description = "Has an instance vote, or with --no longer; one at a time.")
+  @Command(
+      name = "vote",
+      description = "Makes an instance a voter, or with --no a listener; one at a time.")
   int vote(
       @Parameters(paramLabel = "INSTANCE") String instance,
-      @Option(names = "--no", description = "It votes no longer.") boolean no) {
+      @Option(names = "--no", description = "Removes the instance from the voters.") boolean no) {
     String path = (no ? "work/unvote/" : "work/vote/") + AdminRequests.urlEncode(instance);
-    return told(answer(admin -> admin.post(path)));
+    return printResult(send(admin -> admin.post(path)));
   }
 
   @Command(
       name = "fence",
-      description = "Says that an instance does not run: orders no longer wait for it.")
+      description = "States that an instance does not run: orders no longer wait for it.")
   int fence(
       @Parameters(paramLabel = "INSTANCE") String instance,
-      @Option(names = "--forget", description = "It will not come back either.") boolean forget) {
+      @Option(names = "--forget", description = "Also removes the instance: it will not come back.")
+          boolean forget) {
     String path = (forget ? "work/forget/" : "work/fence/") + AdminRequests.urlEncode(instance);
-    return told(answer(admin -> admin.post(path)));
+    return printResult(send(admin -> admin.post(path)));
   }
 
   private static String text(AdminClient.Answer answer) {
@@ -292,25 +309,25 @@
     }
   }
 
-  /** The answer, or null with the reason told. */
-  private AdminClient.Answer answer(AdminRequests.Request request) {
-    StandaloneConfig read = AdminRequests.readConfig(spec, config);
-    if (read == null) {
+  /** Sends the request; prints the reason and returns null if there is no answer. */
+  private AdminClient.Answer send(AdminRequests.Request request) {
+    StandaloneConfig parsed = AdminRequests.readConfig(spec, config);
+    if (parsed == null) {
       return null;
     }
-    if (read.admin() == null || read.work() == null) {
+    if (parsed.admin() == null || parsed.work() == null) {
       err().println(config + ": the tables [admin] and [work] are both needed");
       return null;
     }
     try {
-      return request.sendTo(new AdminClient(read.admin().listen()));
+      return request.sendTo(new AdminClient(parsed.admin().listen()));
     } catch (IOException e) {
-      err().println(read.admin().listen() + " does not answer: " + e.getMessage());
+      err().println(parsed.admin().listen() + " does not answer: " + e.getMessage());
       return null;
     }
   }
 
-  private int told(AdminClient.Answer answer) {
+  private int printResult(AdminClient.Answer answer) {
     if (answer == null) {
       return 1;
     }
--- a/src/test/java/heathswitch/proxy/cli/CommandsTest.java
+++ b/src/test/java/heathswitch/proxy/cli/CommandsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.parallel.ResourceLock;
 import org.junit.jupiter.api.parallel.Resources;
 
-/** The command line as people use it: what it prints and its exit codes. */
+/** Runs the command line in this process and checks its output and exit codes. */
 @ResourceLock(Resources.SYSTEM_OUT)
 class CommandsTest {
   @TempDir Path folder;
@@ -26,15 +26,15 @@
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    PrintStream both = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-    System.setOut(both);
-    System.setErr(both);
+    PrintStream captured = new PrintStream(bytes, true, StandardCharsets.UTF_8);
+    System.setOut(captured);
+    System.setErr(captured);
     try {
-      String[] words = new String[args.length];
+      String[] arguments = new String[args.length];
       for (int i = 0; i < args.length; i++) {
-        words[i] = args[i].toString();
+        arguments[i] = args[i].toString();
       }
-      int code = Commands.run(words);
+      int code = Commands.run(arguments);
       return new Result(code, bytes.toString(StandardCharsets.UTF_8));
     } finally {
       System.setOut(out);
@@ -54,9 +54,9 @@
         text.replace("../target/example-state", "state").replace(from, to));
   }
 
-  /** A floor that the list leaves no room for would only be met by an order that waits for good. */
+  /** An order would wait for ever if the capacity floor left no room for taking a server out. */
   @Test
-  void floorsThatTheListCannotKeepAreNamed() throws Exception {
+  void checkReportsFloorsThatTheServerListCannotMeet() throws Exception {
     String work =
         """
         [admin]
@@ -87,17 +87,18 @@
     Files.writeString(config, text + work.formatted("0.1"));
     assertEquals(0, run("check", config).code(), run("check", config)::text);
     Files.writeString(config, text + work.formatted("0.6"));
-    Result heavy = run("check", config);
-    assertEquals(0, heavy.code(), heavy.text());
-    assertTrue(heavy.text().contains("front-4 could never go"), heavy.text());
-    assertFalse(heavy.text().contains("rules.lease"), "4 s are enough: " + heavy.text());
-    String brief = work.formatted("0.1") + "[work.rules]\nlease = \"2s\"\n";
-    Files.writeString(config, text + brief);
+    Result partly = run("check", config);
+    assertEquals(0, partly.code(), partly.text());
+    assertTrue(partly.text().contains("front-4 could never go"), partly.text());
+    assertFalse(partly.text().contains("rules.lease"), "4 s are enough: " + partly.text());
+    String shortLease = work.formatted("0.1") + "[work.rules]\nlease = \"2s\"\n";
+    Files.writeString(config, text + shortLease);
     assertTrue(run("check", config).text().contains("work.rules.lease: 2000 ms"), "a short lease");
     Files.writeString(config, text + work.formatted("0.99"));
-    Result none = run("check", config);
-    assertEquals(1, none.code(), none.text());
-    assertTrue(none.text().contains("none of its servers could ever go"), none.text());
+    Result unsatisfiable = run("check", config);
+    assertEquals(1, unsatisfiable.code(), unsatisfiable.text());
+    assertTrue(
+        unsatisfiable.text().contains("none of its servers could ever go"), unsatisfiable.text());
     Files.writeString(config, text + work.formatted("0.1").replace("front", "fornt"));
     Result typo = run("check", config);
     assertEquals(1, typo.code(), typo.text());
@@ -105,7 +106,7 @@
   }
 
   @Test
-  void theExampleIsSound() throws Exception {
+  void checkAcceptsTheExampleConfig() throws Exception {
     Path config = example("", "");
     Result result = run("check", config);
     assertEquals(0, result.code(), result.text());
@@ -114,7 +115,7 @@
   }
 
   @Test
-  void everyFaultIsNamed() throws Exception {
+  void checkReportsEveryFault() throws Exception {
     Path config = example("worth = 1.0\n", "wroth = 1.0\n");
     Files.writeString(
         config,
@@ -133,7 +134,7 @@
   }
 
   @Test
-  void aBadListIsAFaultOfTheStart() throws Exception {
+  void checkAndServeRejectAnInvalidServerList() throws Exception {
     Path config = example("", "");
     Path members = folder.resolve("example-members.txt");
     Files.writeString(members, Files.readString(members).replace("end 4", "end 5"));
@@ -148,7 +149,7 @@
   }
 
   @Test
-  void missingTablesAreNamed() throws Exception {
+  void serveReportsMissingTables() throws Exception {
     Path config = Files.writeString(folder.resolve("c.toml"), "");
     Result result = run("serve", "--config", config);
     assertEquals(1, result.code());
@@ -162,7 +163,7 @@
   }
 
   @Test
-  void aListIsJudgedInPlaceOfTheConfiguredOne() throws Exception {
+  void membersCheckValidatesTheGivenFileInsteadOfTheConfiguredOne() throws Exception {
     Path config = example("", "");
     Path other = folder.resolve("other.txt");
     Files.writeString(other, "x 127.0.0.1:1 a k 0 NaN in_service\nend 1\n");
@@ -176,7 +177,7 @@
   }
 
   @Test
-  void aSealedFileIsSound() throws Exception {
+  void sealedFilePassesMembersCheck() throws Exception {
     Path file = Files.writeString(folder.resolve("m"), "x 127.0.0.1:1 a k 0 1 in_service\n");
     assertEquals(0, run("members", "seal", file).code());
     assertTrue(Files.readString(file).matches("x .*\nend 1 sha256:[0-9a-f]{64}\n"));
@@ -184,7 +185,7 @@
   }
 
   @Test
-  void aBalancerThatCannotBeAskedIsNamed() throws Exception {
+  void statusReportsAnUnreachableBalancer() throws Exception {
     Path config = example("127.0.0.1:9900", "127.0.0.1:1");
     Result result = run("members", "status", "--config", config);
     assertEquals(1, result.code());
@@ -192,7 +193,7 @@
   }
 
   @Test
-  void wrongWordsAreAUsageError() {
+  void invalidArgumentsAreAUsageError() {
     assertEquals(2, run("serv").code());
     assertEquals(2, run("serve").code());
     assertEquals(0, run("--help").code());
