--- a/src/main/java/heathswitch/policy/adapter/SettingsReader.java
+++ b/src/main/java/heathswitch/policy/adapter/SettingsReader.java
@@ -7,11 +7,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the settings object of the wire into {@link Settings}; unknown keys are skipped. */
+/** Reads the settings object of the wire into {@link Settings}; unknown keys are ignored. */
 public final class SettingsReader {
   private SettingsReader() {}
 
-  /** Reads the settings; an {@link IllegalArgumentException} names the field that is wrong. */
+  /**
+   * Reads the settings.
+   *
+   * @throws IllegalArgumentException naming the field that is invalid
+   */
   public static Settings read(Map<String, Object> env) {
     List<RequestClass> classes = new ArrayList<>();
     for (Object item : list(env, "classes")) {
@@ -57,7 +61,7 @@
     return switch (name) {
       case "read_like" -> RequestClass.Effect.SAFE;
       case "idempotency_key" -> RequestClass.Effect.KEYED;
-      // A word that this version does not know must not lead to a second effect.
+      // For a value that this version does not know a request must not run twice.
       default -> RequestClass.Effect.UNSAFE;
     };
   }
@@ -98,7 +102,7 @@
     if (value instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new IllegalArgumentException("invalid setting: " + field + " is no object");
+    throw new IllegalArgumentException("invalid setting: " + field + " is not an object");
   }
 
   private static List<?> list(Map<String, Object> map, String key) {
@@ -109,18 +113,18 @@
     if (value instanceof List<?> list) {
       return list;
     }
-    throw new IllegalArgumentException("invalid setting: " + key + " is no list");
+    throw new IllegalArgumentException("invalid setting: " + key + " is not a list");
   }
 
-  private static String text(Map<String, Object> map, String key, String otherwise) {
-    return map.get(key) instanceof String text ? text : otherwise;
+  private static String text(Map<String, Object> map, String key, String defaultValue) {
+    return map.get(key) instanceof String text ? text : defaultValue;
   }
 
-  private static double number(Map<String, Object> map, String key, double otherwise) {
-    return map.get(key) instanceof Number number ? number.doubleValue() : otherwise;
+  private static double number(Map<String, Object> map, String key, double defaultValue) {
+    return map.get(key) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  private static long whole(Map<String, Object> map, String key, long otherwise) {
-    return map.get(key) instanceof Number number ? number.longValue() : otherwise;
+  private static long whole(Map<String, Object> map, String key, long defaultValue) {
+    return map.get(key) instanceof Number number ? number.longValue() : defaultValue;
   }
 }
--- a/src/main/java/heathswitch/policy/adapter/WireWriter.java
+++ b/src/main/java/heathswitch/policy/adapter/WireWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects a reply as bytes and hands it over in one piece. */
+/** Collects the actions of a reply in a buffer and writes them at once. */
 final class WireWriter {
   private static final byte[] NEXT = ascii("[\"NEXT\"]\n");
 
@@ -18,8 +18,8 @@
     this.out = out;
   }
 
-  /** The opening of an action: its name and its instance, both already quoted. */
-  WireWriter open(byte[] name, byte[] instance) {
+  /** Begins an action with its name and its instance, both already quoted. */
+  WireWriter openAction(byte[] name, byte[] instance) {
     put((byte) '[');
     put(name);
     put((byte) ',');
@@ -41,22 +41,23 @@
     return put(quoted(value));
   }
 
-  void close() {
+  void closeAction() {
     put((byte) ']');
     put((byte) '\n');
   }
 
-  /** The line that closes a reply. */
-  void next() {
+  /** Adds the line that ends a reply. */
+  void endReply() {
     put(NEXT);
   }
 
+  /** The present position, for {@link #truncate}. */
   int mark() {
     return length;
   }
 
-  /** Takes back what was written since the mark. */
-  void reset(int mark) {
+  /** Removes what was written after the mark. */
+  void truncate(int mark) {
     length = mark;
   }
 
@@ -75,14 +76,14 @@
   }
 
   private WireWriter put(byte[] bytes) {
-    ensure(bytes.length);
+    ensureCapacity(bytes.length);
     System.arraycopy(bytes, 0, buffer, length, bytes.length);
     length += bytes.length;
     return this;
   }
 
   private void put(byte value) {
-    ensure(1);
+    ensureCapacity(1);
     buffer[length++] = value;
   }
 
@@ -90,7 +91,7 @@
     if (value < 0) {
       return put(ascii(Long.toString(value)));
     }
-    ensure(20);
+    ensureCapacity(20);
     int end = length + 1;
     for (long rest = value; rest >= 10; rest /= 10) {
       end++;
@@ -104,9 +105,9 @@
     return this;
   }
 
-  private void ensure(int more) {
-    if (length + more > buffer.length) {
-      buffer = Arrays.copyOf(buffer, Math.max(length + more, 2 * buffer.length));
+  private void ensureCapacity(int extra) {
+    if (length + extra > buffer.length) {
+      buffer = Arrays.copyOf(buffer, Math.max(length + extra, 2 * buffer.length));
     }
   }
 }
--- a/src/main/java/heathswitch/policy/core/Server.java
+++ b/src/main/java/heathswitch/policy/core/Server.java
@@ -1,132 +1,155 @@
 package heathswitch.policy.core;
 
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.Part;
 import heathswitch.policy.api.ServerEntry;
+import heathswitch.policy.api.SubsetRole;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What one balancer knows of one server. */
+/** The state that one balancer keeps about one server. */
 final class Server {
-  /** First rest after a cut for cause; doubled with each further one. */
-  static final long REST_NANOS = 500_000_000L;
+  /** Mean duration of the first ejection; doubled with each further one. */
+  static final long EJECTION_NANOS = 500_000_000L;
 
-  static final int MOST_DOUBLINGS = 4;
+  /** The duration of an ejection is doubled at most this often. */
+  static final int MAX_DOUBLINGS = 4;
 
-  /** Weight of one result in the server's share of errors. */
-  static final double ERROR_WEIGHT = 0.2;
+  /** Weight of one result in the server's error rate. */
+  static final double ERROR_SAMPLE_WEIGHT = 0.2;
 
   final long id;
   String zone;
   long cell;
+
+  /** Whether it is in the balancer's zone or subset. */
   boolean near;
-  Part part = Part.ANY;
+
+  SubsetRole role = SubsetRole.ANY;
   Health health = Health.GONE;
 
-  /** As discovery tells it, by its own clock; 0 for long ago. */
+  /** Start time that discovery reports, by discovery's clock; 0 for long ago. */
   long startedNanos;
 
-  /** Since when it is cold, by this balancer's clock. */
+  /** Estimated start time by this balancer's clock; warm-up counts from here. */
   long coldSinceNanos;
 
-  private long beforeStartedNanos = -1;
-  private long beforeColdSinceNanos;
+  private long previousStartedNanos = -1;
+  private long previousColdSinceNanos;
   double weight = 1;
-  int speaks;
+  int protocols;
 
-  /** Its next turn among servers of other weights, in the virtual time of its set. */
-  double due;
+  /** Its next turn in the virtual time of its set, for fair queueing by weight. */
+  double virtualTurn;
 
   final DelayWindow window = new DelayWindow();
   int inFlight;
 
-  /** Calls in flight whose answer has not begun, oldest first. */
-  private final Set<Request.Attempt> owed = new LinkedHashSet<>();
+  /** Attempts in flight whose answer has not begun, oldest first. */
+  private final Set<Request.Attempt> unanswered = new LinkedHashSet<>();
+
+  long lastResponseNanos = Long.MIN_VALUE / 2;
+  long lastUsedNanos = Long.MIN_VALUE / 2;
+
+  /** Send time of the newest attempt that the server has served. */
+  long lastServedSentNanos = Long.MIN_VALUE / 2;
 
-  long heardNanos = Long.MIN_VALUE / 2;
-  long usedNanos = Long.MIN_VALUE / 2;
+  long ejectedUntilNanos = Long.MIN_VALUE / 2;
 
-  /** When the newest attempt was made that it took and served. */
-  long tookNanos = Long.MIN_VALUE / 2;
+  /** Ejections since the last success. */
+  int consecutiveEjections;
 
-  long restUntilNanos = Long.MIN_VALUE / 2;
-  int failures;
-  double errorShare;
+  double errorRate;
+
+  /** Token bucket of the calls that the server may take while it is cold. */
   double coldTokens;
+
   long coldFilledNanos;
+
+  /** Index in its pool of the working set; -1 for none. */
   int poolIndex = -1;
+
+  /** Index among the members of the working set; -1 for none. */
   int memberIndex = -1;
 
   Server(long id) {
     this.id = id;
   }
 
-  void describe(ServerEntry entry, String ownZone) {
+  /** Takes over what discovery lists; a weight that is not usable counts as 1. */
+  void update(ServerEntry entry, String ownZone) {
     zone = entry.zone();
     cell = entry.cell();
-    part = entry.part();
-    near = part == Part.OWN || zone == null || zone.equals(ownZone);
+    role = entry.role();
+    near = role == SubsetRole.OWN || zone == null || zone.equals(ownZone);
     health = entry.health();
-    speaks = entry.speaks();
+    protocols = entry.protocols();
     weight = entry.weight() > 0 && entry.weight() < 1e9 ? entry.weight() : 1;
   }
 
   /**
-   * Another time is told for its last start. One that stood before is no new start: it was only
-   * presumed to have restarted meanwhile.
+   * Handles a change of the reported start time. A return to the previous one is not a restart: the
+   * server had only been presumed to have restarted.
    *
-   * @return whether it is a new start
+   * @return whether the server has restarted
    */
-  boolean started(long toNanos, long sinceNanos) {
-    boolean stoodBefore = toNanos == beforeStartedNanos;
-    long coldSince = stoodBefore ? beforeColdSinceNanos : sinceNanos;
-    beforeStartedNanos = startedNanos;
-    beforeColdSinceNanos = coldSinceNanos;
-    startedNanos = toNanos;
+  boolean startTimeChanged(long newStartedNanos, long newColdSinceNanos) {
+    boolean restoresPrevious = newStartedNanos == previousStartedNanos;
+    long coldSince = restoresPrevious ? previousColdSinceNanos : newColdSinceNanos;
+    previousStartedNanos = startedNanos;
+    previousColdSinceNanos = coldSinceNanos;
+    startedNanos = newStartedNanos;
     coldSinceNanos = coldSince;
-    return !stoodBefore;
+    return !restoresPrevious;
   }
 
-  boolean resting(long nowNanos) {
-    return restUntilNanos > nowNanos;
+  /** Whether the server is out of use after a cut of its window. */
+  boolean ejected(long nowNanos) {
+    return ejectedUntilNanos > nowNanos;
   }
 
-  /** Silent: nothing at all came back for as long as makes its oldest call overdue. */
-  boolean silent(long nowNanos) {
-    if (owed.isEmpty()) {
+  /**
+   * Whether nothing has come back from the server for longer than it takes its oldest unanswered
+   * attempt to become overdue.
+   */
+  boolean unresponsive(long nowNanos) {
+    if (unanswered.isEmpty()) {
       return false;
     }
-    Request.Attempt head = owed.iterator().next();
-    long quiet = nowNanos - Math.max(heardNanos, head.sentNanos);
-    return quiet > head.overdueNanos - head.sentNanos;
+    Request.Attempt oldest = unanswered.iterator().next();
+    long quietNanos = nowNanos - Math.max(lastResponseNanos, oldest.sentNanos);
+    return quietNanos > oldest.overdueNanos - oldest.sentNanos;
   }
 
   boolean hasRoom(long nowNanos) {
-    return inFlight < window.size() && !resting(nowNanos) && !silent(nowNanos);
+    return inFlight < window.size() && !ejected(nowNanos) && !unresponsive(nowNanos);
   }
 
-  /** Leaves service for a while: longer each time, and never in step with other balancers. */
-  void rest(long nowNanos, double jitter) {
-    window.leaveRoom(inFlight - owed.size());
-    long base = REST_NANOS << Math.min(failures, MOST_DOUBLINGS);
-    failures++;
-    restUntilNanos = nowNanos + (long) (base * (0.5 + jitter));
+  /**
+   * Ejects the server, for twice as long with each consecutive ejection.
+   *
+   * @param jitter from 0 to 1, so that balancers do not return to the server all at once
+   */
+  void eject(long nowNanos, double jitter) {
+    window.reserveFor(inFlight - unanswered.size());
+    long baseNanos = EJECTION_NANOS << Math.min(consecutiveEjections, MAX_DOUBLINGS);
+    consecutiveEjections++;
+    ejectedUntilNanos = nowNanos + (long) (baseNanos * (0.5 + jitter));
   }
 
   void onSend(Request.Attempt attempt) {
     inFlight++;
-    usedNanos = attempt.sentNanos;
-    owed.add(attempt);
+    lastUsedNanos = attempt.sentNanos;
+    unanswered.add(attempt);
   }
 
-  /** It has answered; what still comes may take as long as the caller likes. */
-  void onFirst(Request.Attempt attempt) {
-    owed.remove(attempt);
-    attempt.begun = true;
+  /** An answer has begun; from now on the reading client sets its pace. */
+  void onAnswerBegun(Request.Attempt attempt) {
+    unanswered.remove(attempt);
+    attempt.answerBegun = true;
   }
 
   void onEnd(Request.Attempt attempt) {
     inFlight--;
-    owed.remove(attempt);
+    unanswered.remove(attempt);
   }
 }
--- a/src/main/java/heathswitch/policy/maintenance/Group.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package heathswitch.policy.maintenance;
-
-/** The servers of one kind in one zone, whose capacity is counted together. */
-public record Group(String kind, String zone) {}
--- /dev/null
+++ b/src/main/java/heathswitch/proxy/http1/ClientConnection.java
@@ -0,0 +1,895 @@
+package heathswitch.proxy.http1;
+
+import static java.nio.charset.StandardCharsets.US_ASCII;
+
+import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
+import heathswitch.proxy.dispatch.Dispatcher;
+import heathswitch.proxy.runtime.Clock;
+import heathswitch.proxy.runtime.Log;
+import heathswitch.proxy.spi.Answer;
+import heathswitch.proxy.spi.Caller;
+import heathswitch.proxy.spi.RequestHandle;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.nio.AbstractNioChannel;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.handler.codec.http.TooLongHttpHeaderException;
+import io.netty.handler.codec.http.TooLongHttpLineException;
+import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
+
+/** A client connection; processes one request at a time. */
+final class ClientConnection extends ChannelInboundHandlerAdapter
+    implements Caller, StreamedAnswerSink {
+  /** Requests that declare a longer body are rejected unread. Clients send up to 32 MB. */
+  static final long MAX_BODY_BYTES = 40L << 20;
+
+  /**
+   * Bodies up to this size are buffered, so that the request can be retried. Longer ones are
+   * streamed, because memory can hold only a few of them.
+   */
+  static final int MAX_BUFFERED_BODY_BYTES = 1 << 20;
+
+  /** A request with a long body is dispatched once this much of the body has been received. */
+  private static final int STREAMING_PREFIX_BYTES = 16 << 10;
+
+  /**
+   * Bodies up to this size are read without a reservation in the budget; the number of connections
+   * is low enough for that.
+   */
+  static final int UNRESERVED_BODY_BYTES = 64 << 10;
+
+  /**
+   * Time limit for receiving the head of a request, counted from its first byte or, for the first
+   * request, from the start of the connection. Frees the descriptors of clients that connect and
+   * send nothing or half a head. Such connections must end within 3 s; slow clients need 2 s.
+   */
+  static final long HEAD_TIMEOUT_NANOS = 2_500_000_000L;
+
+  /**
+   * Longest pause within a body. After this time, the average rate must also reach half of the rate
+   * of the slowest clients, which is 64 kB/s. Guards against incomplete requests and slow senders.
+   */
+  static final long BODY_TIMEOUT_NANOS = 1_500_000_000L;
+
+  private static final long MIN_BYTES_PER_SECOND = 32 << 10;
+
+  /** How long an upstream may accept nothing of a streamed body. */
+  static final long UPSTREAM_STALL_TIMEOUT_NANOS = 3_000_000_000L;
+
+  /** Added to the timeout of a request whose body is streamed, for receiving the body. */
+  private static final long MAX_UPLOAD_NANOS = 600_000_000_000L;
+
+  /** Counted from the last answer; many clients send one request and never close. */
+  static final long IDLE_TIMEOUT_NANOS = 10_000_000_000L;
+
+  /** The connection is closed if writing an answer makes no progress for this long. */
+  private static final long WRITE_TIMEOUT_NANOS = 10_000_000_000L;
+
+  private enum Phase {
+    /** No request, or only a part of its head has been received. */
+    IDLE,
+    /** The head has been received; the body is being buffered. */
+    READING_BODY,
+    /** Dispatched; the body is being streamed to the upstream. */
+    STREAMING_BODY,
+    /**
+     * Received completely; dispatched at the end of the read, after a check for pipelined input.
+     */
+    REQUEST_COMPLETE,
+    /** Dispatched and received completely; the answer is outstanding. */
+    AWAITING_ANSWER,
+    /** The last answer has been written; further input is discarded. */
+    LINGERING
+  }
+
+  private final ClientListener listener;
+  private final Dispatcher dispatcher;
+  private final Clock clock;
+  private final Channel channel;
+  private final StrictRequestDecoder decoder;
+  private final PipelineQueue pipelined = new PipelineQueue();
+  private Phase phase = Phase.IDLE;
+  private long timerStartNanos;
+  private long headStartedNanos;
+  private HttpRequest head;
+
+  /** The value of {@link Dispatcher#reloads} when the head was validated. */
+  private int settingsReloads;
+
+  private boolean keepAlive;
+  private RequestClass requestClass;
+  private long clientTimeoutNanos;
+  private RequestBodyBuffer body;
+  private long bodyBytes;
+  private long reservedBytes;
+  private Object pendingReservation;
+  private RequestHandle ticket;
+  private boolean replayingPipeline;
+
+  /** Whether this connection is inside a read, when the socket must not be read again. */
+  private boolean decoding;
+
+  /** Last piece of a streamed body, kept until the client is known to be still connected. */
+  private ByteBuf lastBodyPiece;
+
+  private boolean hadRequest;
+  private int readsAtIdle;
+  private long discardedBytes;
+  private LingeringClose lingeringClose = LingeringClose.AFTER_ANSWER;
+  private ChannelFuture answerWrite;
+  private HttpVersion version = HttpVersion.HTTP_1_1;
+  private long lastPieceNanos;
+  private StreamedRequestBody streamedBody;
+  private boolean readingPaused;
+
+  /** The source of the answer while an answer is being streamed, otherwise null. */
+  private StreamedAnswerSource answerSource;
+
+  private boolean streamedAnswerKeepAlive;
+  private boolean streamedAnswerChunked;
+  private final ChannelFutureListener writeListener = done -> recordWriteProgress();
+
+  public ClientConnection(
+      ClientListener listener,
+      Dispatcher dispatcher,
+      Clock clock,
+      Channel channel,
+      StrictRequestDecoder decoder) {
+    this.decoder = decoder;
+    this.listener = listener;
+    this.dispatcher = dispatcher;
+    this.clock = clock;
+    this.channel = channel;
+    this.timerStartNanos = clock.nowNanos();
+  }
+
+  // ---- reading ----
+
+  @Override
+  public void channelRead(ChannelHandlerContext ctx, Object message) {
+    decoding = true;
+    HttpObject part = (HttpObject) message;
+    boolean busy = phase == Phase.REQUEST_COMPLETE || phase == Phase.AWAITING_ANSWER;
+    if (busy || !pipelined.isEmpty() || pipelined.hasOverflowed()) {
+      queuePipelined(part);
+    } else {
+      read(part);
+    }
+  }
+
+  /** Reading continues while a request is processed, because only reading detects a disconnect. */
+  private void queuePipelined(HttpObject part) {
+    pipelined.add(part);
+    if (pipelined.hasOverflowed()) {
+      keepAlive = false;
+    }
+    if (pipelined.overflowLimitExceeded()) {
+      channel.config().setAutoRead(false);
+    }
+  }
+
+  /**
+   * Reads pending input first, unless a read is in progress. Only reading detects that the client
+   * has closed the connection, which may have happened long ago if the event loop was delayed or
+   * reading was paused.
+   */
+  @Override
+  public boolean isStillWaiting() {
+    if (!decoding && channel.isActive()) {
+      ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
+    }
+    if (!channel.isActive()) {
+      onDisconnected(); // channelInactive is only called on a later turn of the event loop.
+      return false;
+    }
+    return true;
+  }
+
+  private void read(HttpObject part) {
+    try {
+      if (phase == Phase.LINGERING) {
+        discard(part);
+        return;
+      }
+      headStartedNanos = 0;
+      if (part.decoderResult().isFailure()) {
+        rejectMalformed(part.decoderResult().cause());
+        return;
+      }
+      if (part instanceof HttpRequest request) {
+        beginRequest(request);
+      }
+      if (part instanceof HttpContent content) {
+        if (phase == Phase.READING_BODY) {
+          readBody(content);
+        } else if (phase == Phase.STREAMING_BODY) {
+          readStreamedBody(content);
+        }
+      }
+    } finally {
+      ReferenceCountUtil.release(part);
+    }
+  }
+
+  private void discard(HttpObject part) {
+    discardedBytes += LingeringClose.bodyBytes(part);
+    if (lingeringClose.mustCloseNow(discardedBytes, part)) {
+      channel.close();
+    }
+  }
+
+  private void rejectMalformed(Throwable cause) {
+    HttpResponseStatus status = HttpResponseStatus.BAD_REQUEST;
+    if (cause instanceof TooLongHttpHeaderException) {
+      status = HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
+    } else if (cause instanceof TooLongHttpLineException) {
+      status = HttpResponseStatus.REQUEST_URI_TOO_LONG;
+    }
+    reject(status, "malformed request");
+  }
+
+  private void beginRequest(HttpRequest request) {
+    listener.becameBusy(this);
+    hadRequest = true;
+    head = request;
+    settingsReloads = dispatcher.reloadCount();
+    version = request.protocolVersion();
+    keepAlive = HttpUtil.isKeepAlive(request);
+    phase = Phase.READING_BODY;
+    timerStartNanos = clock.nowNanos();
+    lastPieceNanos = timerStartNanos;
+    bodyBytes = 0;
+    requestClass = null;
+    boolean readinessProbe = request.uri().equals("/up");
+    String error = readinessProbe ? null : validateHead(request);
+    if (error != null) {
+      Log.info("bad request", error);
+      reject(HttpResponseStatus.BAD_REQUEST, error);
+      return;
+    }
+    long contentLength = HttpUtil.getContentLength(request, 0L);
+    if (contentLength > MAX_BODY_BYTES) {
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
+      return;
+    }
+    body = new RequestBodyBuffer(channel.alloc(), HttpUtil.getContentLength(request, -1L));
+    if (contentLength > UNRESERVED_BODY_BYTES && contentLength <= MAX_BUFFERED_BODY_BYTES) {
+      reserveBuffer(contentLength);
+    } else {
+      sendContinueIfExpected();
+    }
+  }
+
+  /** Validates a head and stores its class and timeout; returns the error or null. */
+  private String validateHead(HttpRequest request) {
+    RequestHead read = RequestHead.read(request, dispatcher, listener.forbiddenHeader());
+    requestClass = read.requestClass();
+    clientTimeoutNanos = read.timeoutNanos();
+    return read.error();
+  }
+
+  /**
+   * Repeats the validation when the request is dispatched; returns the error or null. Another
+   * request may have taken its id in the meantime, and after a reload of the settings the whole
+   * head is validated against the new ones.
+   */
+  private String revalidateHead() {
+    if (settingsReloads != dispatcher.reloadCount()) {
+      settingsReloads = dispatcher.reloadCount();
+      return validateHead(head);
+    }
+    boolean idInUse = dispatcher.isRequestOpen(head.headers().get(HeaderRules.REQUEST_ID));
+    return idInUse ? RequestHead.duplicateIdError() : null;
+  }
+
+  private void reserveBuffer(long bytes) {
+    long additional = bytes - reservedBytes;
+    pendingReservation =
+        listener.budget.reserve(
+            additional,
+            () -> {
+              pendingReservation = null;
+              reservedBytes += additional;
+              timerStartNanos = clock.nowNanos() - slowestTransferNanos(bodyBytes);
+              lastPieceNanos = clock.nowNanos();
+              sendContinueIfExpected();
+              channel.config().setAutoRead(true);
+            });
+    if (pendingReservation == null) {
+      reservedBytes += additional;
+      sendContinueIfExpected();
+    } else {
+      channel.config().setAutoRead(false);
+    }
+  }
+
+  private void sendContinueIfExpected() {
+    if (head != null && HttpUtil.is100ContinueExpected(head)) {
+      HttpUtil.set100ContinueExpected(head, false);
+      channel.writeAndFlush(
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+    }
+  }
+
+  private void readBody(HttpContent content) {
+    ByteBuf piece = content.content();
+    bodyBytes += piece.readableBytes();
+    if (bodyBytes > MAX_BODY_BYTES) {
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 40 MiB");
+      return;
+    }
+    lastPieceNanos = clock.nowNanos();
+    body.append(piece);
+    if (content instanceof LastHttpContent) {
+      onBodyComplete();
+    } else if (requestClass != null && pendingReservation == null && shouldStreamBody()) {
+      startStreaming();
+    } else if (bodyBytes > UNRESERVED_BODY_BYTES
+        && reservedBytes == 0
+        && pendingReservation == null) {
+      // The length of a chunked body is unknown. Reserving the maximum at once avoids a deadlock
+      // between two bodies that wait for more.
+      reserveBuffer(MAX_BUFFERED_BODY_BYTES);
+    }
+  }
+
+  /** Whether an incomplete body is too long to be buffered and can be streamed now. */
+  private boolean shouldStreamBody() {
+    return HttpUtil.getContentLength(head, -1L) > MAX_BUFFERED_BODY_BYTES
+        ? bodyBytes >= STREAMING_PREFIX_BYTES
+        : bodyBytes >= MAX_BUFFERED_BODY_BYTES;
+  }
+
+  /** Dispatches the request and streams the rest of its body. */
+  private void startStreaming() {
+    String error = revalidateHead();
+    if (error != null) {
+      reject(HttpResponseStatus.BAD_REQUEST, error);
+      return;
+    }
+    long prefixReservation = reservedBytes;
+    reservedBytes = 0;
+    long contentLength = HttpUtil.getContentLength(head, -1L);
+    streamedBody =
+        new StreamedRequestBody(
+            this,
+            listener.budget,
+            contentLength,
+            clientTimeoutNanos,
+            body.takeBuffer(),
+            prefixReservation);
+    body = null;
+    HttpRequest accepted = head;
+    head = null;
+    phase = Phase.STREAMING_BODY;
+    dispatch(
+        accepted,
+        Unpooled.EMPTY_BUFFER,
+        clientTimeoutNanos + MAX_UPLOAD_NANOS,
+        RequestProtocol.HTTP1_STREAM);
+  }
+
+  private void readStreamedBody(HttpContent content) {
+    boolean last = content instanceof LastHttpContent;
+    lastPieceNanos = clock.nowNanos();
+    bodyBytes += content.content().readableBytes();
+    if (bodyBytes > MAX_BODY_BYTES) {
+      channel.close(); // Endless chunked body. Without its last byte the request never runs.
+      return;
+    }
+    if (!last) {
+      streamedBody.append(content.content().retain(), false);
+      return;
+    }
+    phase = Phase.AWAITING_ANSWER;
+    timerStartNanos = lastPieceNanos;
+    if (ticket != null) {
+      ticket.bodyComplete(clientTimeoutNanos);
+    }
+    lastBodyPiece = content.content().retain();
+  }
+
+  /**
+   * Forwards the last piece, after which the upstream runs the request. Before that, the input
+   * behind the body is read: while reading was paused, the client may have sent the rest of the
+   * body and disconnected.
+   */
+  private void forwardLastBodyPiece() {
+    ByteBuf piece = lastBodyPiece;
+    lastBodyPiece = null;
+    if (isStillWaiting() && streamedBody != null) {
+      streamedBody.append(piece, true);
+    } else {
+      piece.release();
+    }
+  }
+
+  /** Backpressure from the upstream of a streamed body. */
+  void setReadingPaused(boolean paused) {
+    if (readingPaused != paused) {
+      readingPaused = paused;
+      lastPieceNanos = clock.nowNanos();
+      timerStartNanos = lastPieceNanos - slowestTransferNanos(bodyBytes);
+      channel.config().setAutoRead(!paused);
+    }
+  }
+
+  /**
+   * The upstream accepts nothing of the body. Its last byte was never forwarded, so the request is
+   * answered as refused and can safely be retried.
+   */
+  private void abortStalledUpload() {
+    RequestHandle openTicket = ticket;
+    lingeringClose = LingeringClose.DURING_UPLOAD;
+    reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+    if (openTicket != null) {
+      ticket = null;
+      openTicket.callerGone();
+    }
+  }
+
+  /** The time that the slowest permitted client needs to send this many bytes. */
+  private static long slowestTransferNanos(long bytes) {
+    return bytes * 1_000_000_000L / MIN_BYTES_PER_SECOND;
+  }
+
+  private void onBodyComplete() {
+    if (pendingReservation != null) {
+      listener.budget.cancelReservation(pendingReservation);
+      pendingReservation = null;
+      channel.config().setAutoRead(true);
+    } else if (reservedBytes > bodyBytes) {
+      listener.budget.release(reservedBytes - bodyBytes);
+      reservedBytes = bodyBytes;
+    }
+    phase = Phase.REQUEST_COMPLETE;
+  }
+
+  /** Dispatches a completely received request, unless too much was pipelined behind it. */
+  private void acceptRequest() {
+    if (pipelined.hasOverflowed()) {
+      reject(HttpResponseStatus.BAD_REQUEST, "more than one request at a time");
+      return;
+    }
+    String error = requestClass == null ? null : revalidateHead();
+    if (error != null) {
+      reject(HttpResponseStatus.BAD_REQUEST, error);
+      return;
+    }
+    ByteBuf completeBody = body.takeBuffer();
+    body = null;
+    HttpRequest accepted = head;
+    head = null;
+    phase = Phase.AWAITING_ANSWER;
+    timerStartNanos = clock.nowNanos();
+    if (requestClass == null) {
+      completeBody.release();
+      answerReadinessProbe(accepted);
+    } else {
+      dispatch(accepted, completeBody, clientTimeoutNanos, RequestProtocol.HTTP1);
+    }
+  }
+
+  private void dispatch(
+      HttpRequest accepted, ByteBuf bufferedBody, long timeoutNanos, RequestProtocol form) {
+    HttpHeaders headers = accepted.headers();
+    HttpHeaders forwarded = new DefaultHttpHeaders(false);
+    HeaderRules.copyEndToEndHeaders(headers, forwarded);
+    dispatcher.onRequest(
+        this,
+        requestClass,
+        headers.get(HeaderRules.REQUEST_ID),
+        headers.get(HeaderRules.TENANT),
+        "1".equals(headers.get(HeaderRules.RETRY)),
+        timeoutNanos,
+        form,
+        new HttpPayload(
+            listener.pool(),
+            this,
+            accepted.method(),
+            accepted.uri(),
+            forwarded,
+            bufferedBody,
+            streamedBody));
+  }
+
+  /** Called when the request is open, before it can be answered. */
+  @Override
+  public void accepted(RequestHandle accepted) {
+    ticket = accepted;
+  }
+
+  private void answerReadinessProbe(HttpRequest probe) {
+    boolean isGet = probe.method().equals(HttpMethod.GET);
+    HttpResponseStatus status =
+        !isGet
+            ? HttpResponseStatus.METHOD_NOT_ALLOWED
+            : listener.isDraining()
+                ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                : HttpResponseStatus.OK;
+    writeResponse(textResponse(status, status.reasonPhrase()));
+  }
+
+  // ---- answering ----
+
+  /** Writes the complete answer of an upstream. */
+  @Override
+  public void serve(Answer whole) {
+    HttpAnswer answer = (HttpAnswer) whole; // HttpPayload produces no other type.
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, answer.body());
+    HeaderRules.copyEndToEndHeaders(answer.head().headers(), response.headers());
+    writeResponse(response);
+  }
+
+  /** Tells the client that a retry is safe. */
+  @Override
+  public void refuse(long retryAfterNanos, Answer last) {
+    FullHttpResponse response = textResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+    if (retryAfterNanos > 0) {
+      response
+          .headers()
+          .set(HttpHeaderNames.RETRY_AFTER, HeaderRules.formatSeconds(retryAfterNanos));
+    }
+    writeResponse(response);
+  }
+
+  /** Tells the client that the request failed and may have had an effect. */
+  @Override
+  public void fail(Answer last) {
+    writeResponse(textResponse(HttpResponseStatus.BAD_GATEWAY, "failed"));
+  }
+
+  // ---- streamed answers ----
+
+  @Override
+  public void answerStarted(HttpResponse upstreamHead, StreamedAnswerSource source) {
+    ticket = null;
+    answerSource = source;
+    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+    HeaderRules.copyEndToEndHeaders(upstreamHead.headers(), response.headers());
+    long contentLength = HttpUtil.getContentLength(upstreamHead, -1L);
+    streamedAnswerChunked = contentLength < 0 && version.equals(HttpVersion.HTTP_1_1);
+    if (contentLength >= 0) {
+      HttpUtil.setContentLength(response, contentLength);
+    } else if (streamedAnswerChunked) {
+      HttpUtil.setTransferEncodingChunked(response, true);
+    } else {
+      keepAlive = false; // HTTP/1.0 has no chunked encoding: closing marks the end.
+    }
+    streamedAnswerKeepAlive = setKeepAlive(response);
+    timerStartNanos = clock.nowNanos();
+    channel.write(response);
+  }
+
+  @Override
+  public void answerData(ByteBuf piece) {
+    channel.write(new DefaultHttpContent(piece)).addListener(writeListener);
+  }
+
+  @Override
+  public void answerFlush() {
+    channel.flush();
+    if (answerSource != null) {
+      answerSource.setPaused(!channel.isWritable());
+    }
+  }
+
+  @Override
+  public void answerEnd() {
+    answerSource = null;
+    finishAnswer(
+        streamedAnswerKeepAlive, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+  }
+
+  @Override
+  public void answerAborted() {
+    answerSource = null;
+    channel.config().setOption(ChannelOption.SO_LINGER, 0);
+    channel.close();
+  }
+
+  private void recordWriteProgress() {
+    if (answerSource != null) {
+      timerStartNanos = clock.nowNanos();
+    }
+  }
+
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    if (answerSource != null) {
+      answerSource.setPaused(!channel.isWritable());
+    }
+  }
+
+  private static FullHttpResponse textResponse(HttpResponseStatus status, String reason) {
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(reason + "\n", US_ASCII));
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
+    return response;
+  }
+
+  private void writeResponse(FullHttpResponse response) {
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    boolean keep = setKeepAlive(response);
+    ChannelFuture written = channel.writeAndFlush(response);
+    finishAnswer(keep, written);
+  }
+
+  private boolean setKeepAlive(HttpResponse response) {
+    boolean keep = keepAlive && !listener.keepAliveDisabled() && phase != Phase.STREAMING_BODY;
+    response
+        .headers()
+        .set(
+            HttpHeaderNames.CONNECTION,
+            keep ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
+    return keep;
+  }
+
+  private void finishAnswer(boolean keep, ChannelFuture written) {
+    answerWrite = written;
+    releaseReservation();
+    ticket = null;
+    timerStartNanos = clock.nowNanos();
+    if (phase == Phase.STREAMING_BODY) {
+      lingerDuringUpload(written);
+      return;
+    }
+    streamedBody = null;
+    if (!keep) {
+      phase = Phase.LINGERING;
+      pipelined.release();
+      halfCloseAfter(written);
+      return;
+    }
+    phase = Phase.IDLE;
+    readsAtIdle = decoder.readCount();
+    listener.becameIdle(this);
+    replayPipelined();
+  }
+
+  /** Answered before the body was complete: the rest of the body is read and discarded. */
+  private void lingerDuringUpload(ChannelFuture written) {
+    phase = Phase.LINGERING;
+    lingeringClose = LingeringClose.DURING_UPLOAD;
+    streamedBody.release();
+    halfCloseAfter(written);
+  }
+
+  /**
+   * Starts the lingering close: shuts down the output and reads further input until the client
+   * closes too or a limit of {@link LingeringClose} is reached. All answered connections end this
+   * way.
+   */
+  private void halfCloseAfter(ChannelFuture written) {
+    written.addListener(
+        done -> {
+          if (channel instanceof SocketChannel socket) {
+            channel.config().setAutoRead(true);
+            socket.shutdownOutput();
+          }
+        });
+  }
+
+  /** Processes the input that was queued while the previous request was being answered. */
+  private void replayPipelined() {
+    if (replayingPipeline) {
+      return;
+    }
+    replayingPipeline = true;
+    while (!pipelined.isEmpty()
+        && (phase == Phase.IDLE || phase == Phase.READING_BODY || phase == Phase.STREAMING_BODY)) {
+      read(pipelined.poll());
+      if (lastBodyPiece != null) {
+        forwardLastBodyPiece();
+      }
+      if (phase == Phase.REQUEST_COMPLETE) {
+        acceptRequest();
+      }
+    }
+    replayingPipeline = false;
+    if (pipelined.isEmpty() && pendingReservation == null) {
+      channel.config().setAutoRead(true);
+    }
+  }
+
+  /** Answers an invalid request; the rest of its input is read and discarded. */
+  private void reject(HttpResponseStatus status, String reason) {
+    FullHttpResponse response = textResponse(status, reason);
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    phase = Phase.LINGERING;
+    timerStartNanos = clock.nowNanos();
+    listener.becameBusy(this);
+    discardRequest();
+    pipelined.release();
+    halfCloseAfter(channel.writeAndFlush(response));
+  }
+
+  // ---- end of input, timeouts and closing ----
+
+  @Override
+  public void channelReadComplete(ChannelHandlerContext ctx) {
+    decoding = false;
+    if (lastBodyPiece != null) {
+      forwardLastBodyPiece();
+    }
+    if (phase == Phase.REQUEST_COMPLETE && !replayingPipeline) {
+      acceptRequest();
+    }
+    // Bytes without a message are an incomplete head, whose time is limited.
+    if (phase == Phase.IDLE && headStartedNanos == 0 && decoder.readCount() != readsAtIdle) {
+      headStartedNanos = clock.nowNanos();
+      listener.becameBusy(this);
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    onDisconnected();
+  }
+
+  /** The only place that reports the disconnect of the client; may be called repeatedly. */
+  private void onDisconnected() {
+    phase = Phase.LINGERING;
+    discardRequest();
+    pipelined.release();
+    if (lastBodyPiece != null) {
+      lastBodyPiece.release();
+      lastBodyPiece = null;
+    }
+    if (answerSource != null) {
+      StreamedAnswerSource source = answerSource;
+      answerSource = null;
+      source.clientDisconnected();
+    }
+    if (ticket != null) {
+      RequestHandle openTicket = ticket;
+      ticket = null;
+      openTicket.callerGone();
+    }
+    releaseReservation();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (!(cause instanceof IOException)) {
+      Log.error("client connection", "closed", cause);
+    }
+    channel.close();
+  }
+
+  private void discardRequest() {
+    head = null;
+    if (pendingReservation != null) {
+      listener.budget.cancelReservation(pendingReservation);
+      pendingReservation = null;
+    }
+    if (body != null) {
+      body.release();
+      body = null;
+    }
+    releaseReservation();
+  }
+
+  private void releaseReservation() {
+    if (reservedBytes > 0) {
+      long bytes = reservedBytes;
+      reservedBytes = 0;
+      listener.budget.release(bytes);
+    }
+  }
+
+  /**
+   * Closes a connection between requests at once, to free its descriptor; false if it carries a
+   * request. The socket is read first, because a request that has arrived but has not been read
+   * would be lost.
+   */
+  public boolean evict() {
+    if (!isBetweenRequests()) {
+      return false;
+    }
+    channel.close();
+    return true;
+  }
+
+  /** Starts a lingering close between requests. Requests that arrive later are not forwarded. */
+  public void closeIdle() {
+    if (phase == Phase.IDLE && isBetweenRequests()) {
+      phase = Phase.LINGERING;
+      timerStartNanos = clock.nowNanos();
+      lingeringClose = LingeringClose.BETWEEN_REQUESTS;
+      listener.lingerStarted(this);
+      halfCloseAfter(channel.newSucceededFuture());
+    }
+  }
+
+  private boolean isBetweenRequests() {
+    if (phase == Phase.IDLE && channel.isActive()) {
+      ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
+    }
+    return (phase == Phase.IDLE || phase == Phase.LINGERING) && headStartedNanos == 0;
+  }
+
+  /** How long the connection has been open; only valid before its first request. */
+  long unusedNanos(long now) {
+    return now - timerStartNanos;
+  }
+
+  /** Whether a request has ever been received on the connection. */
+  public boolean hadRequest() {
+    return hadRequest;
+  }
+
+  private boolean isBodyTooSlow(long now) {
+    return now - lastPieceNanos > BODY_TIMEOUT_NANOS
+        || now - timerStartNanos > BODY_TIMEOUT_NANOS + slowestTransferNanos(bodyBytes);
+  }
+
+  /** Enforces the time limits; called periodically. */
+  public void tick(long now) {
+    long age = now - timerStartNanos;
+    switch (phase) {
+      case IDLE -> {
+        if (headStartedNanos > 0) {
+          if (now - (hadRequest ? headStartedNanos : timerStartNanos) > HEAD_TIMEOUT_NANOS) {
+            reject(HttpResponseStatus.REQUEST_TIMEOUT, "head too slow");
+          }
+        } else if (age > (hadRequest ? IDLE_TIMEOUT_NANOS : HEAD_TIMEOUT_NANOS)) {
+          closeIdle();
+        }
+      }
+      case READING_BODY -> {
+        if (pendingReservation == null && isBodyTooSlow(now)) {
+          reject(HttpResponseStatus.REQUEST_TIMEOUT, "body too slow");
+        }
+      }
+      case STREAMING_BODY -> {
+        if (!readingPaused && isBodyTooSlow(now)) {
+          channel.close(); // Without its last byte the request never runs.
+        } else if (readingPaused && now - lastPieceNanos > UPSTREAM_STALL_TIMEOUT_NANOS) {
+          abortStalledUpload();
+        }
+      }
+      case AWAITING_ANSWER -> {
+        if (answerSource != null && !channel.isWritable() && age > WRITE_TIMEOUT_NANOS) {
+          channel.close();
+        }
+      }
+      case LINGERING -> {
+        boolean unwritten = answerWrite != null && !answerWrite.isDone();
+        if (age > (unwritten ? WRITE_TIMEOUT_NANOS : lingeringClose.timeoutNanos)) {
+          channel.close();
+        }
+      }
+      default -> {}
+    }
+  }
+}
--- a/src/main/java/heathswitch/proxy/node/Node.java
+++ b/src/main/java/heathswitch/proxy/node/Node.java
@@ -4,19 +4,19 @@
 
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.ClientServer;
-import heathswitch.proxy.http1.UpstreamPool;
-import heathswitch.proxy.runtime.Budget;
+import heathswitch.proxy.http1.ClientListener;
+import heathswitch.proxy.http1.UpstreamConnectionPool;
 import heathswitch.proxy.runtime.Clock;
 import heathswitch.proxy.runtime.Log;
-import heathswitch.proxy.runtime.LoopWatch;
+import heathswitch.proxy.runtime.LoopLagMonitor;
+import heathswitch.proxy.runtime.ResourceBudget;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 
-/** One running balancer: its parts, put together on one event loop. */
+/** One running balancer, assembled from its parts on one event loop. */
 public final class Node {
   private static final long FIGURES_SECONDS = 10;
 
@@ -24,85 +24,91 @@
   private final EventLoop loop = group.next();
   private final Clock clock = new Clock();
   private final NodeSettings settings;
-  private final Budget budget;
-  private final ClientServer server;
-  private final UpstreamPool pool;
+  private final ResourceBudget budget;
+  private final ClientListener clientListener;
+  private final UpstreamConnectionPool pool;
   private final Dispatcher dispatcher;
   private final MemberSource members;
   private final Shutdown shutdown;
-  private final Emptying emptying;
-  private final LoopWatch watch;
-  private final List<Front> fronts = new ArrayList<>();
+  private final OperatorDrain operatorDrain;
+  private final LoopLagMonitor lagMonitor;
+  private final List<ProtocolListener> extraListeners = new ArrayList<>();
 
-  /** Puts the parts together; {@link #start} must follow. */
-  public Node(NodeSettings settings, MemberSource.Factory source, long watchNanos) {
+  /** Assembles the parts; {@link #start} must follow. */
+  public Node(NodeSettings settings, MemberSource.Factory source, long lagSampleNanos) {
     this.settings = settings;
-    budget = new Budget(settings.sockets(), Budget.BODY_BYTES);
-    server = new ClientServer(loop, clock, budget);
-    pool = new UpstreamPool(loop, clock, budget, settings.settings().limits(), server::evictIdle);
-    dispatcher = new Dispatcher(loop, clock, settings.settings(), settings.seed());
-    dispatcher.add(pool);
-    members = source.on(loop);
-    shutdown = new Shutdown(loop, settings.settings(), server, dispatcher, members, fronts);
-    emptying = new Emptying(loop, server);
-    watch = new LoopWatch(watchNanos);
+    budget = new ResourceBudget(settings.maxDescriptors(), ResourceBudget.BODY_BYTES);
+    clientListener = new ClientListener(loop, clock, budget);
+    pool =
+        new UpstreamConnectionPool(
+            loop, clock, budget, settings.policySettings().limits(), clientListener::evictIdle);
+    dispatcher = new Dispatcher(loop, clock, settings.policySettings(), settings.seed());
+    dispatcher.addTransport(pool);
+    members = source.create(loop);
+    shutdown =
+        new Shutdown(
+            loop, settings.policySettings(), clientListener, dispatcher, members, extraListeners);
+    operatorDrain = new OperatorDrain(loop, clientListener);
+    lagMonitor = new LoopLagMonitor(lagSampleNanos);
   }
 
-  /** Adds a front; before the start. */
-  public Front add(Front.Factory factory) {
-    Front front = factory.of(new Front.Parts(loop, clock, budget, dispatcher, pool, this::evict));
-    fronts.add(front);
-    return front;
+  /** Adds a listener for another protocol. To be called before the start. */
+  public ProtocolListener addListener(ProtocolListener.Factory factory) {
+    ProtocolListener listener =
+        factory.create(
+            new ProtocolListener.Context(loop, clock, budget, dispatcher, pool, this::evictIdle));
+    extraListeners.add(listener);
+    return listener;
   }
 
-  /** A header that no client over HTTP/1.1 may send; before the start. */
-  public void forbid(String header) {
-    server.forbid(header);
+  /** Forbids HTTP/1.1 clients to send a header. To be called before the start. */
+  public void forbidHeader(String header) {
+    clientListener.forbidHeader(header);
   }
 
-  private boolean evict() {
-    return pool.evictIdle() || server.evictIdle();
+  private boolean evictIdle() {
+    return pool.evictIdle() || clientListener.evictIdle();
   }
 
-  /** Returns once clients can connect; fails if the address is taken. */
+  /** Returns once clients can connect; fails if the address is in use. */
   public void start() throws InterruptedException {
     loop.submit(() -> members.start(dispatcher)).sync();
     members.awaitList();
-    server.start(settings.listen(), settings.shared(), dispatcher, pool);
-    for (Front front : fronts) {
-      front.start();
+    clientListener.start(settings.listen(), settings.reusePort(), dispatcher, pool);
+    for (ProtocolListener listener : extraListeners) {
+      listener.start();
     }
-    watch.start(loop);
+    lagMonitor.start(loop);
     loop.scheduleAtFixedRate(this::logFigures, FIGURES_SECONDS, FIGURES_SECONDS, SECONDS);
   }
 
-  /** Other settings for all that is taken and opened from now on; on the loop. */
-  public void reload(Settings to) {
-    dispatcher.reload(to);
-    pool.reload(to.limits());
-    shutdown.reload(to);
+  /** Replaces the settings for new requests and connections; to be called on the event loop. */
+  public void reload(Settings newSettings) {
+    dispatcher.reload(newSettings);
+    pool.reload(newSettings.limits());
+    shutdown.reload(newSettings);
   }
 
-  /** Where clients connect; null where the process was told to end before it listened. */
+  /** The listen address, or null if the process was told to stop before it listened. */
   public InetSocketAddress address() {
-    return server.address();
+    return clientListener.address();
   }
 
   public EventLoop loop() {
     return loop;
   }
 
-  /** Unix time by the node's own clock, which goes on evenly when the machine's is set. */
+  /** Unix time of the node's own clock, which is not affected when the system clock is set. */
   public long nowMillis() {
     return clock.nowNanos() / 1_000_000;
   }
 
-  /** To be read on the loop. */
-  public LoopWatch watch() {
-    return watch;
+  /** To be used on the event loop. */
+  public LoopLagMonitor lagMonitor() {
+    return lagMonitor;
   }
 
-  /** To be read on the loop. */
+  /** To be used on the event loop. */
   public Dispatcher dispatcher() {
     return dispatcher;
   }
@@ -111,16 +117,16 @@
     return shutdown;
   }
 
-  public Emptying emptying() {
-    return emptying;
+  public OperatorDrain operatorDrain() {
+    return operatorDrain;
   }
 
-  /** What the node may hold; to be used on the loop. */
-  public Budget budget() {
+  /** The limits on descriptors and body bytes; to be used on the event loop. */
+  public ResourceBudget budget() {
     return budget;
   }
 
-  /** Ends at once, without a drain. */
+  /** Stops at once, without a drain. */
   public void stop() {
     group.shutdownGracefully(0, 5, SECONDS).awaitUninterruptibly();
   }
@@ -129,17 +135,17 @@
     Runtime runtime = Runtime.getRuntime();
     Log.info(
         "figures",
-        dispatcher.counters.take()
+        dispatcher.counters.formatAndReset()
             + "; live "
-            + dispatcher.live()
+            + dispatcher.liveRequestCount()
             + ", clients "
-            + server.clients()
+            + clientListener.clientCount()
             + ", idle upstream connections "
-            + pool.idleConnections()
+            + pool.idleConnectionCount()
             + ", connections "
             + budget.connections()
             + ", loop late by up to "
-            + watch.takeLatestNanos() / 1_000_000
+            + lagMonitor.takeMaxLagForFigures() / 1_000_000
             + " ms, heap "
             + (runtime.totalMemory() - runtime.freeMemory() >> 20)
             + " MB; "
--- a/src/main/java/heathswitch/proxy/node/Shutdown.java
+++ b/src/main/java/heathswitch/proxy/node/Shutdown.java
@@ -5,7 +5,7 @@
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.api.Settings;
 import heathswitch.proxy.dispatch.Dispatcher;
-import heathswitch.proxy.http1.ClientServer;
+import heathswitch.proxy.http1.ClientListener;
 import heathswitch.proxy.runtime.Log;
 import io.netty.channel.EventLoop;
 import java.util.List;
@@ -13,183 +13,191 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * SIGTERM: new connections still come for up to 0.4 s and are served. Clients use those that they
- * have for as long as they stay open, and while the other balancers restart too they have no better
- * place to go, so these are closed only when what is taken later might not be answered in time. The
- * process ends with code 0 when all that was taken has been answered.
+ * Drains the balancer at SIGTERM. New connections arrive for up to 0.4 s after it and are served.
+ * Clients keep using their open connections, and have no better alternative while the other
+ * balancers restart too, so these connections are closed only when a later request might not be
+ * answered in time. The process exits with code 0 when all accepted requests have been answered.
  */
 public final class Shutdown {
-  /** Past the time for which the front may still send new connections. */
-  static final long LISTEN_MILLIS = 550;
+  /** Exceeds the time for which the load balancer in front may still send new connections. */
+  static final long STOP_LISTENING_MILLIS = 550;
 
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest deadline, of these at most, and 0.7 s.
+   * SIGKILL follows SIGTERM no sooner than after the longest deadline, capped at this value, plus
+   * 0.7 s.
    */
-  private static final long MOST_DEADLINE_MILLIS = 3000;
+  private static final long MAX_DEADLINE_MILLIS = 3000;
 
-  private static final long KILL_MILLIS = 700;
+  private static final long KILL_EXTRA_MILLIS = 700;
 
   /**
-   * What is not answered so long before SIGKILL fails at once: an answer that SIGKILL finds owed is
-   * lost. Would do harm to long calls where SIGKILL comes later.
+   * Requests that are unanswered this long before SIGKILL fail at once, since SIGKILL would leave
+   * them without an answer. Long calls would fail needlessly if SIGKILL came later than assumed.
    */
-  private static final long SPARE_MILLIS = 400;
+  private static final long KILL_MARGIN_MILLIS = 400;
 
   /**
-   * What a call is given from the end of the taking to that moment. Guards against restarts one
-   * after the other, where the balancer before is not back yet: requests that come in between find
-   * nobody. Taken so late some are failed that would have been answered elsewhere, had there been
-   * another balancer; the front sends those elsewhere by itself.
+   * The time between the last request on a kept-alive connection and the failing of unanswered
+   * requests. Accepting requests this late guards against rolling restarts in which the previous
+   * balancer is not back yet, so that requests in between would find no balancer. Some requests
+   * accepted that late fail that another balancer could have answered; if there is one, the load
+   * balancer in front sends them there by itself.
    */
-  private static final long ANSWER_MILLIS = 1100;
+  private static final long ANSWER_TIME_MILLIS = 1100;
 
   private final EventLoop loop;
-  private final ClientServer server;
+  private final ClientListener clientListener;
   private final Dispatcher dispatcher;
   private final MemberSource members;
-  private final List<Front> fronts;
+  private final List<ProtocolListener> extraListeners;
   private final CountDownLatch drained = new CountDownLatch(1);
-  private Thread hook;
-  private BooleanSupplier followed = () -> false;
-  private volatile boolean begun;
+  private Thread shutdownHook;
+  private BooleanSupplier hasSuccessor = () -> false;
+  private volatile boolean draining;
 
-  /** What is left to say when all is drained, or null. */
-  private volatile Runnable last;
+  /** Run after the drain; may be null. */
+  private volatile Runnable finalTask;
 
-  /** When what is owed fails, and until when requests are taken on open connections. */
-  private long finishMillis;
+  /** After this time unanswered requests fail. */
+  private long failPendingMillis;
 
-  private long takeMillis;
+  /** For this time open connections accept further requests. */
+  private long keepAliveMillis;
 
   public Shutdown(
       EventLoop loop,
       Settings settings,
-      ClientServer server,
+      ClientListener clientListener,
       Dispatcher dispatcher,
       MemberSource members,
-      List<Front> fronts) {
+      List<ProtocolListener> extraListeners) {
     reload(settings);
     this.loop = loop;
-    this.server = server;
+    this.clientListener = clientListener;
     this.dispatcher = dispatcher;
     this.members = members;
-    this.fronts = fronts;
+    this.extraListeners = extraListeners;
   }
 
-  /** The longest deadline of other settings says when SIGKILL comes; before the drain. */
+  /**
+   * Recalculates the time of SIGKILL from the longest deadline of new settings. To be called before
+   * the drain.
+   */
   final void reload(Settings settings) {
     long longest =
         settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
-    finishMillis = Math.min(longest / 1_000_000, MOST_DEADLINE_MILLIS) + KILL_MILLIS - SPARE_MILLIS;
-    takeMillis = Math.max(LISTEN_MILLIS, finishMillis - ANSWER_MILLIS);
+    failPendingMillis =
+        Math.min(longest / 1_000_000, MAX_DEADLINE_MILLIS) + KILL_EXTRA_MILLIS - KILL_MARGIN_MILLIS;
+    keepAliveMillis = Math.max(STOP_LISTENING_MILLIS, failPendingMillis - ANSWER_TIME_MILLIS);
   }
 
-  /** Tells whether another process of this balancer takes the clients that come from now on. */
-  public void followed(BooleanSupplier by) {
-    followed = by;
+  /** Sets the check of whether another process of this balancer accepts new clients from now on. */
+  public void setSuccessorCheck(BooleanSupplier hasSuccessor) {
+    this.hasSuccessor = hasSuccessor;
   }
 
   /**
-   * Is run when all is drained, before the process ends, after those that were named before; must
-   * end by itself, and soon. Before the start.
+   * Adds a task that is run after the drain and before the process exits, after tasks added
+   * earlier. The task must finish by itself and quickly. To be called before the start.
    */
-  public void lastly(Runnable task) {
-    Runnable before = last;
-    last =
-        before == null
+  public void addFinalTask(Runnable task) {
+    Runnable earlier = finalTask;
+    finalTask =
+        earlier == null
             ? task
             : () -> {
-              before.run();
+              earlier.run();
               task.run();
             };
   }
 
   /** Whether the drain has begun. */
-  public boolean begun() {
-    return begun;
+  public boolean isDraining() {
+    return draining;
   }
 
   /**
-   * Drains at SIGTERM, also at one that comes while the balancer starts. The JVM would exit with
-   * the signal's code, so the hook ends it itself.
+   * Installs the hook that drains at SIGTERM, also during the start of the balancer. The JVM would
+   * exit with the signal's code, so the hook halts it itself.
    */
-  public void install() {
-    hook = new Thread(this::drainAndEnd, "shutdown");
-    Runtime.getRuntime().addShutdownHook(hook);
+  public void installHook() {
+    shutdownHook = new Thread(this::drainAndHalt, "shutdown");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
-  /** Nothing was started that could be drained. */
-  public void uninstall() {
-    Runtime.getRuntime().removeShutdownHook(hook);
+  /** Removes the hook because nothing was started that could be drained. */
+  public void removeHook() {
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
   }
 
-  private void drainAndEnd() {
+  private void drainAndHalt() {
     try {
       drain().await();
     } catch (InterruptedException e) {
       Log.warn("shutdown", "interrupted");
     }
-    if (last != null) {
-      last.run();
+    if (finalTask != null) {
+      finalTask.run();
     }
     Runtime.getRuntime().halt(0);
   }
 
-  /** Begins the drain; the latch opens when it is complete. */
+  /** Starts the drain and returns a latch that opens when it is complete. */
   public CountDownLatch drain() {
-    if (begun) {
-      return drained; // A second signal asks for what is already going on.
+    if (draining) {
+      return drained; // A second signal while the drain is in progress.
     }
-    begun = true;
-    boolean leave = followed.getAsBoolean();
+    draining = true;
+    boolean successorRuns = hasSuccessor.getAsBoolean();
     loop.execute(
         () -> {
-          Log.info("shutdown", "draining, " + dispatcher.live() + " requests live");
-          if (leave) {
-            leave();
+          Log.info("shutdown", "draining, " + dispatcher.liveRequestCount() + " requests live");
+          if (successorRuns) {
+            handOver();
           } else {
-            server.drain();
-            fronts.forEach(Front::drain);
-            loop.schedule(this::stopListening, LISTEN_MILLIS, MILLISECONDS);
+            clientListener.startDraining();
+            extraListeners.forEach(ProtocolListener::startDraining);
+            loop.schedule(this::stopListening, STOP_LISTENING_MILLIS, MILLISECONDS);
           }
-          loop.schedule(this::stopTaking, takeMillis, MILLISECONDS);
-          loop.schedule(dispatcher::failAll, finishMillis, MILLISECONDS);
+          loop.schedule(this::disableKeepAlive, keepAliveMillis, MILLISECONDS);
+          loop.schedule(dispatcher::failAll, failPendingMillis, MILLISECONDS);
         });
     return drained;
   }
 
   /**
-   * Another process has the address too: new connections are its own at once, the open ones go with
-   * their next answer. Whoever asks here whether the balancer is up hears yes, as it is.
+   * Hands over to another process that listens at the same address: new connections go to it at
+   * once, and open ones are closed with their next answer. Health checks that still reach this
+   * process report the balancer as up, which it is.
    */
-  private void leave() {
-    Log.info("shutdown", "another process has followed");
+  private void handOver() {
+    Log.info("shutdown", "handing over to another process");
     stopListening();
-    server.stopTaking();
+    clientListener.disableKeepAlive();
   }
 
   private void stopListening() {
-    server.stopListening();
-    fronts.forEach(Front::stopListening);
+    clientListener.stopListening();
+    extraListeners.forEach(ProtocolListener::stopListening);
   }
 
-  private void stopTaking() {
-    server.stopTaking();
+  private void disableKeepAlive() {
+    clientListener.disableKeepAlive();
     waitForClients();
   }
 
-  /** Whether there are clients still, or may come. */
-  private boolean owed() {
-    return server.listening()
-        || server.clients() > 0
-        || fronts.stream().anyMatch(front -> front.listening() || front.clients() > 0);
+  /** Whether there are clients, or may be new ones. */
+  private boolean hasClients() {
+    return clientListener.isListening()
+        || clientListener.clientCount() > 0
+        || extraListeners.stream().anyMatch(each -> each.isListening() || each.clientCount() > 0);
   }
 
-  /** Answers are still on their way to clients after the last request has been decided. */
+  /** Waits for clients to leave: answers are still being written after the last decision. */
   private void waitForClients() {
-    server.closeIdle();
-    fronts.forEach(Front::closeIdle);
-    if (owed()) {
+    clientListener.closeIdle();
+    extraListeners.forEach(ProtocolListener::closeIdle);
+    if (hasClients()) {
       loop.schedule(this::waitForClients, 20, MILLISECONDS);
       return;
     }
--- a/src/main/java/heathswitch/proxy/runtime/Log.java
+++ b/src/main/java/heathswitch/proxy/runtime/Log.java
@@ -9,61 +9,61 @@
 import java.util.logging.Logger;
 
 /**
- * The log on standard error, limited for each kind of line: a failing upstream or a hostile client
- * must not turn into a flood that costs the loop its time. A line may carry fields for programs
- * that read it, as pairs of a name and a value; the message says all that a person needs without
- * them.
+ * The log, written to standard error and rate-limited per kind of line: a failing upstream or a
+ * hostile client must not cause a flood that takes up the event loop's time. A line may carry
+ * fields for programs, as pairs of a name and a value; the message alone is complete for a human
+ * reader.
  */
 public final class Log {
   private static final Logger LOGGER = Logger.getLogger("heathswitch.proxy");
-  private static final LineLimit LIMIT = new LineLimit();
+  private static final LogRateLimiter RATE_LIMITER = new LogRateLimiter();
 
-  /** Where lines go that the limit lets through; null for the JDK's own log. */
+  /** Receives the lines that pass the rate limiter; null for the JDK's own log. */
   private static volatile Sink sink;
 
-  /** Takes lines in place of the JDK's log; from any thread, one at a time. */
+  /** Receives lines in place of the JDK's log, from any thread, but never concurrently. */
   public interface Sink {
     /**
-     * One line.
+     * Writes one line.
      *
-     * @param cause what was thrown, or null
-     * @param fields names and values in turn
+     * @param cause the exception, or null
+     * @param fields alternating names and values
      */
     void write(Level level, String kind, String message, Throwable cause, String... fields);
   }
 
   private Log() {}
 
-  /** Sends the JDK's log, Netty's lines included, to standard error with one line a record. */
-  public static void setUp() {
+  /** Writes the JDK's log, including Netty's, to standard error with one line per record. */
+  public static void installConsoleHandler() {
     Logger root = Logger.getLogger("");
     for (var handler : root.getHandlers()) {
       root.removeHandler(handler);
     }
     ConsoleHandler handler = new ConsoleHandler();
-    handler.setFormatter(new OneLine());
+    handler.setFormatter(new OneLineFormatter());
     root.addHandler(handler);
     Logger.getLogger("io.netty").setLevel(Level.SEVERE);
   }
 
-  /** Sends all lines from now on there; null for the JDK's own log. */
-  public static void to(Sink other) {
-    sink = other;
+  /** Sets the sink of all lines; null for the JDK's own log. */
+  public static void setSink(Sink newSink) {
+    sink = newSink;
   }
 
   public static void info(String kind, String message, String... fields) {
     write(Level.INFO, kind, message, null, fields);
   }
 
-  /** A line whose text costs something, and is made only if the limit lets it through. */
+  /** Logs a line whose text is built only if it passes the rate limiter. */
   public static void info(String kind, Supplier<String> message) {
-    if (passes(kind)) {
-      out(Level.INFO, kind, message.get(), null);
+    if (tryAcquire(kind)) {
+      emit(Level.INFO, kind, message.get(), null);
     }
   }
 
-  private static synchronized boolean passes(String kind) {
-    return LIMIT.passes(kind, Log::leftOut);
+  private static synchronized boolean tryAcquire(String kind) {
+    return RATE_LIMITER.tryAcquire(kind, Log::logSuppressed);
   }
 
   public static void warn(String kind, String message, String... fields) {
@@ -76,26 +76,26 @@
 
   private static synchronized void write(
       Level level, String kind, String message, Throwable cause, String... fields) {
-    if (LIMIT.passes(kind, Log::leftOut)) {
-      out(level, kind, message, cause, fields);
+    if (RATE_LIMITER.tryAcquire(kind, Log::logSuppressed)) {
+      emit(level, kind, message, cause, fields);
     }
   }
 
-  private static void leftOut(String kind, int lines) {
-    out(Level.WARNING, kind, lines + " more lines left out", null);
+  private static void logSuppressed(String kind, int lines) {
+    emit(Level.WARNING, kind, lines + " more lines suppressed", null);
   }
 
-  private static void out(
+  private static void emit(
       Level level, String kind, String message, Throwable cause, String... fields) {
-    Sink other = sink;
-    if (other == null) {
+    Sink currentSink = sink;
+    if (currentSink == null) {
       LOGGER.log(level, kind + ": " + message, cause);
     } else {
-      other.write(level, kind, message, cause, fields);
+      currentSink.write(level, kind, message, cause, fields);
     }
   }
 
-  private static final class OneLine extends Formatter {
+  private static final class OneLineFormatter extends Formatter {
     @Override
     public String format(LogRecord entry) {
       StringBuilder line =
--- a/src/main/java/heathswitch/proxy/runtime/Signals.java
+++ b/src/main/java/heathswitch/proxy/runtime/Signals.java
@@ -2,15 +2,15 @@
 
 import java.lang.reflect.Proxy;
 
-/** SIGHUP, which the JVM would otherwise take for a signal to end on. */
+/** Handles SIGHUP, at which the JVM would otherwise exit. */
 public final class Signals {
   private Signals() {}
 
   /**
-   * Runs the action at each SIGHUP, on a thread of the JVM's. That is a new one for each signal,
-   * and nothing keeps their order, so that they take turns here: the run that begins last sees all
-   * that was there before the newest signal. The JDK's only way to a signal is named at run time,
-   * as it is not an API.
+   * Runs the action at each SIGHUP, on a thread of the JVM. The JVM starts a new thread for each
+   * signal, in no defined order, so the runs are serialized here: the run that starts last sees
+   * everything written before the newest signal. The JDK's signal handling is not a public API and
+   * is therefore accessed by reflection.
    */
   public static void onHangUp(Runnable action) {
     try {
@@ -20,7 +20,7 @@
           Proxy.newProxyInstance(
               Signals.class.getClassLoader(),
               new Class<?>[] {handler},
-              (self, method, args) -> called(action, self, method.getName(), args));
+              (self, method, args) -> invoke(action, self, method.getName(), args));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
@@ -29,14 +29,14 @@
     }
   }
 
-  private static synchronized void takeTurn(Runnable action) {
+  private static synchronized void runExclusively(Runnable action) {
     action.run();
   }
 
-  private static Object called(Runnable action, Object self, String method, Object[] args) {
+  private static Object invoke(Runnable action, Object self, String method, Object[] args) {
     return switch (method) {
       case "handle" -> {
-        takeTurn(action);
+        runExclusively(action);
         yield null;
       }
       case "equals" -> self == args[0];
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -8,8 +8,8 @@
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.grpc.GrpcTable;
 import heathswitch.proxy.logging.LogTable;
-import heathswitch.proxy.maintenance.WorkTable;
-import heathswitch.proxy.members.MembersTable;
+import heathswitch.proxy.maintenance.MaintenanceConfig;
+import heathswitch.proxy.members.MembersConfig;
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.subsetting.SubsetTable;
 import java.nio.file.Path;
@@ -29,11 +29,11 @@
  */
 public record StandaloneConfig(
     NodeSettings node,
-    MembersTable members,
+    MembersConfig members,
     AdminTable admin,
     GrpcTable grpc,
     GatewayTable gateway,
-    WorkTable work,
+    MaintenanceConfig work,
     PeersTable peers,
     SubsetTable subset,
     LogTable log) {
@@ -44,11 +44,11 @@
    */
   public record Result(StandaloneConfig config, List<Fault> faults, boolean unreadable) {}
 
-  private static WorkTable work(Document document, NodeSettings node) {
-    Settings.Obligations rules = node == null ? null : node.settings().obligations();
+  private static MaintenanceConfig work(Document document, NodeSettings node) {
+    Settings.Obligations rules = node == null ? null : node.policySettings().obligations();
     return rules == null
-        ? WorkTable.read(document, 0, 1)
-        : WorkTable.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
+        ? MaintenanceConfig.read(document, 0, 1)
+        : MaintenanceConfig.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
   }
 
   /** What this balancer is called among others, and else by its own name. */
@@ -66,12 +66,13 @@
     StandaloneConfig config =
         new StandaloneConfig(
             node,
-            MembersTable.read(document),
+            MembersConfig.read(document),
             AdminTable.read(document.root()),
-            GrpcTable.read(document.root(), node == null ? List.of() : node.settings().classes()),
+            GrpcTable.read(
+                document.root(), node == null ? List.of() : node.policySettings().classes()),
             GatewayTable.read(document),
             work(document, node),
-            PeersTable.read(document, node == null ? null : node.settings().zone()),
+            PeersTable.read(document, node == null ? null : node.policySettings().zone()),
             SubsetTable.read(document.root()),
             LogTable.read(document.root()));
     if (config.work() != null
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -3,17 +3,17 @@
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.gateway.SiteGateway;
-import heathswitch.proxy.gossip.Peering;
+import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.grpc.GrpcServer;
-import heathswitch.proxy.maintenance.WorkOrders;
+import heathswitch.proxy.maintenance.MaintenanceService;
 import heathswitch.proxy.members.MembersPages;
 import heathswitch.proxy.members.MembersWatcher;
 import heathswitch.proxy.metrics.Metrics;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.node.NodeSettings;
 import heathswitch.proxy.runtime.Log;
-import heathswitch.proxy.runtime.SignalledRead;
-import heathswitch.proxy.subsetting.Subsetting;
+import heathswitch.proxy.runtime.SignalFileReader;
+import heathswitch.proxy.subsetting.SubsetService;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -30,55 +30,56 @@
   private static final int MOST_SERVERS_SHOWN = 1000;
 
   private final Path path;
-  private final SignalledRead file = new SignalledRead(this::read);
+  private final SignalFileReader file = new SignalFileReader(this::read);
   private final StandaloneConfig config;
   private final MembersWatcher members;
   private final Node node;
   private AdminServer admin;
   private GrpcServer grpc;
   private SiteGateway gateway;
-  private WorkOrders work;
-  private Peering peers;
-  private Subsetting subsets;
+  private MaintenanceService work;
+  private GossipService peers;
+  private SubsetService subsets;
 
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
-      throws MembersWatcher.CannotStart,
+      throws MembersWatcher.StartException,
           SiteGateway.CannotStart,
-          WorkOrders.CannotStart,
-          Peering.CannotStart {
+          MaintenanceService.StartException,
+          GossipService.StartException {
     this.path = path;
     this.config = config;
     members = MembersWatcher.open(config.members());
     long watch = config.admin() == null ? WATCH_NANOS : config.admin().watchNanos();
-    node = new Node(config.node(), members::on, watch);
+    node = new Node(config.node(), members::bindTo, watch);
     if (config.grpc() != null) {
       NodeSettings settings = config.node();
       grpc =
           (GrpcServer)
-              node.add(
+              node.addListener(
                   parts ->
-                      new GrpcServer(parts, config.grpc(), settings.settings(), settings.seed()));
+                      new GrpcServer(
+                          parts, config.grpc(), settings.policySettings(), settings.seed()));
     }
     if (config.gateway() != null) {
       NodeSettings settings = config.node();
       gateway =
           new SiteGateway(
-              node, config.gateway(), settings.settings().classes(), settings.seed() + 1);
-      node.forbid(SiteGateway.TRAIL);
+              node, config.gateway(), settings.policySettings().classes(), settings.seed() + 1);
+      node.forbidHeader(SiteGateway.TRAIL);
       if (grpc != null) {
         grpc.forbid(SiteGateway.TRAIL);
       }
     }
     if (config.peers() != null) {
-      peers = new Peering(node, config.peers());
+      peers = new GossipService(node, config.peers());
     }
     if (config.work() != null) {
-      work = new WorkOrders(node, config.work());
+      work = new MaintenanceService(node, config.work());
     }
     if (config.subset() != null) { // Over what work orders say: what is held is in no plan.
       subsets =
-          new Subsetting(
+          new SubsetService(
               node, peers, config.subset(), config.peers().instance(), config.node().seed());
     }
   }
@@ -122,12 +123,12 @@
   private Metrics metrics() {
     Metrics metrics =
         new Metrics(config.instance())
-            .counter("requests", "requests that came in", () -> node.dispatcher().taken())
-            .gauge("live.requests", "requests in work", () -> node.dispatcher().live())
+            .counter("requests", "requests that came in", () -> node.dispatcher().requestCount())
+            .gauge("live.requests", "requests in work", () -> node.dispatcher().liveRequestCount())
             .gauge(
                 "connected.servers",
                 "servers to which there are connections",
-                () -> node.dispatcher().connected());
+                () -> node.dispatcher().connectedUpstreamCount());
     if (peers != null) {
       peers.addFigures(metrics);
     }
@@ -165,11 +166,11 @@
     status.put("name", config.node().name());
     status.put("listen", config.node().listen().toString().substring(1));
     status.put("up_s", ManagementFactory.getRuntimeMXBean().getUptime() / 1000);
-    status.put("live_requests", node.dispatcher().live());
-    status.put("connected_servers", node.dispatcher().connected());
+    status.put("live_requests", node.dispatcher().liveRequestCount());
+    status.put("connected_servers", node.dispatcher().connectedUpstreamCount());
     // Pages are answered on the loop, so that its own thread is the one that is asked.
     status.put("loop_cpu_ms", ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() / 1e6);
-    status.put("loop_late_ms", node.watch().takeAskedNanos() / 1e6);
+    status.put("loop_late_ms", node.lagMonitor().takeMaxLagForStatus() / 1e6);
     status.put("heap_after_gc_mb", heapAfterCollection() / 1048576.0);
     status.put("view", node.dispatcher().figures());
     return status;
@@ -199,7 +200,7 @@
    * other tables than that of the members are taken at the next start.
    */
   public void reload() {
-    file.signalled();
+    file.onSignal();
   }
 
   private boolean read(int signal) {
--- a/src/main/java/heathswitch/testbed/maintenance/World.java
+++ b/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
@@ -1,16 +1,16 @@
 package heathswitch.testbed.maintenance;
 
+import heathswitch.policy.maintenance.CapacityFloor;
 import heathswitch.policy.maintenance.Command;
-import heathswitch.policy.maintenance.Floor;
-import heathswitch.policy.maintenance.Group;
+import heathswitch.policy.maintenance.CommandResult;
+import heathswitch.policy.maintenance.FormatSupport;
+import heathswitch.policy.maintenance.InstanceSession;
 import heathswitch.policy.maintenance.LogClock;
 import heathswitch.policy.maintenance.Machine;
-import heathswitch.policy.maintenance.Participant;
+import heathswitch.policy.maintenance.MaintenanceRules;
+import heathswitch.policy.maintenance.MaintenanceState;
 import heathswitch.policy.maintenance.Phase;
-import heathswitch.policy.maintenance.Release;
-import heathswitch.policy.maintenance.Reply;
-import heathswitch.policy.maintenance.Rules;
-import heathswitch.policy.maintenance.Settled;
+import heathswitch.policy.maintenance.ServerGroup;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,17 +24,17 @@
  * up, overtaken or taken twice; instances stop, die, come back with or without their disk; whoever
  * leads changes. The log itself is one list: that it is, is the library's to keep.
  */
-final class World {
-  static final Group GROUP = new Group("store", "a");
+final class MaintenanceSimulation {
+  static final ServerGroup GROUP = new ServerGroup("store", "a");
   static final List<String> MACHINES = List.of("m1", "m2", "m3", "m4");
 
   /** One limit at a time, or each would hide that another does not hold. */
-  private static final List<Rules> LIMITS =
+  private static final List<MaintenanceRules> LIMITS =
       List.of(
-          new Rules(1, 1000, 100, 9, 9, List.of(new Floor("store", "*", 0.5))),
-          new Rules(1, 1000, 100, 2, 9, List.of()),
-          new Rules(1, 1000, 100, 9, 1, List.of()),
-          new Rules(1, 1000, 100, 9, 9, List.of()));
+          new MaintenanceRules(1, 1000, 100, 9, 9, List.of(new CapacityFloor("store", "*", 0.5))),
+          new MaintenanceRules(1, 1000, 100, 2, 9, List.of()),
+          new MaintenanceRules(1, 1000, 100, 9, 1, List.of()),
+          new MaintenanceRules(1, 1000, 100, 9, 9, List.of()));
 
   /** Each kind of limits with instances of one release, and with one of an earlier release. */
   static final int LIMITED = LIMITS.size() * 2;
@@ -47,8 +47,8 @@
   private static final int MOST_PENDING = 64;
   private static final int MOST_SHOWN = 80;
 
-  /** What holds in every state; its name is what a finding says. */
-  enum Property {
+  /** What holds in every state; its name is what a violation says. */
+  enum Invariant {
     /** No call begins at a machine from when it is out until somebody says that it is done. */
     OUT_MEANS_OUT,
     /** Capacity, machines out at once and in one cell are within the rules. */
@@ -67,12 +67,13 @@
     NOT_STUCK
   }
 
-  /** A property that did not hold, and after which events. */
-  record Finding(Property property, String what, boolean stops, int limited, List<Event> events) {
+  /** A invariant that did not hold, and after which events. */
+  record Violation(
+      Invariant invariant, String what, boolean stops, int limited, List<Event> events) {
     @Override
     public String toString() {
       StringBuilder text =
-          new StringBuilder(property + ": " + what + "; stops " + stops + ", limits " + limited);
+          new StringBuilder(invariant + ": " + what + "; stops " + stops + ", limits " + limited);
       events.stream()
           .limit(MOST_SHOWN)
           .forEach(
@@ -115,16 +116,16 @@
   record Event(Kind kind, int at) {}
 
   /** Something that was said and has not been answered. */
-  private static final class Said {
-    final Sim by;
-    final Participant process;
+  private static final class PendingCommand {
+    final SimulatedInstance by;
+    final InstanceSession process;
     final Command command;
     final int form;
     long readTerm = -1;
     long readMillis;
     boolean repeated;
 
-    Said(Sim by, Command command, int form) {
+    PendingCommand(SimulatedInstance by, Command command, int form) {
       this.form = form;
       this.by = by;
       this.process = by == null ? null : by.participant;
@@ -134,12 +135,12 @@
 
   private record Entry(long term, long readTerm, long readMillis, Command command, int form) {}
 
-  private final List<Sim> sims = new ArrayList<>();
-  private final List<Said> pending = new ArrayList<>();
+  private final List<SimulatedInstance> instances = new ArrayList<>();
+  private final List<PendingCommand> pending = new ArrayList<>();
   private final List<Entry> log = new ArrayList<>();
 
   /** What anybody may have been told: all of the log, taken at once. */
-  private final Settled all = new Settled();
+  private final MaintenanceState all = new MaintenanceState();
 
   /** What was computed from the log up to each entry. */
   private final List<Object> computed = new ArrayList<>();
@@ -148,7 +149,7 @@
   private final List<LogClock> clocks = new ArrayList<>();
   private final List<Event> events = new ArrayList<>();
   private final boolean stops;
-  private Finding finding;
+  private Violation violation;
   private long now;
   private long term = 1;
   private int leader;
@@ -164,21 +165,23 @@
   private boolean ill;
 
   /** One of so many kinds of limits. */
-  World(boolean stops, int limited) {
+  MaintenanceSimulation(boolean stops, int limited) {
     this.stops = stops;
     this.limited = limited;
-    Rules rules = rules();
+    MaintenanceRules rules = rules();
     int older = limited < LIMITS.size() ? -1 : INSTANCES - 1;
     double[] rates = {1.0, 1.02, 0.98};
     for (int i = 0; i < INSTANCES; i++) {
-      Release release = new Release(i == older ? Release.FIRST : Release.LATEST, INSTANCES);
-      sims.add(
-          new Sim(this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
+      FormatSupport release =
+          new FormatSupport(i == older ? FormatSupport.FIRST : FormatSupport.LATEST, INSTANCES);
+      instances.add(
+          new SimulatedInstance(
+              this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
       clocks.add(new LogClock());
     }
   }
 
-  private Rules rules() {
+  private MaintenanceRules rules() {
     return LIMITS.get(limited % LIMITS.size());
   }
 
@@ -195,35 +198,35 @@
     return ++draws;
   }
 
-  Finding finding() {
-    return finding;
+  Violation violation() {
+    return violation;
   }
 
-  Settled settled() {
+  MaintenanceState settled() {
     return all;
   }
 
-  private void found(Property property, String what) {
-    if (finding == null) {
-      finding = new Finding(property, what, stops, limited, List.copyOf(events));
+  private void violated(Invariant invariant, String what) {
+    if (violation == null) {
+      violation = new Violation(invariant, what, stops, limited, List.copyOf(events));
     }
   }
 
   // ---- told by the instances ----
 
-  void began(Sim by, String machine) {
-    for (Settled.Away each : all.away()) {
+  void began(SimulatedInstance by, String machine) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (each.machine().equals(machine) && each.phase() == Phase.OUT) {
-        found(Property.OUT_MEANS_OUT, by.name + " began a call at " + machine);
+        violated(Invariant.OUT_MEANS_OUT, by.name + " began a call at " + machine);
       }
     }
   }
 
-  void said(Sim by, Command command) {
+  void said(SimulatedInstance by, Command command) {
     if (!by.cut && pending.size() < MOST_PENDING) {
-      pending.add(new Said(by, command, by.settled.form()));
+      pending.add(new PendingCommand(by, command, by.settled.formatVersion()));
     } else {
-      by.participant.answered(command, null, by.clock(), by);
+      by.participant.onResult(command, null, by.clock(), by);
     }
   }
 
@@ -235,17 +238,17 @@
     list.add(new Event(Kind.PASS, 10));
     list.add(new Event(Kind.PASS, 120));
     list.add(new Event(Kind.PASS, 700));
-    for (int i = 0; i < sims.size(); i++) {
-      Sim sim = sims.get(i);
-      if (sim.runs()) {
-        if (sim.taken < log.size() && !sim.cut && !sim.stuck) {
+    for (int i = 0; i < instances.size(); i++) {
+      SimulatedInstance instance = instances.get(i);
+      if (instance.runs()) {
+        if (instance.taken < log.size() && !instance.cut && !instance.stuck) {
           list.add(new Event(Kind.TAKE, i));
         }
         list.add(new Event(Kind.STEP, i));
         for (int m = 0; m < 2; m++) {
           list.add(new Event(Kind.DECIDE, i * 4 + m));
         }
-        if (!sim.calls.isEmpty()) {
+        if (!instance.calls.isEmpty()) {
           list.add(new Event(Kind.WRITE, i));
           list.add(new Event(Kind.END, i));
         }
@@ -253,17 +256,17 @@
         list.add(new Event(Kind.STICK, i));
         list.add(new Event(Kind.LEAD, i));
       }
-      if (sim.alive && sim.paused) {
+      if (instance.alive && instance.paused) {
         list.add(new Event(Kind.WAKE, i));
       }
-      list.add(new Event(sim.cut ? Kind.HEAL : Kind.CUT, i));
-      if (sim.alive) {
+      list.add(new Event(instance.cut ? Kind.HEAL : Kind.CUT, i));
+      if (instance.alive) {
         list.add(new Event(Kind.KILL, i));
       } else {
         list.add(new Event(Kind.START, i));
         list.add(new Event(Kind.LOSE, i));
         list.add(new Event(Kind.FENCE, i));
-        if (sim.release.knows() < Release.LATEST) {
+        if (instance.release.latestFormat() < FormatSupport.LATEST) {
           list.add(new Event(Kind.UPGRADE, i));
         }
       }
@@ -281,7 +284,7 @@
     if (asked < 6) {
       list.add(new Event(Kind.ASK, asked));
     }
-    for (long order : all.orders()) {
+    for (long order : all.orderIds()) {
       list.add(new Event(Kind.DONE, (int) order));
       list.add(new Event(Kind.CANCEL, (int) order));
     }
@@ -289,7 +292,7 @@
   }
 
   /** Lets one event happen; one that cannot is passed over. */
-  World play(Event event) {
+  MaintenanceSimulation play(Event event) {
     if (!can(event)) {
       return this;
     }
@@ -297,43 +300,43 @@
     int at = event.at();
     switch (event.kind()) {
       case PASS -> now += at * MILLI;
-      case TAKE -> take(sims.get(at));
-      case STEP -> sims.get(at).step();
+      case TAKE -> take(instances.get(at));
+      case STEP -> instances.get(at).step();
       case READ -> read();
       case APPEND -> append(false);
       case DROP -> drop();
       case DEFER -> pending.add(pending.remove(0));
       case REPEAT -> append(true);
-      case DECIDE -> sims.get(at / 4).decide(MACHINES.get(at % 4));
-      case WRITE -> sims.get(at).write();
-      case END -> sims.get(at).calls.removeIf(call -> call.written);
-      case PAUSE -> sims.get(at).paused = true;
-      case WAKE -> sims.get(at).paused = false;
+      case DECIDE -> instances.get(at / 4).decide(MACHINES.get(at % 4));
+      case WRITE -> instances.get(at).write();
+      case END -> instances.get(at).calls.removeIf(call -> call.written);
+      case PAUSE -> instances.get(at).paused = true;
+      case WAKE -> instances.get(at).paused = false;
       case KILL -> {
-        sims.get(at).kill();
+        instances.get(at).kill();
         leader = leader == at ? -1 : leader; // It comes back as one that follows.
       }
       case START -> start(at);
       case UPGRADE -> {
-        sims.get(at).release = new Release(Release.LATEST, INSTANCES);
+        instances.get(at).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
         start(at);
       }
       case ILL -> ill = !ill;
       case STICK -> { // Its disk is full, until its next start, or it hears nothing.
-        sims.get(at).stuck = true;
-        sims.get(at).deaf = (now >>> 20 & 1) == 0;
+        instances.get(at).stuck = true;
+        instances.get(at).deaf = (now >>> 20 & 1) == 0;
       }
       case LOSE -> {
-        sims.get(at).start(false);
+        instances.get(at).start(false);
         clocks.set(at, new LogClock());
       }
-      case CUT -> sims.get(at).cut = true;
-      case HEAL -> sims.get(at).cut = false;
+      case CUT -> instances.get(at).cut = true;
+      case HEAL -> instances.get(at).cut = false;
       case LEAD -> lead(at);
       case ASK -> ask(at);
       case DONE -> say(new Command.Done(at, null));
       case CANCEL -> say(new Command.Cancel(at));
-      case FENCE -> say(new Command.Fence(sims.get(at).name, false));
+      case FENCE -> say(new Command.Fence(instances.get(at).name, false));
     }
     check();
     return this;
@@ -341,79 +344,81 @@
 
   /** A new process with its disk. */
   private void start(int at) {
-    sims.get(at).start(true);
+    instances.get(at).start(true);
     LogClock clock = new LogClock();
-    clock.restore(clocks.get(at).takenMillis());
+    clock.restore(clocks.get(at).appliedMillis());
     clocks.set(at, clock);
   }
 
   /** Whether it can happen in this state. */
   private boolean can(Event event) {
     return switch (event.kind()) {
-      case START, LOSE, UPGRADE -> !sims.get(event.at()).alive;
-      case STEP, WRITE, END, PAUSE, LEAD, STICK -> sims.get(event.at()).runs();
+      case START, LOSE, UPGRADE -> !instances.get(event.at()).alive;
+      case STEP, WRITE, END, PAUSE, LEAD, STICK -> instances.get(event.at()).runs();
       case TAKE -> {
-        Sim sim = sims.get(event.at());
-        yield sim.runs() && !sim.cut && !sim.stuck && sim.taken < log.size();
+        SimulatedInstance instance = instances.get(event.at());
+        yield instance.runs() && !instance.cut && !instance.stuck && instance.taken < log.size();
       }
-      case DECIDE -> sims.get(event.at() / 4).runs();
+      case DECIDE -> instances.get(event.at() / 4).runs();
       case READ, APPEND, DROP, REPEAT, DEFER -> !pending.isEmpty();
       default -> true;
     };
   }
 
-  private void take(Sim sim) {
-    Entry entry = log.get(sim.taken);
+  private void take(SimulatedInstance instance) {
+    Entry entry = log.get(instance.taken);
     long stamp =
-        clocks.get(sims.indexOf(sim)).take(entry.term(), entry.readTerm(), entry.readMillis());
-    if (entry.form() > sim.release.knows()) {
-      found(Property.FORMS, sim.name + " is given an entry of form " + entry.form());
-    }
-    sim.take(sim.taken + 1, stamp, entry.command());
-    if (!sim.settled.save().equals(computed.get(sim.taken - 1))) {
-      found(
-          Property.SAME,
-          sim.name
+        clocks
+            .get(instances.indexOf(instance))
+            .apply(entry.term(), entry.readTerm(), entry.readMillis());
+    if (entry.form() > instance.release.latestFormat()) {
+      violated(Invariant.FORMS, instance.name + " is given an entry of form " + entry.form());
+    }
+    instance.take(instance.taken + 1, stamp, entry.command());
+    if (!instance.settled.toSnapshot().equals(computed.get(instance.taken - 1))) {
+      violated(
+          Invariant.SAME,
+          instance.name
               + " differs after entry "
-              + sim.taken
+              + instance.taken
               + ": "
-              + sim.settled.save()
+              + instance.settled.toSnapshot()
               + " and "
-              + computed.get(sim.taken - 1));
+              + computed.get(instance.taken - 1));
     }
   }
 
   /** Whoever leads has taken all entries of earlier terms before it reads its clock. */
   private void lead(int at) {
-    Sim sim = sims.get(at);
-    if (!sim.cut && !sim.stuck) {
+    SimulatedInstance instance = instances.get(at);
+    if (!instance.cut && !instance.stuck) {
       leader = at;
       term++;
-      while (sim.taken < log.size()) {
-        take(sim);
+      while (instance.taken < log.size()) {
+        take(instance);
       }
     }
   }
 
   private boolean led() {
-    return leader >= 0 && sims.get(leader).runs() && !sims.get(leader).stuck;
+    return leader >= 0 && instances.get(leader).runs() && !instances.get(leader).stuck;
   }
 
-  boolean leads(Sim sim) {
-    return led() && sims.get(leader) == sim;
+  boolean leads(SimulatedInstance instance) {
+    return led() && instances.get(leader) == instance;
   }
 
   private void read() {
-    Said said = pending.get(0);
+    PendingCommand said = pending.get(0);
     if (led()) {
       said.readTerm = term;
-      said.readMillis = clocks.get(leader).read(term, sims.get(leader).clock());
+      said.readMillis = clocks.get(leader).read(term, instances.get(leader).clock());
     }
   }
 
   private void append(boolean again) {
-    Said said = pending.get(0);
-    if (!led() || sims.get(leader).cut) {
+    PendingCommand said = pending.get(0);
+    if (!led() || instances.get(leader).cut) {
       return;
     }
     if (said.readTerm < 0) {
@@ -421,9 +426,9 @@
     }
     Entry entry = new Entry(term, said.readTerm, said.readMillis, said.command, said.form);
     log.add(entry);
-    long stamp = allClock.take(entry.term(), entry.readTerm(), entry.readMillis());
-    Reply reply = all.apply(log.size(), stamp, said.command);
-    computed.add(all.save());
+    long stamp = allClock.apply(entry.term(), entry.readTerm(), entry.readMillis());
+    CommandResult reply = all.apply(log.size(), stamp, said.command);
+    computed.add(all.toSnapshot());
     if (again && !said.repeated) {
       said.repeated = true;
       said.readTerm = -1;
@@ -437,16 +442,16 @@
     answer(pending.remove(0), null);
   }
 
-  private void answer(Said said, Reply reply) {
-    Sim by = said.by;
+  private void answer(PendingCommand said, CommandResult reply) {
+    SimulatedInstance by = said.by;
     if (by != null && by.alive && by.participant == said.process) {
       // One that is stopped hears it when it wakes, and by its own clock then; this is no sooner.
-      by.participant.answered(said.command, by.cut ? null : reply, by.clock(), by);
+      by.participant.onResult(said.command, by.cut ? null : reply, by.clock(), by);
     }
   }
 
   private void say(Command command) {
-    pending.add(0, new Said(null, command, all.form()));
+    pending.add(0, new PendingCommand(null, command, all.formatVersion()));
     append(false);
     pending.removeIf(said -> said.by == null);
   }
@@ -454,14 +459,14 @@
   private void ask(int number) {
     List<Machine> machines = new ArrayList<>();
     if (number == BALANCERS) {
-      machines.add(Machine.balancer(sims.get(2).name));
-      machines.add(Machine.balancer(sims.get(1).name));
+      machines.add(Machine.balancer(instances.get(2).name));
+      machines.add(Machine.balancer(instances.get(1).name));
     }
     for (int i = 0; i <= number % 3 && number != BALANCERS; i++) {
       int m = (number + i) % MACHINES.size();
       machines.add(new Machine(MACHINES.get(m), "store", "a", m / 2, 1, "at-" + m));
     }
-    int before = all.orders().size();
+    int before = all.orderIds().size();
     say(
         new Command.Ask(
             "k" + number,
@@ -474,7 +479,7 @@
             0,
             0,
             machines));
-    asked += all.orders().size() > before ? 1 : 0;
+    asked += all.orderIds().size() > before ? 1 : 0;
   }
 
   // ---- properties ----
@@ -483,88 +488,88 @@
     Set<String> held = new HashSet<>();
     Map<Long, Integer> cells = new HashMap<>();
     Map<Long, Integer> orders = new HashMap<>();
-    Rules rules = rules();
+    MaintenanceRules rules = rules();
     int out = 0;
     int balancers = 0;
-    for (Settled.Away each : all.away()) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       if (!held.add(each.machine())) {
-        found(Property.ONE_ORDER, each.machine() + " is with two orders");
+        violated(Invariant.ONE_ORDER, each.machine() + " is with two orders");
       }
       String balancer = Machine.instance(each.machine());
       balancers += balancer != null ? 1 : 0;
       if (each.phase().held() && balancer == null) {
         out++;
         long cell = MACHINES.indexOf(each.machine()) / 2;
-        if (cells.merge(cell, 1, Integer::sum) > rules.mostOutInCell()) {
-          found(Property.FLOORS, "too many machines of one cell are out");
+        if (cells.merge(cell, 1, Integer::sum) > rules.maxOutInCell()) {
+          violated(Invariant.FLOORS, "too many machines of one cell are out");
         }
-        if (orders.merge(each.order(), 1, Integer::sum) > all.wanted(each.order()).atOnce()) {
-          found(Property.AT_ONCE, "order " + each.order() + " has too many machines out");
+        if (orders.merge(each.order(), 1, Integer::sum) > all.request(each.order()).atOnce()) {
+          violated(Invariant.AT_ONCE, "order " + each.order() + " has too many machines out");
         }
       }
     }
-    for (Settled.Away each : all.away()) {
+    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
       String balancer = Machine.instance(each.machine());
       if (balancer != null) {
         stays(balancer, each.phase());
       }
     }
     if (balancers > 1) {
-      found(Property.FLOORS, balancers + " balancers are away");
+      violated(Invariant.FLOORS, balancers + " balancers are away");
     }
     double least = 0;
-    for (Floor floor : rules.floors()) {
-      least = floor.least() * MACHINES.size();
+    for (CapacityFloor floor : rules.floors()) {
+      least = floor.minShare() * MACHINES.size();
     }
-    if (out > rules.mostOut() || MACHINES.size() - out < least) {
-      found(Property.FLOORS, out + " machines are out");
+    if (out > rules.maxOut() || MACHINES.size() - out < least) {
+      violated(Invariant.FLOORS, out + " machines are out");
     }
-    for (Sim sim : sims) {
+    for (SimulatedInstance instance : instances) {
       if (stops
-          && sim.runs()
-          && sim.participant.inside()
-          && sim.participant.maySend(sim.clock())
-          && !all.joined(sim.name, sim.participant.incarnation())) {
-        found(Property.LEASE, sim.name + " may send and is fenced");
+          && instance.runs()
+          && instance.participant.joined()
+          && instance.participant.maySend(instance.clock())
+          && !all.hasJoined(instance.name, instance.participant.incarnation())) {
+        violated(Invariant.LEASE, instance.name + " may send and is fenced");
       }
     }
   }
 
   /** A balancer that is out comes back when somebody says so, whatever process it has. */
   private void stays(String balancer, Phase phase) {
-    for (Sim sim : sims) {
-      if (sim.name.equals(balancer)) {
+    for (SimulatedInstance instance : instances) {
+      if (instance.name.equals(balancer)) {
         if (phase == Phase.OUT) {
           wentOut.add(balancer);
-          if (all.joined(balancer, all.incarnation(balancer))) {
-            found(Property.OUT_MEANS_OUT, balancer + " is out and has joined");
+          if (all.hasJoined(balancer, all.incarnation(balancer))) {
+            violated(Invariant.OUT_MEANS_OUT, balancer + " is out and has joined");
           }
         } else if (phase == Phase.RETURNING
             && wentOut.remove(balancer)
             && events.get(events.size() - 1).kind() != Kind.DONE) {
-          found(Property.OUT_MEANS_OUT, balancer + " came back by itself");
+          violated(Invariant.OUT_MEANS_OUT, balancer + " came back by itself");
         }
       }
     }
   }
 
   /** All is well again, and people say of whatever is out that it is done: nothing may be left. */
-  World calm() {
+  MaintenanceSimulation calm() {
     int dead = -1;
     ill = false;
-    for (int i = 0; i < sims.size(); i++) {
-      Sim sim = sims.get(i);
-      sim.cut = false;
-      sim.paused = false;
-      if (sim.stuck && !stops) {
+    for (int i = 0; i < instances.size(); i++) {
+      SimulatedInstance instance = instances.get(i);
+      instance.cut = false;
+      instance.paused = false;
+      if (instance.stuck && !stops) {
         play(new Event(Kind.KILL, i)); // By whoever is told that its log stands still.
       }
-      if ((sim.stuck || !sim.alive) && dead < 0 && asked <= BALANCERS) {
+      if ((instance.stuck || !instance.alive) && dead < 0 && asked <= BALANCERS) {
         dead = i; // One stays dead, or without a disk: the others go on without it.
-      } else if (sim.stuck) {
+      } else if (instance.stuck) {
         play(new Event(Kind.KILL, i));
         play(new Event(Kind.START, i));
-      } else if (!sim.alive) {
+      } else if (!instance.alive) {
         play(new Event(Kind.START, i));
       }
     }
@@ -572,12 +577,12 @@
     if (dead >= 0 && !stops) {
       play(new Event(Kind.FENCE, dead));
     }
-    for (int round = 0; round < 2000 && finding == null; round++) {
+    for (int round = 0; round < 2000 && violation == null; round++) {
       play(new Event(Kind.PASS, 30));
       if (dead >= 0 && !stops && round == 20) {
         play(new Event(Kind.FENCE, dead)); // What it said before it died has come only now.
       }
-      for (int i = 0; i < sims.size(); i++) {
+      for (int i = 0; i < instances.size(); i++) {
         play(new Event(Kind.STEP, i));
         play(new Event(Kind.WRITE, i));
         play(new Event(Kind.END, i));
@@ -585,66 +590,68 @@
       for (int k = pending.size(); k > 0; k--) {
         play(new Event(Kind.APPEND, 0));
       }
-      for (int i = 0; i < sims.size(); i++) {
-        while (i != dead && sims.get(i).taken < log.size()) {
+      for (int i = 0; i < instances.size(); i++) {
+        while (i != dead && instances.get(i).taken < log.size()) {
           play(new Event(Kind.TAKE, i));
         }
       }
-      for (int i = 0; i < sims.size(); i++) {
-        Settled.Away own = null;
-        for (Settled.Away each : all.away()) {
-          own = sims.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
+      for (int i = 0; i < instances.size(); i++) {
+        MaintenanceState.AwayMachine own = null;
+        for (MaintenanceState.AwayMachine each : all.awayMachines()) {
+          own = instances.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
         }
         if (own != null && own.phase() == Phase.OUT && i != dead) {
           play(new Event(Kind.KILL, i)); // The upgrade that it was taken out for.
           play(new Event(Kind.START, i));
-          play(new Event(Kind.LEAD, (i + 1) % sims.size()));
+          play(new Event(Kind.LEAD, (i + 1) % instances.size()));
           play(new Event(Kind.DONE, (int) own.order()));
         }
       }
       boolean left = false;
-      for (long order : all.orders()) {
-        boolean servers = Machine.instance(all.standings(order, 1).get(0).machine()) == null;
-        if (servers && all.phases(order).containsKey(Phase.OUT)) {
+      for (long order : all.orderIds()) {
+        boolean servers = Machine.instance(all.machineStatuses(order, 1).get(0).machine()) == null;
+        if (servers && all.phaseCounts(order).containsKey(Phase.OUT)) {
           play(new Event(Kind.DONE, (int) order));
         }
-        Set<Phase> phases = new HashSet<>(all.phases(order).keySet());
+        Set<Phase> phases = new HashSet<>(all.phaseCounts(order).keySet());
         phases.remove(Phase.DONE);
         phases.remove(Phase.ABANDONED);
         left |= !phases.isEmpty();
       }
-      for (int i = 0; i < sims.size(); i++) {
-        Sim sim = sims.get(i);
-        left |= i != dead && !sim.participant.maySend(sim.clock());
+      for (int i = 0; i < instances.size(); i++) {
+        SimulatedInstance instance = instances.get(i);
+        left |= i != dead && !instance.participant.maySend(instance.clock());
       }
       if (!left && round > 5) {
         return this;
       }
     }
     StringBuilder left = new StringBuilder();
-    all.orders().forEach(order -> left.append(order).append(all.standings(order, 9)).append(' '));
-    found(Property.NOT_STUCK, left + " with " + all.instances());
+    all.orderIds()
+        .forEach(order -> left.append(order).append(all.machineStatuses(order, 9)).append(' '));
+    violated(Invariant.NOT_STUCK, left + " with " + all.instanceStatuses());
     return this;
   }
 
   /** Plays so many events drawn by a seed, then calm; what did not hold, or null. */
-  static Finding random(long seed, int steps) {
+  static Violation random(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
     boolean stops = random.nextInt(4) > 0;
     int releases = random.nextInt(4) > 0 ? 0 : LIMITS.size();
-    World world = new World(stops, releases + random.nextInt(LIMITS.size()));
-    for (int i = 0; i < steps && world.finding == null; i++) {
-      List<Event> possible = world.possible();
+    MaintenanceSimulation simulation =
+        new MaintenanceSimulation(stops, releases + random.nextInt(LIMITS.size()));
+    for (int i = 0; i < steps && simulation.violation == null; i++) {
+      List<Event> possible = simulation.possible();
       Event event = possible.get(random.nextInt(possible.size()));
       if (rare(event.kind()) && random.nextInt(8) > 0) {
         continue;
       }
-      world.play(event);
+      simulation.play(event);
       if (random.nextInt(3) > 0) {
-        world.busy(random);
+        simulation.busy(random);
       }
     }
-    return world.finding == null ? world.calm().finding : world.finding;
+    return simulation.violation == null ? simulation.calm().violation : simulation.violation;
   }
 
   private static boolean rare(Kind kind) {
@@ -656,14 +663,14 @@
 
   /** Something of what goes on all the time, so that faults meet an instance at work. */
   private void busy(SplittableRandom random) {
-    int i = random.nextInt(sims.size());
-    Sim sim = sims.get(i);
-    if (sim.runs()) {
+    int i = random.nextInt(instances.size());
+    SimulatedInstance instance = instances.get(i);
+    if (instance.runs()) {
       play(new Event(Kind.STEP, i));
       if (!pending.isEmpty()) {
         play(new Event(Kind.APPEND, 0));
       }
-      if (!sim.cut && sim.taken < log.size()) {
+      if (!instance.cut && instance.taken < log.size()) {
         play(new Event(Kind.TAKE, i));
       }
     }
--- a/src/test/java/heathswitch/policy/core/Harness.java
+++ b/src/test/java/heathswitch/policy/core/BalancerHarness.java
@@ -1,24 +1,26 @@
 package heathswitch.policy.core;
 
 import heathswitch.policy.api.Actions;
-import heathswitch.policy.api.Form;
 import heathswitch.policy.api.Health;
-import heathswitch.policy.api.ListForm;
+import heathswitch.policy.api.ListUpdate;
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
+import heathswitch.policy.api.RequestProtocol;
 import heathswitch.policy.api.ServerEntry;
 import heathswitch.policy.api.Settings;
 import heathswitch.policy.api.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A balancer under test with a clock that the test moves and actions that it can read. */
-final class Harness implements Actions {
+/** A balancer with a clock that the test advances; records its actions. */
+final class BalancerHarness implements Actions {
   static final long MS = 1_000_000L;
   static final long SECOND = 1000 * MS;
 
+  /** A sent attempt. ReplayTest compares its text form with a recording. */
   record Sent(long request, int attempt, long server, long atNanos) {}
 
+  /** A timer that has been set and has not fired. */
   record Timer(long dueNanos, long token) {}
 
   final List<Sent> sent = new ArrayList<>();
@@ -27,24 +29,25 @@
   final List<String> cancelled = new ArrayList<>();
   final List<Timer> timers = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
-  int watches;
+  int discoveryCalls;
   long now = 100 * SECOND;
   final Balancer balancer;
 
-  Harness(Settings settings) {
+  BalancerHarness(Settings settings) {
     this(settings, 42);
   }
 
-  Harness(Settings settings, long seed) {
+  BalancerHarness(Settings settings, long seed) {
     balancer = new Balancer(settings, seed, this);
     balancer.start(now);
   }
 
-  static RequestClass safe(String name) {
-    return type(name, RequestClass.Effect.SAFE, RequestClass.Group.ALL);
+  static RequestClass safeClass(String name) {
+    return requestClass(name, RequestClass.Effect.SAFE, RequestClass.Group.ALL);
   }
 
-  static RequestClass type(String name, RequestClass.Effect effect, RequestClass.Group group) {
+  static RequestClass requestClass(
+      String name, RequestClass.Effect effect, RequestClass.Group group) {
     return new RequestClass(name, effect, group, 1000 * MS, 4000 * MS, 2000 * MS, 1, 0.2, false);
   }
 
@@ -52,7 +55,7 @@
     return settings(tier, true, false, classes);
   }
 
-  static Settings settings(int tier, boolean duplicate, boolean ask, RequestClass... classes) {
+  static Settings settings(int tier, boolean hedge, boolean subscribes, RequestClass... classes) {
     return new Settings(
         List.of(classes),
         List.<Tenant>of(),
@@ -62,42 +65,42 @@
         0,
         4,
         "a",
-        ask,
-        new Settings.Limits(4, duplicate, true, 5 * SECOND, 250 * MS, 2 * SECOND),
+        subscribes,
+        new Settings.Limits(4, hedge, true, 5 * SECOND, 250 * MS, 2 * SECOND),
         new Settings.Obligations(20 * MS, SECOND, 10 * SECOND, 0.15, 20 * SECOND, 2.5, 2 * SECOND));
   }
 
-  /** The same settings, by which a balancer may leave off asking for so long only. */
-  static Settings mustAskWithin(Settings like, long nanos) {
-    return rules(like, like.obligations().stopSendingWithinNanos(), nanos);
+  /** The same settings with another limit for subscribing at discovery. */
+  static Settings withSubscribeLimit(Settings base, long limitNanos) {
+    return withObligations(base, base.obligations().stopSendingWithinNanos(), limitNanos);
   }
 
-  /** The same settings with another grace for servers that drain. */
-  static Settings graceOf(Settings like, long nanos) {
-    return rules(like, nanos, like.obligations().mustAskInNanos());
+  /** The same settings with another grace period for draining servers. */
+  static Settings withGrace(Settings base, long graceNanos) {
+    return withObligations(base, graceNanos, base.obligations().subscribeWithinNanos());
   }
 
-  private static Settings rules(Settings like, long graceNanos, long mustAskNanos) {
-    Settings.Obligations rules = like.obligations();
+  private static Settings withObligations(Settings base, long graceNanos, long subscribeNanos) {
+    Settings.Obligations obligations = base.obligations();
     return new Settings(
-        like.classes(),
-        like.tenants(),
-        like.overShareWorth(),
-        like.worthByWork(),
-        like.tier(),
-        like.instance(),
-        like.instances(),
-        like.zone(),
-        like.mustAsk(),
-        like.limits(),
+        base.classes(),
+        base.tenants(),
+        base.overQuotaFactor(),
+        base.worthByWork(),
+        base.tier(),
+        base.instance(),
+        base.instances(),
+        base.zone(),
+        base.subscribes(),
+        base.limits(),
         new Settings.Obligations(
-            rules.graceToAnswerNanos(),
+            obligations.answerGraceNanos(),
             graceNanos,
-            mustAskNanos,
-            rules.startCapacity(),
-            rules.warmUpNanos(),
-            rules.tipMultiple(),
-            rules.fallNanos()));
+            subscribeNanos,
+            obligations.startCapacity(),
+            obligations.warmUpNanos(),
+            obligations.coldBudgetMultiple(),
+            obligations.coldBudgetWindowNanos()));
   }
 
   static ServerEntry ready(long id) {
@@ -108,12 +111,12 @@
     return new ServerEntry(id, "a", "kind", id % 2, health, 1, startedNanos);
   }
 
-  Harness servers(ServerEntry... entries) {
-    balancer.onServers(now, ListForm.WHOLE, List.of(entries));
+  BalancerHarness servers(ServerEntry... entries) {
+    balancer.onListUpdate(now, ListUpdate.FULL, List.of(entries));
     return this;
   }
 
-  Harness readyServers(int count) {
+  BalancerHarness readyServers(int count) {
     ServerEntry[] entries = new ServerEntry[count];
     for (int i = 0; i < count; i++) {
       entries[i] = ready(i + 1);
@@ -121,11 +124,11 @@
     return servers(entries);
   }
 
-  void request(long id, String type) {
-    balancer.onRequest(now, id, type, null, 4 * SECOND, false, Form.HTTP1);
+  void request(long id, String className) {
+    balancer.onRequest(now, id, className, null, 4 * SECOND, false, RequestProtocol.HTTP1);
   }
 
-  Sent last() {
+  Sent lastSent() {
     return sent.get(sent.size() - 1);
   }
 
@@ -134,7 +137,7 @@
         now, attempt.request(), attempt.attempt(), outcome, now - attempt.atNanos(), terminal);
   }
 
-  /** Moves the clock, firing timers that come due on the way. */
+  /** Advances the clock and fires the timers that are due on the way. */
   void advance(long nanos) {
     long until = now + nanos;
     while (true) {
@@ -155,7 +158,7 @@
   }
 
   @Override
-  public void send(long requestId, long serverId, long notPastNanos) {
+  public void send(long requestId, long serverId, long attemptDeadlineNanos) {
     int number = (int) sent.stream().filter(s -> s.request() == requestId).count();
     sent.add(new Sent(requestId, number, serverId, now));
   }
@@ -182,7 +185,7 @@
 
   @Override
   public void watch(boolean enable) {
-    watches++;
+    discoveryCalls++;
   }
 
   @Override
--- a/src/test/java/heathswitch/proxy/http1/PipelinedPartsTest.java
+++ b/src/test/java/heathswitch/proxy/http1/PipelineQueueTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is kept behind a request is bounded, and every buffer is released. */
-class PipelinedPartsTest {
-  private final PipelinedParts parts = new PipelinedParts();
+/** The queue of pipelined parts is bounded, and every buffer is released exactly once. */
+class PipelineQueueTest {
+  private final PipelineQueue parts = new PipelineQueue();
   private final List<HttpContent> added = new ArrayList<>();
 
   private void add(int bytes) {
@@ -24,45 +24,45 @@
   }
 
   @Test
-  void aFewAreServedInTurn() {
-    for (int i = 0; i < PipelinedParts.MOST_PARTS; i++) {
+  void pollReturnsPartsInOrderAndPassesOwnership() {
+    for (int i = 0; i < PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertFalse(parts.isFlood());
+    assertFalse(parts.hasOverflowed());
     for (HttpContent part : added) {
       assertSame(part, parts.poll());
-      assertEquals(1, part.refCnt(), "it belongs to the caller");
+      assertEquals(1, part.refCnt(), "ownership has passed to the caller");
       part.release();
     }
     assertTrue(parts.isEmpty());
   }
 
   @Test
-  void oneTooManyDropsAll() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+  void releasesAllPartsOnOverflow() {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
-    assertTrue(parts.isFlood());
+    assertTrue(parts.hasOverflowed());
     assertTrue(parts.isEmpty());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
   @Test
-  void whatFollowsIsReleasedAndCounted() {
-    for (int i = 0; i <= PipelinedParts.MOST_PARTS; i++) {
+  void releasesAndCountsPartsAfterOverflow() {
+    for (int i = 0; i <= PipelineQueue.MAX_PARTS; i++) {
       add(10);
     }
     for (int i = 0; i < 10; i++) {
       add(100_000);
-      assertFalse(parts.isEndless());
+      assertFalse(parts.overflowLimitExceeded());
     }
     add(100_000);
-    assertTrue(parts.isEndless());
+    assertTrue(parts.overflowLimitExceeded());
     assertTrue(added.stream().allMatch(part -> part.refCnt() == 0));
   }
 
   @Test
-  void whatIsKeptIsReleasedAtTheEnd() {
+  void releaseFreesQueuedParts() {
     add(10);
     add(10);
     parts.release();
--- a/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
+++ b/src/test/java/heathswitch/proxy/platform/DiscoveryWatchTest.java
@@ -12,37 +12,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A watch that goes wrong, in every way that it can, is opened anew within the clock's time. */
+/** A watch that fails, in whatever way, is reopened within the {@link DiscoveryTimeouts}. */
 @Timeout(60)
 class DiscoveryWatchTest {
   private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** A pace, not an order: far shorter than any time of the clock. */
+  /** Only sets the pace of the bytes: far shorter than any timeout. */
   private static final long DRIP_MILLIS = 20;
 
-  /** Empty lines for longer than a watch may say nothing. */
-  private static final long BEAT_MILLIS = 500;
+  /** All heartbeats together take longer than a watch may be silent. */
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
-  private static final int BEATS = 8;
+  private static final int HEARTBEATS = 8;
 
-  private final BlockingQueue<Peer.Connection> watches = new LinkedBlockingQueue<>();
+  private final BlockingQueue<StubServer.Connection> watches = new LinkedBlockingQueue<>();
 
-  private Peer discovery() throws Exception {
-    return Peer.replying((connection, request) -> watches.add(connection));
+  private StubServer discovery() throws Exception {
+    return StubServer.replying((connection, request) -> watches.add(connection));
   }
 
-  private Peer.Connection nextWatch() throws Exception {
-    Peer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
+  private StubServer.Connection nextWatch() throws Exception {
+    StubServer.Connection watch = watches.poll(30, TimeUnit.SECONDS);
     assertNotNull(watch, "no watch was opened");
     return watch;
   }
 
-  private Peer.Connection open(Peer.Connection watch) throws Exception {
+  private StubServer.Connection sendHead(StubServer.Connection watch) throws Exception {
     watch.send(CHUNKED);
     return watch;
   }
 
-  private static void chunk(Peer.Connection watch, String text) throws Exception {
+  private static void sendChunk(StubServer.Connection watch, String text) throws Exception {
     watch.send(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
@@ -56,80 +56,87 @@
         + "]}\n";
   }
 
-  private static String ready(Peer upstream, String id) {
-    return Fixture.json(id, upstream.address(), "in_service");
+  private static String inService(StubServer upstream, String id) {
+    return BalancerFixture.json(id, upstream.address(), "in_service");
   }
 
-  private static void assertServedBy(Fixture fixture, String name) throws Exception {
-    try (Client client = fixture.client()) {
-      assertEquals(name, client.call(Client.get("/api/x", "")).text());
+  private static void assertServedBy(BalancerFixture fixture, String answer) throws Exception {
+    try (TestClient client = fixture.client()) {
+      assertEquals(answer, client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void oneThatNeverSpeaksIsReplaced(boolean pushed) throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = fixture(discovery, pushed).start()) {
-      open(nextWatch());
-      chunk(open(nextWatch()), list(50, true, ready(upstream, "s-9")));
+  void watchWithoutFirstLineIsReplaced(boolean pushed) throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = newFixture(discovery, pushed).start()) {
+      sendHead(nextWatch());
+      sendChunk(sendHead(nextWatch()), list(50, true, inService(upstream, "s-9")));
       awaitServed(fixture);
     }
   }
 
-  /** As long as it brings empty lines it is kept; what it then misses is told within 6 s. */
+  /**
+   * A watch is kept as long as it sends empty lines; a change that it misses after that is
+   * delivered within 6 s.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void oneThatFallsSilentAfterAWhileIsReplacedInTime(boolean pushed) throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = fixture(discovery, pushed).start()) {
-      Peer.Connection silent = open(nextWatch());
-      chunk(silent, list(50, true));
-      for (int i = 0; i < BEATS; i++) {
-        Thread.sleep(BEAT_MILLIS);
-        chunk(silent, "\n");
+  void silentWatchIsReplacedInTime(boolean pushed) throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = newFixture(discovery, pushed).start()) {
+      StubServer.Connection silent = sendHead(nextWatch());
+      sendChunk(silent, list(50, true));
+      for (int i = 0; i < HEARTBEATS; i++) {
+        Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
+        sendChunk(silent, "\n");
       }
-      assertTrue(watches.isEmpty(), "one that beats is kept");
+      assertTrue(watches.isEmpty(), "a watch with heartbeats is kept");
       long since = System.nanoTime();
-      chunk(open(nextWatch()), list(51, true, ready(upstream, "s-9")));
+      sendChunk(sendHead(nextWatch()), list(51, true, inService(upstream, "s-9")));
       awaitServed(fixture);
       long tookMillis = (System.nanoTime() - since) / 1_000_000;
-      assertTrue(tookMillis < ListClock.TOLD_MILLIS, "told after " + tookMillis + " ms");
+      assertTrue(
+          tookMillis < DiscoveryTimeouts.PROPAGATION_MILLIS,
+          "delivered after " + tookMillis + " ms");
     }
   }
 
-  private static Fixture fixture(Peer discovery, boolean pushed) {
-    return pushed ? new Fixture().pushed(discovery) : new Fixture().asking(discovery);
+  private static BalancerFixture newFixture(StubServer discovery, boolean pushed) {
+    return pushed
+        ? new BalancerFixture().pushedBy(discovery)
+        : new BalancerFixture().subscribedTo(discovery);
   }
 
-  private static void awaitServed(Fixture fixture) throws Exception {
+  private static void awaitServed(BalancerFixture fixture) throws Exception {
     testing.Await.until(
-        "served by the upstream of the list",
+        "served by the upstream on the list",
         () -> {
-          try (Client client = fixture.client()) {
-            return client.call(Client.get("/api/x", "")).status() == 200;
+          try (TestClient client = fixture.client()) {
+            return client.call(TestClient.get("/api/x", "")).status() == 200;
           } catch (Exception e) {
             throw new AssertionError(e);
           }
         });
   }
 
-  /** Its bytes keep the connection alive, and tell nothing. */
+  /** Its bytes keep the connection alive but never complete a line. */
   @Test
-  void oneThatBringsNothingButHalfALineIsReplaced() throws Exception {
-    try (Peer discovery = discovery();
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection dripping = open(nextWatch());
-      chunk(dripping, "\n");
+  void watchDrippingPartialLineIsReplaced() throws Exception {
+    try (StubServer discovery = discovery();
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection dripping = sendHead(nextWatch());
+      sendChunk(dripping, "\n");
       Thread drip =
           new Thread(
               () -> {
                 try {
-                  chunk(dripping, "{\"revision\":5");
+                  sendChunk(dripping, "{\"revision\":5");
                   while (true) {
-                    chunk(dripping, " ");
+                    sendChunk(dripping, " ");
                     Thread.sleep(DRIP_MILLIS);
                   }
                 } catch (Exception e) {
@@ -143,32 +150,33 @@
   }
 
   @Test
-  void aListMayComeIndentedAndByteByByte() throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
+  void indentedListInSingleByteChunksIsRead() throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
       String indented =
-          list(50, true, ready(upstream, "s-9")).replace(",", ",\n  ").replace("{", "{\n ");
+          list(50, true, inService(upstream, "s-9")).replace(",", ",\n  ").replace("{", "{\n ");
       for (char c : indented.toCharArray()) {
-        chunk(watch, String.valueOf(c));
+        sendChunk(watch, String.valueOf(c));
       }
       awaitServed(fixture);
     }
   }
 
-  /** An old answer may not undo what a newer one has told. */
+  /** An older list must not undo the changes of a newer one. */
   @Test
-  void anOlderListAfterANewerOneIsLeftOut() throws Exception {
-    try (Peer discovery = discovery();
-        Peer first = Peer.serving("first");
-        Peer second = Peer.serving("second");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
-      chunk(watch, list(50, true, ready(first, "s-1"), ready(second, "s-2")));
-      chunk(watch, list(52, false, Fixture.json("s-1", first.address(), "terminating")));
-      chunk(watch, list(51, false, ready(first, "s-1")));
-      chunk(watch, list(53, false)); // When this has been taken, the others have.
+  void olderListAfterNewerOneIsIgnored() throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer first = StubServer.answering("first");
+        StubServer second = StubServer.answering("second");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, list(50, true, inService(first, "s-1"), inService(second, "s-2")));
+      sendChunk(
+          watch, list(52, false, BalancerFixture.json("s-1", first.address(), "terminating")));
+      sendChunk(watch, list(51, false, inService(first, "s-1")));
+      sendChunk(watch, list(53, false)); // Once this is applied, so are the others.
       awaitServed(fixture);
       for (int i = 0; i < 20; i++) {
         assertServedBy(fixture, "second");
@@ -177,66 +185,72 @@
   }
 
   @Test
-  void whatAWholeListLeavesOutIsGoneThoughItStillAnswers() throws Exception {
-    try (Peer discovery = discovery();
-        Peer left = Peer.serving("left out");
-        Peer listed = Peer.serving("listed");
-        Fixture fixture = new Fixture().upstream(left).pushed(discovery).start()) {
-      assertServedBy(fixture, "left out");
-      Peer.Connection watch = open(nextWatch());
-      try (LoopGate gate = fixture.holdLoop();
-          Client client = fixture.client()) {
-        chunk(watch, list(50, true, ready(listed, "s-9"))); // Told first, in the same turn
-        client.send(Client.get("/api/x", "")); // as the choice is made.
-        gate.close();
+  void upstreamMissingFromWholeListGetsNoRequest() throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer removed = StubServer.answering("removed");
+        StubServer listed = StubServer.answering("listed");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(removed).pushedBy(discovery).start()) {
+      assertServedBy(fixture, "removed");
+      StubServer.Connection watch = sendHead(nextWatch());
+      try (EventLoopBlocker blocker = fixture.blockLoop();
+          TestClient client = fixture.client()) {
+        sendChunk(watch, list(50, true, inService(listed, "s-9"))); // Read first, in the same turn
+        client.send(TestClient.get("/api/x", "")); // of the loop as the request.
+        blocker.close();
         assertEquals("listed", client.read().text());
       }
     }
   }
 
   @Test
-  void oneThatIsResetJustAfterAWholeListLeavesTheListInForce() throws Exception {
-    try (Peer discovery = discovery();
-        Peer upstream = Peer.serving("found");
-        Fixture fixture = new Fixture().pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
-      chunk(watch, list(50, true, ready(upstream, "s-9")));
+  void listStaysInForceWhenItsWatchIsReset() throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer upstream = StubServer.answering("found");
+        BalancerFixture fixture = new BalancerFixture().pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, list(50, true, inService(upstream, "s-9")));
       awaitServed(fixture);
       watch.reset();
-      open(nextWatch());
+      sendHead(nextWatch());
       assertServedBy(fixture, "found");
-      assertEquals("GET /discovery/hosts?stream=1&index=41 HTTP/1.1", discovery.request().start());
-      assertEquals("GET /discovery/hosts?stream=1&index=50 HTTP/1.1", discovery.request().start());
+      assertEquals(
+          "GET /discovery/hosts?stream=1&index=41 HTTP/1.1", discovery.awaitRequest().startLine());
+      assertEquals(
+          "GET /discovery/hosts?stream=1&index=50 HTTP/1.1", discovery.awaitRequest().startLine());
     }
   }
 
-  /** In order, in the middle of a line: what had begun is not told. */
+  /** The response ends properly but inside a line; the partial line is not applied. */
   @Test
-  void oneThatEndsInsideALineIsReplacedAndTellsNothing() throws Exception {
-    try (Peer discovery = discovery();
-        Peer kept = Peer.serving("kept");
-        Fixture fixture = new Fixture().upstream(kept).pushed(discovery).start()) {
-      Peer.Connection watch = open(nextWatch());
-      chunk(watch, "\n");
+  void watchEndingInsideLineIsReplacedAndLineIgnored() throws Exception {
+    try (StubServer discovery = discovery();
+        StubServer kept = StubServer.answering("kept");
+        BalancerFixture fixture =
+            new BalancerFixture().upstream(kept).pushedBy(discovery).start()) {
+      StubServer.Connection watch = sendHead(nextWatch());
+      sendChunk(watch, "\n");
       String line = list(50, true);
-      chunk(watch, line.substring(0, line.length() - 2));
+      sendChunk(watch, line.substring(0, line.length() - 2));
       watch.send("0\r\n\r\n");
-      open(nextWatch());
+      sendHead(nextWatch());
       assertServedBy(fixture, "kept");
     }
   }
 
-  /** The times of the clock leave room for the next call, whatever grace the settings give. */
+  /** The timeouts leave enough time for the next call, whatever grace is configured. */
   @ParameterizedTest
   @ValueSource(longs = {500, 1000, 2000, 10_000})
-  void theClockLeavesTimeForTheNextCall(long grace) {
+  void timeoutsLeaveTimeForNextCall(long grace) {
     long slowestCall = 3000;
-    long latestRetry = 750; // Of the module, after a first failure.
-    ListClock asked = new ListClock(false, grace);
-    ListClock pushed = new ListClock(true, grace);
-    assertTrue(asked.lineMillis() > ListClock.HEARTBEAT_MILLIS);
-    assertTrue(asked.lineMillis() + latestRetry + slowestCall < ListClock.TOLD_MILLIS + grace);
-    assertTrue(asked.firstLineMillis() > slowestCall);
-    assertTrue(pushed.firstLineMillis() + pushed.againMillis() < grace);
+    long latestRetry = 750; // The longest delay of the policy module after a first failure.
+    DiscoveryTimeouts notPushed = new DiscoveryTimeouts(false, grace);
+    DiscoveryTimeouts pushed = new DiscoveryTimeouts(true, grace);
+    assertTrue(notPushed.lineTimeoutMillis() > DiscoveryTimeouts.HEARTBEAT_MILLIS);
+    assertTrue(
+        notPushed.lineTimeoutMillis() + latestRetry + slowestCall
+            < DiscoveryTimeouts.PROPAGATION_MILLIS + grace);
+    assertTrue(notPushed.firstLineTimeoutMillis() > slowestCall);
+    assertTrue(pushed.firstLineTimeoutMillis() + pushed.reopenDelayMillis() < grace);
   }
 }
--- a/src/test/java/heathswitch/proxy/platform/SpoiltAnswerTest.java
+++ b/src/test/java/heathswitch/proxy/platform/MalformedResponseTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Only the answer that was made for a request is served, and a spoilt one does not hold it up. */
+/** Only the answer that belongs to a request is served, and a malformed one does not delay it. */
 @Timeout(60)
-class SpoiltAnswerTest {
+class MalformedResponseTest {
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -24,23 +24,25 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\na body that stops",
         "\u0001\u0002noise"
       })
-  void fails(String answer) throws Exception {
-    try (Peer peer = Peer.replying((connection, request) -> connection.send(answer));
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      assertEquals(502, client.call(Client.post("publish", "X-Deadline: 19\r\n", "x")).status());
-      assertEquals(1, peer.requests.size(), "it may have run and must not run again");
+  void malformedAnswerToUnsafeRequestFails(String answer) throws Exception {
+    try (StubServer upstream =
+            StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      assertEquals(
+          502, client.call(TestClient.post("publish", "X-Deadline: 19\r\n", "x")).status());
+      assertEquals(1, upstream.requests.size(), "it may have run and must not run again");
     }
   }
 
   @Test
-  void isTriedAgainElsewhereWhereThatIsAllowed() throws Exception {
-    int[] asked = new int[1];
-    Peer.Reply reply =
+  void truncatedAnswerToSafeRequestIsRetriedElsewhere() throws Exception {
+    int[] received = new int[1];
+    StubServer.RequestHandler handler =
         (connection, request) -> {
           boolean first;
-          synchronized (asked) {
-            first = asked[0]++ == 0;
+          synchronized (received) {
+            first = received[0]++ == 0;
           }
           if (first) {
             connection.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal");
@@ -48,19 +50,19 @@
             connection.answer(200, "", "whole");
           }
         };
-    try (Peer one = Peer.replying(reply);
-        Peer other = Peer.replying(reply);
-        Fixture fixture = new Fixture().upstream(one, other).start();
-        Client client = fixture.client()) {
-      assertEquals("whole", client.call(Client.get("/api/x", "")).text());
+    try (StubServer one = StubServer.replying(handler);
+        StubServer other = StubServer.replying(handler);
+        BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
+        TestClient client = fixture.client()) {
+      assertEquals("whole", client.call(TestClient.get("/api/x", "")).text());
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "noise", "\n"})
-  void moreThanBelongsToAnAnswerIsNotTheNextOne(String more) throws Exception {
-    try (Peer peer =
-            Peer.replying(
+  void extraBytesAfterAnswerAreNotTheNextAnswer(String extra) throws Exception {
+    try (StubServer upstream =
+            StubServer.replying(
                 (connection, request) -> {
                   String id = request.headers().get("x-request-id");
                   connection.send(
@@ -69,26 +71,26 @@
                           + id.length()
                           + "\r\n\r\n"
                           + id
-                          + more);
+                          + extra);
                 });
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
       for (int i = 0; i < 5; i++) {
         String id = "id" + i;
-        String request = Client.get("/api/x", "").replace("r1", id);
+        String request = TestClient.get("/api/x", "").replace("r1", id);
         assertEquals(id, client.call(request).text());
       }
     }
   }
 
   @Test
-  void aRequestThatTheUpstreamCallsBadIsNotSentToTheNext() throws Exception {
-    Peer.Reply reply = (connection, request) -> connection.answer(400, "", "");
-    try (Peer one = Peer.replying(reply);
-        Peer other = Peer.replying(reply);
-        Fixture fixture = new Fixture().upstream(one, other).start();
-        Client client = fixture.client()) {
-      Http.Message answer = client.call(Client.get("/api/x", ""));
+  void badRequestAnswerIsNotRetriedElsewhere() throws Exception {
+    StubServer.RequestHandler handler = (connection, request) -> connection.answer(400, "", "");
+    try (StubServer one = StubServer.replying(handler);
+        StubServer other = StubServer.replying(handler);
+        BalancerFixture fixture = new BalancerFixture().upstream(one, other).start();
+        TestClient client = fixture.client()) {
+      RawHttp.Message answer = client.call(TestClient.get("/api/x", ""));
       assertNotEquals(200, answer.status());
       assertEquals(1, one.requests.size() + other.requests.size());
     }
@@ -96,20 +98,20 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLongOneIsServedWhole(boolean chunked) throws Exception {
+  void largeAnswerIsServedCompletely(boolean chunked) throws Exception {
     String body = "0123456789abcdef".repeat(20_000);
     String head =
         chunked
             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length()) + "\r\n"
             : "Content-Length: " + body.length() + "\r\n\r\n";
     String answer = "HTTP/1.1 200 OK\r\n" + head + body + (chunked ? "\r\n0\r\n\r\n" : "");
-    try (Peer peer = Peer.replying((connection, request) -> connection.send(answer));
-        Fixture fixture = new Fixture().upstream(peer).start();
-        Client client = fixture.client()) {
-      // More than memory holds, if any were kept, and enough for second copies to go out beside
-      // some.
+    try (StubServer upstream =
+            StubServer.replying((connection, request) -> connection.send(answer));
+        BalancerFixture fixture = new BalancerFixture().upstream(upstream).start();
+        TestClient client = fixture.client()) {
+      // Exceeds the memory if answers leak, and is enough for some of the calls to be hedged.
       for (int i = 0; i < 400; i++) {
-        assertEquals(body, client.call(Client.get("/api/x", "")).text());
+        assertEquals(body, client.call(TestClient.get("/api/x", "")).text());
       }
     }
   }
