--- a/src/main/java/heathswitch/proxy/admin/AdminServer.java
+++ b/src/main/java/heathswitch/proxy/admin/AdminServer.java
@@ -31,112 +31,118 @@
 
 /**
  * The admin listener: JSON over HTTP/1.1 on a loopback address, for operators and the command line.
- * A subsystem adds its own pages before the start. Whatever changes something is a POST with the
- * header {@link #INTENT}, which a page in a browser on the same machine cannot send unasked.
+ * Subsystems add their own pages before the start. Every change is a POST with the header {@link
+ * #INTENT_HEADER}: a web page in a browser on the same machine cannot send a custom header across
+ * origins, which prevents cross-site request forgery.
  */
 public final class AdminServer {
-  /** Must be on every POST, with any value. */
-  public static final String INTENT = "X-Heathswitch-Admin";
+  /** Required on every POST; any value is accepted. */
+  public static final String INTENT_HEADER = "X-Heathswitch-Admin";
 
-  /** Connections beyond these are closed at once; descriptors are the balancer's. */
-  static final int MOST_CONNECTIONS = 8;
+  /** Further connections are closed at once, since they use file descriptors of the balancer. */
+  static final int MAX_CONNECTIONS = 8;
 
-  private static final int MOST_BODY_BYTES = 8192;
-  private static final int SILENCE_SECONDS = 10;
+  private static final int MAX_BODY_BYTES = 8192;
+  private static final int READ_TIMEOUT_SECONDS = 10;
 
-  /** One page: called on the loop, it answers now or later, once. */
-  public interface Page {
+  /** Handles the requests for one page. */
+  public interface PageHandler {
     /**
-     * Answers a request.
+     * Handles a request on the event loop and replies exactly once, immediately or later.
      *
-     * @param rest what follows the page's path, without its slash; empty for nothing
+     * @param subPath the part of the path after the page's name and a slash; may be empty
+     * @param reply receives the reply; may be called on any thread
      */
-    void answer(String rest, Consumer<Reply> reply);
+    void handle(String subPath, Consumer<Reply> reply);
   }
 
   /**
-   * An answer.
+   * The response to an admin request.
    *
-   * @param body written as JSON where there is no text
-   * @param text written as it is, or null
+   * @param status the HTTP status code
+   * @param body the JSON object to write if {@code text} is null
+   * @param text the plain text to write, or null
    */
   public record Reply(int status, Map<String, ?> body, String text) {
+    /** A successful JSON response. */
     public static Reply ok(Map<String, ?> body) {
       return new Reply(200, body, null);
     }
 
-    /** Figures in the text form of Prometheus. */
-    public static Reply figures(String text) {
+    /** Metrics in the Prometheus text format. */
+    public static Reply prometheusText(String text) {
       return new Reply(200, Map.of(), text);
     }
 
-    /** An error with its reason. */
+    /** A JSON error response with its reason. */
     public static Reply error(int status, String reason) {
       return new Reply(status, Map.of("error", reason), null);
     }
   }
 
   private final EventLoop loop;
-  private final Map<String, Page> gets = new HashMap<>();
-  private final Map<String, Page> posts = new HashMap<>();
+  private final Map<String, PageHandler> getHandlers = new HashMap<>();
+  private final Map<String, PageHandler> postHandlers = new HashMap<>();
   private Channel listener;
-  private int connections;
+  private int connectionCount;
 
+  /** Creates a server without pages; it runs on the event loop once started. */
   public AdminServer(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Adds a page to be read; its path is one word. */
-  public AdminServer get(String path, Page page) {
-    gets.put(path, page);
+  /** Adds a page for GET requests; its path is a single segment. */
+  public AdminServer get(String path, PageHandler handler) {
+    getHandlers.put(path, handler);
     return this;
   }
 
-  /** Adds a page that changes something. */
-  public AdminServer post(String path, Page page) {
-    posts.put(path, page);
+  /** Adds a page for POST requests, which change something; its path is a single segment. */
+  public AdminServer post(String path, PageHandler handler) {
+    postHandlers.put(path, handler);
     return this;
   }
 
-  /** Listens; fails if the address cannot be had. Must not be called on the loop. */
+  /** Starts to listen; fails if the address cannot be bound. Must not run on the event loop. */
   public void start(InetSocketAddress address) throws InterruptedException {
-    listener = Listeners.bootstrap(loop, this::accepted).bind(address).sync().channel();
+    listener = Listeners.bootstrap(loop, this::onAccept).bind(address).sync().channel();
   }
 
+  /** Returns the address that is listened on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void accepted(Channel channel) {
-    connections++;
-    channel.closeFuture().addListener(closed -> connections--);
-    if (connections > MOST_CONNECTIONS) {
+  private void onAccept(Channel channel) {
+    connectionCount++;
+    channel.closeFuture().addListener(closed -> connectionCount--);
+    if (connectionCount > MAX_CONNECTIONS) {
       channel.close();
       return;
     }
     channel
         .pipeline()
         .addLast(
-            new ReadTimeoutHandler(SILENCE_SECONDS, SECONDS),
+            new ReadTimeoutHandler(READ_TIMEOUT_SECONDS, SECONDS),
             new HttpServerCodec(4096, 8192, 8192),
-            new HttpObjectAggregator(MOST_BODY_BYTES),
-            new Handler());
+            new HttpObjectAggregator(MAX_BODY_BYTES),
+            new RequestHandler());
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      boolean keep = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
-      answer(request, reply -> loop.execute(() -> write(ctx, reply, keep)));
+      boolean keepAlive = HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
+      dispatch(request, reply -> loop.execute(() -> write(ctx, reply, keepAlive)));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close(); // Silent too long, or broken: the next connection does better.
+      ctx.close(); // Read timeout or broken connection; the client can connect again.
     }
   }
 
-  private void answer(FullHttpRequest request, Consumer<Reply> reply) {
+  private void dispatch(FullHttpRequest request, Consumer<Reply> reply) {
     if (request.decoderResult().isFailure()) {
       reply.accept(Reply.error(400, "malformed request"));
       return;
@@ -144,30 +150,30 @@
     String path = request.uri().substring(request.uri().startsWith("/") ? 1 : 0);
     int slash = path.indexOf('/');
     String page = slash < 0 ? path : path.substring(0, slash);
-    String rest = slash < 0 ? "" : path.substring(slash + 1);
-    boolean post = request.method().equals(HttpMethod.POST);
-    Page found = (post ? posts : gets).get(page);
-    if (found == null || !post && !request.method().equals(HttpMethod.GET)) {
+    String subPath = slash < 0 ? "" : path.substring(slash + 1);
+    boolean isPost = request.method().equals(HttpMethod.POST);
+    PageHandler handler = (isPost ? postHandlers : getHandlers).get(page);
+    if (handler == null || !isPost && !request.method().equals(HttpMethod.GET)) {
       reply.accept(Reply.error(404, "no such page"));
-    } else if (post && !request.headers().contains(INTENT)) {
-      reply.accept(Reply.error(403, "the header " + INTENT + " is expected"));
+    } else if (isPost && !request.headers().contains(INTENT_HEADER)) {
+      reply.accept(Reply.error(403, "the header " + INTENT_HEADER + " is expected"));
     } else {
       try {
-        found.answer(rest, reply);
+        handler.handle(subPath, reply);
       } catch (RuntimeException e) {
-        Log.error("admin", page + " failed", e);
-        reply.accept(Reply.error(500, "failed; the log says more"));
+        Log.error("admin", "page " + page + " failed", e);
+        reply.accept(Reply.error(500, "internal error; see the log"));
       }
     }
   }
 
-  private static void write(ChannelHandlerContext ctx, Reply reply, boolean keep) {
+  private static void write(ChannelHandlerContext ctx, Reply reply, boolean keepAlive) {
     byte[] body;
     try {
       String text = reply.text();
       body = (text == null ? JSON.std.asString(reply.body()) + "\n" : text).getBytes(UTF_8);
     } catch (IOException e) {
-      Log.error("admin", "an answer could not be written", e);
+      Log.error("admin", "response could not be serialized to JSON", e);
       ctx.close();
       return;
     }
@@ -179,8 +185,9 @@
     String type = reply.text() == null ? "application/json" : "text/plain; version=0.0.4";
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
     HttpUtil.setContentLength(response, body.length);
-    HttpUtil.setKeepAlive(response, keep);
+    HttpUtil.setKeepAlive(response, keepAlive);
     ctx.writeAndFlush(response)
-        .addListener(keep ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
+        .addListener(
+            keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
   }
 }
--- a/src/main/java/heathswitch/proxy/cli/AdminClient.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminClient.java
@@ -38,7 +38,7 @@
     connection.setReadTimeout(MILLIS);
     connection.setRequestMethod(method);
     if (method.equals("POST")) {
-      connection.setRequestProperty(AdminServer.INTENT, "command line");
+      connection.setRequestProperty(AdminServer.INTENT_HEADER, "command line");
       connection.setDoOutput(true);
       connection.getOutputStream().close();
     }
--- a/src/main/java/heathswitch/proxy/cli/AdminRequests.java
+++ b/src/main/java/heathswitch/proxy/cli/AdminRequests.java
@@ -21,7 +21,7 @@
   /** The configuration, or null with its faults told. */
   static StandaloneConfig readConfig(CommandSpec spec, Path file) {
     StandaloneConfig.Result result = StandaloneConfig.read(file);
-    result.faults().forEach(fault -> spec.commandLine().getErr().println(fault));
+    result.errors().forEach(fault -> spec.commandLine().getErr().println(fault));
     return result.config();
   }
 
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.cli;
 
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.gateway.GatewayTable;
 import heathswitch.proxy.gateway.SiteGateway;
 import heathswitch.proxy.gossip.GossipService;
@@ -64,7 +64,7 @@
     Log.installConsoleHandler();
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
-      result.faults().forEach(fault -> err().println(fault));
+      result.errors().forEach(fault -> err().println(fault));
       return 1;
     }
     StructuredLog.install(result.config().log(), result.config().instance());
@@ -96,14 +96,14 @@
   @Command(name = "check", description = "Reads all that a start would read and names every fault.")
   int check(@Parameters(paramLabel = "FILE", description = "TOML file") Path file) {
     StandaloneConfig.Result result = StandaloneConfig.read(file);
-    result.faults().forEach(fault -> out().println(fault));
+    result.errors().forEach(fault -> out().println(fault));
     if (result.config() == null) {
       return 1;
     }
     List<Path> files = result.config().members().files();
     MembersCheck.Report report =
         MembersCheck.check(result.config().members(), files, System.currentTimeMillis());
-    for (Fault fault : report.faults()) {
+    for (ValidationError fault : report.faults()) {
       out().println(fault);
     }
     report.lines().forEach(out()::println);
@@ -118,9 +118,9 @@
       out().println(unread);
     }
     MaintenanceConfigCheck.Found floors =
-        result.config().work() == null || !report.faults().isEmpty()
+        result.config().maintenance() == null || !report.faults().isEmpty()
             ? new MaintenanceConfigCheck.Found(List.of(), List.of())
-            : MaintenanceConfigCheck.check(result.config().work(), report.servers());
+            : MaintenanceConfigCheck.check(result.config().maintenance(), report.servers());
     floors.faults().forEach(out()::println);
     floors.notes().forEach(out()::println);
     boolean good =
--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -55,7 +55,7 @@
       description = "Writes a file's last line: how many servers it has, and a digest.")
   int seal(@Parameters(paramLabel = "FILE") Path file) {
     try {
-      String text = BoundedFile.text(BoundedFile.read(file, MOST_SEALED_BYTES));
+      String text = BoundedFile.decodeUtf8(BoundedFile.read(file, MOST_SEALED_BYTES));
       AtomicFile.write(file.toRealPath(), MembersCheck.seal(text).getBytes(StandardCharsets.UTF_8));
       return 0;
     } catch (IOException e) {
--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -58,16 +58,16 @@
       description = "Makes the folder of one that votes: once, for a new installation.")
   int init() {
     StandaloneConfig read = AdminRequests.readConfig(spec, config);
-    if (read == null || read.work() == null) {
+    if (read == null || read.maintenance() == null) {
       err().println(config + ": no usable table [work]");
       return 1;
     }
     try {
-      boolean made = VoterFolder.create(read.work());
-      out().println(read.work().folder() + (made ? " is made" : " is there already"));
+      boolean made = VoterFolder.create(read.maintenance());
+      out().println(read.maintenance().folder() + (made ? " is made" : " is there already"));
       return 0;
     } catch (IOException e) {
-      err().println(read.work().folder() + ": " + e.getMessage());
+      err().println(read.maintenance().folder() + ": " + e.getMessage());
       return 1;
     }
   }
@@ -298,7 +298,7 @@
     if (read == null) {
       return null;
     }
-    if (read.admin() == null || read.work() == null) {
+    if (read.admin() == null || read.maintenance() == null) {
       err().println(config + ": the tables [admin] and [work] are both needed");
       return null;
     }
--- /dev/null
+++ b/src/main/java/heathswitch/proxy/config/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Reads and validates TOML configuration files; errors are collected with their source positions.
+ */
+package heathswitch.proxy.config;
--- a/src/main/java/heathswitch/proxy/files/AtomicFile.java
+++ b/src/main/java/heathswitch/proxy/files/AtomicFile.java
@@ -14,21 +14,21 @@
 import java.nio.file.Path;
 
 /**
- * Replaces a file so that a crash at any moment leaves the old content or the new: a temporary file
- * beside it is written and forced to disk, renamed over it, and the folder forced too. Must not be
- * called on the event loop.
+ * Replaces files atomically, so that a crash at any time leaves either the old or the new content:
+ * a temporary file in the same folder is written, synced to disk (fsync) and renamed over the
+ * target, then the folder is synced. Must not be called on the event loop.
  */
 public final class AtomicFile {
   private AtomicFile() {}
 
-  /** The temporary file's name; one that was left behind is written over. */
-  static Path temporary(Path path) {
+  /** Returns the path of the temporary file; a leftover of a crash is overwritten. */
+  static Path temporaryPath(Path path) {
     return path.resolveSibling("." + path.getFileName() + ".tmp");
   }
 
-  /** Replaces the content; if this fails, the file is as it was. */
+  /** Replaces the content. If writing the temporary file fails, the target is unchanged. */
   public static void write(Path path, byte[] content) throws IOException {
-    Path temporary = temporary(path);
+    Path temporary = temporaryPath(path);
     try (FileChannel file = FileChannel.open(temporary, CREATE, WRITE, TRUNCATE_EXISTING)) {
       ByteBuffer bytes = ByteBuffer.wrap(content);
       while (bytes.hasRemaining()) {
--- a/src/main/java/heathswitch/proxy/files/BoundedFile.java
+++ b/src/main/java/heathswitch/proxy/files/BoundedFile.java
@@ -14,16 +14,21 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Reads files that others write: never more than a stated size, never a folder or a device. Must
- * not be called on the event loop.
+ * Reads files written by other programs: at most a given number of bytes, and only regular files.
+ * Must not be called on the event loop.
  */
 public final class BoundedFile {
   /**
-   * What tells one state of a file from another without reading it. Two writes within one tick of
-   * the file system's clock may leave it as it was.
+   * File metadata that reveals a change without reading the content. Two writes within one tick of
+   * the file system's clock may result in equal stamps.
+   *
+   * @param modified the time of the last change of the content
+   * @param changed the time of the last change of content or metadata (ctime)
+   * @param size the size in bytes
+   * @param key identifies the file on its file system, or null if that is not supported
    */
   public record Stamp(FileTime modified, FileTime changed, long size, Object key) {
-    /** The later of its times, in Unix milliseconds. */
+    /** Returns the later of the two times, in Unix milliseconds. */
     public long newestMillis() {
       return Math.max(modified.toMillis(), changed.toMillis());
     }
@@ -31,59 +36,63 @@
 
   private BoundedFile() {}
 
-  /** The file's stamp, links followed; a fault if it is not there or not a file. */
+  /** Returns the stamp of a file, following links; fails if it is not a readable regular file. */
   public static Stamp stamp(Path path) throws IOException {
     try {
       BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
       if (attributes.isDirectory()) {
-        throw new FileFault("is a folder; a file is expected");
+        throw new UnusableFileException("is a folder; a file is expected");
       }
-      // A device may never end and a pipe may block whoever opens it.
+      // Reading a device may never end, and opening a pipe may block.
       if (!attributes.isRegularFile()) {
-        throw new FileFault("is a device or a pipe; a file is expected");
+        throw new UnusableFileException("is a device or a pipe; a file is expected");
       }
       FileTime modified = attributes.lastModifiedTime();
-      return new Stamp(modified, changed(path, modified), attributes.size(), attributes.fileKey());
+      return new Stamp(
+          modified, changeTime(path, modified), attributes.size(), attributes.fileKey());
     } catch (NoSuchFileException e) {
-      throw new FileFault("is not there");
+      throw new UnusableFileException("is not there");
     } catch (AccessDeniedException e) {
-      throw new FileFault("may not be read");
+      throw new UnusableFileException("may not be read");
     }
   }
 
-  /** When the file was last changed in any way; its time of writing can be set back by anyone. */
-  private static FileTime changed(Path path, FileTime modified) throws IOException {
+  /**
+   * Returns the ctime, since the modification time can be set back by anyone who may write the
+   * file.
+   */
+  private static FileTime changeTime(Path path, FileTime modified) throws IOException {
     try {
       return (FileTime) Files.getAttribute(path, "unix:ctime");
     } catch (UnsupportedOperationException | IllegalArgumentException e) {
-      return modified; // Not every system has it.
+      return modified; // The file system does not support ctime.
     }
   }
 
-  /** The whole content, if it has at most so many bytes. */
-  public static byte[] read(Path path, int mostBytes) throws IOException {
-    if (stamp(path).size() > mostBytes) {
-      throw tooLong(mostBytes);
+  /** Reads the whole content; fails if it is longer than the limit. */
+  public static byte[] read(Path path, int maxBytes) throws IOException {
+    if (stamp(path).size() > maxBytes) {
+      throw tooLarge(maxBytes);
     }
     try (InputStream in = Files.newInputStream(path)) {
-      byte[] bytes = in.readNBytes(mostBytes + 1);
-      if (bytes.length > mostBytes) {
-        throw tooLong(mostBytes); // It grew since it was looked at.
+      byte[] bytes = in.readNBytes(maxBytes + 1);
+      if (bytes.length > maxBytes) {
+        throw tooLarge(maxBytes); // The file grew after the size check.
       }
       return bytes;
     } catch (NoSuchFileException e) {
-      throw new FileFault("is not there");
+      throw new UnusableFileException("is not there");
     } catch (AccessDeniedException e) {
-      throw new FileFault("may not be read");
+      throw new UnusableFileException("may not be read");
     }
   }
 
-  private static FileFault tooLong(int mostBytes) {
-    return new FileFault("has over " + mostBytes + " bytes; no more are read");
+  private static UnusableFileException tooLarge(int maxBytes) {
+    return new UnusableFileException("has over " + maxBytes + " bytes; no more are read");
   }
 
-  /** The bytes as text; a fault where they are no UTF-8. */
-  public static String text(byte[] bytes) throws FileFault {
+  /** Decodes UTF-8; fails if the bytes are malformed. */
+  public static String decodeUtf8(byte[] bytes) throws UnusableFileException {
     try {
       return StandardCharsets.UTF_8
           .newDecoder()
@@ -91,7 +100,7 @@
           .decode(ByteBuffer.wrap(bytes))
           .toString();
     } catch (CharacterCodingException e) {
-      throw new FileFault("is no text in UTF-8");
+      throw new UnusableFileException("is no text in UTF-8");
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
+++ b/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.gateway;
 
 import heathswitch.policy.gateway.Trail;
-import heathswitch.proxy.config.Document;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.proxy.config.ConfigSection;
 import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -45,8 +45,8 @@
   public record FarSite(String name, List<InetSocketAddress> gateways) {}
 
   /** Reads and checks the table; null where there is none, and the gateway is off. */
-  public static GatewayTable read(Document document) {
-    Section table = document.root().table("gateway");
+  public static GatewayTable read(ConfigDocument document) {
+    ConfigSection table = document.root().table("gateway");
     if (table == null) {
       return null;
     }
@@ -56,18 +56,18 @@
     List<FarSite> sites = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
-    for (Section section : table.tables("peer")) {
+    for (ConfigSection section : table.tables("peer")) {
       String name = name(section, "site");
       if (name != null && name.equals(site)) {
-        section.fault("site", "is this site itself; another site expected");
+        section.addError("site", "is this site itself; another site expected");
       } else if (name != null && !names.add(name)) {
-        section.fault("site", "\"" + name + "\" stands twice; another site expected");
+        section.addError("site", "\"" + name + "\" stands twice; another site expected");
       }
       sites.add(new FarSite(name, gateways(section, addresses)));
-      section.end();
+      section.rejectUnknownKeys();
     }
     if (sites.isEmpty()) {
-      table.fault("peer", "missing; at least one [[gateway.peer]] expected");
+      table.addError("peer", "missing; at least one [[gateway.peer]] expected");
     }
     GatewayTable gateway =
         new GatewayTable(
@@ -75,48 +75,49 @@
             listen,
             keys,
             List.copyOf(sites),
-            table.nanos("silence", "1s", "100ms", "1min"),
-            table.nanos("patience", "10s", "100ms", "10min"),
-            (int) table.whole("most_streams", 1000L, 1, 100_000),
-            table.whole("most_held", 16L << 20, 1 << 20, 1L << 32));
+            table.durationNanos("silence", "1s", "100ms", "1min"),
+            table.durationNanos("patience", "10s", "100ms", "10min"),
+            (int) table.integer("most_streams", 1000L, 1, 100_000),
+            table.integer("most_held", 16L << 20, 1 << 20, 1L << 32));
     if (keys == null && table.flag("insecure", false)) {
       onlyLoopback(table, listen, addresses);
     }
-    table.end();
+    table.rejectUnknownKeys();
     return listen == null ? null : gateway;
   }
 
   private static void onlyLoopback(
-      Section table, InetSocketAddress listen, Set<InetSocketAddress> addresses) {
+      ConfigSection table, InetSocketAddress listen, Set<InetSocketAddress> addresses) {
     boolean away =
         listen != null && !listen.getAddress().isLoopbackAddress()
             || addresses.stream().anyMatch(each -> !each.getAddress().isLoopbackAddress());
     if (away) {
-      table.fault("insecure", "is for tests on loopback addresses alone; certificates expected");
+      table.addError("insecure", "is for tests on loopback addresses alone; certificates expected");
     }
   }
 
-  private static String name(Section section, String key) {
-    String name = section.text(key, null);
+  private static String name(ConfigSection section, String key) {
+    String name = section.string(key, null);
     if (name != null && !Trail.isSite(name)) {
-      section.fault(key, "is \"" + name + "\"; 1 to 32 of the characters a-z, 0-9 and - expected");
+      section.addError(
+          key, "is \"" + name + "\"; 1 to 32 of the characters a-z, 0-9 and - expected");
     }
     return name;
   }
 
-  private static Keys keys(Document document, Section table) {
+  private static Keys keys(ConfigDocument document, ConfigSection table) {
     boolean plain = table.flag("insecure", false);
-    String certificate = table.optionalText("certificate");
-    String key = table.optionalText("key");
-    String authority = table.optionalText("authority");
+    String certificate = table.optionalString("certificate");
+    String key = table.optionalString("key");
+    String authority = table.optionalString("authority");
     if (plain) {
       if (certificate != null || key != null || authority != null) {
-        table.fault("insecure", "and certificates exclude each other; one of the two expected");
+        table.addError("insecure", "and certificates exclude each other; one of the two expected");
       }
       return null;
     }
     if (certificate == null || key == null || authority == null) {
-      table.fault(
+      table.addError(
           "", "certificate, key and authority expected, or insecure = true for a test on loopback");
       return null;
     }
@@ -124,14 +125,15 @@
         document.resolve(certificate), document.resolve(key), document.resolve(authority));
   }
 
-  private static List<InetSocketAddress> gateways(Section section, Set<InetSocketAddress> all) {
+  private static List<InetSocketAddress> gateways(
+      ConfigSection section, Set<InetSocketAddress> all) {
     List<InetSocketAddress> gateways = new ArrayList<>();
-    for (String text : section.texts("gateways", true)) {
+    for (String text : section.strings("gateways", true)) {
       InetSocketAddress address = Addresses.parse(text);
       if (address == null) {
-        section.fault("gateways", "has \"" + text + "\"; ADDRESS:PORT expected");
+        section.addError("gateways", "has \"" + text + "\"; ADDRESS:PORT expected");
       } else if (!all.add(address)) {
-        section.fault("gateways", "has " + text + " a second time; each address once expected");
+        section.addError("gateways", "has " + text + " a second time; each address once expected");
       } else {
         gateways.add(address);
       }
--- a/src/main/java/heathswitch/proxy/gateway/Identity.java
+++ b/src/main/java/heathswitch/proxy/gateway/Identity.java
@@ -131,7 +131,7 @@
 
   private static String text(Path file) throws Unusable {
     try {
-      return BoundedFile.text(BoundedFile.read(file, MOST_BYTES));
+      return BoundedFile.decodeUtf8(BoundedFile.read(file, MOST_BYTES));
     } catch (IOException e) {
       throw new Unusable(file, String.valueOf(e.getMessage()));
     }
--- a/src/main/java/heathswitch/proxy/gossip/KeyRing.java
+++ b/src/main/java/heathswitch/proxy/gossip/KeyRing.java
@@ -49,7 +49,7 @@
   /** Reads a key file; must not be called on the event loop. */
   static KeyRing read(Path path) throws InvalidKeysException {
     try {
-      return parse(BoundedFile.text(BoundedFile.read(path, MAX_FILE_BYTES)));
+      return parse(BoundedFile.decodeUtf8(BoundedFile.read(path, MAX_FILE_BYTES)));
     } catch (IOException e) {
       throw new InvalidKeysException(path + ": " + e.getMessage());
     } catch (InvalidKeysException e) {
--- a/src/main/java/heathswitch/proxy/gossip/PeersTable.java
+++ b/src/main/java/heathswitch/proxy/gossip/PeersTable.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.gossip;
 
 import heathswitch.policy.gossip.GossipTiming;
-import heathswitch.proxy.config.Document;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.proxy.config.ConfigSection;
 import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -47,42 +47,43 @@
    *
    * @param zone this balancer's zone, or null
    */
-  public static PeersTable read(Document document, String zone) {
-    Section table = document.root().table("peers");
+  public static PeersTable read(ConfigDocument document, String zone) {
+    ConfigSection table = document.root().table("peers");
     if (table == null) {
       return null;
     }
-    String instance = table.text("instance", null);
+    String instance = table.string("instance", null);
     if (instance != null && !instance.matches(Datagram.NAME)) {
-      table.fault("instance", "is \"" + instance + "\"; 1 to 64 of A-Z a-z 0-9 . _ - expected");
+      table.addError("instance", "is \"" + instance + "\"; 1 to 64 of A-Z a-z 0-9 . _ - expected");
     }
     if (zone != null && !zone.matches(Datagram.ZONE)) {
-      table.fault("instance", "is in the zone \"" + zone + "\"; up to 32 of A-Z a-z 0-9 . _ -");
+      table.addError("instance", "is in the zone \"" + zone + "\"; up to 32 of A-Z a-z 0-9 . _ -");
     }
     boolean privateNetwork = table.flag("private_network", false);
     InetSocketAddress listen = table.address("listen", true);
     InetSocketAddress address = table.has("address") ? table.address("address", true) : listen;
-    table.nearby("listen", listen, privateNetwork, NOT_ENCRYPTED);
-    table.nearby("address", address, privateNetwork, NOT_ENCRYPTED);
-    String keys = table.text("keys", null);
+    table.requireLoopbackOrPrivate("listen", listen, privateNetwork, NOT_ENCRYPTED);
+    table.requireLoopbackOrPrivate("address", address, privateNetwork, NOT_ENCRYPTED);
+    String keys = table.string("keys", null);
     List<String> seeds = new ArrayList<>();
-    for (String seed : table.texts("seeds", false)) {
+    for (String seed : table.strings("seeds", false)) {
       InetSocketAddress parsed = Addresses.parse(seed);
       if (parsed == null || seeds.size() >= MAX_SEEDS) {
-        table.fault("seeds", "has \"" + seed + "\"; up to " + MAX_SEEDS + " ADDRESS:PORT expected");
+        table.addError(
+            "seeds", "has \"" + seed + "\"; up to " + MAX_SEEDS + " ADDRESS:PORT expected");
       } else {
-        table.nearby("seeds", parsed, privateNetwork, NOT_ENCRYPTED);
+        table.requireLoopbackOrPrivate("seeds", parsed, privateNetwork, NOT_ENCRYPTED);
         seeds.add(Addresses.format(parsed));
       }
     }
-    long period = table.nanos("period", "1s", "100ms", "1min");
-    long answer = table.nanos("answer", "300ms", "10ms", "30s");
+    long period = table.durationNanos("period", "1s", "100ms", "1min");
+    long answer = table.durationNanos("answer", "300ms", "10ms", "30s");
     if (answer * 2 > period) {
-      table.fault(
+      table.addError(
           "answer", "is over half of the period; no time would be left for indirect probes");
     }
     Map<String, InetSocketAddress> overrides = overrides(table);
-    table.end();
+    table.rejectUnknownKeys();
     return instance == null || listen == null || address == null || keys == null
         ? null
         : new PeersTable(
@@ -103,18 +104,18 @@
             overrides);
   }
 
-  private static Map<String, InetSocketAddress> overrides(Section table) {
+  private static Map<String, InetSocketAddress> overrides(ConfigSection table) {
     Map<String, InetSocketAddress> overrides = new HashMap<>();
-    for (Section override : table.tables("way")) {
+    for (ConfigSection override : table.tables("way")) {
       InetSocketAddress announced = override.address("to", true);
       InetSocketAddress actual = override.address("by", true);
-      override.end();
+      override.rejectUnknownKeys();
       if (announced == null || actual == null) {
         continue;
       }
       if (overrides.put(Addresses.format(announced), actual) != null
           || overrides.size() > MAX_OVERRIDES) {
-        override.fault("to", "is a duplicate, or one of more than " + MAX_OVERRIDES);
+        override.addError("to", "is a duplicate, or one of more than " + MAX_OVERRIDES);
       }
     }
     return overrides;
--- a/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
@@ -2,7 +2,7 @@
 
 import heathswitch.policy.api.RequestClass;
 import heathswitch.policy.grpc.Gathering;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigSection;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -44,8 +44,8 @@
   public record Method(String path, RequestClass type, String tenant, Gathering mode) {}
 
   /** Reads and checks the table; null where there is none, and the listener is off. */
-  public static GrpcTable read(Section root, List<RequestClass> classes) {
-    Section table = root.table("grpc");
+  public static GrpcTable read(ConfigSection root, List<RequestClass> classes) {
+    ConfigSection table = root.table("grpc");
     if (table == null) {
       return null;
     }
@@ -53,12 +53,12 @@
         classes.stream()
             .collect(Collectors.toMap(RequestClass::name, Function.identity(), (a, b) -> a));
     Map<String, Method> methods = new LinkedHashMap<>();
-    for (Section section : table.tables("method")) {
-      String path = section.text("path", null);
-      String name = section.text("class", null);
+    for (ConfigSection section : table.tables("method")) {
+      String path = section.string("path", null);
+      String name = section.string("class", null);
       RequestClass type = name == null ? null : types.get(name);
       if (name != null && type == null) {
-        section.fault(
+        section.addError(
             "class",
             "is \""
                 + name
@@ -67,34 +67,34 @@
       }
       boolean fits = path != null && (path.equals("*") || path.matches("/[\\w.]+/(\\*|\\w+)"));
       if (path != null && !fits) {
-        section.fault(
+        section.addError(
             "path", "is \"" + path + "\"; \"/service/method\", \"/service/*\" or \"*\" expected");
       }
-      String tenant = section.optionalText("tenant");
-      Gathering mode = section.choice("mode", Gathering.AUTO, Gathering.class);
+      String tenant = section.optionalString("tenant");
+      Gathering mode = section.enumValue("mode", Gathering.AUTO, Gathering.class);
       if (fits && methods.containsKey(path)) {
-        section.fault("path", "\"" + path + "\" stands twice; another one expected");
+        section.addError("path", "\"" + path + "\" stands twice; another one expected");
       }
       methods.put(path == null ? "?" : path, new Method(path, type, tenant, mode));
-      section.end();
+      section.rejectUnknownKeys();
     }
     if (!methods.containsKey("*")) {
-      table.fault("method", "has no default; a [[grpc.method]] with path = \"*\" expected");
+      table.addError("method", "has no default; a [[grpc.method]] with path = \"*\" expected");
     }
     InetSocketAddress listen = table.address("listen", true);
     GrpcTable grpc =
         new GrpcTable(
             listen,
-            (int) table.whole("most_message", 4L << 20, 1024, 64 << 20),
-            (int) table.whole("gather", 256L << 10, 1024, 4 << 20),
-            table.millis("gather_time", "20ms", "1ms", "10s") * 1_000_000L,
-            table.whole("most_held", 64L << 20, 1 << 20, 1L << 32),
-            (int) table.whole("most_streams", 100L, 1, 10_000),
-            (int) table.whole("most_connections", 256L, 1, 100_000),
-            table.millis("connection_age", "10min", "1s", "24h"),
-            table.millis("connection_idle", "5min", "1s", "24h"),
+            (int) table.integer("most_message", 4L << 20, 1024, 64 << 20),
+            (int) table.integer("gather", 256L << 10, 1024, 4 << 20),
+            table.durationMillis("gather_time", "20ms", "1ms", "10s") * 1_000_000L,
+            table.integer("most_held", 64L << 20, 1 << 20, 1L << 32),
+            (int) table.integer("most_streams", 100L, 1, 10_000),
+            (int) table.integer("most_connections", 256L, 1, 100_000),
+            table.durationMillis("connection_age", "10min", "1s", "24h"),
+            table.durationMillis("connection_idle", "5min", "1s", "24h"),
             Map.copyOf(methods));
-    table.end();
+    table.rejectUnknownKeys();
     return listen == null ? null : grpc;
   }
 
--- a/src/main/java/heathswitch/proxy/logging/Lines.java
+++ b/src/main/java/heathswitch/proxy/logging/LogLineEncoder.java
@@ -12,17 +12,17 @@
 import java.util.Map;
 import org.slf4j.event.KeyValuePair;
 
-/** Writes a line as text or as one JSON object; no line holds a line break. */
-final class Lines extends EncoderBase<ILoggingEvent> {
-  static final String KIND = "kind";
-  private static final int MOST_FRAMES = 6;
-  private static final int MOST_CAUSES = 8;
+/** Encodes a log event as a single line, as text or as one JSON object. */
+final class LogLineEncoder extends EncoderBase<ILoggingEvent> {
+  static final String KIND_FIELD = "kind";
+  private static final int MAX_STACK_FRAMES = 6;
+  private static final int MAX_CAUSES = 8;
 
-  private final LogTable.Form form;
+  private final LogConfig.Format format;
   private final String instance;
 
-  Lines(LogTable.Form form, String instance) {
-    this.form = form;
+  LogLineEncoder(LogConfig.Format format, String instance) {
+    this.format = format;
     this.instance = instance;
   }
 
@@ -38,7 +38,7 @@
 
   @Override
   public byte[] encode(ILoggingEvent event) {
-    String line = form == LogTable.Form.JSON ? json(event) : text(event);
+    String line = format == LogConfig.Format.JSON ? json(event) : text(event);
     return (line.replace('\n', ' ').replace('\r', ' ') + '\n').getBytes(UTF_8);
   }
 
@@ -46,7 +46,7 @@
     return event.getKeyValuePairs() == null ? List.of() : event.getKeyValuePairs();
   }
 
-  /** What the line is about: the balancer's own kind, or the library that says it. */
+  /** Returns the kind of one of the balancer's own lines, else the name of the library's logger. */
   private static String kind(ILoggingEvent event) {
     for (KeyValuePair pair : fields(event)) {
       if (StructuredLog.isKind(pair)) {
@@ -61,7 +61,7 @@
     line.put("time", event.getInstant().toString());
     line.put("level", event.getLevel().toString());
     line.put("instance", instance);
-    line.put(KIND, kind(event));
+    line.put(KIND_FIELD, kind(event));
     line.put("message", event.getFormattedMessage());
     for (KeyValuePair pair : fields(event)) {
       line.putIfAbsent(pair.key, String.valueOf(pair.value));
@@ -72,7 +72,7 @@
     try {
       return JSON.std.asString(line);
     } catch (IOException e) {
-      return "{\"level\":\"ERROR\",\"message\":\"a line could not be written\"}";
+      return "{\"level\":\"ERROR\",\"message\":\"log line could not be serialized to JSON\"}";
     }
   }
 
@@ -81,7 +81,7 @@
     line.append(event.getInstant()).append(' ').append(event.getLevel()).append(' ');
     line.append(kind(event)).append(": ").append(event.getFormattedMessage());
     for (KeyValuePair pair : fields(event)) {
-      // The message says the reason already; what is left are the words that one searches for.
+      // The message already contains the reason; the other fields serve as search terms.
       if (!StructuredLog.isKind(pair) && !pair.key.equals("reason")) {
         line.append(' ').append(pair.key).append('=').append(pair.value);
       }
@@ -92,14 +92,14 @@
     return line.toString();
   }
 
-  private static String error(IThrowableProxy thrown) {
+  private static String error(IThrowableProxy throwable) {
     StringBuilder text = new StringBuilder();
-    IThrowableProxy each = thrown;
-    for (int i = 0; each != null && i < MOST_CAUSES; i++) {
+    IThrowableProxy each = throwable;
+    for (int i = 0; each != null && i < MAX_CAUSES; i++) {
       text.append(i == 0 ? "" : " | ").append(each.getClassName());
       text.append(": ").append(each.getMessage());
       int frames = each.getStackTraceElementProxyArray().length;
-      for (int k = 0; k < Math.min(MOST_FRAMES, frames); k++) {
+      for (int k = 0; k < Math.min(MAX_STACK_FRAMES, frames); k++) {
         text.append(' ').append(each.getStackTraceElementProxyArray()[k]);
       }
       each = each.getCause();
--- a/src/main/java/heathswitch/proxy/logging/StructuredLog.java
+++ b/src/main/java/heathswitch/proxy/logging/StructuredLog.java
@@ -14,93 +14,95 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Leads all lines to standard error through Logback: the balancer's own by {@link Log}, which keeps
- * its limit for each kind, and warnings of the libraries. Logback itself finds this class as its
- * configurator, so that it reads no file.
+ * Configures Logback to write all log lines to standard error: the balancer's own lines, which
+ * {@link Log} limits by kind, and the warnings of libraries. Logback finds this class as its
+ * configurator through the service loader, and therefore reads no configuration file.
  */
 public final class StructuredLog extends ContextAwareBase implements Configurator {
-  static final String OWN = "heathswitch";
+  static final String OWN_LOGGER = "heathswitch";
 
-  /** Its warnings tell of every retry; what matters of them the balancer says itself. */
-  private static final String AGREEMENT = "org.apache.ratis";
+  /** Its warnings report every retry; the balancer itself logs those that matter. */
+  private static final String RATIS = "org.apache.ratis";
 
-  /** That the end of a file was torn and is cut off nobody else says. */
-  private static final String AGREEMENT_FILES = "org.apache.ratis.server.raftlog.segmented";
+  /** Its warnings are the only report of a torn end of a log file that is truncated. */
+  private static final String RATIS_LOG_FILES = "org.apache.ratis.server.raftlog.segmented";
 
-  /** Says how many lines of the libraries were left out. */
-  private static final String OTHERS = "heathswitch.libraries";
+  /** Logs the number of suppressed lines of libraries. */
+  private static final String SUPPRESSED_LINES = "heathswitch.libraries";
 
   private static final String NETTY = "io.netty";
 
   /**
-   * Has all lines written so from now on.
+   * Installs this log for the whole process, including java.util.logging and uncaught exceptions.
    *
-   * @param instance whose lines they are
+   * @param instance the instance name that is written in each JSON line
    */
-  public static void install(LogTable table, String instance) {
+  public static void install(LogConfig config, String instance) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-    set(context, table, instance);
+    configure(context, config, instance);
     SLF4JBridgeHandler.removeHandlersForRootLogger();
     SLF4JBridgeHandler.install();
-    Logger own = context.getLogger(OWN);
+    Logger ownLogger = context.getLogger(OWN_LOGGER);
     Log.setSink(
-        (level, kind, message, cause, fields) -> write(own, level, kind, message, cause, fields));
-    // By itself the JDK writes such an end over many lines that no program can read.
-    Thread.setDefaultUncaughtExceptionHandler(StructuredLog::ended);
+        (level, kind, message, cause, fields) ->
+            write(ownLogger, level, kind, message, cause, fields));
+    // The JDK would print an uncaught exception as multiple lines that are not structured.
+    Thread.setDefaultUncaughtExceptionHandler(StructuredLog::logUncaught);
   }
 
-  private static void ended(Thread thread, Throwable thrown) {
-    Log.error("thread", thread.getName() + " has ended by an error", thrown);
+  private static void logUncaught(Thread thread, Throwable exception) {
+    Log.error("thread", thread.getName() + " ended with an uncaught exception", exception);
   }
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    set(context, LogTable.DEFAULT, "");
+    configure(context, LogConfig.DEFAULT, "");
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
-  private static void set(LoggerContext context, LogTable table, String instance) {
+  private static void configure(LoggerContext context, LogConfig config, String instance) {
     context.reset();
-    Lines lines = new Lines(table.form(), instance);
-    lines.setContext(context);
-    lines.start();
+    LogLineEncoder encoder = new LogLineEncoder(config.format(), instance);
+    encoder.setContext(context);
+    encoder.start();
     ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
     console.setContext(context);
     console.setTarget("System.err");
-    console.setEncoder(lines);
-    Limited limited = new Limited(context.getLogger(OTHERS));
-    limited.start();
-    console.addFilter(limited);
+    console.setEncoder(encoder);
+    LogRateLimitFilter rateLimitFilter =
+        new LogRateLimitFilter(context.getLogger(SUPPRESSED_LINES));
+    rateLimitFilter.start();
+    console.addFilter(rateLimitFilter);
     console.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.WARN);
     root.addAppender(console);
-    context.getLogger(OWN).setLevel(Level.toLevel(table.least().name()));
-    context.getLogger(AGREEMENT).setLevel(Level.ERROR);
-    context.getLogger(AGREEMENT_FILES).setLevel(Level.WARN);
+    context.getLogger(OWN_LOGGER).setLevel(Level.toLevel(config.minLevel().name()));
+    context.getLogger(RATIS).setLevel(Level.ERROR);
+    context.getLogger(RATIS_LOG_FILES).setLevel(Level.WARN);
     context.getLogger(NETTY).setLevel(Level.ERROR);
   }
 
   private static void write(
-      Logger own,
+      Logger ownLogger,
       java.util.logging.Level level,
       String kind,
       String message,
       Throwable cause,
       String... fields) {
-    LoggingEventBuilder line =
+    LoggingEventBuilder event =
         level == java.util.logging.Level.INFO
-            ? own.atInfo()
-            : level == java.util.logging.Level.WARNING ? own.atWarn() : own.atError();
-    line = line.addKeyValue(Lines.KIND, kind);
+            ? ownLogger.atInfo()
+            : level == java.util.logging.Level.WARNING ? ownLogger.atWarn() : ownLogger.atError();
+    event = event.addKeyValue(LogLineEncoder.KIND_FIELD, kind);
     for (int i = 0; i + 1 < fields.length; i += 2) {
-      line = line.addKeyValue(fields[i], fields[i + 1]);
+      event = event.addKeyValue(fields[i], fields[i + 1]);
     }
-    line.setCause(cause).log(message);
+    event.setCause(cause).log(message);
   }
 
-  /** Whether a pair is the kind of the line, which stands in a place of its own. */
+  /** Returns whether the field is the kind of the line, which the encoder places separately. */
   static boolean isKind(KeyValuePair pair) {
-    return pair.key.equals(Lines.KIND);
+    return pair.key.equals(LogLineEncoder.KIND_FIELD);
   }
 }
--- a/src/main/java/heathswitch/proxy/logging/package-info.java
+++ b/src/main/java/heathswitch/proxy/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The log of an installation of its own, through SLF4J and Logback: text for people or a JSON
- * object a line for programs. Nothing of it is loaded on the platform.
+ * Structured logging of a standalone balancer through SLF4J and Logback, as text or as one JSON
+ * object per line. None of these classes is loaded on the platform.
  */
 package heathswitch.proxy.logging;
--- a/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfig.java
+++ b/src/main/java/heathswitch/proxy/maintenance/MaintenanceConfig.java
@@ -2,8 +2,8 @@
 
 import heathswitch.policy.maintenance.CapacityFloor;
 import heathswitch.policy.maintenance.MaintenanceRules;
-import heathswitch.proxy.config.Document;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.proxy.config.ConfigSection;
 import heathswitch.proxy.consensus.Peer;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -46,33 +46,34 @@
   /**
    * Reads and checks the table; null if there is none, in which case maintenance orders are off.
    */
-  public static MaintenanceConfig read(Document document, long warmUpMillis, double coldShare) {
-    Section table = document.root().table("work");
+  public static MaintenanceConfig read(
+      ConfigDocument document, long warmUpMillis, double coldShare) {
+    ConfigSection table = document.root().table("work");
     if (table == null) {
       return null;
     }
-    String instance = table.text("instance", null);
+    String instance = table.string("instance", null);
     boolean privateNetwork = table.flag("private_network", false);
     InetSocketAddress listen = table.address("listen", true);
-    table.nearby("listen", listen, privateNetwork, NOT_PROTECTED);
-    String folder = table.text("folder", null);
-    CutOff cutOff = table.choice("when_cut_off", CutOff.SERVE, CutOff.class);
+    table.requireLoopbackOrPrivate("listen", listen, privateNetwork, NOT_PROTECTED);
+    String folder = table.string("folder", null);
+    CutOff cutOff = table.enumValue("when_cut_off", CutOff.SERVE, CutOff.class);
     MaintenanceRules rules = rules(table);
-    long stopMargin = table.millis("stopping", "1s", "10ms", "10min");
+    long stopMargin = table.durationMillis("stopping", "1s", "10ms", "10min");
     if (cutOff == CutOff.STOP && stopMargin * 2 > rules.leaseMillis()) {
-      table.fault(
+      table.addError(
           "stopping", "is more than half of the lease; a shorter time or a longer lease expected");
     }
     List<Peer> peers = peers(table, privateNetwork);
     long voters = peers.stream().filter(Peer::votes).count();
     if (voters != 3 && voters != 5 && !peers.isEmpty()) {
-      table.fault("instance", voters + " of [[work.peer]] are voters; 3 or 5 expected");
+      table.addError("instance", voters + " of [[work.peer]] are voters; 3 or 5 expected");
     }
     if (instance != null && peers.stream().noneMatch(peer -> instance.equals(peer.name()))) {
-      table.fault(
+      table.addError(
           "instance", "\"" + instance + "\" is not among [[work.peer]]; the name of one expected");
     }
-    table.end();
+    table.rejectUnknownKeys();
     return instance == null || listen == null || folder == null
         ? null
         : new MaintenanceConfig(
@@ -87,63 +88,63 @@
             coldShare);
   }
 
-  private static List<Peer> peers(Section table, boolean privateNetwork) {
+  private static List<Peer> peers(ConfigSection table, boolean privateNetwork) {
     List<Peer> peers = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
-    for (Section section : table.tables("peer")) {
-      String name = section.text("name", null);
+    for (ConfigSection section : table.tables("peer")) {
+      String name = section.string("name", null);
       InetSocketAddress address = section.address("address", true);
-      section.nearby("address", address, privateNetwork, NOT_PROTECTED);
+      section.requireLoopbackOrPrivate("address", address, privateNetwork, NOT_PROTECTED);
       if (name != null && !name.matches("[A-Za-z0-9_.-]{1,64}")) {
-        section.fault("name", "is \"" + name + "\"; 1 to 64 of A-Z a-z 0-9 . _ - expected");
+        section.addError("name", "is \"" + name + "\"; 1 to 64 of A-Z a-z 0-9 . _ - expected");
       } else if (name != null && !names.add(name)) {
-        section.fault("name", "\"" + name + "\" is used twice; another name expected");
+        section.addError("name", "\"" + name + "\" is used twice; another name expected");
       }
       if (address != null && !addresses.add(address)) {
-        section.fault("address", "is used twice; another address expected");
+        section.addError("address", "is used twice; another address expected");
       }
       boolean votes = section.flag("votes", false);
-      section.end();
+      section.rejectUnknownKeys();
       if (name != null && address != null) {
         peers.add(new Peer(name, address, votes));
       }
     }
     if (peers.isEmpty()) {
-      table.fault(
+      table.addError(
           "peer", "missing; a [[work.peer]] for each balancer, including this one, expected");
     }
     return List.copyOf(peers);
   }
 
-  private static MaintenanceRules rules(Section table) {
+  private static MaintenanceRules rules(ConfigSection table) {
     long version = 1;
     long lease = 4000;
     long margin = 1000;
     int maxOut = 1;
     int maxOutInCell = 1;
-    Section section = table.table("rules");
+    ConfigSection section = table.table("rules");
     if (section != null) {
-      version = section.whole("version", 1L, 1, Long.MAX_VALUE);
-      lease = section.millis("lease", "4s", "500ms", "1h");
-      margin = section.millis("margin", "1s", "200ms", "10min");
-      maxOut = (int) section.whole("most_out", 1L, 0, 10_000);
-      maxOutInCell = (int) section.whole("most_out_in_cell", 1L, 0, 10_000);
-      section.end();
+      version = section.integer("version", 1L, 1, Long.MAX_VALUE);
+      lease = section.durationMillis("lease", "4s", "500ms", "1h");
+      margin = section.durationMillis("margin", "1s", "200ms", "10min");
+      maxOut = (int) section.integer("most_out", 1L, 0, 10_000);
+      maxOutInCell = (int) section.integer("most_out_in_cell", 1L, 0, 10_000);
+      section.rejectUnknownKeys();
     }
     List<CapacityFloor> floors = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (Section floor : table.tables("floor")) {
-      String kind = floor.text("kind", "*");
-      String zone = floor.text("zone", "*");
+    for (ConfigSection floor : table.tables("floor")) {
+      String kind = floor.string("kind", "*");
+      String zone = floor.string("zone", "*");
       double minShare = floor.number("least", null, 0.0, 1.0);
       if (!seen.add(kind + '|' + zone)) {
-        floor.fault("kind", "has another floor for the same kind and zone; one expected");
+        floor.addError("kind", "has another floor for the same kind and zone; one expected");
       }
       if (minShare >= 1.0) {
-        floor.fault("least", "is 1, so that no machine could ever go out; less expected");
+        floor.addError("least", "is 1, so that no machine could ever go out; less expected");
       }
-      floor.end();
+      floor.rejectUnknownKeys();
       floors.add(new CapacityFloor(kind, zone, minShare));
     }
     return new MaintenanceRules(version, lease, margin, maxOut, maxOutInCell, floors);
--- a/src/main/java/heathswitch/proxy/members/MembersCheck.java
+++ b/src/main/java/heathswitch/proxy/members/MembersCheck.java
@@ -5,7 +5,7 @@
 import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListValidator;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -30,13 +30,16 @@
    * @param servers the servers in the files; empty if there are faults
    */
   public record Report(
-      boolean acceptable, List<Fault> faults, List<String> lines, List<ListedServer> servers) {}
+      boolean acceptable,
+      List<ValidationError> faults,
+      List<String> lines,
+      List<ListedServer> servers) {}
 
   private MembersCheck() {}
 
   /** Checks the given files in place of the configured ones. */
   public static Report check(MembersConfig config, List<Path> files, long nowMillis) {
-    List<Fault> faults = new ArrayList<>();
+    List<ValidationError> faults = new ArrayList<>();
     List<ListEntry> candidate = new ArrayList<>();
     for (Path file : files) {
       try {
@@ -45,7 +48,7 @@
         faults.addAll(parsed.faults());
         candidate.addAll(parsed.entries());
       } catch (IOException e) {
-        faults.add(new Fault(file.toString(), 0, 0, "", String.valueOf(e.getMessage())));
+        faults.add(new ValidationError(file.toString(), 0, 0, "", String.valueOf(e.getMessage())));
       }
     }
     if (!faults.isEmpty()) {
--- a/src/main/java/heathswitch/proxy/members/MembersConfig.java
+++ b/src/main/java/heathswitch/proxy/members/MembersConfig.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.members;
 
 import heathswitch.policy.members.ListPolicy;
-import heathswitch.proxy.config.Document;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.proxy.config.ConfigSection;
 import java.nio.file.Path;
 import java.util.List;
 
@@ -27,40 +27,40 @@
    * Reads and checks the table. Adds faults to the document; returns null if there is no such
    * table.
    */
-  public static MembersConfig read(Document document) {
-    Section root = document.root();
-    Section table = root.table("members");
+  public static MembersConfig read(ConfigDocument document) {
+    ConfigSection root = document.root();
+    ConfigSection table = root.table("members");
     if (table == null) {
       if (!root.has("members")) {
-        root.fault("members", "missing; a table [members] that names the files is expected");
+        root.addError("members", "missing; a table [members] that names the files is expected");
       }
       return null;
     }
-    List<Path> files = table.texts("files", true).stream().map(document::resolve).toList();
+    List<Path> files = table.strings("files", true).stream().map(document::resolve).toList();
     if (files.stream().distinct().count() != files.size()) {
-      table.fault("files", "contains a file twice; each file once expected");
+      table.addError("files", "contains a file twice; each file once expected");
     }
-    String state = table.optionalText("state");
+    String state = table.optionalString("state");
     double minWeight = table.number("least_weight", 0.01, 1e-6, 1e6);
     double maxWeight = table.number("most_weight", 100.0, 1e-6, 1e6);
     if (minWeight > maxWeight) {
-      table.fault("least_weight", "is over most_weight; at most " + maxWeight + " expected");
+      table.addError("least_weight", "is over most_weight; at most " + maxWeight + " expected");
       maxWeight = minWeight;
     }
     MembersConfig config =
         new MembersConfig(
             files,
             state == null ? null : document.resolve(state),
-            table.millis("drain", "30s", "0ms", "1h"),
-            table.millis("poll", "50ms", "1ms", "10s"),
-            table.millis("settle", "50ms", "0ms", "10s"),
+            table.durationMillis("drain", "30s", "0ms", "1h"),
+            table.durationMillis("poll", "50ms", "1ms", "10s"),
+            table.durationMillis("settle", "50ms", "0ms", "10s"),
             new ListPolicy(
                 table.number("most_removed", 0.3, 0.0001, 1.0),
-                table.millis("removal_window", "10min", "0ms", "24h"),
+                table.durationMillis("removal_window", "10min", "0ms", "24h"),
                 minWeight,
                 maxWeight,
-                (int) table.whole("most_servers", 20_000L, 1, 100_000)));
-    table.end();
+                (int) table.integer("most_servers", 20_000L, 1, 100_000)));
+    table.rejectUnknownKeys();
     return config;
   }
 
--- a/src/main/java/heathswitch/proxy/members/MembersFormat.java
+++ b/src/main/java/heathswitch/proxy/members/MembersFormat.java
@@ -2,9 +2,9 @@
 
 import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.files.BoundedFile;
-import heathswitch.proxy.files.FileFault;
+import heathswitch.proxy.files.UnusableFileException;
 import heathswitch.proxy.runtime.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -46,14 +46,14 @@
   private static final Pattern DIGEST = Pattern.compile("sha256:[0-9a-f]{64}");
 
   /** The result of parsing a file; the entries must only be used if there are no faults. */
-  public record Parsed(List<ListEntry> entries, List<Fault> faults) {}
+  public record Parsed(List<ListEntry> entries, List<ValidationError> faults) {}
 
   /** A word of a line, with its column counted from 1. */
   private record Token(String text, int column) {}
 
   private final String file;
   private final List<ListEntry> entries = new ArrayList<>();
-  private final List<Fault> faults = new ArrayList<>();
+  private final List<ValidationError> faults = new ArrayList<>();
   private boolean endSeen;
 
   private MembersFormat(String file) {
@@ -68,8 +68,8 @@
   public static Parsed parse(String file, byte[] bytes) {
     MembersFormat parser = new MembersFormat(file);
     try {
-      parser.parseLines(BoundedFile.text(bytes), bytes);
-    } catch (FileFault e) {
+      parser.parseLines(BoundedFile.decodeUtf8(bytes), bytes);
+    } catch (UnusableFileException e) {
       parser.fault(0, 0, "", e.getMessage());
     }
     return new Parsed(parser.entries, parser.faults);
@@ -77,7 +77,7 @@
 
   private void fault(int line, int column, String field, String message) {
     if (faults.size() < MAX_FAULTS) {
-      faults.add(new Fault(file, line, column, field, message));
+      faults.add(new ValidationError(file, line, column, field, message));
     }
   }
 
--- a/src/main/java/heathswitch/proxy/members/MembersReloader.java
+++ b/src/main/java/heathswitch/proxy/members/MembersReloader.java
@@ -5,7 +5,7 @@
 import heathswitch.policy.members.ListValidator;
 import heathswitch.policy.members.ListedServer;
 import heathswitch.policy.members.ServerStateTracker;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.runtime.Log;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -178,7 +178,7 @@
     List<ListEntry> candidate = new ArrayList<>();
     List<String> faults = new ArrayList<>();
     for (WatchedFile file : files) {
-      for (Fault fault : file.faults()) {
+      for (ValidationError fault : file.faults()) {
         faults.add(fault.toString());
       }
       if (faults.isEmpty()) {
--- a/src/main/java/heathswitch/proxy/members/MembersStateStore.java
+++ b/src/main/java/heathswitch/proxy/members/MembersStateStore.java
@@ -6,7 +6,7 @@
 import heathswitch.policy.members.ServiceHistory;
 import heathswitch.proxy.files.AtomicFile;
 import heathswitch.proxy.files.BoundedFile;
-import heathswitch.proxy.files.FileFault;
+import heathswitch.proxy.files.UnusableFileException;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -75,7 +75,8 @@
     }
     if (lock == null) {
       lockChannel.close();
-      throw new FileFault("is in use by another balancer; each balancer needs its own folder");
+      throw new UnusableFileException(
+          "is in use by another balancer; each balancer needs its own folder");
     }
   }
 
@@ -155,16 +156,16 @@
     AtomicFile.write(file(), whole);
   }
 
-  private static SavedState parse(byte[] bytes) throws FileFault {
+  private static SavedState parse(byte[] bytes) throws UnusableFileException {
     int firstEnd = lineEnd(bytes, 0);
     int secondEnd = lineEnd(bytes, firstEnd + 1);
     if (secondEnd < 0 || !string(bytes, 0, firstEnd).equals(FIRST_LINE)) {
-      throw new FileFault("is not a state file of this version");
+      throw new UnusableFileException("is not a state file of this version");
     }
     int start = secondEnd + 1;
     String digest = "sha256 " + Sha256.hex(bytes, start, bytes.length - start);
     if (!string(bytes, firstEnd + 1, secondEnd).equals(digest)) {
-      throw new FileFault("does not match its own digest");
+      throw new UnusableFileException("does not match its own digest");
     }
     // The digest matches, so a balancer wrote the rest; an error in it is a bug of the program.
     long version = 0;
@@ -175,7 +176,7 @@
     for (int at = start; ; ) {
       int end = lineEnd(bytes, at);
       if (end < 0) {
-        throw new FileFault("has no list of servers");
+        throw new UnusableFileException("has no list of servers");
       }
       String[] words = string(bytes, at, end).split(" ");
       at = end + 1;
@@ -196,13 +197,13 @@
           byte[] listText = java.util.Arrays.copyOfRange(bytes, at, bytes.length);
           MembersFormat.Parsed parsed = MembersFormat.parse(FILE_NAME, listText);
           if (!parsed.faults().isEmpty() || version <= 0) {
-            throw new FileFault("contains an invalid list of servers");
+            throw new UnusableFileException("contains an invalid list of servers");
           }
           List<ListedServer> list = parsed.entries().stream().map(ListEntry::server).toList();
           return new SavedState(
               version, lastAssignedVersion, acceptedMillis, list, joinedMillis, departures);
         }
-        default -> throw new FileFault("contains an unknown line: " + words[0]);
+        default -> throw new UnusableFileException("contains an unknown line: " + words[0]);
       }
     }
   }
--- a/src/main/java/heathswitch/proxy/members/WatchedFile.java
+++ b/src/main/java/heathswitch/proxy/members/WatchedFile.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.members;
 
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.files.BoundedFile;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -93,9 +93,9 @@
   }
 
   /** The faults found at the last poll; valid only if the file has settled. */
-  List<Fault> faults() {
+  List<ValidationError> faults() {
     return error != null
-        ? List.of(new Fault(path.getFileName().toString(), 0, 0, "", error))
+        ? List.of(new ValidationError(path.getFileName().toString(), 0, 0, "", error))
         : parsed.faults();
   }
 
--- a/src/main/java/heathswitch/proxy/metrics/Metrics.java
+++ b/src/main/java/heathswitch/proxy/metrics/Metrics.java
@@ -10,8 +10,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The figures of one balancer. Each is read when somebody asks, on the event loop; there are as
- * many as are added here, and their one label is the balancer's name.
+ * The metrics of one balancer, with the instance name as their only label. The number of meters is
+ * fixed by those that are added; each is read on the event loop at every scrape.
  */
 public final class Metrics {
   private static final String PREFIX = "heathswitch.";
@@ -19,32 +19,36 @@
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-  /** The library holds what a counter reads from weakly: collected, it would stand still. */
-  private final List<DoubleSupplier> held = new ArrayList<>();
+  /**
+   * Strong references to the sources of counters: Micrometer refers to them weakly, and a counter
+   * whose source is garbage collected stops counting.
+   */
+  private final List<DoubleSupplier> counterSources = new ArrayList<>();
 
-  /** None yet. */
+  /** Creates an empty registry for a balancer with this instance name. */
   public Metrics(String instance) {
     registry.config().commonTags("instance", instance);
   }
 
-  /** Adds one that goes up and down. */
-  public Metrics gauge(String name, String says, DoubleSupplier now) {
-    Gauge.builder(PREFIX + name, now::getAsDouble).description(says).register(registry);
+  /** Adds a gauge, whose value may rise and fall. */
+  public Metrics gauge(String name, String help, DoubleSupplier value) {
+    Gauge.builder(PREFIX + name, value::getAsDouble).description(help).register(registry);
     return this;
   }
 
-  /** Adds one that only grows. */
-  public Metrics counter(String name, String says, DoubleSupplier now) {
-    held.add(now);
-    FunctionCounter.builder(PREFIX + name, now, DoubleSupplier::getAsDouble)
-        .description(says)
+  /** Adds a counter, whose value only grows. */
+  public Metrics counter(String name, String help, DoubleSupplier value) {
+    counterSources.add(value);
+    FunctionCounter.builder(PREFIX + name, value, DoubleSupplier::getAsDouble)
+        .description(help)
         .register(registry);
     return this;
   }
 
-  /** Adds the page to the admin listener. */
+  /** Adds the page {@code /metrics} to the admin listener. */
   public void addPage(AdminServer admin) {
     admin.get(
-        "metrics", (rest, reply) -> reply.accept(AdminServer.Reply.figures(registry.scrape())));
+        "metrics",
+        (subPath, reply) -> reply.accept(AdminServer.Reply.prometheusText(registry.scrape())));
   }
 }
--- a/src/main/java/heathswitch/proxy/metrics/package-info.java
+++ b/src/main/java/heathswitch/proxy/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Figures in the text form of Prometheus, through Micrometer. Loaded only where the configuration
- * asks for it; the one package that knows the library.
+ * Metrics in the Prometheus text format, through Micrometer. This is the only package that uses the
+ * library, and it is loaded only if the configuration enables metrics.
  */
 package heathswitch.proxy.metrics;
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -1,13 +1,13 @@
 package heathswitch.proxy.standalone;
 
 import heathswitch.policy.api.Settings;
-import heathswitch.proxy.admin.AdminTable;
-import heathswitch.proxy.config.Document;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.admin.AdminConfig;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.gateway.GatewayTable;
 import heathswitch.proxy.gossip.PeersTable;
 import heathswitch.proxy.grpc.GrpcTable;
-import heathswitch.proxy.logging.LogTable;
+import heathswitch.proxy.logging.LogConfig;
 import heathswitch.proxy.maintenance.MaintenanceConfig;
 import heathswitch.proxy.members.MembersConfig;
 import heathswitch.proxy.node.NodeSettings;
@@ -16,75 +16,82 @@
 import java.util.List;
 
 /**
- * The configuration of an installation of its own. A subsystem adds its table here with one line:
- * it reads and checks that table itself.
+ * The configuration of a standalone balancer, read from one TOML file. Each subsystem reads and
+ * validates its own table; {@link #read} calls each of them.
  *
- * @param admin null where the listener is off
- * @param grpc null where that listener is off
- * @param gateway null where no other site is spoken to
- * @param work null where machines are not taken out by orders
- * @param peers null where nobody is told who is there
- * @param subset null where all servers are used
- * @param log how lines are written
+ * @param node the HTTP/1.1 listener and the settings of the policy
+ * @param members the files with the list of servers
+ * @param admin the admin listener, or null if it is off
+ * @param grpc the gRPC listener, or null if it is off
+ * @param gateway the gateway to other sites, or null if it is off
+ * @param maintenance orders to take machines out, or null if they are off
+ * @param peers gossip with other balancers, or null if it is off
+ * @param subset the subset of servers to use, or null if all are used
+ * @param log the format and the lowest level of log lines
  */
 public record StandaloneConfig(
     NodeSettings node,
     MembersConfig members,
-    AdminTable admin,
+    AdminConfig admin,
     GrpcTable grpc,
     GatewayTable gateway,
-    MaintenanceConfig work,
+    MaintenanceConfig maintenance,
     PeersTable peers,
     SubsetTable subset,
-    LogTable log) {
+    LogConfig log) {
   /**
-   * A configuration, or what is wrong with the file; one of the two is empty.
+   * The outcome of reading a configuration file.
    *
-   * @param unreadable whether the file could not be read now, and may be in a moment
+   * @param config the configuration, or null if there are errors
+   * @param errors what is wrong with the file; empty if it is valid
+   * @param unreadable whether reading failed with an I/O error that may be temporary
    */
-  public record Result(StandaloneConfig config, List<Fault> faults, boolean unreadable) {}
+  public record Result(StandaloneConfig config, List<ValidationError> errors, boolean unreadable) {}
 
-  private static MaintenanceConfig work(Document document, NodeSettings node) {
-    Settings.Obligations rules = node == null ? null : node.policySettings().obligations();
-    return rules == null
+  private static MaintenanceConfig readMaintenance(ConfigDocument document, NodeSettings node) {
+    Settings.Obligations obligations = node == null ? null : node.policySettings().obligations();
+    return obligations == null
         ? MaintenanceConfig.read(document, 0, 1)
-        : MaintenanceConfig.read(document, rules.warmUpNanos() / 1_000_000, rules.startCapacity());
+        : MaintenanceConfig.read(
+            document, obligations.warmUpNanos() / 1_000_000, obligations.startCapacity());
   }
 
-  /** What this balancer is called among others, and else by its own name. */
+  /** Returns the instance name of {@code [work]} or {@code [peers]}, else the balancer's name. */
   public String instance() {
-    return work != null ? work.instance() : peers != null ? peers.instance() : node.name();
+    return maintenance != null
+        ? maintenance.instance()
+        : peers != null ? peers.instance() : node.name();
   }
 
-  /** Reads the file and checks all of it. */
+  /** Reads the file and validates all of it. */
   public static Result read(Path path) {
-    Document document = Document.read(path);
+    ConfigDocument document = ConfigDocument.read(path);
     if (document.root() == null) {
-      return new Result(null, document.faults(), document.unreadable());
+      return new Result(null, document.errors(), document.unreadable());
     }
-    NodeSettings node = BalancerTables.read(document.root());
+    NodeSettings node = NodeSettingsReader.read(document.root());
     StandaloneConfig config =
         new StandaloneConfig(
             node,
             MembersConfig.read(document),
-            AdminTable.read(document.root()),
+            AdminConfig.read(document.root()),
             GrpcTable.read(
                 document.root(), node == null ? List.of() : node.policySettings().classes()),
             GatewayTable.read(document),
-            work(document, node),
+            readMaintenance(document, node),
             PeersTable.read(document, node == null ? null : node.policySettings().zone()),
             SubsetTable.read(document.root()),
-            LogTable.read(document.root()));
-    if (config.work() != null
+            LogConfig.read(document.root()));
+    if (config.maintenance() != null
         && config.peers() != null
-        && !config.work().instance().equals(config.peers().instance())) {
+        && !config.maintenance().instance().equals(config.peers().instance())) {
       document
           .root()
           .table("peers")
-          .fault("instance", "is not that of [work]; one name for one balancer expected");
+          .addError("instance", "differs from the one in [work]; the same name expected");
     }
-    document.root().end();
-    List<Fault> faults = document.faults();
-    return new Result(faults.isEmpty() ? config : null, faults, false);
+    document.root().rejectUnknownKeys();
+    List<ValidationError> errors = document.errors();
+    return new Result(errors.isEmpty() ? config : null, errors, false);
   }
 }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.standalone;
 
 import heathswitch.proxy.admin.AdminServer;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.gateway.SiteGateway;
 import heathswitch.proxy.gossip.GossipService;
 import heathswitch.proxy.grpc.GrpcServer;
@@ -24,24 +24,29 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** A balancer on its own: its configuration is a TOML file, its members come from watched files. */
+/**
+ * A standalone balancer: it is configured by a TOML file, and its members come from watched files.
+ */
 public final class StandaloneNode {
-  private static final long WATCH_NANOS = 100_000_000L;
-  private static final int MOST_SERVERS_SHOWN = 1000;
+  private static final long DEFAULT_LAG_SAMPLE_NANOS = 100_000_000L;
+  private static final int MAX_SERVERS_SHOWN = 1000;
 
   private final Path path;
-  private final SignalFileReader file = new SignalFileReader(this::read);
+  private final SignalFileReader configReader = new SignalFileReader(this::readConfig);
   private final StandaloneConfig config;
   private final MembersWatcher members;
   private final Node node;
   private AdminServer admin;
   private GrpcServer grpc;
   private SiteGateway gateway;
-  private MaintenanceService work;
-  private GossipService peers;
+  private MaintenanceService maintenance;
+  private GossipService gossip;
   private SubsetService subsets;
 
-  /** Reads the members; fails where there is no list to serve with, or no certificate. */
+  /**
+   * Reads the members and creates the services; fails if there is no usable list of servers, or if
+   * a service cannot start, for example without its certificate.
+   */
   public StandaloneNode(Path path, StandaloneConfig config)
       throws MembersWatcher.StartException,
           SiteGateway.CannotStart,
@@ -50,8 +55,9 @@
     this.path = path;
     this.config = config;
     members = MembersWatcher.open(config.members());
-    long watch = config.admin() == null ? WATCH_NANOS : config.admin().watchNanos();
-    node = new Node(config.node(), members::bindTo, watch);
+    long lagSampleNanos =
+        config.admin() == null ? DEFAULT_LAG_SAMPLE_NANOS : config.admin().lagSampleNanos();
+    node = new Node(config.node(), members::bindTo, lagSampleNanos);
     if (config.grpc() != null) {
       NodeSettings settings = config.node();
       grpc =
@@ -72,55 +78,56 @@
       }
     }
     if (config.peers() != null) {
-      peers = new GossipService(node, config.peers());
+      gossip = new GossipService(node, config.peers());
     }
-    if (config.work() != null) {
-      work = new MaintenanceService(node, config.work());
+    if (config.maintenance() != null) {
+      maintenance = new MaintenanceService(node, config.maintenance());
     }
-    if (config.subset() != null) { // Over what work orders say: what is held is in no plan.
+    // Created after the maintenance service, so that no subset contains a server held by an order.
+    if (config.subset() != null) {
       subsets =
           new SubsetService(
-              node, peers, config.subset(), config.peers().instance(), config.node().seed());
+              node, gossip, config.subset(), config.peers().instance(), config.node().seed());
     }
   }
 
-  /** Returns once clients can connect; fails if an address is taken. */
+  /** Returns once clients can connect; fails if an address is already in use. */
   public void start() throws InterruptedException, IOException {
     if (config.admin() != null) {
       admin = new AdminServer(node.loop());
       MembersPages.add(admin, members);
-      admin.get("status", (rest, reply) -> reply.accept(AdminServer.Reply.ok(status())));
-      admin.get("servers", (rest, reply) -> reply.accept(AdminServer.Reply.ok(servers())));
+      admin.get("status", (subPath, reply) -> reply.accept(AdminServer.Reply.ok(status())));
+      admin.get("servers", (subPath, reply) -> reply.accept(AdminServer.Reply.ok(servers())));
       if (gateway != null) {
         gateway.addPages(admin);
       }
-      if (work != null) {
-        work.addPages(admin);
+      if (maintenance != null) {
+        maintenance.addPages(admin);
       }
-      if (peers != null) {
-        peers.addPages(admin);
+      if (gossip != null) {
+        gossip.addPages(admin);
       }
       if (subsets != null) {
         subsets.addPages(admin);
       }
       if (config.admin().metrics()) {
-        metrics().addPage(admin);
+        createMetrics().addPage(admin);
       }
       admin.start(config.admin().listen());
     }
-    if (peers != null) {
-      peers.start();
+    if (gossip != null) {
+      gossip.start();
     }
     if (subsets != null) {
       subsets.start();
     }
-    if (work != null) {
-      work.start();
+    if (maintenance != null) {
+      maintenance.start();
     }
     node.start();
   }
 
-  private Metrics metrics() {
+  private Metrics createMetrics() {
     Metrics metrics =
         new Metrics(config.instance())
             .counter("requests", "requests that came in", () -> node.dispatcher().requestCount())
@@ -129,8 +136,8 @@
                 "connected.servers",
                 "servers to which there are connections",
                 () -> node.dispatcher().connectedUpstreamCount());
-    if (peers != null) {
-      peers.addFigures(metrics);
+    if (gossip != null) {
+      gossip.addFigures(metrics);
     }
     if (subsets != null) {
       subsets.addFigures(metrics);
@@ -138,25 +145,27 @@
     return metrics;
   }
 
+  /** Returns the node that serves the clients. */
   public Node node() {
     return node;
   }
 
-  /** The admin listener, or null where it is off. */
+  /** Returns the admin listener, or null if it is off. */
   public AdminServer admin() {
     return admin;
   }
 
-  /** The gRPC listener, or null where it is off. */
+  /** Returns the gRPC listener, or null if it is off. */
   public GrpcServer grpc() {
     return grpc;
   }
 
-  /** The gateway to other sites, or null where it is off. */
+  /** Returns the gateway to other sites, or null if it is off. */
   public SiteGateway gateway() {
     return gateway;
   }
 
+  /** Returns the watcher of the member files. */
   public MembersWatcher members() {
     return members;
   }
@@ -168,25 +177,28 @@
     status.put("up_s", ManagementFactory.getRuntimeMXBean().getUptime() / 1000);
     status.put("live_requests", node.dispatcher().liveRequestCount());
     status.put("connected_servers", node.dispatcher().connectedUpstreamCount());
-    // Pages are answered on the loop, so that its own thread is the one that is asked.
+    // Admin pages run on the event loop, so the current thread is the one to measure.
     status.put("loop_cpu_ms", ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() / 1e6);
     status.put("loop_late_ms", node.lagMonitor().takeMaxLagForStatus() / 1e6);
-    status.put("heap_after_gc_mb", heapAfterCollection() / 1048576.0);
+    status.put("heap_after_gc_mb", heapBytesAfterCollection() / 1048576.0);
     status.put("view", node.dispatcher().figures());
     return status;
   }
 
-  /** Calls in flight and window of each server, of a bounded number: the loop writes the page. */
+  /**
+   * Returns the calls in flight and the window of each server. The number of servers is limited
+   * because the event loop writes the page.
+   */
   private Map<String, Object> servers() {
     Map<String, Object> page = new LinkedHashMap<>();
     node.dispatcher()
-        .loads(MOST_SERVERS_SHOWN)
+        .loads(MAX_SERVERS_SHOWN)
         .forEach((name, load) -> page.put(name, Map.of("calls", load[0], "window", load[1])));
     return page;
   }
 
-  /** What was left on the heap after each pool's last collection, in bytes. */
-  private static long heapAfterCollection() {
+  /** Returns the heap usage in bytes after the last collection of each memory pool. */
+  private static long heapBytesAfterCollection() {
     long bytes = 0;
     for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
       MemoryUsage usage = pool.getType() == MemoryType.HEAP ? pool.getCollectionUsage() : null;
@@ -196,30 +208,32 @@
   }
 
   /**
-   * SIGHUP: the file is read again, and the members follow it. A file with faults changes nothing;
-   * other tables than that of the members are taken at the next start.
+   * Handles SIGHUP: reads the configuration file again and applies its {@code [members]} table. A
+   * file with errors changes nothing; the other tables take effect only at the next start.
    */
   public void reload() {
-    file.onSignal();
+    configReader.onSignal();
   }
 
-  private boolean read(int signal) {
+  private boolean readConfig(int signal) {
     StandaloneConfig.Result result = StandaloneConfig.read(path);
     if (result.config() == null) {
       Log.warn(
           "reload",
           "signal "
               + signal
-              + ": configuration left as it was: "
-              + result.faults().stream().map(Fault::toString).collect(Collectors.joining("; ")));
+              + ": configuration not reloaded: "
+              + result.errors().stream()
+                  .map(ValidationError::toString)
+                  .collect(Collectors.joining("; ")));
       return !result.unreadable();
     }
     members.reconfigure(result.config().members());
-    Log.info("reload", "members follow " + path);
+    Log.info("reload", "members are read as configured in " + path);
     return true;
   }
 
-  /** Ends at once, without a drain. */
+  /** Stops immediately, without draining. */
   public void stop() {
     members.close();
     if (subsets != null) {
@@ -228,12 +242,12 @@
     if (gateway != null) {
       gateway.close();
     }
-    if (peers != null) {
-      peers.close();
+    if (gossip != null) {
+      gossip.close();
     }
     node.stop();
-    if (work != null) {
-      work.close();
+    if (maintenance != null) {
+      maintenance.close();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/subsetting/SubsetTable.java
+++ b/src/main/java/heathswitch/proxy/subsetting/SubsetTable.java
@@ -2,7 +2,7 @@
 
 import heathswitch.policy.subsetting.SubsetSelector;
 import heathswitch.policy.subsetting.SubsetSizing;
-import heathswitch.proxy.config.Section;
+import heathswitch.proxy.config.ConfigSection;
 
 /**
  * The table {@code [subset]} of the configuration file.
@@ -12,29 +12,29 @@
  */
 public record SubsetTable(SubsetSizing sizing, SubsetSelector.Pace pace) {
   /** Reads and checks the table; null if there is none, so that all servers are used. */
-  public static SubsetTable read(Section root) {
-    Section table = root.table("subset");
+  public static SubsetTable read(ConfigSection root) {
+    ConfigSection table = root.table("subset");
     if (table == null) {
       return null;
     }
-    int width = (int) table.whole("width", (long) SubsetSizing.DEFAULT.width(), 1, 1000);
-    int users = (int) table.whole("users", (long) SubsetSizing.DEFAULT.minUsers(), 1, 1000);
-    int domains = (int) table.whole("domains", (long) SubsetSizing.DEFAULT.minCells(), 1, 1000);
+    int width = (int) table.integer("width", (long) SubsetSizing.DEFAULT.width(), 1, 1000);
+    int users = (int) table.integer("users", (long) SubsetSizing.DEFAULT.minUsers(), 1, 1000);
+    int domains = (int) table.integer("domains", (long) SubsetSizing.DEFAULT.minCells(), 1, 1000);
     if (domains > width) {
-      table.fault("domains", "is greater than width; at most as many cells as servers expected");
+      table.addError("domains", "is greater than width; at most as many cells as servers expected");
     }
-    long settle = table.nanos("settle", "3s", "0s", "10min");
-    long step = table.nanos("step", "1s", "100ms", "1min");
+    long settle = table.durationNanos("settle", "3s", "0s", "10min");
+    long step = table.durationNanos("step", "1s", "100ms", "1min");
     double mostMoved =
         table.number("most_moved", SubsetSelector.Pace.DEFAULT.maxMovedShare(), 0.01, 1.0);
     int aloneSteps =
         (int)
-            table.whole(
+            table.integer(
                 "alone_steps", (long) SubsetSelector.Pace.DEFAULT.isolatedSteps(), 0, 10_000);
     if (!root.has("peers")) {
-      table.fault("", "without table [peers] no other balancer is known; that table expected");
+      table.addError("", "without table [peers] no other balancer is known; that table expected");
     }
-    table.end();
+    table.rejectUnknownKeys();
     return new SubsetTable(
         new SubsetSizing(width, users, domains),
         new SubsetSelector.Pace(settle, step, mostMoved, aloneSteps));
--- a/src/main/java/heathswitch/testbed/balancer/BalancerProcess.java
+++ b/src/main/java/heathswitch/testbed/balancer/BalancerProcess.java
@@ -121,7 +121,7 @@
   public Map<String, Object> post(String page) throws IOException {
     HttpURLConnection connection = connection(page);
     connection.setRequestMethod("POST");
-    connection.setRequestProperty(AdminServer.INTENT, "rig");
+    connection.setRequestProperty(AdminServer.INTENT_HEADER, "rig");
     connection.setDoOutput(true);
     connection.getOutputStream().close();
     return read(connection);
--- a/src/main/java/heathswitch/testbed/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -2,7 +2,7 @@
 
 import heathswitch.policy.members.ListEntry;
 import heathswitch.policy.members.ListedServer;
-import heathswitch.proxy.config.Fault;
+import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.members.MembersFormat;
 import heathswitch.proxy.runtime.Addresses;
 import heathswitch.proxy.standalone.StandaloneConfig;
@@ -62,13 +62,13 @@
     Path file = root.resolve("deploy/example.toml");
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
-      result.faults().forEach(System.err::println);
+      result.errors().forEach(System.err::println);
       return 1;
     }
     StandaloneConfig config = result.config();
     Path list = config.members().files().get(0);
     MembersFormat.Parsed parsed = MembersFormat.parse(list.toString(), Files.readAllBytes(list));
-    for (Fault fault : parsed.faults()) {
+    for (ValidationError fault : parsed.faults()) {
       System.err.println(fault);
       return 1;
     }
--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -163,7 +163,7 @@
       }
       configure(node, voters, terms);
       if (terms != null) {
-        VoterFolder.create(StandaloneConfig.read(node.config).config().work());
+        VoterFolder.create(StandaloneConfig.read(node.config).config().maintenance());
       }
     }
     for (Node node : nodes.values()) {
--- a/src/test/java/heathswitch/proxy/config/SectionTest.java
+++ b/src/test/java/heathswitch/proxy/config/ConfigSectionTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The configuration's values and what is said of wrong ones, with their places. */
-class SectionTest {
+/** Tests the reading of values, and the validation errors with their source positions. */
+class ConfigSectionTest {
   enum Colour {
     RED,
     LIGHT_BLUE
@@ -22,25 +22,25 @@
   private Path file;
 
   @BeforeEach
-  void name() {
+  void setFile() {
     file = folder.resolve("c.toml");
   }
 
-  private Document read(String text) throws Exception {
-    return Document.read(Files.writeString(file, text));
+  private ConfigDocument read(String text) throws Exception {
+    return ConfigDocument.read(Files.writeString(file, text));
   }
 
-  private void faults(Document document, String... expected) {
+  private void assertErrors(ConfigDocument document, String... expected) {
     assertEquals(
         List.of(expected),
-        document.faults().stream()
-            .map(fault -> fault.toString().replace(file.toString(), "c"))
+        document.errors().stream()
+            .map(error -> error.toString().replace(file.toString(), "c"))
             .toList());
   }
 
   @Test
-  void readsEveryKindOfValue() throws Exception {
-    Document document =
+  void readsEveryTypeOfValue() throws Exception {
+    ConfigDocument document =
         read(
             """
             text = "x"
@@ -58,28 +58,28 @@
             [[many]]
             n = 2
             """);
-    Section root = document.root();
-    assertEquals("x", root.text("text", null));
-    assertEquals(7, root.whole("whole", null, 0, 10));
+    ConfigSection root = document.root();
+    assertEquals("x", root.string("text", null));
+    assertEquals(7, root.integer("whole", null, 0, 10));
     assertEquals(1.0, root.number("number", null, 0, 10));
     assertTrue(root.flag("flag", false));
-    assertEquals(250_000_000L, root.nanos("time", null, "0ms", "1s"));
+    assertEquals(250_000_000L, root.durationNanos("time", null, "0ms", "1s"));
     assertEquals(80, root.address("address", true).getPort());
-    assertEquals(Colour.LIGHT_BLUE, root.choice("colour", null, Colour.class));
-    assertEquals(List.of("a", "b"), root.texts("texts", true));
-    assertEquals("y", root.table("table").text("inner", null));
+    assertEquals(Colour.LIGHT_BLUE, root.enumValue("colour", null, Colour.class));
+    assertEquals(List.of("a", "b"), root.strings("texts", true));
+    assertEquals("y", root.table("table").string("inner", null));
     assertEquals(
         List.of(1L, 2L),
-        root.tables("many").stream().map(many -> many.whole("n", null, 0, 9)).toList());
-    assertEquals("d", root.text("absent", "d"));
-    assertNull(root.optionalText("absent"));
-    root.end();
-    faults(document);
+        root.tables("many").stream().map(many -> many.integer("n", null, 0, 9)).toList());
+    assertEquals("d", root.string("absent", "d"));
+    assertNull(root.optionalString("absent"));
+    root.rejectUnknownKeys();
+    assertErrors(document);
   }
 
   @Test
-  void saysWhatIsWrongAndWhere() throws Exception {
-    Document document =
+  void reportsInvalidValuesWithSourcePositions() throws Exception {
+    ConfigDocument document =
         read(
             """
             text = 1
@@ -96,23 +96,23 @@
             [deep]
             inner = []
             """);
-    Section root = document.root();
-    root.text("text", null);
-    root.whole("whole", null, 0, 10);
+    ConfigSection root = document.root();
+    root.string("text", null);
+    root.integer("whole", null, 0, 10);
     root.number("number", null, 0, 10);
     root.flag("flag", false);
-    root.nanos("time", null, "0ms", "1s");
-    root.millis("long", null, "0ms", "1h");
+    root.durationNanos("time", null, "0ms", "1s");
+    root.durationMillis("long", null, "0ms", "1h");
     root.address("address", true);
-    root.choice("colour", null, Colour.class);
-    root.texts("texts", true);
+    root.enumValue("colour", null, Colour.class);
+    root.strings("texts", true);
     assertNull(root.table("table"));
-    root.text("blank", null);
-    root.texts("none", true);
-    Section deep = root.table("deep");
-    deep.texts("inner", true);
-    deep.whole("absent", null, 1, 2);
-    faults(
+    root.string("blank", null);
+    root.strings("none", true);
+    ConfigSection deep = root.table("deep");
+    deep.strings("inner", true);
+    deep.integer("absent", null, 1, 2);
+    assertErrors(
         document,
         "c:1:1: text: is 1; a text expected",
         "c:1:1: none: missing; a list of texts expected",
@@ -131,16 +131,16 @@
   }
 
   @Test
-  void unknownKeysAreFaultsWithTheNearestKnownOne() throws Exception {
-    Document document = read("listne = 1\nzzz = 2\n[t]\nagde = 3\n");
-    Section root = document.root();
+  void reportsUnknownKeysWithClosestKnownKey() throws Exception {
+    ConfigDocument document = read("listne = 1\nzzz = 2\n[t]\nagde = 3\n");
+    ConfigSection root = document.root();
     root.address("listen", false);
-    root.text("name", "x");
-    Section table = root.table("t");
-    table.millis("aged", "1s", "0s", "9s");
-    table.end();
-    root.end();
-    faults(
+    root.string("name", "x");
+    ConfigSection table = root.table("t");
+    table.durationMillis("aged", "1s", "0s", "9s");
+    table.rejectUnknownKeys();
+    root.rejectUnknownKeys();
+    assertErrors(
         document,
         "c:1:1: listne: is not known (did you mean listen?); known here: listen, name, t",
         "c:2:1: zzz: is not known; known here: listen, name, t",
@@ -148,27 +148,28 @@
   }
 
   @Test
-  void whatIsNoTomlIsNamedWithItsPlace() throws Exception {
-    Document document = read("a = 1\nb = = 2\n");
+  void reportsTomlSyntaxErrorWithSourcePosition() throws Exception {
+    ConfigDocument document = read("a = 1\nb = = 2\n");
     assertNull(document.root());
-    String first = document.faults().get(0).toString();
+    String first = document.errors().get(0).toString();
     assertTrue(first.startsWith(file + ":2:5: cannot be read as TOML: "), first);
   }
 
   @Test
-  void aFileThatIsNoneIsAFault() throws Exception {
-    assertEquals(file + ": is not there", Document.read(file).faults().get(0).toString());
+  void reportsUnusableFile() throws Exception {
+    assertEquals(file + ": is not there", ConfigDocument.read(file).errors().get(0).toString());
     assertEquals(
         folder + ": is a folder; a file is expected",
-        Document.read(folder).faults().get(0).toString());
+        ConfigDocument.read(folder).errors().get(0).toString());
     assertEquals(
         "/dev/zero: is a device or a pipe; a file is expected",
-        Document.read(Path.of("/dev/zero")).faults().get(0).toString());
+        ConfigDocument.read(Path.of("/dev/zero")).errors().get(0).toString());
     Files.write(file, new byte[(1 << 20) + 1]);
     assertEquals(
         file + ": has over 1048576 bytes; no more are read",
-        Document.read(file).faults().get(0).toString());
+        ConfigDocument.read(file).errors().get(0).toString());
     Files.write(file, new byte[] {(byte) 0xff});
-    assertEquals(file + ": is no text in UTF-8", Document.read(file).faults().get(0).toString());
+    assertEquals(
+        file + ": is no text in UTF-8", ConfigDocument.read(file).errors().get(0).toString());
   }
 }
--- a/src/test/java/heathswitch/proxy/files/AtomicFileTest.java
+++ b/src/test/java/heathswitch/proxy/files/AtomicFileTest.java
@@ -10,28 +10,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that a file is replaced entirely or not at all. */
 class AtomicFileTest {
   @TempDir Path folder;
 
   @Test
-  void replacesTheContentAndLeavesNothingBehind() throws Exception {
+  void replacesContentAndLeavesNoTemporaryFile() throws Exception {
     Path file = folder.resolve("f");
     AtomicFile.write(file, new byte[] {1});
-    Files.write(AtomicFile.temporary(file), new byte[100]); // Of a process that died.
+    Files.write(AtomicFile.temporaryPath(file), new byte[100]); // Left by a crash.
     AtomicFile.write(file, new byte[] {2, 3});
     assertEquals(2, Files.size(file));
-    assertFalse(Files.exists(AtomicFile.temporary(file)));
+    assertFalse(Files.exists(AtomicFile.temporaryPath(file)));
   }
 
-  /** A disk without room, as the device that has none says it. */
+  /** Simulates a full disk with {@code /dev/full}, where every write fails. */
   @Test
-  void aFullDiskLeavesTheOldContent() throws Exception {
+  void keepsOldContentWhenDiskIsFull() throws Exception {
     Path file = folder.resolve("f");
     AtomicFile.write(file, new byte[] {1});
-    Files.createSymbolicLink(AtomicFile.temporary(file), Path.of("/dev/full"));
+    Files.createSymbolicLink(AtomicFile.temporaryPath(file), Path.of("/dev/full"));
     assertThrows(IOException.class, () -> AtomicFile.write(file, new byte[] {2}));
     assertEquals(1, Files.size(file));
-    Files.delete(AtomicFile.temporary(file));
+    Files.delete(AtomicFile.temporaryPath(file));
     AtomicFile.write(file, new byte[] {2, 3});
     assertEquals(2, Files.size(file));
   }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.ConfigDocument;
 import heathswitch.testbed.site.Authority;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -27,25 +27,25 @@
 
   @TempDir Path folder;
 
-  private Document read(String text) throws Exception {
-    return Document.read(Files.writeString(folder.resolve("c.toml"), text));
+  private ConfigDocument read(String text) throws Exception {
+    return ConfigDocument.read(Files.writeString(folder.resolve("c.toml"), text));
   }
 
   private List<String> faults(String from, String to) throws Exception {
     assertTrue(PLAIN.contains(from), from);
-    Document document = read(PLAIN.replace(from, to));
+    ConfigDocument document = read(PLAIN.replace(from, to));
     GatewayTable.read(document);
-    document.root().end();
-    return document.faults().stream()
+    document.root().rejectUnknownKeys();
+    return document.errors().stream()
         .map(fault -> fault.toString().replaceAll("^.*c.toml:", ""))
         .toList();
   }
 
   @Test
   void theShortestOneIsRead() throws Exception {
-    Document document = read(PLAIN);
+    ConfigDocument document = read(PLAIN);
     GatewayTable table = GatewayTable.read(document);
-    assertEquals(List.of(), document.faults());
+    assertEquals(List.of(), document.errors());
     assertEquals("hat-yai", table.site());
     assertNull(table.keys());
     assertEquals(1_000_000_000L, table.silenceNanos());
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -183,7 +183,7 @@
       Files.writeString(file, table, StandardOpenOption.APPEND);
       StandaloneConfig.Result result = StandaloneConfig.read(file);
       if (result.config() == null) {
-        throw new AssertionError(result.faults());
+        throw new AssertionError(result.errors());
       }
       StandaloneNode starting = new StandaloneNode(file, result.config());
       starting.start();
--- a/src/test/java/heathswitch/proxy/gossip/PeersTableTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTableTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.ConfigDocument;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -24,25 +24,25 @@
 
   @TempDir Path folder;
 
-  private Document read(String text) throws Exception {
-    return Document.read(Files.writeString(folder.resolve("c.toml"), text));
+  private ConfigDocument read(String text) throws Exception {
+    return ConfigDocument.read(Files.writeString(folder.resolve("c.toml"), text));
   }
 
   private List<String> faults(String from, String to) throws Exception {
     assertTrue(MINIMAL.contains(from), from);
-    Document document = read(MINIMAL.replace(from, to));
+    ConfigDocument document = read(MINIMAL.replace(from, to));
     PeersTable.read(document, "a");
-    document.root().end();
-    return document.faults().stream()
+    document.root().rejectUnknownKeys();
+    return document.errors().stream()
         .map(fault -> fault.toString().replaceAll("^.*c.toml:", ""))
         .toList();
   }
 
   @Test
   void minimalTableIsReadWithDefaults() throws Exception {
-    Document document = read(MINIMAL);
+    ConfigDocument document = read(MINIMAL);
     PeersTable table = PeersTable.read(document, null);
-    assertEquals(List.of(), document.faults());
+    assertEquals(List.of(), document.errors());
     assertEquals("127.0.0.1:9701", table.address());
     assertEquals(1_000_000_000L, table.timing().probePeriodNanos());
     assertEquals("", table.zone());
--- a/src/test/java/heathswitch/proxy/grpc/GrpcFixture.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcFixture.java
@@ -105,7 +105,7 @@
                 .formatted(sockets, more));
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
-      throw new AssertionError(result.faults());
+      throw new AssertionError(result.errors());
     }
     node = new StandaloneNode(file, result.config());
     node.start();
--- a/src/test/java/heathswitch/proxy/logging/LinesTest.java
+++ b/src/test/java/heathswitch/proxy/logging/LogLineEncoderTest.java
@@ -14,23 +14,24 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.KeyValuePair;
 
-/** How a line is written, for people and for programs. */
-class LinesTest {
-  private static String line(LogTable.Form form, Throwable thrown, String message) {
+/** Tests both formats of log lines. */
+class LogLineEncoderTest {
+  private static String encode(LogConfig.Format format, Throwable throwable, String message) {
     LoggerContext context = new LoggerContext();
     LoggingEvent event =
-        new LoggingEvent("", context.getLogger("heathswitch"), Level.WARN, message, thrown, null);
+        new LoggingEvent(
+            "", context.getLogger("heathswitch"), Level.WARN, message, throwable, null);
     event.setKeyValuePairs(
         List.of(
             new KeyValuePair("kind", "work order"),
             new KeyValuePair("server", "store-1"),
             new KeyValuePair("reason", "a \"floor\"")));
-    return new String(new Lines(form, "edge-1").encode(event), UTF_8);
+    return new String(new LogLineEncoder(format, "edge-1").encode(event), UTF_8);
   }
 
   @Test
-  void aLineForProgramsIsOneObjectWithItsFields() throws Exception {
-    String line = line(LogTable.Form.JSON, new IllegalStateException("why\nso"), "two\nlines");
+  void jsonLineIsOneObjectWithAllFields() throws Exception {
+    String line = encode(LogConfig.Format.JSON, new IllegalStateException("why\nso"), "two\nlines");
     assertEquals(1, line.lines().count(), line);
     Map<String, Object> read = JSON.std.mapFrom(line);
     assertEquals("edge-1", read.get("instance"));
@@ -43,9 +44,9 @@
   }
 
   @Test
-  void aLineForPeopleIsOneLine() {
-    String line = line(LogTable.Form.TEXT, null, "two\nlines");
+  void textLineHasNoLineBreakAndNoReasonField() {
+    String line = encode(LogConfig.Format.TEXT, null, "two\nlines");
     assertTrue(line.endsWith(" WARN work order: two lines server=store-1\n"), line);
-    assertFalse(line.contains("floor"), "the message says the reason already");
+    assertFalse(line.contains("floor"), "the message already contains the reason");
   }
 }
--- a/src/test/java/heathswitch/proxy/logging/StructuredLogTest.java
+++ b/src/test/java/heathswitch/proxy/logging/StructuredLogTest.java
@@ -15,17 +15,21 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What the log of a process holds when all goes through it. */
+/** Tests the log that is installed for a whole process. */
 class StructuredLogTest {
-  /** One whose disk was full said so in a thread of a library, over many lines that are none. */
+  /**
+   * Guards against uncaught exceptions that are printed as unstructured lines: with a full disk, a
+   * thread of a library ended that way.
+   */
   @Test
-  void aThreadThatEndsByAnErrorIsOneObject() throws Exception {
-    Thread.UncaughtExceptionHandler before = Thread.getDefaultUncaughtExceptionHandler();
-    PrintStream stderr = System.err;
+  void uncaughtExceptionIsLoggedAsOneJsonObject() throws Exception {
+    Thread.UncaughtExceptionHandler originalHandler = Thread.getDefaultUncaughtExceptionHandler();
+    PrintStream originalErr = System.err;
     ByteArrayOutputStream written = new ByteArrayOutputStream();
     System.setErr(new PrintStream(written, true, UTF_8));
     try {
-      StructuredLog.install(new LogTable(LogTable.Form.JSON, LogTable.DEFAULT.least()), "edge-1");
+      StructuredLog.install(
+          new LogConfig(LogConfig.Format.JSON, LogConfig.DEFAULT.minLevel()), "edge-1");
       Thread thread =
           new Thread(
               () -> {
@@ -35,21 +39,22 @@
       thread.start();
       thread.join();
     } finally {
-      System.setErr(stderr);
-      Thread.setDefaultUncaughtExceptionHandler(before);
+      System.setErr(originalErr);
+      Thread.setDefaultUncaughtExceptionHandler(originalHandler);
       Log.setSink(null);
       ((LoggerContext) LoggerFactory.getILoggerFactory()).reset();
     }
-    List<Map<String, Object>> own = new ArrayList<>();
+    List<Map<String, Object>> threadLines = new ArrayList<>();
     for (String each : written.toString(UTF_8).lines().toList()) {
-      Map<String, Object> line = JSON.std.mapFrom(each); // Each has to be one object.
-      if ("thread".equals(line.get("kind"))) { // Others in this process may write as well.
-        own.add(line);
+      // Fails unless each line is one JSON object.
+      Map<String, Object> line = JSON.std.mapFrom(each);
+      if ("thread".equals(line.get("kind"))) { // Other tests in this JVM may log too.
+        threadLines.add(line);
       }
     }
-    assertEquals(1, own.size(), own::toString);
-    Map<String, Object> line = own.get(0);
-    assertEquals("writer has ended by an error", line.get("message"));
+    assertEquals(1, threadLines.size(), threadLines::toString);
+    Map<String, Object> line = threadLines.get(0);
+    assertEquals("writer ended with an uncaught exception", line.get("message"));
     assertTrue(line.get("error").toString().contains("no room"), line::toString);
   }
 }
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
@@ -181,7 +181,7 @@
       fleet.node(2).post("work/fence/edge-1");
       fleet.node(2).post("work/fence/edge-3");
       awaitOut(fleet, fleet.node(2), order, "front-1");
-      VoterFolder.create(StandaloneConfig.read(voter.config()).config().work());
+      VoterFolder.create(StandaloneConfig.read(voter.config()).config().maintenance());
       voter.start();
       assertEquals(
           List.of("edge-2", "edge-3", "edge-4"),
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -18,9 +18,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A balancer of its own in this process, with stand-in servers and a load. */
+/** Runs a standalone balancer in this JVM, with stand-in servers and load generators. */
 final class StandaloneFixture implements AutoCloseable {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress EPHEMERAL = new InetSocketAddress("127.0.0.1", 0);
 
   final NioEventLoopGroup group = new NioEventLoopGroup(2);
   final List<StandIn> servers = new ArrayList<>();
@@ -37,7 +37,7 @@
     for (int i = 0; i < count; i++) {
       Shape shape = Shape.warm(16, 256, time);
       String name = "s-" + (servers.size() + 1);
-      servers.add(new StandIn(group.next(), name, shape, i, null).start(ANY));
+      servers.add(new StandIn(group.next(), name, shape, i, null).start(EPHEMERAL));
     }
     return this;
   }
@@ -60,13 +60,13 @@
     return start(members, "");
   }
 
-  /** Likewise with further lines, the first of them of the table [admin]. */
-  StandaloneFixture start(String members, String more) throws Exception {
-    Path file = workplace.configure(ANY, ANY, 512, members);
-    Files.writeString(file, more, StandardOpenOption.APPEND);
+  /** Appends further lines to the configuration, which start inside the table [admin]. */
+  StandaloneFixture start(String members, String furtherLines) throws Exception {
+    Path file = workplace.configure(EPHEMERAL, EPHEMERAL, 512, members);
+    Files.writeString(file, furtherLines, StandardOpenOption.APPEND);
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
-      throw new AssertionError(result.faults());
+      throw new AssertionError(result.errors());
     }
     node = new StandaloneNode(file, result.config());
     node.start();
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -22,28 +22,29 @@
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
 
-/** A balancer that starts on its own, under load over loopback, while its files are rewritten. */
+/** Tests a standalone balancer under load over loopback while its files are rewritten. */
 @Timeout(120)
 class StandaloneTest {
-  private static final String QUICK =
+  private static final String FAST_POLLING =
       "poll = \"2ms\"\nsettle = \"10ms\"\ndrain = \"200ms\"\nremoval_window = \"0ms\"\n"
           + "most_removed = 0.5\n";
 
-  private static long lost(OpenLoop load) {
+  private static long lostCount(OpenLoop load) {
     return load.tally().count(Tally.Result.LOST);
   }
 
   /**
-   * One call after the other and all alike, so that little but the weights tells the servers apart;
-   * a busy machine may still slow some of them, and the exact shares are the module's own test.
+   * Sends identical calls one at a time, so that the shares depend on little but the weights. The
+   * bounds are wide because a busy machine may slow some servers; the tests of the policy cover the
+   * exact shares.
    */
   @Test
-  void servesByWeightsFromAFile() throws Exception {
+  void distributesCallsByWeightsFromFile() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3, ServiceTime.fixed(3))) {
       fixture.write(
           Workplace.text(
               List.of(fixture.listed(0, 1), fixture.listed(1, 2), fixture.listed(2, 4))));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       InetSocketAddress at = fixture.node().node().address();
       for (int i = 0; i < 700; i++) {
         URL url = new URL("http", "127.0.0.1", at.getPort(), "/api/" + i);
@@ -61,76 +62,78 @@
   }
 
   /**
-   * Good, cut, empty and garbled files in turn: no request is lost, the good lists are followed.
+   * Alternates valid, truncated and garbage files: no request is lost, and each valid list is
+   * accepted.
    */
   @Test
-  void rewritesUnderLoadLoseNothing() throws Exception {
+  void losesNoRequestWhileFileIsRewritten() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(4)) {
       fixture.write(fixture.table(0, 1, 2, 3));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       OpenLoop load = fixture.load(300);
       SplittableRandom random = new SplittableRandom(9);
       MembersWatcher members = fixture.node().members();
       Path file = fixture.workplace.members();
       for (int i = 0; i < 40; i++) {
-        String good = "# " + i + "\n" + fixture.table(i % 4, (i + 1) % 4, (i + 2) % 4);
+        String valid = "# " + i + "\n" + fixture.table(i % 4, (i + 1) % 4, (i + 2) % 4);
         long refused = members.status().refusedTotal();
-        int cut = random.nextInt(1, good.length() - 1);
-        Files.writeString(file, i % 3 == 0 ? "garbage " + i : good.substring(0, cut));
+        int cut = random.nextInt(1, valid.length() - 1);
+        Files.writeString(file, i % 3 == 0 ? "garbage " + i : valid.substring(0, cut));
         Await.until("refused", () -> members.status().refusedTotal() > refused);
         long version = members.status().version();
-        fixture.write(good);
+        fixture.write(valid);
         Await.until("accepted", () -> members.status().version() > version);
       }
-      long enough = load.tally().total() + 100;
-      Await.until("calls go on", () -> load.tally().total() > enough);
+      long moreCalls = load.tally().total() + 100;
+      Await.until("calls go on", () -> load.tally().total() > moreCalls);
       load.stop();
-      assertEquals(0, lost(load));
+      assertEquals(0, lostCount(load));
       assertEquals(0, load.tally().count(Tally.Result.FAILED));
     }
   }
 
-  /** Drained at once, and nothing new reaches it however long the load goes on. */
+  /** A removed server is drained at once and receives no new calls while the load continues. */
   @Test
-  void aServerThatLeftGetsNothingNew() throws Exception {
+  void removedServerReceivesNoNewCalls() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1, 2));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       OpenLoop load = fixture.load(400);
       Await.until("calls", () -> fixture.servers.get(2).received() > 20);
       fixture.write(fixture.table(0, 1));
       MembersWatcher members = fixture.node().members();
-      Await.until("told", () -> members.status().version() == 2 && members.status().applied());
-      // What was being written when the loop heard of it may still arrive, on a busy machine late:
-      // then no call of many goes there, of which it was due a third.
+      Await.until(
+          "list applied", () -> members.status().version() == 2 && members.status().applied());
+      // Calls in flight when the change was applied may still arrive, on a busy machine late. Wait
+      // until none of 60 further calls reaches the server; as a member it would get a third.
       long[] seen = {-1, 0};
       Await.until(
-          "nothing new there",
+          "no new calls to the removed server",
           () -> {
-            boolean more = load.tally().total() > seen[1] + 60;
-            boolean still = more && seen[0] == fixture.servers.get(2).received();
-            if (more) {
+            boolean enoughCalls = load.tally().total() > seen[1] + 60;
+            boolean unchanged = enoughCalls && seen[0] == fixture.servers.get(2).received();
+            if (enoughCalls) {
               seen[0] = fixture.servers.get(2).received();
               seen[1] = load.tally().total();
             }
-            return still;
+            return unchanged;
           });
       long received = seen[0];
-      Await.until("gone", () -> members.status().draining() == 0);
-      long later = load.tally().total() + 200;
-      Await.until("calls", () -> load.tally().total() > later);
+      Await.until("drained", () -> members.status().draining() == 0);
+      long furtherCalls = load.tally().total() + 200;
+      Await.until("calls", () -> load.tally().total() > furtherCalls);
       assertEquals(received, fixture.servers.get(2).received());
       load.stop();
-      assertEquals(0, lost(load));
+      assertEquals(0, lostCount(load));
     }
   }
 
-  /** The list is so long that it is told in many turns of the loop; calls are served meanwhile. */
+  /** A list that takes many iterations of the event loop to apply is applied completely. */
   @Test
-  void aLongListIsToldWhole() throws Exception {
+  void appliesLongListCompletely() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(2)) {
       fixture.write(fixture.table(0, 1));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       StringBuilder text = new StringBuilder();
       for (int i = 0; i < 10_000; i++) {
         text.append(
@@ -139,22 +142,23 @@
       String both = fixture.table(0, 1).replace("end 2", "end 10002");
       fixture.write(text + both);
       MembersWatcher members = fixture.node().members();
-      Await.until("told", () -> members.status().version() == 2 && members.status().applied());
+      Await.until(
+          "list applied", () -> members.status().version() == 2 && members.status().applied());
       assertEquals(10_002, members.status().servers());
       assertEquals(2, members.status().inService());
       OpenLoop load = fixture.load(400);
       Await.until("served", () -> load.tally().count(Tally.Result.SERVED) > 100);
       load.stop();
-      assertEquals(0, lost(load)); // On a busy machine a call may be turned away, at once.
+      assertEquals(0, lostCount(load)); // On a busy machine calls may be refused, immediately.
     }
   }
 
-  /** The configuration is read again while the list is half written. */
+  /** Reloads the configuration while the list of servers is only half written. */
   @Test
-  void aReloadDuringARewriteTakesNothingByHalves() throws Exception {
+  void reloadDuringRewriteAcceptsNoPartialList() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       MembersWatcher members = fixture.node().members();
       String next = fixture.table(0, 1, 2);
       Path file = fixture.workplace.members();
@@ -165,7 +169,7 @@
       Files.writeString(file, next);
       fixture.node().reload();
       Await.until("accepted", () -> members.status().version() == 2);
-      // A configuration with faults changes nothing.
+      // A configuration with errors changes nothing.
       Path config = fixture.workplace.folder().resolve("balancer.toml");
       Files.writeString(
           config, Files.readString(config).replace("members.txt", "other.txt") + "x = 1");
@@ -175,12 +179,12 @@
     }
   }
 
-  /** One signal; the file cannot be read when it comes, and can a moment later. */
+  /** The file cannot be read at the only signal, and becomes readable a moment later. */
   @Test
-  void aReloadWhoseFileCannotBeReadIsTriedAgain() throws Exception {
+  void retriesReloadWhenFileCannotBeRead() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       Path config = fixture.workplace.folder().resolve("balancer.toml");
       Path other = fixture.workplace.members().resolveSibling("other.txt");
       String next = Files.readString(config).replace("members.txt", "other.txt");
@@ -196,13 +200,13 @@
   }
 
   @Test
-  void startsFromTheKeptListWhenTheFileIsGone() throws Exception {
+  void startsFromSavedListWhenFileIsMissing() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(2)) {
       fixture.write(fixture.table(0, 1));
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       fixture.node().stop();
       Files.delete(fixture.workplace.members());
-      fixture.start(QUICK);
+      fixture.start(FAST_POLLING);
       assertEquals(1, fixture.node().members().status().version());
       OpenLoop load = fixture.load(200);
       Await.until("calls", () -> load.tally().count(Tally.Result.SERVED) > 20);
@@ -211,12 +215,14 @@
   }
 
   @Test
-  void aStartWithNoListFailsWithAllReasons() throws Exception {
+  void startWithoutListFailsWithAllReasons() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture()) {
-      MembersWatcher.StartException fault =
-          assertThrows(MembersWatcher.StartException.class, () -> fixture.start(QUICK));
-      assertTrue(fault.getMessage().contains("members.state is not there"), fault.getMessage());
-      assertTrue(fault.getMessage().contains("members.txt: is not there"), fault.getMessage());
+      MembersWatcher.StartException exception =
+          assertThrows(MembersWatcher.StartException.class, () -> fixture.start(FAST_POLLING));
+      assertTrue(
+          exception.getMessage().contains("members.state is not there"), exception.getMessage());
+      assertTrue(
+          exception.getMessage().contains("members.txt: is not there"), exception.getMessage());
       assertNull(fixture.node());
     }
   }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetTableTest.java
@@ -6,7 +6,7 @@
 
 import heathswitch.policy.subsetting.SubsetSelector;
 import heathswitch.policy.subsetting.SubsetSizing;
-import heathswitch.proxy.config.Document;
+import heathswitch.proxy.config.ConfigDocument;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -17,23 +17,23 @@
 class SubsetTableTest {
   @TempDir Path folder;
 
-  private Document read(String text) throws Exception {
-    return Document.read(Files.writeString(folder.resolve("c.toml"), text));
+  private ConfigDocument read(String text) throws Exception {
+    return ConfigDocument.read(Files.writeString(folder.resolve("c.toml"), text));
   }
 
   private List<String> faults(String text) throws Exception {
-    Document document = read(text);
+    ConfigDocument document = read(text);
     SubsetTable.read(document.root());
-    return document.faults().stream()
+    return document.errors().stream()
         .map(fault -> fault.toString().replaceAll("^.*c.toml:", ""))
         .toList();
   }
 
   @Test
   void anEmptyTableHasTheDefaultValues() throws Exception {
-    Document document = read("[peers]\n[subset]\n");
+    ConfigDocument document = read("[peers]\n[subset]\n");
     SubsetTable table = SubsetTable.read(document.root());
-    assertEquals(List.of(), document.faults());
+    assertEquals(List.of(), document.errors());
     assertEquals(SubsetSizing.DEFAULT, table.sizing());
     assertEquals(SubsetSelector.Pace.DEFAULT, table.pace());
     assertNull(SubsetTable.read(read("").root()));
