--- a/src/main/java/heathswitch/proxy/logging/LogLineEncoder.java
+++ b/src/main/java/heathswitch/proxy/logging/LogLineEncoder.java
@@ -94,15 +94,15 @@
 
   private static String error(IThrowableProxy throwable) {
     StringBuilder text = new StringBuilder();
-    IThrowableProxy each = throwable;
-    for (int i = 0; each != null && i < MAX_CAUSES; i++) {
-      text.append(i == 0 ? "" : " | ").append(each.getClassName());
-      text.append(": ").append(each.getMessage());
-      int frames = each.getStackTraceElementProxyArray().length;
+    IThrowableProxy current = throwable;
+    for (int i = 0; current != null && i < MAX_CAUSES; i++) {
+      text.append(i == 0 ? "" : " | ").append(current.getClassName());
+      text.append(": ").append(current.getMessage());
+      int frames = current.getStackTraceElementProxyArray().length;
       for (int k = 0; k < Math.min(MAX_STACK_FRAMES, frames); k++) {
-        text.append(' ').append(each.getStackTraceElementProxyArray()[k]);
+        text.append(' ').append(current.getStackTraceElementProxyArray()[k]);
       }
-      each = each.getCause();
+      current = current.getCause();
     }
     return text.toString();
   }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -29,6 +29,8 @@
  */
 public final class StandaloneNode {
   private static final long DEFAULT_LAG_SAMPLE_NANOS = 100_000_000L;
+
+  /** The number of servers on the page {@code /servers}. */
   private static final int MAX_SERVERS_SHOWN = 1000;
 
   private final Path path;
--- a/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
@@ -22,7 +22,7 @@
 
 /** Tests the pages of the admin listener, and that it rejects unintended changes. */
 @Timeout(120)
-class AdminTest {
+class AdminServerTest {
   private static final String FAST_POLLING =
       "poll = \"2ms\"\nsettle = \"5ms\"\nremoval_window = \"1min\"\nmost_removed = 0.3\n";
 
