--- a/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
+++ b/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
@@ -20,454 +20,522 @@
 import java.util.SplittableRandom;
 
 /**
- * Three instances, four machines and one log in virtual time. Whatever is said may be lost, held
- * up, overtaken or taken twice; instances stop, die, come back with or without their disk; whoever
- * leads changes. The log itself is one list: that it is, is the library's to keep.
+ * A simulation in virtual time of three instances, four machines and one log, with fault injection
+ * and a check of {@link Invariant}s after each event. Submitted commands may be lost, delayed,
+ * reordered or appended twice; instances pause, die and restart with or without their disk; the
+ * leader changes. The log itself is a single list: agreement on it is the responsibility of the
+ * Raft library.
  */
 final class MaintenanceSimulation {
   static final ServerGroup GROUP = new ServerGroup("store", "a");
   static final List<String> MACHINES = List.of("m1", "m2", "m3", "m4");
 
-  /** One limit at a time, or each would hide that another does not hold. */
-  private static final List<MaintenanceRules> LIMITS =
+  /**
+   * Each set of rules restricts one thing only; otherwise one limit would hide that another is
+   * broken.
+   */
+  private static final List<MaintenanceRules> RULES =
       List.of(
           new MaintenanceRules(1, 1000, 100, 9, 9, List.of(new CapacityFloor("store", "*", 0.5))),
           new MaintenanceRules(1, 1000, 100, 2, 9, List.of()),
           new MaintenanceRules(1, 1000, 100, 9, 1, List.of()),
           new MaintenanceRules(1, 1000, 100, 9, 9, List.of()));
 
-  /** Each kind of limits with instances of one release, and with one of an earlier release. */
-  static final int LIMITED = LIMITS.size() * 2;
+  /**
+   * Number of configurations: each set of rules with instances of one release, and with one
+   * instance of an earlier release.
+   */
+  static final int CONFIGURATIONS = RULES.size() * 2;
 
   /** The number of the order that takes balancers out. */
-  private static final int BALANCERS = 3;
+  private static final int BALANCER_ORDER = 3;
 
   private static final int INSTANCES = 3;
-  private static final long MILLI = 1_000_000L;
-  private static final int MOST_PENDING = 64;
-  private static final int MOST_SHOWN = 80;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final int MAX_PENDING = 64;
+  private static final int MAX_EVENTS_SHOWN = 80;
 
-  /** What holds in every state; its name is what a violation says. */
+  /** What must hold in every state; a {@link Violation} shows its name. */
   enum Invariant {
-    /** No call begins at a machine from when it is out until somebody says that it is done. */
-    OUT_MEANS_OUT,
-    /** Capacity, machines out at once and in one cell are within the rules. */
-    FLOORS,
-    /** Instances that have taken the same entries have computed the same. */
-    SAME,
-    /** One whose lease has ended for the others sends nothing. */
-    LEASE,
-    /** No order holds more machines at once than were asked for. */
-    AT_ONCE,
-    /** No machine is with two orders. */
-    ONE_ORDER,
-    /** No instance is given entries that its release does not know. */
-    FORMS,
-    /** With all well again every order comes to its end, and every instance may send. */
-    NOT_STUCK
-  }
-
-  /** A invariant that did not hold, and after which events. */
+    /**
+     * From when a machine is out until its work is reported as done no call begins at it, and a
+     * balancer neither joins nor returns.
+     */
+    OUT_UNTIL_DONE,
+    /**
+     * Capacity, the number of machines that are out, and their number in one cell are within the
+     * rules.
+     */
+    CAPACITY_LIMITS,
+    /** Instances that have applied the same entries have the same state. */
+    SAME_STATE,
+    /** An instance that the others have fenced sends nothing. */
+    NO_SENDING_WHEN_FENCED,
+    /** No order holds more machines at once than it requested. */
+    AT_ONCE_LIMIT,
+    /** No machine is held by two orders. */
+    ONE_ORDER_PER_MACHINE,
+    /** No instance has to apply an entry in a format that its release does not know. */
+    KNOWN_FORMATS,
+    /** Once all faults are over, every order ends and every instance may send. */
+    PROGRESS
+  }
+
+  /** An invariant that did not hold, with the configuration and the events that led to it. */
   record Violation(
-      Invariant invariant, String what, boolean stops, int limited, List<Event> events) {
+      Invariant invariant,
+      String description,
+      boolean stopsWhenCutOff,
+      int configuration,
+      List<Event> events) {
     @Override
     public String toString() {
       StringBuilder text =
-          new StringBuilder(invariant + ": " + what + "; stops " + stops + ", limits " + limited);
+          new StringBuilder(
+              invariant
+                  + ": "
+                  + description
+                  + "; stopsWhenCutOff "
+                  + stopsWhenCutOff
+                  + ", configuration "
+                  + configuration);
       events.stream()
-          .limit(MOST_SHOWN)
+          .limit(MAX_EVENTS_SHOWN)
           .forEach(
-              event -> text.append("\n  ").append(event.kind()).append(' ').append(event.at()));
+              event ->
+                  text.append("\n  ").append(event.kind()).append(' ').append(event.argument()));
       return text.toString();
     }
   }
 
   /** Kinds of events. */
   enum Kind {
-    PASS,
-    TAKE,
+    ADVANCE_TIME,
+    APPLY,
     STEP,
-    READ,
+    READ_CLOCK,
     APPEND,
     DROP,
-    DEFER,
-    REPEAT,
-    DECIDE,
-    WRITE,
-    END,
+    REORDER,
+    DUPLICATE,
+    DISPATCH_CALL,
+    WRITE_CALL,
+    END_CALL,
     PAUSE,
-    WAKE,
+    RESUME,
     KILL,
-    START,
-    LOSE,
-    CUT,
+    RESTART,
+    RESTART_WITHOUT_DISK,
+    PARTITION,
     HEAL,
-    LEAD,
-    ASK,
-    DONE,
-    CANCEL,
+    ELECT,
+    REQUEST_ORDER,
+    COMPLETE_ORDER,
+    CANCEL_ORDER,
     FENCE,
     UPGRADE,
-    ILL,
-    STICK
+    TOGGLE_UNHEALTHY,
+    STOP_LOG
   }
 
-  /** One event; what the number means is its kind's. */
-  record Event(Kind kind, int at) {}
+  /**
+   * One event; the meaning of the argument depends on the kind: milliseconds, the index of an
+   * instance, an order, or an instance and a machine in one number.
+   */
+  record Event(Kind kind, int argument) {}
 
-  /** Something that was said and has not been answered. */
+  /** A command that was submitted and has not been answered. */
   private static final class PendingCommand {
-    final SimulatedInstance by;
-    final InstanceSession process;
+    final SimulatedInstance submitter;
+    final InstanceSession session;
     final Command command;
-    final int form;
+    final int formatVersion;
     long readTerm = -1;
     long readMillis;
-    boolean repeated;
+    boolean duplicated;
 
-    PendingCommand(SimulatedInstance by, Command command, int form) {
-      this.form = form;
-      this.by = by;
-      this.process = by == null ? null : by.participant;
+    PendingCommand(SimulatedInstance submitter, Command command, int formatVersion) {
+      this.formatVersion = formatVersion;
+      this.submitter = submitter;
+      this.session = submitter == null ? null : submitter.session;
       this.command = command;
     }
   }
 
-  private record Entry(long term, long readTerm, long readMillis, Command command, int form) {}
+  private record Entry(
+      long term, long readTerm, long readMillis, Command command, int formatVersion) {}
 
   private final List<SimulatedInstance> instances = new ArrayList<>();
-  private final List<PendingCommand> pending = new ArrayList<>();
+  private final List<PendingCommand> pendingCommands = new ArrayList<>();
   private final List<Entry> log = new ArrayList<>();
 
-  /** What anybody may have been told: all of the log, taken at once. */
-  private final MaintenanceState all = new MaintenanceState();
+  /** The expected state: the whole log, each entry applied as soon as it is appended. */
+  private final MaintenanceState expected = new MaintenanceState();
 
-  /** What was computed from the log up to each entry. */
-  private final List<Object> computed = new ArrayList<>();
+  /** The expected state after each entry, as a snapshot. */
+  private final List<Object> expectedSnapshots = new ArrayList<>();
 
-  private final LogClock allClock = new LogClock();
+  private final LogClock expectedClock = new LogClock();
   private final List<LogClock> clocks = new ArrayList<>();
   private final List<Event> events = new ArrayList<>();
-  private final boolean stops;
+  private final boolean stopsWhenCutOff;
   private Violation violation;
   private long now;
   private long term = 1;
   private int leader;
-  private long draws;
-  private int asked;
+  private long lastIncarnation;
+  private int orderRequests;
 
   /** The balancers that are out. */
-  private final Set<String> wentOut = new HashSet<>();
-
-  private final int limited;
-
-  /** Every instance sees one machine as ill. */
-  private boolean ill;
-
-  /** One of so many kinds of limits. */
-  MaintenanceSimulation(boolean stops, int limited) {
-    this.stops = stops;
-    this.limited = limited;
+  private final Set<String> balancersOut = new HashSet<>();
+
+  /** Index of the rules and of the releases, see {@link #CONFIGURATIONS}. */
+  private final int configuration;
+
+  /** Whether every instance sees one machine as unhealthy. */
+  private boolean unhealthy;
+
+  /**
+   * Creates a simulation in which no instance has joined yet.
+   *
+   * @param configuration from 0 to {@link #CONFIGURATIONS} - 1
+   */
+  MaintenanceSimulation(boolean stopsWhenCutOff, int configuration) {
+    this.stopsWhenCutOff = stopsWhenCutOff;
+    this.configuration = configuration;
     MaintenanceRules rules = rules();
-    int older = limited < LIMITS.size() ? -1 : INSTANCES - 1;
+    int olderRelease = configuration < RULES.size() ? -1 : INSTANCES - 1;
     double[] rates = {1.0, 1.02, 0.98};
     for (int i = 0; i < INSTANCES; i++) {
       FormatSupport release =
-          new FormatSupport(i == older ? FormatSupport.FIRST : FormatSupport.LATEST, INSTANCES);
+          new FormatSupport(
+              i == olderRelease ? FormatSupport.FIRST : FormatSupport.LATEST, INSTANCES);
       instances.add(
           new SimulatedInstance(
-              this, "i" + i, rules, stops, rates[i], i * 7_000_000_000L - 9_000_000L, release));
+              this,
+              "i" + i,
+              rules,
+              stopsWhenCutOff,
+              rates[i],
+              i * 7_000_000_000L - 9_000_000L,
+              release));
       clocks.add(new LogClock());
     }
   }
 
   private MaintenanceRules rules() {
-    return LIMITS.get(limited % LIMITS.size());
+    return RULES.get(configuration % RULES.size());
   }
 
   long now() {
     return now;
   }
 
-  /** Machines that are seen as ill. */
-  int ill() {
-    return ill ? 1 : 0;
+  /** Number of machines that are seen as unhealthy. */
+  int unhealthyCount() {
+    return unhealthy ? 1 : 0;
   }
 
-  long draw() {
-    return ++draws;
+  /** Returns a new incarnation number. */
+  long nextIncarnation() {
+    return ++lastIncarnation;
   }
 
   Violation violation() {
     return violation;
   }
 
-  MaintenanceState settled() {
-    return all;
+  MaintenanceState expectedState() {
+    return expected;
   }
 
-  private void violated(Invariant invariant, String what) {
+  private void violated(Invariant invariant, String description) {
     if (violation == null) {
-      violation = new Violation(invariant, what, stops, limited, List.copyOf(events));
+      violation =
+          new Violation(
+              invariant, description, stopsWhenCutOff, configuration, List.copyOf(events));
     }
   }
 
-  // ---- told by the instances ----
+  // ---- called by the instances ----
 
-  void began(SimulatedInstance by, String machine) {
-    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
+  void callStarted(SimulatedInstance caller, String machine) {
+    for (MaintenanceState.AwayMachine each : expected.awayMachines()) {
       if (each.machine().equals(machine) && each.phase() == Phase.OUT) {
-        violated(Invariant.OUT_MEANS_OUT, by.name + " began a call at " + machine);
+        violated(Invariant.OUT_UNTIL_DONE, caller.name + " began a call at " + machine);
       }
     }
   }
 
-  void said(SimulatedInstance by, Command command) {
-    if (!by.cut && pending.size() < MOST_PENDING) {
-      pending.add(new PendingCommand(by, command, by.settled.formatVersion()));
+  void submit(SimulatedInstance submitter, Command command) {
+    if (!submitter.partitioned && pendingCommands.size() < MAX_PENDING) {
+      pendingCommands.add(new PendingCommand(submitter, command, submitter.state.formatVersion()));
     } else {
-      by.participant.onResult(command, null, by.clock(), by);
+      submitter.session.onResult(command, null, submitter.clock(), submitter);
     }
   }
 
   // ---- events ----
 
-  /** What may happen now. */
-  List<Event> possible() {
+  /** The events that can happen in this state. */
+  List<Event> possibleEvents() {
     List<Event> list = new ArrayList<>();
-    list.add(new Event(Kind.PASS, 10));
-    list.add(new Event(Kind.PASS, 120));
-    list.add(new Event(Kind.PASS, 700));
+    list.add(new Event(Kind.ADVANCE_TIME, 10));
+    list.add(new Event(Kind.ADVANCE_TIME, 120));
+    list.add(new Event(Kind.ADVANCE_TIME, 700));
     for (int i = 0; i < instances.size(); i++) {
       SimulatedInstance instance = instances.get(i);
-      if (instance.runs()) {
-        if (instance.taken < log.size() && !instance.cut && !instance.stuck) {
-          list.add(new Event(Kind.TAKE, i));
+      if (instance.isRunning()) {
+        if (instance.appliedCount < log.size() && !instance.partitioned && !instance.logStopped) {
+          list.add(new Event(Kind.APPLY, i));
         }
         list.add(new Event(Kind.STEP, i));
         for (int m = 0; m < 2; m++) {
-          list.add(new Event(Kind.DECIDE, i * 4 + m));
+          list.add(new Event(Kind.DISPATCH_CALL, i * 4 + m));
         }
         if (!instance.calls.isEmpty()) {
-          list.add(new Event(Kind.WRITE, i));
-          list.add(new Event(Kind.END, i));
+          list.add(new Event(Kind.WRITE_CALL, i));
+          list.add(new Event(Kind.END_CALL, i));
         }
         list.add(new Event(Kind.PAUSE, i));
-        list.add(new Event(Kind.STICK, i));
-        list.add(new Event(Kind.LEAD, i));
+        list.add(new Event(Kind.STOP_LOG, i));
+        list.add(new Event(Kind.ELECT, i));
       }
       if (instance.alive && instance.paused) {
-        list.add(new Event(Kind.WAKE, i));
+        list.add(new Event(Kind.RESUME, i));
       }
-      list.add(new Event(instance.cut ? Kind.HEAL : Kind.CUT, i));
+      list.add(new Event(instance.partitioned ? Kind.HEAL : Kind.PARTITION, i));
       if (instance.alive) {
         list.add(new Event(Kind.KILL, i));
       } else {
-        list.add(new Event(Kind.START, i));
-        list.add(new Event(Kind.LOSE, i));
+        list.add(new Event(Kind.RESTART, i));
+        list.add(new Event(Kind.RESTART_WITHOUT_DISK, i));
         list.add(new Event(Kind.FENCE, i));
         if (instance.release.latestFormat() < FormatSupport.LATEST) {
           list.add(new Event(Kind.UPGRADE, i));
         }
       }
     }
-    list.add(new Event(Kind.ILL, 0));
-    if (!pending.isEmpty()) {
-      list.add(new Event(Kind.READ, 0));
+    list.add(new Event(Kind.TOGGLE_UNHEALTHY, 0));
+    if (!pendingCommands.isEmpty()) {
+      list.add(new Event(Kind.READ_CLOCK, 0));
       list.add(new Event(Kind.APPEND, 0));
       list.add(new Event(Kind.DROP, 0));
-      list.add(new Event(Kind.REPEAT, 0));
+      list.add(new Event(Kind.DUPLICATE, 0));
     }
-    if (pending.size() > 1) {
-      list.add(new Event(Kind.DEFER, 0));
+    if (pendingCommands.size() > 1) {
+      list.add(new Event(Kind.REORDER, 0));
     }
-    if (asked < 6) {
-      list.add(new Event(Kind.ASK, asked));
+    if (orderRequests < 6) {
+      list.add(new Event(Kind.REQUEST_ORDER, orderRequests));
     }
-    for (long order : all.orderIds()) {
-      list.add(new Event(Kind.DONE, (int) order));
-      list.add(new Event(Kind.CANCEL, (int) order));
+    for (long order : expected.orderIds()) {
+      list.add(new Event(Kind.COMPLETE_ORDER, (int) order));
+      list.add(new Event(Kind.CANCEL_ORDER, (int) order));
     }
     return list;
   }
 
-  /** Lets one event happen; one that cannot is passed over. */
-  MaintenanceSimulation play(Event event) {
-    if (!can(event)) {
+  /** Executes an event and checks the invariants; an event that cannot happen is skipped. */
+  MaintenanceSimulation execute(Event event) {
+    if (!isPossible(event)) {
       return this;
     }
     events.add(event);
-    int at = event.at();
+    int argument = event.argument();
     switch (event.kind()) {
-      case PASS -> now += at * MILLI;
-      case TAKE -> take(instances.get(at));
-      case STEP -> instances.get(at).step();
-      case READ -> read();
+      case ADVANCE_TIME -> now += argument * NANOS_PER_MILLI;
+      case APPLY -> applyNext(instances.get(argument));
+      case STEP -> instances.get(argument).step();
+      case READ_CLOCK -> readClock();
       case APPEND -> append(false);
       case DROP -> drop();
-      case DEFER -> pending.add(pending.remove(0));
-      case REPEAT -> append(true);
-      case DECIDE -> instances.get(at / 4).decide(MACHINES.get(at % 4));
-      case WRITE -> instances.get(at).write();
-      case END -> instances.get(at).calls.removeIf(call -> call.written);
-      case PAUSE -> instances.get(at).paused = true;
-      case WAKE -> instances.get(at).paused = false;
+      case REORDER -> pendingCommands.add(pendingCommands.remove(0));
+      case DUPLICATE -> append(true);
+      case DISPATCH_CALL -> instances.get(argument / 4).dispatch(MACHINES.get(argument % 4));
+      case WRITE_CALL -> instances.get(argument).writeNext();
+      case END_CALL -> instances.get(argument).calls.removeIf(call -> call.written);
+      case PAUSE -> instances.get(argument).paused = true;
+      case RESUME -> instances.get(argument).paused = false;
       case KILL -> {
-        instances.get(at).kill();
-        leader = leader == at ? -1 : leader; // It comes back as one that follows.
+        instances.get(argument).kill();
+        leader = leader == argument ? -1 : leader; // It restarts as a follower.
       }
-      case START -> start(at);
+      case RESTART -> start(argument);
       case UPGRADE -> {
-        instances.get(at).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
-        start(at);
+        instances.get(argument).release = new FormatSupport(FormatSupport.LATEST, INSTANCES);
+        start(argument);
       }
-      case ILL -> ill = !ill;
-      case STICK -> { // Its disk is full, until its next start, or it hears nothing.
-        instances.get(at).stuck = true;
-        instances.get(at).deaf = (now >>> 20 & 1) == 0;
+      case TOGGLE_UNHEALTHY -> unhealthy = !unhealthy;
+      case STOP_LOG -> {
+        // Until it is killed: its disk is full, or it receives nothing and does not know.
+        instances.get(argument).logStopped = true;
+        instances.get(argument).knowsLogStopped = (now >>> 20 & 1) == 0;
       }
-      case LOSE -> {
-        instances.get(at).start(false);
-        clocks.set(at, new LogClock());
+      case RESTART_WITHOUT_DISK -> {
+        instances.get(argument).start(false);
+        clocks.set(argument, new LogClock());
       }
-      case CUT -> instances.get(at).cut = true;
-      case HEAL -> instances.get(at).cut = false;
-      case LEAD -> lead(at);
-      case ASK -> ask(at);
-      case DONE -> say(new Command.Done(at, null));
-      case CANCEL -> say(new Command.Cancel(at));
-      case FENCE -> say(new Command.Fence(instances.get(at).name, false));
-    }
-    check();
+      case PARTITION -> instances.get(argument).partitioned = true;
+      case HEAL -> instances.get(argument).partitioned = false;
+      case ELECT -> elect(argument);
+      case REQUEST_ORDER -> requestOrder(argument);
+      case COMPLETE_ORDER -> submitAsOperator(new Command.Done(argument, null));
+      case CANCEL_ORDER -> submitAsOperator(new Command.Cancel(argument));
+      case FENCE -> submitAsOperator(new Command.Fence(instances.get(argument).name, false));
+    }
+    checkInvariants();
     return this;
   }
 
-  /** A new process with its disk. */
-  private void start(int at) {
-    instances.get(at).start(true);
+  /** Starts a new process on the old disk. */
+  private void start(int index) {
+    instances.get(index).start(true);
     LogClock clock = new LogClock();
-    clock.restore(clocks.get(at).appliedMillis());
-    clocks.set(at, clock);
+    clock.restore(clocks.get(index).appliedMillis());
+    clocks.set(index, clock);
   }
 
-  /** Whether it can happen in this state. */
-  private boolean can(Event event) {
+  /** Whether an event can happen in this state. */
+  private boolean isPossible(Event event) {
     return switch (event.kind()) {
-      case START, LOSE, UPGRADE -> !instances.get(event.at()).alive;
-      case STEP, WRITE, END, PAUSE, LEAD, STICK -> instances.get(event.at()).runs();
-      case TAKE -> {
-        SimulatedInstance instance = instances.get(event.at());
-        yield instance.runs() && !instance.cut && !instance.stuck && instance.taken < log.size();
+      case RESTART, RESTART_WITHOUT_DISK, UPGRADE -> !instances.get(event.argument()).alive;
+      case STEP, WRITE_CALL, END_CALL, PAUSE, ELECT, STOP_LOG ->
+          instances.get(event.argument()).isRunning();
+      case APPLY -> {
+        SimulatedInstance instance = instances.get(event.argument());
+        yield instance.isRunning()
+            && !instance.partitioned
+            && !instance.logStopped
+            && instance.appliedCount < log.size();
       }
-      case DECIDE -> instances.get(event.at() / 4).runs();
-      case READ, APPEND, DROP, REPEAT, DEFER -> !pending.isEmpty();
+      case DISPATCH_CALL -> instances.get(event.argument() / 4).isRunning();
+      case READ_CLOCK, APPEND, DROP, DUPLICATE, REORDER -> !pendingCommands.isEmpty();
       default -> true;
     };
   }
 
-  private void take(SimulatedInstance instance) {
-    Entry entry = log.get(instance.taken);
-    long stamp =
+  /** Applies the next log entry on an instance and compares its state with the expected one. */
+  private void applyNext(SimulatedInstance instance) {
+    Entry entry = log.get(instance.appliedCount);
+    long stampMillis =
         clocks
             .get(instances.indexOf(instance))
             .apply(entry.term(), entry.readTerm(), entry.readMillis());
-    if (entry.form() > instance.release.latestFormat()) {
-      violated(Invariant.FORMS, instance.name + " is given an entry of form " + entry.form());
+    if (entry.formatVersion() > instance.release.latestFormat()) {
+      violated(
+          Invariant.KNOWN_FORMATS,
+          instance.name + " has to apply an entry of format " + entry.formatVersion());
     }
-    instance.take(instance.taken + 1, stamp, entry.command());
-    if (!instance.settled.toSnapshot().equals(computed.get(instance.taken - 1))) {
+    instance.apply(instance.appliedCount + 1, stampMillis, entry.command());
+    if (!instance.state.toSnapshot().equals(expectedSnapshots.get(instance.appliedCount - 1))) {
       violated(
-          Invariant.SAME,
+          Invariant.SAME_STATE,
           instance.name
-              + " differs after entry "
-              + instance.taken
+              + " has a different state after entry "
+              + instance.appliedCount
               + ": "
-              + instance.settled.toSnapshot()
+              + instance.state.toSnapshot()
               + " and "
-              + computed.get(instance.taken - 1));
+              + expectedSnapshots.get(instance.appliedCount - 1));
     }
   }
 
-  /** Whoever leads has taken all entries of earlier terms before it reads its clock. */
-  private void lead(int at) {
-    SimulatedInstance instance = instances.get(at);
-    if (!instance.cut && !instance.stuck) {
-      leader = at;
+  /**
+   * Begins a term: the new leader applies all entries of earlier terms before it reads its clock.
+   */
+  private void elect(int index) {
+    SimulatedInstance instance = instances.get(index);
+    if (!instance.partitioned && !instance.logStopped) {
+      leader = index;
       term++;
-      while (instance.taken < log.size()) {
-        take(instance);
+      while (instance.appliedCount < log.size()) {
+        applyNext(instance);
       }
     }
   }
 
-  private boolean led() {
-    return leader >= 0 && instances.get(leader).runs() && !instances.get(leader).stuck;
+  private boolean hasLeader() {
+    return leader >= 0 && instances.get(leader).isRunning() && !instances.get(leader).logStopped;
   }
 
-  boolean leads(SimulatedInstance instance) {
-    return led() && instances.get(leader) == instance;
+  boolean isLeader(SimulatedInstance instance) {
+    return hasLeader() && instances.get(leader) == instance;
   }
 
-  private void read() {
-    PendingCommand said = pending.get(0);
-    if (led()) {
-      said.readTerm = term;
-      said.readMillis = clocks.get(leader).read(term, instances.get(leader).clock());
+  /** Stamps the first pending command with the term and the clock reading of the leader. */
+  private void readClock() {
+    PendingCommand pendingCommand = pendingCommands.get(0);
+    if (hasLeader()) {
+      pendingCommand.readTerm = term;
+      pendingCommand.readMillis = clocks.get(leader).read(term, instances.get(leader).clock());
     }
   }
 
-  private void append(boolean again) {
-    PendingCommand said = pending.get(0);
-    if (!led() || instances.get(leader).cut) {
+  /** Appends the first pending command to the log, and keeps it pending if it is duplicated. */
+  private void append(boolean duplicate) {
+    PendingCommand pendingCommand = pendingCommands.get(0);
+    if (!hasLeader() || instances.get(leader).partitioned) {
       return;
     }
-    if (said.readTerm < 0) {
-      read();
+    if (pendingCommand.readTerm < 0) {
+      readClock();
     }
-    Entry entry = new Entry(term, said.readTerm, said.readMillis, said.command, said.form);
+    Entry entry =
+        new Entry(
+            term,
+            pendingCommand.readTerm,
+            pendingCommand.readMillis,
+            pendingCommand.command,
+            pendingCommand.formatVersion);
     log.add(entry);
-    long stamp = allClock.apply(entry.term(), entry.readTerm(), entry.readMillis());
-    CommandResult reply = all.apply(log.size(), stamp, said.command);
-    computed.add(all.toSnapshot());
-    if (again && !said.repeated) {
-      said.repeated = true;
-      said.readTerm = -1;
+    long stampMillis = expectedClock.apply(entry.term(), entry.readTerm(), entry.readMillis());
+    CommandResult result = expected.apply(log.size(), stampMillis, pendingCommand.command);
+    expectedSnapshots.add(expected.toSnapshot());
+    if (duplicate && !pendingCommand.duplicated) {
+      pendingCommand.duplicated = true;
+      pendingCommand.readTerm = -1;
     } else {
-      pending.remove(0);
+      pendingCommands.remove(0);
     }
-    answer(said, reply);
+    deliverResult(pendingCommand, result);
   }
 
   private void drop() {
-    answer(pending.remove(0), null);
+    deliverResult(pendingCommands.remove(0), null);
   }
 
-  private void answer(PendingCommand said, CommandResult reply) {
-    SimulatedInstance by = said.by;
-    if (by != null && by.alive && by.participant == said.process) {
-      // One that is stopped hears it when it wakes, and by its own clock then; this is no sooner.
-      by.participant.onResult(said.command, by.cut ? null : reply, by.clock(), by);
+  private void deliverResult(PendingCommand pendingCommand, CommandResult result) {
+    SimulatedInstance submitter = pendingCommand.submitter;
+    if (submitter != null && submitter.alive && submitter.session == pendingCommand.session) {
+      // A paused instance would get the result once it resumes, by its own clock then; this is no
+      // sooner.
+      submitter.session.onResult(
+          pendingCommand.command,
+          submitter.partitioned ? null : result,
+          submitter.clock(),
+          submitter);
     }
   }
 
-  private void say(Command command) {
-    pending.add(0, new PendingCommand(null, command, all.formatVersion()));
+  private void submitAsOperator(Command command) {
+    pendingCommands.add(0, new PendingCommand(null, command, expected.formatVersion()));
     append(false);
-    pending.removeIf(said -> said.by == null);
+    pendingCommands.removeIf(pendingCommand -> pendingCommand.submitter == null);
   }
 
-  private void ask(int number) {
+  private void requestOrder(int number) {
     List<Machine> machines = new ArrayList<>();
-    if (number == BALANCERS) {
+    if (number == BALANCER_ORDER) {
       machines.add(Machine.balancer(instances.get(2).name));
       machines.add(Machine.balancer(instances.get(1).name));
     }
-    for (int i = 0; i <= number % 3 && number != BALANCERS; i++) {
+    for (int i = 0; i <= number % 3 && number != BALANCER_ORDER; i++) {
       int m = (number + i) % MACHINES.size();
       machines.add(new Machine(MACHINES.get(m), "store", "a", m / 2, 1, "at-" + m));
     }
-    int before = all.orderIds().size();
-    say(
+    int before = expected.orderIds().size();
+    submitAsOperator(
         new Command.Ask(
             "k" + number,
             number % 2 == 0 ? "ann" : "bo",
@@ -479,21 +547,21 @@
             0,
             0,
             machines));
-    asked += all.orderIds().size() > before ? 1 : 0;
+    orderRequests += expected.orderIds().size() > before ? 1 : 0;
   }
 
-  // ---- properties ----
+  // ---- invariants ----
 
-  private void check() {
+  private void checkInvariants() {
     Set<String> held = new HashSet<>();
     Map<Long, Integer> cells = new HashMap<>();
     Map<Long, Integer> orders = new HashMap<>();
     MaintenanceRules rules = rules();
     int out = 0;
     int balancers = 0;
-    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
+    for (MaintenanceState.AwayMachine each : expected.awayMachines()) {
       if (!held.add(each.machine())) {
-        violated(Invariant.ONE_ORDER, each.machine() + " is with two orders");
+        violated(Invariant.ONE_ORDER_PER_MACHINE, each.machine() + " is held by two orders");
       }
       String balancer = Machine.instance(each.machine());
       balancers += balancer != null ? 1 : 0;
@@ -501,181 +569,210 @@
         out++;
         long cell = MACHINES.indexOf(each.machine()) / 2;
         if (cells.merge(cell, 1, Integer::sum) > rules.maxOutInCell()) {
-          violated(Invariant.FLOORS, "too many machines of one cell are out");
+          violated(Invariant.CAPACITY_LIMITS, "too many machines of one cell are out");
         }
-        if (orders.merge(each.order(), 1, Integer::sum) > all.request(each.order()).atOnce()) {
-          violated(Invariant.AT_ONCE, "order " + each.order() + " has too many machines out");
+        if (orders.merge(each.order(), 1, Integer::sum) > expected.request(each.order()).atOnce()) {
+          violated(Invariant.AT_ONCE_LIMIT, "order " + each.order() + " has too many machines out");
         }
       }
     }
-    for (MaintenanceState.AwayMachine each : all.awayMachines()) {
+    for (MaintenanceState.AwayMachine each : expected.awayMachines()) {
       String balancer = Machine.instance(each.machine());
       if (balancer != null) {
-        stays(balancer, each.phase());
+        checkBalancer(balancer, each.phase());
       }
     }
     if (balancers > 1) {
-      violated(Invariant.FLOORS, balancers + " balancers are away");
+      violated(Invariant.CAPACITY_LIMITS, balancers + " balancers are away");
     }
-    double least = 0;
+    double minWeight = 0;
     for (CapacityFloor floor : rules.floors()) {
-      least = floor.minShare() * MACHINES.size();
+      minWeight = floor.minShare() * MACHINES.size();
     }
-    if (out > rules.maxOut() || MACHINES.size() - out < least) {
-      violated(Invariant.FLOORS, out + " machines are out");
+    if (out > rules.maxOut() || MACHINES.size() - out < minWeight) {
+      violated(Invariant.CAPACITY_LIMITS, out + " machines are out");
     }
     for (SimulatedInstance instance : instances) {
-      if (stops
-          && instance.runs()
-          && instance.participant.joined()
-          && instance.participant.maySend(instance.clock())
-          && !all.hasJoined(instance.name, instance.participant.incarnation())) {
-        violated(Invariant.LEASE, instance.name + " may send and is fenced");
+      if (stopsWhenCutOff
+          && instance.isRunning()
+          && instance.session.joined()
+          && instance.session.maySend(instance.clock())
+          && !expected.hasJoined(instance.name, instance.session.incarnation())) {
+        violated(
+            Invariant.NO_SENDING_WHEN_FENCED, instance.name + " may send although it is fenced");
       }
     }
   }
 
-  /** A balancer that is out comes back when somebody says so, whatever process it has. */
-  private void stays(String balancer, Phase phase) {
+  /**
+   * A balancer that is out returns only when its work is reported as done, even if its process
+   * restarts.
+   */
+  private void checkBalancer(String balancer, Phase phase) {
     for (SimulatedInstance instance : instances) {
       if (instance.name.equals(balancer)) {
         if (phase == Phase.OUT) {
-          wentOut.add(balancer);
-          if (all.hasJoined(balancer, all.incarnation(balancer))) {
-            violated(Invariant.OUT_MEANS_OUT, balancer + " is out and has joined");
+          balancersOut.add(balancer);
+          if (expected.hasJoined(balancer, expected.incarnation(balancer))) {
+            violated(Invariant.OUT_UNTIL_DONE, balancer + " is out and has joined");
           }
         } else if (phase == Phase.RETURNING
-            && wentOut.remove(balancer)
-            && events.get(events.size() - 1).kind() != Kind.DONE) {
-          violated(Invariant.OUT_MEANS_OUT, balancer + " came back by itself");
+            && balancersOut.remove(balancer)
+            && events.get(events.size() - 1).kind() != Kind.COMPLETE_ORDER) {
+          violated(Invariant.OUT_UNTIL_DONE, balancer + " returned by itself");
         }
       }
     }
   }
 
-  /** All is well again, and people say of whatever is out that it is done: nothing may be left. */
-  MaintenanceSimulation calm() {
-    int dead = -1;
-    ill = false;
+  /**
+   * Ends all faults and reports the work on all machines that are out as done; then every order
+   * must end.
+   */
+  MaintenanceSimulation recover() {
+    int deadIndex = -1;
+    unhealthy = false;
     for (int i = 0; i < instances.size(); i++) {
       SimulatedInstance instance = instances.get(i);
-      instance.cut = false;
+      instance.partitioned = false;
       instance.paused = false;
-      if (instance.stuck && !stops) {
-        play(new Event(Kind.KILL, i)); // By whoever is told that its log stands still.
+      if (instance.logStopped && !stopsWhenCutOff) {
+        execute(new Event(Kind.KILL, i)); // By an operator who sees that its log has stopped.
       }
-      if ((instance.stuck || !instance.alive) && dead < 0 && asked <= BALANCERS) {
-        dead = i; // One stays dead, or without a disk: the others go on without it.
-      } else if (instance.stuck) {
-        play(new Event(Kind.KILL, i));
-        play(new Event(Kind.START, i));
+      if ((instance.logStopped || !instance.alive)
+          && deadIndex < 0
+          && orderRequests <= BALANCER_ORDER) {
+        // One instance stays dead, or its log stays stopped: the others go on without it.
+        deadIndex = i;
+      } else if (instance.logStopped) {
+        execute(new Event(Kind.KILL, i));
+        execute(new Event(Kind.RESTART, i));
       } else if (!instance.alive) {
-        play(new Event(Kind.START, i));
+        execute(new Event(Kind.RESTART, i));
       }
     }
-    play(new Event(Kind.LEAD, dead == 0 ? 1 : 0));
-    if (dead >= 0 && !stops) {
-      play(new Event(Kind.FENCE, dead));
+    execute(new Event(Kind.ELECT, deadIndex == 0 ? 1 : 0));
+    if (deadIndex >= 0 && !stopsWhenCutOff) {
+      execute(new Event(Kind.FENCE, deadIndex));
     }
     for (int round = 0; round < 2000 && violation == null; round++) {
-      play(new Event(Kind.PASS, 30));
-      if (dead >= 0 && !stops && round == 20) {
-        play(new Event(Kind.FENCE, dead)); // What it said before it died has come only now.
+      execute(new Event(Kind.ADVANCE_TIME, 30));
+      if (deadIndex >= 0 && !stopsWhenCutOff && round == 20) {
+        // A command that it submitted before it died may have been appended only now.
+        execute(new Event(Kind.FENCE, deadIndex));
       }
       for (int i = 0; i < instances.size(); i++) {
-        play(new Event(Kind.STEP, i));
-        play(new Event(Kind.WRITE, i));
-        play(new Event(Kind.END, i));
+        execute(new Event(Kind.STEP, i));
+        execute(new Event(Kind.WRITE_CALL, i));
+        execute(new Event(Kind.END_CALL, i));
       }
-      for (int k = pending.size(); k > 0; k--) {
-        play(new Event(Kind.APPEND, 0));
+      for (int k = pendingCommands.size(); k > 0; k--) {
+        execute(new Event(Kind.APPEND, 0));
       }
       for (int i = 0; i < instances.size(); i++) {
-        while (i != dead && instances.get(i).taken < log.size()) {
-          play(new Event(Kind.TAKE, i));
+        while (i != deadIndex && instances.get(i).appliedCount < log.size()) {
+          execute(new Event(Kind.APPLY, i));
         }
       }
       for (int i = 0; i < instances.size(); i++) {
         MaintenanceState.AwayMachine own = null;
-        for (MaintenanceState.AwayMachine each : all.awayMachines()) {
+        for (MaintenanceState.AwayMachine each : expected.awayMachines()) {
           own = instances.get(i).name.equals(Machine.instance(each.machine())) ? each : own;
         }
-        if (own != null && own.phase() == Phase.OUT && i != dead) {
-          play(new Event(Kind.KILL, i)); // The upgrade that it was taken out for.
-          play(new Event(Kind.START, i));
-          play(new Event(Kind.LEAD, (i + 1) % instances.size()));
-          play(new Event(Kind.DONE, (int) own.order()));
+        if (own != null && own.phase() == Phase.OUT && i != deadIndex) {
+          execute(new Event(Kind.KILL, i)); // The upgrade that it was taken out for.
+          execute(new Event(Kind.RESTART, i));
+          execute(new Event(Kind.ELECT, (i + 1) % instances.size()));
+          execute(new Event(Kind.COMPLETE_ORDER, (int) own.order()));
         }
       }
-      boolean left = false;
-      for (long order : all.orderIds()) {
-        boolean servers = Machine.instance(all.machineStatuses(order, 1).get(0).machine()) == null;
-        if (servers && all.phaseCounts(order).containsKey(Phase.OUT)) {
-          play(new Event(Kind.DONE, (int) order));
+      boolean unfinished = false;
+      for (long order : expected.orderIds()) {
+        boolean ofServers =
+            Machine.instance(expected.machineStatuses(order, 1).get(0).machine()) == null;
+        if (ofServers && expected.phaseCounts(order).containsKey(Phase.OUT)) {
+          execute(new Event(Kind.COMPLETE_ORDER, (int) order));
         }
-        Set<Phase> phases = new HashSet<>(all.phaseCounts(order).keySet());
+        Set<Phase> phases = new HashSet<>(expected.phaseCounts(order).keySet());
         phases.remove(Phase.DONE);
         phases.remove(Phase.ABANDONED);
-        left |= !phases.isEmpty();
+        unfinished |= !phases.isEmpty();
       }
       for (int i = 0; i < instances.size(); i++) {
         SimulatedInstance instance = instances.get(i);
-        left |= i != dead && !instance.participant.maySend(instance.clock());
+        unfinished |= i != deadIndex && !instance.session.maySend(instance.clock());
       }
-      if (!left && round > 5) {
+      if (!unfinished && round > 5) {
         return this;
       }
     }
-    StringBuilder left = new StringBuilder();
-    all.orderIds()
-        .forEach(order -> left.append(order).append(all.machineStatuses(order, 9)).append(' '));
-    violated(Invariant.NOT_STUCK, left + " with " + all.instanceStatuses());
+    StringBuilder details = new StringBuilder();
+    expected
+        .orderIds()
+        .forEach(
+            order -> details.append(order).append(expected.machineStatuses(order, 9)).append(' '));
+    violated(Invariant.PROGRESS, details + " with " + expected.instanceStatuses());
     return this;
   }
 
-  /** Plays so many events drawn by a seed, then calm; what did not hold, or null. */
-  static Violation random(long seed, int steps) {
+  /**
+   * Executes random events drawn from a seed, then ends all faults; returns the first violation, or
+   * null.
+   */
+  static Violation runRandom(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
-    boolean stops = random.nextInt(4) > 0;
-    int releases = random.nextInt(4) > 0 ? 0 : LIMITS.size();
+    boolean stopsWhenCutOff = random.nextInt(4) > 0;
+    int releaseOffset = random.nextInt(4) > 0 ? 0 : RULES.size();
     MaintenanceSimulation simulation =
-        new MaintenanceSimulation(stops, releases + random.nextInt(LIMITS.size()));
+        new MaintenanceSimulation(stopsWhenCutOff, releaseOffset + random.nextInt(RULES.size()));
     for (int i = 0; i < steps && simulation.violation == null; i++) {
-      List<Event> possible = simulation.possible();
-      Event event = possible.get(random.nextInt(possible.size()));
-      if (rare(event.kind()) && random.nextInt(8) > 0) {
+      List<Event> candidates = simulation.possibleEvents();
+      Event event = candidates.get(random.nextInt(candidates.size()));
+      if (isRare(event.kind()) && random.nextInt(8) > 0) {
         continue;
       }
-      simulation.play(event);
+      simulation.execute(event);
       if (random.nextInt(3) > 0) {
-        simulation.busy(random);
+        simulation.addRegularEvents(random);
       }
     }
-    return simulation.violation == null ? simulation.calm().violation : simulation.violation;
+    return simulation.violation == null ? simulation.recover().violation : simulation.violation;
   }
 
-  private static boolean rare(Kind kind) {
+  private static boolean isRare(Kind kind) {
     return switch (kind) {
-      case KILL, LOSE, FENCE, CUT, PAUSE, LEAD, CANCEL, DROP, DONE, UPGRADE, ILL, STICK -> true;
+      case KILL,
+              RESTART_WITHOUT_DISK,
+              FENCE,
+              PARTITION,
+              PAUSE,
+              ELECT,
+              CANCEL_ORDER,
+              DROP,
+              COMPLETE_ORDER,
+              UPGRADE,
+              TOGGLE_UNHEALTHY,
+              STOP_LOG ->
+          true;
       default -> false;
     };
   }
 
-  /** Something of what goes on all the time, so that faults meet an instance at work. */
-  private void busy(SplittableRandom random) {
+  /** Adds some of the regular events, so that faults meet an instance at work. */
+  private void addRegularEvents(SplittableRandom random) {
     int i = random.nextInt(instances.size());
     SimulatedInstance instance = instances.get(i);
-    if (instance.runs()) {
-      play(new Event(Kind.STEP, i));
-      if (!pending.isEmpty()) {
-        play(new Event(Kind.APPEND, 0));
+    if (instance.isRunning()) {
+      execute(new Event(Kind.STEP, i));
+      if (!pendingCommands.isEmpty()) {
+        execute(new Event(Kind.APPEND, 0));
       }
-      if (!instance.cut && instance.taken < log.size()) {
-        play(new Event(Kind.TAKE, i));
+      if (!instance.partitioned && instance.appliedCount < log.size()) {
+        execute(new Event(Kind.APPLY, i));
       }
     }
     if (random.nextInt(3) == 0) {
-      play(new Event(Kind.PASS, 10));
+      execute(new Event(Kind.ADVANCE_TIME, 10));
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/SimulatedInstance.java
+++ b/src/main/java/heathswitch/testbed/maintenance/SimulatedInstance.java
@@ -14,12 +14,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One instance in virtual time: the real participant and the real state, with calls in flight. */
+/**
+ * One instance in virtual time: a real {@link InstanceSession} and a real {@link MaintenanceState},
+ * with calls in flight.
+ */
 final class SimulatedInstance implements InstanceSession.LocalView {
-  private static final int ENDING_STEPS = 6;
-  private static final long RETURN_NANOS = 300_000_000L;
+  private static final int STEPS_UNTIL_CALLS_FAIL = 6;
+  private static final long WARM_UP_NANOS = 300_000_000L;
 
-  /** A call that was decided, and whether its first byte has been written. */
+  /** A call that was dispatched to a machine, and whether its first byte has been written. */
   static final class Call {
     final String machine;
     boolean written;
@@ -32,105 +35,111 @@
   final String name;
   private final MaintenanceSimulation simulation;
   private final MaintenanceRules rules;
-  private final boolean stops;
+  private final boolean stopsWhenCutOff;
 
-  /** What its program can take: a later one with a new process, if it is upgraded. */
+  /** The formats that its release can read; an upgrade changes them with a new process. */
   FormatSupport release;
 
-  /** How fast its clock runs, and where it began; both are its own. */
+  /** Rate and offset of its own clock against the virtual time. */
   private final double rate;
 
   private final long offset;
-  InstanceSession participant;
-  MaintenanceState settled;
+  InstanceSession session;
+  MaintenanceState state;
 
-  /** Entries of the log that it has taken. */
-  int taken;
+  /** Number of log entries that it has applied. */
+  int appliedCount;
 
   boolean alive = true;
   boolean paused;
 
-  /** Neither what it says nor what it should take comes through. */
-  boolean cut;
+  /** Whether it is partitioned: neither its commands nor log entries get through. */
+  boolean partitioned;
 
-  /** Its own log takes nothing, whatever others settle. */
-  boolean stuck;
+  /** Whether its own log has stopped, so that it applies no more entries. */
+  boolean logStopped;
 
-  /** Whether it knows that: its disk has failed, where else it hears nothing. */
-  boolean deaf;
+  /**
+   * Whether it knows that its log has stopped, as after a disk failure; otherwise it just receives
+   * nothing.
+   */
+  boolean knowsLogStopped;
 
-  /** By its own clock, when it took the last entry. */
-  private long tookNanos;
+  /** When it applied the last entry, by its own clock. */
+  private long lastAppliedNanos;
 
   /** Steps since its lease has ended. */
-  private int ended;
+  private int stepsAfterLease;
 
   final List<Call> calls = new ArrayList<>();
-  private final Map<String, Long> backNanos = new HashMap<>();
+  private final Map<String, Long> returningSinceNanos = new HashMap<>();
 
   SimulatedInstance(
       MaintenanceSimulation simulation,
       String name,
       MaintenanceRules rules,
-      boolean stops,
+      boolean stopsWhenCutOff,
       double rate,
       long offset,
       FormatSupport release) {
     this.simulation = simulation;
     this.name = name;
     this.rules = rules;
-    this.stops = stops;
+    this.stopsWhenCutOff = stopsWhenCutOff;
     this.rate = rate;
     this.offset = offset;
     this.release = release;
-    settled = new MaintenanceState();
-    participant = new InstanceSession(name, stops, 100, rules, release);
+    state = new MaintenanceState();
+    session = new InstanceSession(name, stopsWhenCutOff, 100, rules, release);
   }
 
   long clock() {
     return offset + (long) (simulation.now() * rate);
   }
 
-  boolean runs() {
+  boolean isRunning() {
     return alive && !paused;
   }
 
   void kill() {
-    stuck = false;
-    deaf = false;
+    logStopped = false;
+    knowsLogStopped = false;
     alive = false;
     paused = false;
     calls.clear();
   }
 
-  /** A new process, which knows what its disk has; with none it takes the whole log anew. */
-  void start(boolean disk) {
+  /**
+   * Starts a new process with the state on its disk; without the disk it applies the whole log
+   * again.
+   */
+  void start(boolean withDisk) {
     alive = true;
-    participant = new InstanceSession(name, stops, 100, rules, release);
-    backNanos.clear();
-    if (disk) {
-      settled = MaintenanceState.fromSnapshot(settled.toSnapshot());
+    session = new InstanceSession(name, stopsWhenCutOff, 100, rules, release);
+    returningSinceNanos.clear();
+    if (withDisk) {
+      state = MaintenanceState.fromSnapshot(state.toSnapshot());
     } else {
-      settled = new MaintenanceState();
-      taken = 0;
+      state = new MaintenanceState();
+      appliedCount = 0;
     }
   }
 
-  void take(long index, long stampMillis, Command command) {
-    settled.apply(index, stampMillis, command);
-    taken++;
-    tookNanos = clock();
-    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
+  void apply(long index, long stampMillis, Command command) {
+    state.apply(index, stampMillis, command);
+    appliedCount++;
+    lastAppliedNanos = clock();
+    for (MaintenanceState.AwayMachine each : state.awayMachines()) {
       if (each.phase() == Phase.RETURNING) {
-        backNanos.putIfAbsent(each.machine(), clock());
+        returningSinceNanos.putIfAbsent(each.machine(), clock());
       } else {
-        backNanos.remove(each.machine());
+        returningSinceNanos.remove(each.machine());
       }
     }
   }
 
-  boolean holds(String machine) {
-    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
+  boolean isHeld(String machine) {
+    for (MaintenanceState.AwayMachine each : state.awayMachines()) {
       if (each.machine().equals(machine) && each.phase().held()) {
         return true;
       }
@@ -138,22 +147,22 @@
     return false;
   }
 
-  /** A request comes and is given to a machine, if it may be. */
-  void decide(String machine) {
-    if (participant.maySend(clock()) && !holds(machine)) {
+  /** Dispatches a call to a machine if the lease and the orders allow it. */
+  void dispatch(String machine) {
+    if (session.maySend(clock()) && !isHeld(machine)) {
       calls.add(new Call(machine));
     }
   }
 
-  /** The oldest call that was decided is written, looked at once more right before. */
-  void write() {
+  /** Writes the oldest call that is not written yet, after another check of the lease. */
+  void writeNext() {
     for (Call call : calls) {
       if (!call.written) {
-        if (participant.maySend(clock())) {
+        if (session.maySend(clock())) {
           call.written = true;
-          simulation.began(this, call.machine);
+          simulation.callStarted(this, call.machine);
         } else {
-          calls.remove(call); // Ends as never sent.
+          calls.remove(call); // It ends as never sent.
         }
         return;
       }
@@ -161,45 +170,46 @@
   }
 
   void step() {
-    boolean over = stops && !participant.maySend(clock());
-    ended = over ? ended + 1 : 0;
-    if (ended >= ENDING_STEPS) {
-      calls.clear(); // What is owed at the end of the lease is given up, if a moment later.
+    boolean leaseEnded = stopsWhenCutOff && !session.maySend(clock());
+    stepsAfterLease = leaseEnded ? stepsAfterLease + 1 : 0;
+    if (stepsAfterLease >= STEPS_UNTIL_CALLS_FAIL) {
+      calls.clear(); // When the lease ends all calls fail, if a moment later.
     }
-    for (Command command : participant.step(clock(), this)) {
-      simulation.said(this, command);
+    for (Command command : session.step(clock(), this)) {
+      simulation.submit(this, command);
     }
   }
 
-  // ---- what the participant sees ----
+  // ---- local view of the session ----
 
   @Override
   public long latestIncarnation() {
-    return settled.incarnation(name);
+    return state.incarnation(name);
   }
 
   @Override
   public boolean hasJoined(long incarnation) {
-    return settled.hasJoined(name, incarnation);
+    return state.hasJoined(name, incarnation);
   }
 
   @Override
   public long appliedIndex() {
-    return settled.appliedIndex();
+    return state.appliedIndex();
   }
 
   @Override
   public CapacityReport capacityReport() {
-    double worth = MaintenanceSimulation.MACHINES.size() - simulation.ill();
+    double weight = MaintenanceSimulation.MACHINES.size() - simulation.unhealthyCount();
     List<String> warm = new ArrayList<>();
-    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
+    for (MaintenanceState.AwayMachine each : state.awayMachines()) {
       if (!MaintenanceSimulation.MACHINES.contains(each.machine())) {
         continue; // A balancer.
       }
       boolean returned =
           each.phase() == Phase.RETURNING
-              && clock() - backNanos.getOrDefault(each.machine(), clock()) >= RETURN_NANOS;
-      worth -= returned ? 0 : 1;
+              && clock() - returningSinceNanos.getOrDefault(each.machine(), clock())
+                  >= WARM_UP_NANOS;
+      weight -= returned ? 0 : 1;
       if (returned) {
         warm.add(each.machine());
       }
@@ -208,8 +218,8 @@
         new TreeMap<>((a, b) -> a.kind().compareTo(b.kind()));
     groups.put(
         MaintenanceSimulation.GROUP,
-        new CapacityReport.Capacity(MaintenanceSimulation.MACHINES.size(), worth));
-    return new CapacityReport(settled.appliedIndex(), groups, new java.util.HashSet<>(warm));
+        new CapacityReport.Capacity(MaintenanceSimulation.MACHINES.size(), weight));
+    return new CapacityReport(state.appliedIndex(), groups, new java.util.HashSet<>(warm));
   }
 
   @Override
@@ -219,25 +229,25 @@
 
   @Override
   public List<MaintenanceState.AwayMachine> drainedMachines() {
-    List<MaintenanceState.AwayMachine> empty = new ArrayList<>();
-    for (MaintenanceState.AwayMachine each : settled.awayMachines()) {
+    List<MaintenanceState.AwayMachine> drained = new ArrayList<>();
+    for (MaintenanceState.AwayMachine each : state.awayMachines()) {
       if (MaintenanceSimulation.MACHINES.contains(each.machine())
           && each.phase() == Phase.EMPTYING
           && calls.stream().noneMatch(call -> call.machine.equals(each.machine()))) {
-        empty.add(each);
+        drained.add(each);
       }
     }
-    return empty;
+    return drained;
   }
 
   @Override
   public long leaseMillis() {
-    return settled.rules().leaseMillis();
+    return state.rules().leaseMillis();
   }
 
   @Override
   public boolean mustLeave() {
-    return settled.mustLeave(name);
+    return state.mustLeave(name);
   }
 
   @Override
@@ -247,17 +257,17 @@
 
   @Override
   public boolean expiryDue() {
-    return simulation.leads(this)
-        && settled.nowMillis() + (clock() - tookNanos) / 1_000_000 >= settled.nextExpiryMillis();
+    return simulation.isLeader(this)
+        && state.nowMillis() + (clock() - lastAppliedNanos) / 1_000_000 >= state.nextExpiryMillis();
   }
 
   @Override
   public boolean logStopped() {
-    return deaf;
+    return knowsLogStopped;
   }
 
   @Override
   public long newIncarnation() {
-    return simulation.draw();
+    return simulation.nextIncarnation();
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkExplorer.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkExplorer.java
@@ -6,69 +6,80 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.LongStream;
 
-/** Many schedules of faults by seeds, and every order of a few events from states that matter. */
+/**
+ * Explores {@link MaintenanceSimulation}s: random schedules of faults by seed, and exhaustively
+ * every sequence of a few events from selected states.
+ */
 final class WorkExplorer {
   private WorkExplorer() {}
 
-  /** What was played, and the first invariant that did not hold, or null. */
+  /** The number of schedules that were run, and the first violation, or null. */
   record Result(long schedules, MaintenanceSimulation.Violation violation) {}
 
-  /** So many schedules, each by a seed of its own, on all cores. */
+  /** Runs random schedules, each from a seed of its own, on all cores. */
   static Result randomSchedules(long from, long schedules, int steps) {
-    AtomicReference<MaintenanceSimulation.Violation> found = new AtomicReference<>();
-    AtomicLong played = new AtomicLong();
+    AtomicReference<MaintenanceSimulation.Violation> firstViolation = new AtomicReference<>();
+    AtomicLong count = new AtomicLong();
     LongStream.range(from, from + schedules)
         .parallel()
         .forEach(
             seed -> {
-              if (found.get() == null) {
-                played.incrementAndGet();
+              if (firstViolation.get() == null) {
+                count.incrementAndGet();
                 MaintenanceSimulation.Violation violation =
-                    MaintenanceSimulation.random(seed, steps);
+                    MaintenanceSimulation.runRandom(seed, steps);
                 if (violation != null) {
-                  found.compareAndSet(null, violation);
+                  firstViolation.compareAndSet(null, violation);
                 }
               }
             });
-    return new Result(played.get(), found.get());
+    return new Result(count.get(), firstViolation.get());
   }
 
-  /** Every order of so many events from each starting state; two orders are asked for in them. */
+  /**
+   * Runs every sequence of {@code depth} events from each starting state, in which up to two
+   * maintenance orders are requested.
+   */
   static Result eventSequences(int depth) {
-    AtomicReference<MaintenanceSimulation.Violation> found = new AtomicReference<>();
-    AtomicLong played = new AtomicLong();
-    List<List<MaintenanceSimulation.Event>> starts = starts();
-    for (boolean stops : new boolean[] {true, false}) {
-      for (List<MaintenanceSimulation.Event> start : starts) {
-        List<MaintenanceSimulation.Event> first = replay(stops, 0, start).possible();
+    AtomicReference<MaintenanceSimulation.Violation> firstViolation = new AtomicReference<>();
+    AtomicLong count = new AtomicLong();
+    List<List<MaintenanceSimulation.Event>> startStates = startStates();
+    for (boolean stopsWhenCutOff : new boolean[] {true, false}) {
+      for (List<MaintenanceSimulation.Event> start : startStates) {
+        List<MaintenanceSimulation.Event> first =
+            replay(stopsWhenCutOff, 0, start).possibleEvents();
         first.parallelStream()
             .forEach(
                 event -> {
                   List<MaintenanceSimulation.Event> path = new ArrayList<>(start);
                   path.add(event);
-                  descend(stops, path, depth - 1, found, played);
+                  exploreFrom(stopsWhenCutOff, path, depth - 1, firstViolation, count);
                 });
       }
     }
-    return new Result(played.get(), found.get());
+    return new Result(count.get(), firstViolation.get());
   }
 
-  /** The same fault after as few events as leaving some out can make it; null stays null. */
+  /**
+   * Removes events from a violation as long as the same invariant is still violated; null stays
+   * null.
+   */
   static MaintenanceSimulation.Violation shorten(MaintenanceSimulation.Violation violation) {
-    if (violation == null || violation.invariant() == MaintenanceSimulation.Invariant.NOT_STUCK) {
-      return violation; // What is left over is told by its text, not by its last events.
+    if (violation == null || violation.invariant() == MaintenanceSimulation.Invariant.PROGRESS) {
+      // Its description lists the unfinished orders; the last events do not explain it.
+      return violation;
     }
     MaintenanceSimulation.Violation shortest = violation;
-    for (int piece = Math.max(1, violation.events().size() / 2); piece > 0; piece /= 2) {
-      for (int at = 0; at < shortest.events().size(); ) {
+    for (int chunk = Math.max(1, violation.events().size() / 2); chunk > 0; chunk /= 2) {
+      for (int from = 0; from < shortest.events().size(); ) {
         List<MaintenanceSimulation.Event> fewer = new ArrayList<>(shortest.events());
-        fewer.subList(at, Math.min(at + piece, fewer.size())).clear();
-        MaintenanceSimulation.Violation same =
-            replay(shortest.stops(), shortest.limited(), fewer).violation();
-        if (same != null && same.invariant() == violation.invariant()) {
-          shortest = same;
+        fewer.subList(from, Math.min(from + chunk, fewer.size())).clear();
+        MaintenanceSimulation.Violation remaining =
+            replay(shortest.stopsWhenCutOff(), shortest.configuration(), fewer).violation();
+        if (remaining != null && remaining.invariant() == violation.invariant()) {
+          shortest = remaining;
         } else {
-          at += piece;
+          from += chunk;
         }
       }
     }
@@ -76,78 +87,81 @@
   }
 
   private static MaintenanceSimulation replay(
-      boolean stops, int limited, List<MaintenanceSimulation.Event> path) {
-    MaintenanceSimulation simulation = new MaintenanceSimulation(stops, limited);
-    path.forEach(simulation::play);
+      boolean stopsWhenCutOff, int configuration, List<MaintenanceSimulation.Event> path) {
+    MaintenanceSimulation simulation = new MaintenanceSimulation(stopsWhenCutOff, configuration);
+    path.forEach(simulation::execute);
     return simulation;
   }
 
-  private static void descend(
-      boolean stops,
+  private static void exploreFrom(
+      boolean stopsWhenCutOff,
       List<MaintenanceSimulation.Event> path,
       int depth,
-      AtomicReference<MaintenanceSimulation.Violation> found,
-      AtomicLong played) {
-    if (found.get() != null) {
+      AtomicReference<MaintenanceSimulation.Violation> firstViolation,
+      AtomicLong count) {
+    if (firstViolation.get() != null) {
       return;
     }
-    MaintenanceSimulation simulation = replay(stops, 0, path);
-    played.incrementAndGet();
+    MaintenanceSimulation simulation = replay(stopsWhenCutOff, 0, path);
+    count.incrementAndGet();
     if (simulation.violation() != null) {
-      found.compareAndSet(null, simulation.violation());
+      firstViolation.compareAndSet(null, simulation.violation());
     } else if (depth > 0) {
-      for (MaintenanceSimulation.Event event : simulation.possible()) {
+      for (MaintenanceSimulation.Event event : simulation.possibleEvents()) {
         path.add(event);
-        descend(stops, path, depth - 1, found, played);
+        exploreFrom(stopsWhenCutOff, path, depth - 1, firstViolation, count);
         path.remove(path.size() - 1);
       }
     }
   }
 
-  /** All inside; a machine being emptied; one out; one out and a call decided; one fenced. */
-  private static List<List<MaintenanceSimulation.Event>> starts() {
-    List<MaintenanceSimulation.Event> inside = new ArrayList<>();
-    round(inside);
-    round(inside);
-    List<MaintenanceSimulation.Event> emptying = new ArrayList<>(inside);
-    emptying.add(event(MaintenanceSimulation.Kind.DECIDE, 4));
-    emptying.add(event(MaintenanceSimulation.Kind.WRITE, 1));
-    emptying.add(event(MaintenanceSimulation.Kind.ASK, 0));
-    emptying.add(event(MaintenanceSimulation.Kind.ASK, 3));
-    List<MaintenanceSimulation.Event> stopped = new ArrayList<>(inside);
-    stopped.add(event(MaintenanceSimulation.Kind.DECIDE, 8));
-    stopped.add(event(MaintenanceSimulation.Kind.PAUSE, 2));
-    stopped.add(event(MaintenanceSimulation.Kind.ASK, 0));
-    List<MaintenanceSimulation.Event> fenced = new ArrayList<>(stopped);
+  /**
+   * All instances joined; a machine being emptied; an instance paused; an instance fenced; a
+   * machine out.
+   */
+  private static List<List<MaintenanceSimulation.Event>> startStates() {
+    List<MaintenanceSimulation.Event> joined = new ArrayList<>();
+    addRound(joined);
+    addRound(joined);
+    List<MaintenanceSimulation.Event> emptying = new ArrayList<>(joined);
+    emptying.add(event(MaintenanceSimulation.Kind.DISPATCH_CALL, 4));
+    emptying.add(event(MaintenanceSimulation.Kind.WRITE_CALL, 1));
+    emptying.add(event(MaintenanceSimulation.Kind.REQUEST_ORDER, 0));
+    emptying.add(event(MaintenanceSimulation.Kind.REQUEST_ORDER, 3));
+    List<MaintenanceSimulation.Event> paused = new ArrayList<>(joined);
+    paused.add(event(MaintenanceSimulation.Kind.DISPATCH_CALL, 8));
+    paused.add(event(MaintenanceSimulation.Kind.PAUSE, 2));
+    paused.add(event(MaintenanceSimulation.Kind.REQUEST_ORDER, 0));
+    List<MaintenanceSimulation.Event> fenced = new ArrayList<>(paused);
     for (int i = 0; i < 14; i++) {
-      round(fenced);
+      addRound(fenced);
     }
     List<MaintenanceSimulation.Event> out = new ArrayList<>(emptying);
-    out.add(event(MaintenanceSimulation.Kind.END, 1));
-    round(out);
-    round(out);
-    round(out);
-    return List.of(inside, emptying, stopped, fenced, out);
+    out.add(event(MaintenanceSimulation.Kind.END_CALL, 1));
+    addRound(out);
+    addRound(out);
+    addRound(out);
+    return List.of(joined, emptying, paused, fenced, out);
   }
 
-  /** A while in which all that can goes its way. */
-  private static void round(List<MaintenanceSimulation.Event> path) {
-    path.add(event(MaintenanceSimulation.Kind.PASS, 120));
+  /** Appends a round without faults: time advances, and each instance steps and applies the log. */
+  private static void addRound(List<MaintenanceSimulation.Event> path) {
+    path.add(event(MaintenanceSimulation.Kind.ADVANCE_TIME, 120));
     for (int i = 0; i < 3; i++) {
       path.add(event(MaintenanceSimulation.Kind.STEP, i));
     }
-    // What there is of it; an event that cannot happen is passed over.
+    // More events than can happen; the others are skipped.
     for (int i = 0; i < 6; i++) {
       path.add(event(MaintenanceSimulation.Kind.APPEND, 0));
     }
     for (int k = 0; k < 6; k++) {
       for (int i = 0; i < 3; i++) {
-        path.add(event(MaintenanceSimulation.Kind.TAKE, i));
+        path.add(event(MaintenanceSimulation.Kind.APPLY, i));
       }
     }
   }
 
-  private static MaintenanceSimulation.Event event(MaintenanceSimulation.Kind kind, int at) {
-    return new MaintenanceSimulation.Event(kind, at);
+  private static MaintenanceSimulation.Event event(MaintenanceSimulation.Kind kind, int argument) {
+    return new MaintenanceSimulation.Event(kind, argument);
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/package-info.java
+++ b/src/main/java/heathswitch/testbed/maintenance/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is settled of work orders, explored in virtual time: the real modules of several instances,
- * one log between them, and faults wherever something is on its way.
+ * Checks of maintenance orders. A simulation runs the real modules of several instances with one
+ * log in virtual time, under fault injection at every step; a measurement runs several processes.
  */
 package heathswitch.testbed.maintenance;
--- a/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
+++ b/src/test/java/heathswitch/testbed/maintenance/WorkExplorerTest.java
@@ -10,32 +10,38 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is settled of work orders, under schedules of faults and every order of a few events. */
+/**
+ * The invariants of maintenance orders hold under random schedules of faults and under every
+ * sequence of a few events.
+ */
 class WorkExplorerTest {
   @Test
-  void noScheduleOfFaultsBreaksAProperty() {
-    WorkExplorer.Result played = WorkExplorer.randomSchedules(1, 3000, 200);
-    assertNull(played.violation(), () -> WorkExplorer.shorten(played.violation()).toString());
-    assertTrue(played.schedules() >= 3000);
+  void randomFaultSchedulesViolateNoInvariant() {
+    WorkExplorer.Result result = WorkExplorer.randomSchedules(1, 3000, 200);
+    assertNull(result.violation(), () -> WorkExplorer.shorten(result.violation()).toString());
+    assertTrue(result.schedules() >= 3000);
   }
 
   @Test
-  void noOrderOfThreeEventsBreaksAProperty() {
-    WorkExplorer.Result played = WorkExplorer.eventSequences(3);
-    assertNull(played.violation(), () -> WorkExplorer.shorten(played.violation()).toString());
-    assertTrue(played.schedules() > 10_000);
+  void sequencesOfThreeEventsViolateNoInvariant() {
+    WorkExplorer.Result result = WorkExplorer.eventSequences(3);
+    assertNull(result.violation(), () -> WorkExplorer.shorten(result.violation()).toString());
+    assertTrue(result.schedules() > 10_000);
   }
 
-  /** The checker itself: faults put into copies are found, a copy without one is not. */
+  /**
+   * Checks the explorer itself: it detects every mutant, and reports nothing for a copy without a
+   * fault.
+   */
   @Test
-  void everyFaultIsFound() {
+  void explorerDetectsEveryMutant() {
     MutantTrials mutants = WorkMutants.trials();
     assertEquals(List.of(), mutants.undetected(WorkMutants.ALL));
-    Mutant none =
+    Mutant equivalent =
         new Mutant(
             "heathswitch.policy.maintenance.Order",
             "private int waiting;",
             "private int waiting ;");
-    assertFalse(mutants.isDetected(none, 1000, 2));
+    assertFalse(mutants.isDetected(equivalent, 1000, 2));
   }
 }
