--- a/src/main/java/heathswitch/policy/gateway/Strain.java
+++ b/src/main/java/heathswitch/policy/gateway/CongestionDetector.java
@@ -6,7 +6,7 @@
  * refused yet. A short mean sees a burst; a long one sees a site that is near full all the time and
  * would look at ease in each lull of its arrivals.
  */
-final class Strain {
+final class CongestionDetector {
   /** Times the delay at ease, of the short mean. A queue as long as three quarters of the work. */
   static final double BOUND = 1.75;
 
@@ -39,7 +39,7 @@
 
   private final Kind[] kinds;
 
-  Strain(int classes) {
+  CongestionDetector(int classes) {
     kinds = new Kind[classes];
     for (int i = 0; i < classes; i++) {
       kinds[i] = new Kind();
@@ -64,7 +64,7 @@
     kind.least = Math.min(kind.least, kind.longDelay);
   }
 
-  boolean strained(long nowNanos) {
+  boolean isCongested(long nowNanos) {
     for (Kind kind : kinds) {
       double ease = Math.min(kind.least, kind.leastBefore);
       if (kind.count >= LEAST_SAMPLES
--- a/src/main/java/heathswitch/policy/gateway/Gateway.java
+++ b/src/main/java/heathswitch/policy/gateway/Gateway.java
@@ -30,7 +30,7 @@
   private static final double SAMPLE_BOUND = 2;
 
   /** Why a call was kept. */
-  public enum Kept {
+  public enum NotForwardedReason {
     /** No link is up that may be used. */
     NO_LINK,
     /** The way and the far site's present delay would take longer than is left. */
@@ -42,7 +42,7 @@
   }
 
   /** What becomes of a call that a peer brings, before anything is done for it. */
-  public enum Entry {
+  public enum TrailVerdict {
     GOOD,
     /** Its trail cannot be read. */
     GARBLED,
@@ -56,11 +56,11 @@
   private final List<RequestClass> classes;
   private final Map<String, Integer> index = new HashMap<>();
   private final SplittableRandom random;
-  private final List<FarLink> links = new ArrayList<>();
+  private final List<PeerLink> links = new ArrayList<>();
   private final double[] classDelay;
-  private final Strain strain;
-  private final Lending lending;
-  private final long[] kept = new long[Kept.values().length];
+  private final CongestionDetector strain;
+  private final PeerAdmission lending;
+  private final long[] kept = new long[NotForwardedReason.values().length];
   private double level = 1;
 
   public Gateway(String site, List<RequestClass> classes, long seed) {
@@ -72,13 +72,13 @@
       index.put(classes.get(i).name(), i);
       classDelay[i] = classes.get(i).aimNanos() / 4.0;
     }
-    this.strain = new Strain(classDelay.length);
-    this.lending = new Lending(strain);
+    this.strain = new CongestionDetector(classDelay.length);
+    this.lending = new PeerAdmission(strain);
   }
 
   /** One gateway of another site; to be added before the start. */
-  public FarLink add(String farSite) {
-    FarLink link = new FarLink(farSite, classDelay.length);
+  public PeerLink add(String farSite) {
+    PeerLink link = new PeerLink(farSite, classDelay.length);
     links.add(link);
     return link;
   }
@@ -90,9 +90,9 @@
    *
    * @param tries how often it was sent away before
    */
-  public FarLink choose(long nowNanos, RequestClass type, long leftNanos, int tries) {
+  public PeerLink choose(long nowNanos, RequestClass type, long leftNanos, int tries) {
     if (tries >= MOST_TRIES) {
-      return kept(Kept.TRIED);
+      return kept(NotForwardedReason.TRIED);
     }
     int of = index.get(type.name());
     double share = share(of);
@@ -101,12 +101,12 @@
     boolean usable = false;
     boolean inTime = false;
     for (int i = 0; i < rooms.length; i++) {
-      FarLink link = links.get(i);
+      PeerLink link = links.get(i);
       if (!link.up || link.drained || !link.trip.known()) {
         continue;
       }
       usable = true;
-      if (link.trip.bound() + link.farDelay[of] >= leftNanos) {
+      if (link.trip.bound() + link.remoteDelay[of] >= leftNanos) {
         continue;
       }
       inTime = true;
@@ -114,7 +114,10 @@
       all += rooms[i];
     }
     if (all == 0) {
-      return kept(!usable ? Kept.NO_LINK : !inTime ? Kept.NO_TIME : Kept.NO_ROOM);
+      return kept(
+          !usable
+              ? NotForwardedReason.NO_LINK
+              : !inTime ? NotForwardedReason.NO_TIME : NotForwardedReason.NO_ROOM);
     }
     // Drawn by room and not the one with most of it: all gateways here would take the same one.
     int at = random.nextInt(all);
@@ -128,7 +131,7 @@
     throw new IllegalStateException("no link drawn");
   }
 
-  private FarLink kept(Kept why) {
+  private PeerLink kept(NotForwardedReason why) {
     kept[why.ordinal()]++;
     return null;
   }
@@ -148,13 +151,13 @@
   }
 
   /** Of the caller's time, what the far site may use: the way there and back is taken off. */
-  public long leftThere(FarLink link, long leftNanos) {
+  public long remoteTimeLeft(PeerLink link, long leftNanos) {
     return leftNanos - link.trip.nanos();
   }
 
   /** A call that was chosen a link is over. */
   public void onEnded(
-      long nowNanos, FarLink link, RequestClass type, Outcome outcome, long tookNanos) {
+      long nowNanos, PeerLink link, RequestClass type, Outcome outcome, long tookNanos) {
     long sentNanos = nowNanos - tookNanos;
     int flight = link.inFlight--;
     switch (outcome) {
@@ -168,7 +171,7 @@
     }
   }
 
-  private void served(long nowNanos, FarLink link, int of, long sentNanos, int flight) {
+  private void served(long nowNanos, PeerLink link, int of, long sentNanos, int flight) {
     long tookNanos = nowNanos - sentNanos;
     double bare = tookNanos / classDelay[of];
     // A class that may use a part of the window has used it when it has filled that part.
@@ -187,7 +190,7 @@
    */
   public void onAnswer(
       long nowNanos,
-      FarLink link,
+      PeerLink link,
       RequestClass type,
       long tookNanos,
       long farNanos,
@@ -195,62 +198,64 @@
       int room) {
     long far = Math.max(0, Math.min(tookNanos, farNanos));
     link.trip.sample(tookNanos - far);
-    link.onNews(nowNanos, room);
+    link.onRoomReport(nowNanos, room);
     if (!served) {
       return;
     }
     int of = index.get(type.name());
-    double before = link.farDelay[of];
-    link.farDelay[of] = before == 0 ? far : before + WEIGHT * (far - before);
+    double before = link.remoteDelay[of];
+    link.remoteDelay[of] = before == 0 ? far : before + WEIGHT * (far - before);
   }
 
   /** Something has come back over a link that the far site only returned. */
-  public void onRoundTrip(FarLink link, long nanos) {
+  public void onRoundTrip(PeerLink link, long nanos) {
     link.trip.sample(nanos);
   }
 
   /** The link can be used. */
-  public void onUp(long nowNanos, FarLink link) {
+  public void onUp(long nowNanos, PeerLink link) {
     link.onUp(nowNanos);
   }
 
   /** The link takes no more calls, though it did not break: another connection takes its place. */
-  public void onLeaving(FarLink link) {
+  public void onLeaving(PeerLink link) {
     link.onLeaving();
   }
 
   /** The link broke or could not be had; nanoseconds until it may be tried again. */
-  public long onBroken(long nowNanos, FarLink link) {
+  public long onBroken(long nowNanos, PeerLink link) {
     return link.onBroken(nowNanos, random.nextDouble());
   }
 
   /** An operator takes a link out, or puts it back: calls that are out finish. */
-  public void drain(FarLink link, boolean out) {
+  public void drain(PeerLink link, boolean out) {
     link.drained = out;
   }
 
   // ---- from other sites ----
 
   /** Judges the trail of a call that an authenticated peer brings. */
-  public Entry entry(String peer, CharSequence trailText) {
+  public TrailVerdict checkTrail(String peer, CharSequence trailText) {
     Trail trail = Trail.parse(trailText);
     if (trail == null) {
-      return Entry.GARBLED;
+      return TrailVerdict.GARBLED;
     }
-    if (!trail.last().equals(peer)) {
-      return Entry.FORGED;
+    if (!trail.lastSite().equals(peer)) {
+      return TrailVerdict.FORGED;
     }
     // Nobody sends on what came from another site, so a longer trail has gone astray.
-    return trail.sites().contains(site) || trail.sites().size() > 1 ? Entry.BOUNCED : Entry.GOOD;
+    return trail.sites().contains(site) || trail.sites().size() > 1
+        ? TrailVerdict.BOUNCED
+        : TrailVerdict.GOOD;
   }
 
-  /** Whether another site's call is taken; then {@link #onLentEnded} has to follow. */
-  public boolean lend(long nowNanos) {
+  /** Whether another site's call is taken; then {@link #onAdmittedEnd} has to follow. */
+  public boolean tryAdmit(long nowNanos) {
     return lending.take(nowNanos);
   }
 
   /** A call that was taken of another site is over. */
-  public void onLentEnded(long nowNanos, long takenNanos, RequestClass type, boolean served) {
+  public void onAdmittedEnd(long nowNanos, long takenNanos, RequestClass type, boolean served) {
     int of = index.get(type.name());
     long took = nowNanos - takenNanos;
     double ratio = served ? Math.max(1e-3, took / Math.max(1, strain.delay(of, took))) : 0;
@@ -263,12 +268,12 @@
   }
 
   /** This site's servers had no room for a call, of its own or of another site. */
-  public void onRefusedHere(long nowNanos, boolean own) {
+  public void onLocalRefusal(long nowNanos, boolean own) {
     lending.refused(nowNanos, own);
   }
 
   /** This site's servers have served a call. */
-  public void onServedHere(long nowNanos, RequestClass type, long tookNanos) {
+  public void onLocalAnswer(long nowNanos, RequestClass type, long tookNanos) {
     strain.served(nowNanos, index.get(type.name()), tookNanos);
   }
 
@@ -279,21 +284,21 @@
   }
 
   /** Calls that were kept, by why, since the start. */
-  public long kept(int ordinal) {
+  public long notForwarded(int ordinal) {
     return kept[ordinal];
   }
 
-  public boolean strained(long nowNanos) {
-    return strain.strained(nowNanos);
+  public boolean isCongested(long nowNanos) {
+    return strain.isCongested(nowNanos);
   }
 
   /** Calls of other sites that are being served. */
-  public int lent() {
+  public int admittedCalls() {
     return lending.lent();
   }
 
   /** How many of them there may be at a time, while nothing else forbids it. */
-  public int lendingWindow() {
+  public int admissionWindow() {
     return lending.size();
   }
 }
--- a/src/main/java/heathswitch/policy/gateway/Lending.java
+++ b/src/main/java/heathswitch/policy/gateway/PeerAdmission.java
@@ -4,30 +4,31 @@
 
 /**
  * What a site takes of others: as many calls at a time as a delay window allows that is cut when
- * the site turns anybody away, and none while it is strained or has just refused a call of its own.
+ * the site turns anybody away, and none while it is isCongested or has just refused a call of its
+ * own.
  */
-final class Lending {
+final class PeerAdmission {
   /**
    * After a call of its own was refused, nothing is taken for so long. At a quarter of it a site at
    * 97% of its servers, which refused seven of its own a second, lent in the gaps, and each call
    * that it took cost it one of its own.
    */
-  static final long HOLD_NANOS = 1_000_000_000L;
+  static final long REFUSAL_HOLD_NANOS = 1_000_000_000L;
 
   /** The window is cut once in so long. */
   private static final long CUT_NANOS = 250_000_000L;
 
   private final DelayWindow window = new DelayWindow();
-  private final Strain strain;
+  private final CongestionDetector strain;
   private int lent;
   private long refusedNanos = Long.MIN_VALUE / 2;
 
-  Lending(Strain strain) {
+  PeerAdmission(CongestionDetector strain) {
     this.strain = strain;
   }
 
   int room(long nowNanos) {
-    boolean closed = nowNanos - refusedNanos < HOLD_NANOS || strain.strained(nowNanos);
+    boolean closed = nowNanos - refusedNanos < REFUSAL_HOLD_NANOS || strain.isCongested(nowNanos);
     return closed ? 0 : Math.max(0, window.size() - lent);
   }
 
--- a/src/main/java/heathswitch/policy/gateway/FarLink.java
+++ b/src/main/java/heathswitch/policy/gateway/PeerLink.java
@@ -3,32 +3,32 @@
 import heathswitch.policy.core.DelayWindow;
 
 /** What a gateway knows of one gateway of another site. Its calls go through a delay window. */
-public final class FarLink {
+public final class PeerLink {
   /** First rest after a break; doubled with each further one. */
-  static final long REST_NANOS = 250_000_000L;
+  static final long BASE_BACKOFF_NANOS = 250_000_000L;
 
   /**
    * A link is kept out for no longer than this and a quarter of it, however often it broke: its
    * calls would be refused at home meanwhile.
    */
-  static final long MOST_REST_NANOS = 4_000_000_000L;
+  static final long MAX_BACKOFF_NANOS = 4_000_000_000L;
 
   /** One break is forgiven for each such time that the link stays up. */
-  static final long FORGIVEN_NANOS = 10_000_000_000L;
+  static final long FORGIVE_NANOS = 10_000_000_000L;
 
   private static final int MOST_BREAKS = 6;
 
   /** News of the far site's room that is older counts as none. */
-  static final long NEWS_NANOS = 1_000_000_000L;
+  static final long ROOM_REPORT_NANOS = 1_000_000_000L;
 
   static final int MOST_ROOM = 10_000;
 
   final String site;
   final DelayWindow window = new DelayWindow();
-  final RoundTrip trip = new RoundTrip();
+  final RoundTripEstimator trip = new RoundTripEstimator();
 
   /** What the far site itself takes at present, by class; 0 for not known. */
-  final double[] farDelay;
+  final double[] remoteDelay;
 
   boolean up;
   boolean drained;
@@ -40,9 +40,9 @@
   private long newsNanos;
   private boolean news;
 
-  FarLink(String site, int classes) {
+  PeerLink(String site, int classes) {
     this.site = site;
-    this.farDelay = new double[classes];
+    this.remoteDelay = new double[classes];
   }
 
   void onUp(long nowNanos) {
@@ -64,15 +64,15 @@
    * @return nanoseconds until it may be tried again
    */
   long onBroken(long nowNanos, double jitter) {
-    long forgiven = up ? (nowNanos - upSinceNanos) / FORGIVEN_NANOS : 0;
+    long forgiven = up ? (nowNanos - upSinceNanos) / FORGIVE_NANOS : 0;
     breaks = (int) Math.min(MOST_BREAKS, Math.max(0, breaks - forgiven) + 1);
     onLeaving();
     window.cut(nowNanos); // It returns by slow start.
-    long rest = Math.min(MOST_REST_NANOS, REST_NANOS << breaks - 1);
+    long rest = Math.min(MAX_BACKOFF_NANOS, BASE_BACKOFF_NANOS << breaks - 1);
     return (long) (rest * (0.75 + 0.5 * jitter));
   }
 
-  void onNews(long nowNanos, int said) {
+  void onRoomReport(long nowNanos, int said) {
     room = Math.max(0, Math.min(MOST_ROOM, said));
     newsNanos = nowNanos;
     sentSinceNews = 0;
@@ -86,7 +86,7 @@
 
   /** What the far site is believed to have room for, or null where there is no news. */
   Integer believed(long nowNanos) {
-    boolean fresh = news && nowNanos - newsNanos < NEWS_NANOS;
+    boolean fresh = news && nowNanos - newsNanos < ROOM_REPORT_NANOS;
     return fresh ? Math.max(0, room - sentSinceNews) : null;
   }
 
--- a/src/main/java/heathswitch/policy/gateway/RoundTrip.java
+++ b/src/main/java/heathswitch/policy/gateway/RoundTripEstimator.java
@@ -1,7 +1,7 @@
 package heathswitch.policy.gateway;
 
 /** What a link takes there and back, from what passes on it (RFC 6298, section 2). */
-final class RoundTrip {
+final class RoundTripEstimator {
   private static final double SMOOTH_WEIGHT = 1.0 / 8;
   private static final double VARIATION_WEIGHT = 1.0 / 4;
   private static final double VARIATIONS = 4;
--- a/src/main/java/heathswitch/policy/gateway/Trail.java
+++ b/src/main/java/heathswitch/policy/gateway/Trail.java
@@ -14,9 +14,9 @@
  */
 public record Trail(List<String> sites) {
   /** Characters of the whole header. */
-  public static final int MOST_LENGTH = 400;
+  public static final int MAX_LENGTH = 400;
 
-  public static final int MOST_SITES = 8;
+  public static final int MAX_SITES = 8;
 
   private static final int MOST_NAME = 32;
 
@@ -25,12 +25,12 @@
   }
 
   /** A call that leaves its own site. */
-  public static String from(String site) {
+  public static String headerFrom(String site) {
     return "1;" + site;
   }
 
   /** Whether a text may be a site's name. */
-  public static boolean isSite(String text) {
+  public static boolean isSiteName(String text) {
     return !text.isEmpty()
         && text.length() <= MOST_NAME
         && text.chars().allMatch(c -> c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-');
@@ -38,7 +38,7 @@
 
   /** Null for what is garbled, too long or of no version. */
   public static Trail parse(CharSequence text) {
-    if (text == null || text.length() > MOST_LENGTH) {
+    if (text == null || text.length() > MAX_LENGTH) {
       return null;
     }
     String[] fields = text.toString().split(";", -1);
@@ -47,14 +47,14 @@
     }
     List<String> sites = List.of(fields[1].split(",", -1));
     boolean good =
-        sites.size() <= MOST_SITES
-            && sites.stream().allMatch(Trail::isSite)
+        sites.size() <= MAX_SITES
+            && sites.stream().allMatch(Trail::isSiteName)
             && text.chars().allMatch(c -> c > ' ' && c < 127);
     return good ? new Trail(sites) : null;
   }
 
   /** The site that sent the call to this one. */
-  public String last() {
+  public String lastSite() {
     return sites.get(sites.size() - 1);
   }
 }
--- a/src/main/java/heathswitch/policy/grpc/Status.java
+++ b/src/main/java/heathswitch/policy/grpc/Status.java
@@ -44,7 +44,7 @@
   }
 
   /** The status of a trailer's text, or null for one that is none. */
-  public static Status of(CharSequence text) {
+  public static Status parse(CharSequence text) {
     if (text == null || text.length() == 0 || text.length() > 2) {
       return null;
     }
@@ -65,7 +65,7 @@
    *
    * @param code the HTTP status; 200 too, as one that served would have said so
    */
-  public static Status ofHttp(int code) {
+  public static Status fromHttpStatus(int code) {
     return switch (code) {
       case 400 -> INTERNAL;
       case 401 -> UNAUTHENTICATED;
@@ -80,7 +80,7 @@
    * What a stream that its server reset comes to (the errors of the protocol's page on HTTP/2; the
    * codes are those of RFC 9113, section 7).
    */
-  public static Status ofReset(long code) {
+  public static Status fromResetCode(long code) {
     return switch ((int) Math.min(Math.max(0, code), 0xff)) {
       case 0x5 -> UNKNOWN; // STREAM_CLOSED has no meaning of its own for a call.
       case 0x7 -> UNAVAILABLE;
--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -72,7 +72,7 @@
     try {
       balancer = new StandaloneNode(file, result.config());
     } catch (MembersWatcher.StartException
-        | SiteGateway.CannotStart
+        | SiteGateway.InvalidCertificateException
         | MaintenanceService.StartException
         | GossipService.StartException e) {
       err().println(file + ": " + e.getMessage());
@@ -108,7 +108,7 @@
     }
     report.lines().forEach(out()::println);
     GatewayTable gateway = result.config().gateway();
-    String unusable = gateway == null ? null : SiteGateway.fault(gateway);
+    String unusable = gateway == null ? null : SiteGateway.certificateFault(gateway);
     if (unusable != null) {
       out().println(unusable);
     }
--- a/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
+++ b/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
@@ -17,20 +17,20 @@
  * @param site this site's name, which its certificate has to carry
  * @param listen where gateways of other sites connect
  * @param keys null for plain text, which a configuration has to ask for
- * @param silenceNanos after which a link that answers no PING is broken
- * @param patienceNanos after which a call is given up whose peer sends or takes nothing
- * @param mostStreams calls of one peer's connection at a time
- * @param mostHeld bytes of other sites' calls that are held at a time
+ * @param silenceTimeoutNanos after which a link that answers no PING is broken
+ * @param stallTimeoutNanos after which a call is given up whose peer sends or takes nothing
+ * @param maxStreams calls of one peer's connection at a time
+ * @param maxBufferedBytes bytes of other sites' calls that are held at a time
  */
 public record GatewayTable(
     String site,
     InetSocketAddress listen,
     Keys keys,
-    List<FarSite> sites,
-    long silenceNanos,
-    long patienceNanos,
-    int mostStreams,
-    long mostHeld) {
+    List<PeerSite> sites,
+    long silenceTimeoutNanos,
+    long stallTimeoutNanos,
+    int maxStreams,
+    long maxBufferedBytes) {
 
   /**
    * What this gateway shows its peers, and whom it believes; all in PEM.
@@ -42,7 +42,7 @@
   public record Keys(Path certificate, Path key, Path authority) {}
 
   /** Another site and the addresses of its gateways. */
-  public record FarSite(String name, List<InetSocketAddress> gateways) {}
+  public record PeerSite(String name, List<InetSocketAddress> gateways) {}
 
   /** Reads and checks the table; null where there is none, and the gateway is off. */
   public static GatewayTable read(Document document) {
@@ -53,7 +53,7 @@
     String site = name(table, "site");
     InetSocketAddress listen = table.address("listen", true);
     Keys keys = keys(document, table);
-    List<FarSite> sites = new ArrayList<>();
+    List<PeerSite> sites = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
     for (Section section : table.tables("peer")) {
@@ -63,7 +63,7 @@
       } else if (name != null && !names.add(name)) {
         section.fault("site", "\"" + name + "\" stands twice; another site expected");
       }
-      sites.add(new FarSite(name, gateways(section, addresses)));
+      sites.add(new PeerSite(name, gateways(section, addresses)));
       section.end();
     }
     if (sites.isEmpty()) {
@@ -98,7 +98,7 @@
 
   private static String name(Section section, String key) {
     String name = section.text(key, null);
-    if (name != null && !Trail.isSite(name)) {
+    if (name != null && !Trail.isSiteName(name)) {
       section.fault(key, "is \"" + name + "\"; 1 to 32 of the characters a-z, 0-9 and - expected");
     }
     return name;
--- a/src/main/java/heathswitch/proxy/gateway/Identity.java
+++ b/src/main/java/heathswitch/proxy/gateway/Identity.java
@@ -37,10 +37,10 @@
   private static final String PEM_KEY = "PRIVATE KEY";
 
   /** A file that cannot be used; the message names it and what is wrong. */
-  static final class Unusable extends Exception {
+  static final class UnusableFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unusable(Path file, String why) {
+    UnusableFileException(Path file, String why) {
       super(file + ": " + why);
     }
   }
@@ -56,17 +56,17 @@
   }
 
   /** Reads the files and checks that they belong together and name the site. */
-  static Identity read(GatewayTable.Keys keys, String site) throws Unusable {
+  static Identity read(GatewayTable.Keys keys, String site) throws UnusableFileException {
     List<X509Certificate> chain = certificates(keys.certificate());
     List<X509Certificate> authority = certificates(keys.authority());
     X509Certificate own = chain.get(0);
     try {
       own.checkValidity();
     } catch (CertificateException e) {
-      throw new Unusable(keys.certificate(), "is not valid now: " + e.getMessage());
+      throw new UnusableFileException(keys.certificate(), "is not valid now: " + e.getMessage());
     }
     if (!sites(own).contains(site)) {
-      throw new Unusable(
+      throw new UnusableFileException(
           keys.certificate(), "names " + sites(own) + " and not the site \"" + site + '"');
     }
     PrivateKey key = key(keys.key(), own);
@@ -80,7 +80,7 @@
           common(client, believed).build(),
           own.getNotAfter());
     } catch (IOException e) {
-      throw new Unusable(keys.certificate(), "cannot be used: " + e.getMessage());
+      throw new UnusableFileException(keys.certificate(), "cannot be used: " + e.getMessage());
     }
   }
 
@@ -129,15 +129,15 @@
     return names;
   }
 
-  private static String text(Path file) throws Unusable {
+  private static String text(Path file) throws UnusableFileException {
     try {
       return BoundedFile.text(BoundedFile.read(file, MOST_BYTES));
     } catch (IOException e) {
-      throw new Unusable(file, String.valueOf(e.getMessage()));
+      throw new UnusableFileException(file, String.valueOf(e.getMessage()));
     }
   }
 
-  private static List<X509Certificate> certificates(Path file) throws Unusable {
+  private static List<X509Certificate> certificates(Path file) throws UnusableFileException {
     byte[] bytes = text(file).getBytes(StandardCharsets.US_ASCII);
     try {
       List<X509Certificate> certificates = new ArrayList<>();
@@ -146,21 +146,23 @@
         certificates.add((X509Certificate) each);
       }
       if (certificates.isEmpty()) {
-        throw new Unusable(file, "has no certificate");
+        throw new UnusableFileException(file, "has no certificate");
       }
       return certificates;
     } catch (CertificateException e) {
-      throw new Unusable(file, "is no certificate in PEM: " + e.getMessage());
+      throw new UnusableFileException(file, "is no certificate in PEM: " + e.getMessage());
     }
   }
 
   /** The key, if it is that of the certificate. */
-  private static PrivateKey key(Path file, X509Certificate certificate) throws Unusable {
+  private static PrivateKey key(Path file, X509Certificate certificate)
+      throws UnusableFileException {
     String text = text(file);
     int from = text.indexOf("-----BEGIN " + PEM_KEY + "-----");
     int to = text.indexOf("-----END " + PEM_KEY + "-----");
     if (from < 0 || to < from) {
-      throw new Unusable(file, "is no private key in PEM, as PKCS #8 without a password");
+      throw new UnusableFileException(
+          file, "is no private key in PEM, as PKCS #8 without a password");
     }
     try {
       String body = text.substring(text.indexOf('\n', from), to);
@@ -176,11 +178,12 @@
       signature.initVerify(certificate);
       signature.update(bytes);
       if (!signature.verify(signed)) {
-        throw new Unusable(file, "is not the key of the certificate");
+        throw new UnusableFileException(file, "is not the key of the certificate");
       }
       return key;
     } catch (GeneralSecurityException | IllegalArgumentException e) {
-      throw new Unusable(file, "is no key that fits the certificate: " + e.getMessage());
+      throw new UnusableFileException(
+          file, "is no key that fits the certificate: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/IdentityFiles.java
+++ b/src/main/java/heathswitch/proxy/gateway/IdentityFiles.java
@@ -79,7 +79,7 @@
       told = "";
       Log.info("gateway", "new certificate, valid until " + next.until().toInstant());
       taken.accept(next);
-    } catch (Identity.Unusable e) {
+    } catch (Identity.UnusableFileException e) {
       if (!told.equals(e.getMessage())) {
         told = String.valueOf(e.getMessage());
         Log.warn("gateway", "certificate left as it was: " + told);
--- a/src/main/java/heathswitch/proxy/gateway/InCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundCall.java
@@ -35,7 +35,7 @@
  * One call of another site: served by this site's own servers or refused at once, and never sent
  * on. Everything that its peer says is checked before anything is done for it.
  */
-final class InCall implements InboundConnection.Call, Caller, StreamedAnswerSink {
+final class InboundCall implements InboundConnection.Call, Caller, StreamedAnswerSink {
   /** A front gathers no longer body, so no peer sends one. */
   private static final int MOST_BODY_BYTES = 1 << 20;
 
@@ -46,8 +46,8 @@
   /** Of a long answer, bytes that wait for the peer before its server is told to wait. */
   private static final int MOST_UNSENT = 256 << 10;
 
-  private final Inward inward;
-  private final InLink link;
+  private final InboundLinks inward;
+  private final InboundLink link;
   private final int id;
   private final long begunNanos;
   private Http2Headers head;
@@ -69,7 +69,7 @@
 
   private long movedNanos;
 
-  InCall(Inward inward, InLink link, int id) {
+  InboundCall(InboundLinks inward, InboundLink link, int id) {
     this.inward = inward;
     this.link = link;
     this.id = id;
@@ -104,17 +104,17 @@
   private String fault(Http2Headers frame) {
     CharSequence text = frame.get(SiteHeaders.TRAIL);
     Trail trail = Trail.parse(text);
-    site = link.peer() != null ? link.peer() : trail == null ? "?" : trail.last();
+    site = link.peer() != null ? link.peer() : trail == null ? "?" : trail.lastSite();
     if (!inward.isPeer(site)) {
       site = "?"; // In plain text anybody can name any site.
       return "of no site expected";
     }
-    Gateway.Entry entry =
+    Gateway.TrailVerdict entry =
         frame.getAll(SiteHeaders.TRAIL).size() > 1
-            ? Gateway.Entry.GARBLED
-            : inward.gateway().entry(site, text);
+            ? Gateway.TrailVerdict.GARBLED
+            : inward.gateway().checkTrail(site, text);
     inward.counts(site).entered(entry);
-    if (entry != Gateway.Entry.GOOD) {
+    if (entry != Gateway.TrailVerdict.GOOD) {
       return "trail is " + entry.name().toLowerCase(Locale.ROOT);
     }
     CharSequence name = frame.get(AsciiString.of(HeaderRules.CLASS).toLowerCase());
@@ -184,7 +184,7 @@
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
-    lent = inward.gateway().lend(takenNanos);
+    lent = inward.gateway().tryAdmit(takenNanos);
     if (!lent) {
       answer(SiteHeaders.Result.REFUSED);
       return;
@@ -308,7 +308,7 @@
     answered = true;
     if (lent) {
       lent = false;
-      inward.gateway().onLentEnded(inward.now(), takenNanos, type, served);
+      inward.gateway().onAdmittedEnd(inward.now(), takenNanos, type, served);
     }
     if (body != null) {
       body.release();
--- a/src/main/java/heathswitch/proxy/gateway/InLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundLink.java
@@ -6,14 +6,14 @@
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One connection of a gateway of another site, with that site's calls on it. */
-final class InLink extends InboundConnection {
+final class InboundLink extends InboundConnection {
   /** Peers ask by PING several times a second; one that says nothing for so long has gone. */
   private static final long SILENT_NANOS = 10_000_000_000L;
 
   /** Looks at all calls within the time that a stuck one is given. */
   private static final int LOOKS = 8;
 
-  private final Inward inward;
+  private final InboundLinks inward;
 
   /** Whose certificate it brought, or null in plain text. */
   private final String peer;
@@ -21,11 +21,11 @@
   private long heardNanos;
   private long lookedNanos;
 
-  InLink(
+  InboundLink(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
-      Inward inward,
+      InboundLinks inward,
       String peer) {
     super(decoder, encoder, settings);
     this.inward = inward;
@@ -40,7 +40,7 @@
 
   @Override
   protected Call createCall(int id) {
-    return new InCall(inward, this, id);
+    return new InboundCall(inward, this, id);
   }
 
   @Override
@@ -52,9 +52,9 @@
   void tick(long now) {
     if (now - heardNanos > SILENT_NANOS) {
       context().channel().close();
-    } else if (now - lookedNanos > inward.patienceNanos() / LOOKS) {
+    } else if (now - lookedNanos > inward.stallTimeoutNanos() / LOOKS) {
       lookedNanos = now;
-      abortStalledCalls(now - inward.patienceNanos());
+      abortStalledCalls(now - inward.stallTimeoutNanos());
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/Inward.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundLinks.java
@@ -24,27 +24,28 @@
 import java.util.function.BiConsumer;
 
 /** Listens for the gateways of other sites; with it the links to them begin and end. */
-final class Inward implements ProtocolListener {
+final class InboundLinks implements ProtocolListener {
   private static final long TICK_MILLIS = 50;
   private static final int HANDSHAKE_MILLIS = 3000;
   private static final int MOST_CONNECTIONS = 256;
 
   private final GatewayTable table;
   private final Gateway gateway;
-  private final Outward outward;
+  private final OutboundLinks outward;
   private final EventLoop loop;
   private final Clock clock;
   private final ResourceBudget budget;
   private final Dispatcher dispatcher;
   private final UpstreamConnectionPool pool;
-  private final Map<String, PeerCounts> peers = new LinkedHashMap<>();
+  private final Map<String, PeerCounters> peers = new LinkedHashMap<>();
   private final Set<Channel> channels = new HashSet<>();
-  private final Set<InLink> links = new HashSet<>();
+  private final Set<InboundLink> links = new HashSet<>();
   private Channel listener;
   private long free;
   private boolean draining;
 
-  Inward(GatewayTable table, Gateway gateway, Outward outward, ProtocolListener.Context parts) {
+  InboundLinks(
+      GatewayTable table, Gateway gateway, OutboundLinks outward, ProtocolListener.Context parts) {
     this.table = table;
     this.gateway = gateway;
     this.outward = outward;
@@ -53,8 +54,8 @@
     budget = parts.budget();
     dispatcher = parts.dispatcher();
     pool = parts.pool();
-    free = table.mostHeld();
-    table.sites().forEach(site -> peers.put(site.name(), new PeerCounts()));
+    free = table.maxBufferedBytes();
+    table.sites().forEach(site -> peers.put(site.name(), new PeerCounters()));
   }
 
   @Override
@@ -92,7 +93,7 @@
         .pipeline()
         .addLast(
             tls,
-            new Verified(
+            new PeerSiteVerifier(
                 tls,
                 name -> {
                   boolean peer = isPeer(name);
@@ -104,13 +105,14 @@
   }
 
   private void letIn(Channel channel, String peer) {
-    InLink link =
+    InboundLink link =
         MultiplexedConnection.build(
             true,
-            table.mostStreams(),
+            table.maxStreams(),
             SiteHeaders.MOST_BYTES,
             SiteHeaders.CHANGING,
-            (decoder, encoder, settings) -> new InLink(decoder, encoder, settings, this, peer));
+            (decoder, encoder, settings) ->
+                new InboundLink(decoder, encoder, settings, this, peer));
     links.add(link);
     channel.closeFuture().addListener(closed -> links.remove(link));
     channel.pipeline().addLast(link);
@@ -131,8 +133,8 @@
   }
 
   /** For which a call waits for its peer. */
-  long patienceNanos() {
-    return table.patienceNanos();
+  long stallTimeoutNanos() {
+    return table.stallTimeoutNanos();
   }
 
   Gateway gateway() {
@@ -156,12 +158,12 @@
   }
 
   /** Of a peer; of somebody else they are kept nowhere. */
-  PeerCounts counts(String site) {
-    PeerCounts counts = peers.get(site);
-    return counts == null ? new PeerCounts() : counts;
+  PeerCounters counts(String site) {
+    PeerCounters counts = peers.get(site);
+    return counts == null ? new PeerCounters() : counts;
   }
 
-  void forEachPeer(BiConsumer<String, PeerCounts> each) {
+  void forEachPeer(BiConsumer<String, PeerCounters> each) {
     peers.forEach(each);
   }
 
@@ -178,7 +180,7 @@
 
   @Override
   public void startDraining() {
-    List.copyOf(links).forEach(InLink::closeGracefully);
+    List.copyOf(links).forEach(InboundLink::closeGracefully);
     draining = true;
   }
 
@@ -199,6 +201,6 @@
 
   @Override
   public void closeIdle() {
-    List.copyOf(links).forEach(InLink::closeIfIdle);
+    List.copyOf(links).forEach(InboundLink::closeIfIdle);
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/LinkCounts.java
+++ b/src/main/java/heathswitch/proxy/gateway/LinkCounters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** What became of the calls of a link since the start. */
-final class LinkCounts {
+final class LinkCounters {
   private long calls;
   private long served;
   private long refused;
--- a/src/main/java/heathswitch/proxy/gateway/OutCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundCall.java
@@ -29,16 +29,16 @@
  * One attempt at another site, as a stream of a link. It says truly whether the call may have run:
  * it cannot before its last byte was written, nor where the far site says that it refused it.
  */
-final class OutCall
+final class OutboundCall
     implements MultiplexedConnection.StreamHandler, Attempt.Exchange, StreamedAnswerSource {
   /** A longer answer goes on as it comes, as one of a server does. */
   private static final int GATHERED_BYTES = 64 << 10;
 
   private static final int MOST_COMPONENTS = 1024;
 
-  private final Outward outward;
-  private final Far far;
-  private final OutLink link;
+  private final OutboundLinks outward;
+  private final PeerGateway far;
+  private final OutboundLink link;
   private final RequestClass type;
   private final HttpPayload payload;
   private final long sentNanos;
@@ -57,10 +57,10 @@
   /** Bytes of the stream's window that are kept back while paused. */
   private int owed;
 
-  OutCall(
-      Outward outward,
-      Far far,
-      OutLink link,
+  OutboundCall(
+      OutboundLinks outward,
+      PeerGateway far,
+      OutboundLink link,
       Attempt attempt,
       RequestClass type,
       HttpPayload payload) {
@@ -94,7 +94,7 @@
   }
 
   private Http2Headers headers() {
-    long left = outward.gateway().leftThere(far.state, attempt.deadlineNanos() - sentNanos);
+    long left = outward.gateway().remoteTimeLeft(far.state, attempt.deadlineNanos() - sentNanos);
     Http2Headers headers =
         new DefaultHttp2Headers(false)
             .method(payload.method().asciiName())
@@ -109,7 +109,7 @@
       }
     }
     return headers
-        .set(SiteHeaders.TRAIL, Trail.from(outward.gateway().site()))
+        .set(SiteHeaders.TRAIL, Trail.headerFrom(outward.gateway().site()))
         .set(SiteHeaders.EFFECT, AsciiString.of(type.effect().name()).toLowerCase())
         .setLong(SiteHeaders.LEFT, Math.max(0, left / 1000));
   }
--- a/src/main/java/heathswitch/proxy/gateway/OutLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundLink.java
@@ -6,16 +6,16 @@
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One connection to a gateway of another site, with this site's calls on it. */
-final class OutLink extends MultiplexedConnection {
-  private final Far far;
+final class OutboundLink extends MultiplexedConnection {
+  private final PeerGateway far;
   private int streams;
   private boolean leaving;
 
-  OutLink(
+  OutboundLink(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
-      Far far) {
+      PeerGateway far) {
     super(decoder, encoder, settings);
     this.far = far;
   }
--- a/src/main/java/heathswitch/proxy/gateway/Outward.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundLinks.java
@@ -2,8 +2,8 @@
 
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
-import heathswitch.policy.gateway.FarLink;
 import heathswitch.policy.gateway.Gateway;
+import heathswitch.policy.gateway.PeerLink;
 import heathswitch.proxy.dispatch.OverflowRouter;
 import heathswitch.proxy.http1.HttpPayload;
 import heathswitch.proxy.node.ProtocolListener;
@@ -23,7 +23,7 @@
 import java.util.function.Consumer;
 
 /** The links to other sites, and the calls that go over them. */
-final class Outward implements OverflowRouter {
+final class OutboundLinks implements OverflowRouter {
   private static final int CONNECT_MILLIS = 1000;
 
   private final GatewayTable table;
@@ -31,12 +31,13 @@
   private final Clock clock;
   private final ResourceBudget budget;
   private final Bootstrap bootstrap;
-  private final Map<Upstream, Far> byPlace = new LinkedHashMap<>();
-  private final List<Far> all;
+  private final Map<Upstream, PeerGateway> byPlace = new LinkedHashMap<>();
+  private final List<PeerGateway> all;
   private Identity identity;
   private long lastTickNanos;
 
-  Outward(GatewayTable table, Gateway gateway, ProtocolListener.Context parts, Identity identity) {
+  OutboundLinks(
+      GatewayTable table, Gateway gateway, ProtocolListener.Context parts, Identity identity) {
     this.table = table;
     this.gateway = gateway;
     this.clock = parts.clock();
@@ -48,12 +49,13 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
-    for (GatewayTable.FarSite site : table.sites()) {
+    for (GatewayTable.PeerSite site : table.sites()) {
       site.gateways()
           .forEach(
               address -> {
                 // Below zero: the numbers above are of upstreams.
-                Far far = new Far(this, gateway.add(site.name()), address, -1 - byPlace.size());
+                PeerGateway far =
+                    new PeerGateway(this, gateway.add(site.name()), address, -1 - byPlace.size());
                 byPlace.put(far.place, far);
               });
     }
@@ -101,14 +103,14 @@
   /** From now on this is shown; links that have the earlier one are replaced. */
   void identity(Identity next) {
     identity = next;
-    all.forEach(Far::renew);
+    all.forEach(PeerGateway::renew);
   }
 
   void close() {
-    all.forEach(Far::close);
+    all.forEach(PeerGateway::close);
   }
 
-  void forEach(Consumer<Far> each) {
+  void forEach(Consumer<PeerGateway> each) {
     all.forEach(each);
   }
 
@@ -117,8 +119,8 @@
     if (!(payload instanceof HttpPayload http) || !http.isBodyComplete()) {
       return null; // What still comes can be sent to one place only.
     }
-    FarLink link = gateway.choose(now(), type, leftNanos, tries);
-    for (Far far : all) {
+    PeerLink link = gateway.choose(now(), type, leftNanos, tries);
+    for (PeerGateway far : all) {
       if (far.state == link) {
         return far.place;
       }
@@ -128,33 +130,33 @@
 
   @Override
   public boolean start(Attempt attempt, RequestClass type, Payload payload) {
-    Far far = byPlace.get(attempt.upstream());
-    OutLink link = far.link();
+    PeerGateway far = byPlace.get(attempt.upstream());
+    OutboundLink link = far.link();
     return link != null
-        && new OutCall(this, far, link, attempt, type, (HttpPayload) payload).begin();
+        && new OutboundCall(this, far, link, attempt, type, (HttpPayload) payload).begin();
   }
 
   @Override
   public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
-    Far far = byPlace.get(at);
+    PeerGateway far = byPlace.get(at);
     far.counts.ended(outcome);
     gateway.onEnded(now(), far.state, type, outcome, tookNanos);
   }
 
   @Override
   public void onLocalRefusal(boolean own) {
-    gateway.onRefusedHere(now(), own);
+    gateway.onLocalRefusal(now(), own);
   }
 
   @Override
   public void onLocalAnswer(RequestClass type, long tookNanos) {
-    gateway.onServedHere(now(), type, tookNanos);
+    gateway.onLocalAnswer(now(), type, tookNanos);
   }
 
   /** A link is taken out or put back; false if there is none of the name. */
   boolean drain(String name, boolean out) {
     boolean found = false;
-    for (Far far : all) {
+    for (PeerGateway far : all) {
       if (far.place.name.equals(name.replace('/', ' ')) || far.state.site().equals(name)) {
         gateway.drain(far.state, out);
         Log.info("gateway", far.place.name + (out ? " drained" : " in use again"));
--- a/src/main/java/heathswitch/proxy/gateway/PeerCounts.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerCounters.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /** What became of the calls of another site since the start. */
-final class PeerCounts {
-  private final long[] entries = new long[Gateway.Entry.values().length];
+final class PeerCounters {
+  private final long[] entries = new long[Gateway.TrailVerdict.values().length];
   private final long[] results = new long[SiteHeaders.Result.values().length];
 
-  void entered(Gateway.Entry entry) {
+  void entered(Gateway.TrailVerdict entry) {
     entries[entry.ordinal()]++;
   }
 
@@ -20,8 +20,8 @@
 
   Map<String, Object> json() {
     Map<String, Object> json = new LinkedHashMap<>();
-    for (Gateway.Entry entry : Gateway.Entry.values()) {
-      String name = entry == Gateway.Entry.GOOD ? "calls" : lower(entry);
+    for (Gateway.TrailVerdict entry : Gateway.TrailVerdict.values()) {
+      String name = entry == Gateway.TrailVerdict.GOOD ? "calls" : lower(entry);
       json.put(name, entries[entry.ordinal()]);
     }
     for (SiteHeaders.Result result : SiteHeaders.Result.values()) {
--- a/src/main/java/heathswitch/proxy/gateway/Far.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerGateway.java
@@ -1,6 +1,6 @@
 package heathswitch.proxy.gateway;
 
-import heathswitch.policy.gateway.FarLink;
+import heathswitch.policy.gateway.PeerLink;
 import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Channels;
 import heathswitch.proxy.runtime.Log;
@@ -15,7 +15,7 @@
  * One gateway of another site: connected as long as this one runs, asked by PING all the time, and
  * tried again after a break when the module says so.
  */
-final class Far {
+final class PeerGateway {
   /** Between two PINGs: they measure the way and show a link that is cut. */
   private static final long PING_NANOS = 200_000_000L;
 
@@ -24,22 +24,22 @@
 
   private static final int HANDSHAKE_MILLIS = 2500;
 
-  final FarLink state;
+  final PeerLink state;
   final InetSocketAddress address;
 
   /** How the dispatcher knows it. */
   final Upstream place;
 
-  final LinkCounts counts = new LinkCounts();
-  private final Outward outward;
-  private OutLink link;
+  final LinkCounters counts = new LinkCounters();
+  private final OutboundLinks outward;
+  private OutboundLink link;
   private Channel dialing;
   private long dialedNanos;
   private long nextDialNanos;
   private long pingNanos;
   private long heardNanos;
 
-  Far(Outward outward, FarLink state, InetSocketAddress address, long id) {
+  PeerGateway(OutboundLinks outward, PeerLink state, InetSocketAddress address, long id) {
     this.outward = outward;
     this.state = state;
     this.address = address;
@@ -48,7 +48,7 @@
   }
 
   /** The connection that takes calls, or null. */
-  OutLink link() {
+  OutboundLink link() {
     return link;
   }
 
@@ -60,7 +60,7 @@
   void tick(long now, long stalledNanos) {
     if (link != null) {
       heardNanos = Math.min(now, heardNanos + stalledNanos);
-      if (now - heardNanos > outward.table().silenceNanos()) {
+      if (now - heardNanos > outward.table().silenceTimeoutNanos()) {
         Log.warn("gateway", place.name + " says nothing: link given up");
         link.context().channel().close();
       } else if (now - pingNanos >= PING_NANOS) {
@@ -83,13 +83,13 @@
       return;
     }
     dialedNanos = now;
-    OutLink next =
+    OutboundLink next =
         MultiplexedConnection.build(
             false,
             0,
             SiteHeaders.MOST_BYTES,
             SiteHeaders.CHANGING,
-            (decoder, encoder, settings) -> new OutLink(decoder, encoder, settings, this));
+            (decoder, encoder, settings) -> new OutboundLink(decoder, encoder, settings, this));
     ChannelFuture connecting =
         outward
             .bootstrap()
@@ -118,7 +118,7 @@
         });
   }
 
-  private void begin(Channel channel, OutLink next) {
+  private void begin(Channel channel, OutboundLink next) {
     Identity identity = outward.identity();
     if (identity == null) {
       channel.pipeline().addLast(next);
@@ -130,7 +130,7 @@
         .pipeline()
         .addLast(
             tls,
-            new Verified(
+            new PeerSiteVerifier(
                 tls,
                 name -> {
                   boolean right = name.equals(state.site());
@@ -142,7 +142,7 @@
   }
 
   /** Its first SETTINGS have come. */
-  void ready(OutLink of) {
+  void ready(OutboundLink of) {
     if (dialing == null || of.context().channel() != dialing) {
       return;
     }
@@ -156,13 +156,13 @@
     of.writePing(now); // Calls go once the way is known.
   }
 
-  void heard(OutLink of) {
+  void heard(OutboundLink of) {
     if (of == link) {
       heardNanos = outward.now();
     }
   }
 
-  void returned(OutLink of, long sentNanos) {
+  void returned(OutboundLink of, long sentNanos) {
     if (of == link) {
       heardNanos = outward.now();
       outward.gateway().onRoundTrip(state, heardNanos - sentNanos);
@@ -170,7 +170,7 @@
   }
 
   /** It takes no more calls; another connection may. */
-  void leaving(OutLink of) {
+  void leaving(OutboundLink of) {
     if (of == link) {
       link = null;
       outward.gateway().onLeaving(state);
@@ -186,7 +186,7 @@
     }
   }
 
-  private void closed(Channel channel, OutLink of) {
+  private void closed(Channel channel, OutboundLink of) {
     boolean broke = of == link;
     if (!broke && channel != dialing) {
       return; // It was leaving.
--- a/src/main/java/heathswitch/proxy/gateway/Verified.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerSiteVerifier.java
@@ -13,7 +13,7 @@
  * Waits for the handshake and lets the peer in whose certificate names a site that is expected; the
  * connection of any other is closed. The library has checked the certificate itself by then.
  */
-final class Verified extends ChannelInboundHandlerAdapter {
+final class PeerSiteVerifier extends ChannelInboundHandlerAdapter {
   private final SslHandler tls;
   private final Predicate<String> letIn;
 
@@ -22,7 +22,7 @@
    *
    * @param letIn asked for each name of the peer until it takes one
    */
-  Verified(SslHandler tls, Predicate<String> letIn) {
+  PeerSiteVerifier(SslHandler tls, Predicate<String> letIn) {
     this.tls = tls;
     this.letIn = letIn;
   }
--- a/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
@@ -1,8 +1,8 @@
 package heathswitch.proxy.gateway;
 
 import heathswitch.policy.api.RequestClass;
-import heathswitch.policy.gateway.FarLink;
 import heathswitch.policy.gateway.Gateway;
+import heathswitch.policy.gateway.PeerLink;
 import heathswitch.proxy.admin.AdminServer;
 import heathswitch.proxy.node.Node;
 import heathswitch.proxy.node.ProtocolListener;
@@ -21,21 +21,21 @@
   private final Node node;
   private final Gateway gateway;
   private final IdentityFiles files;
-  private Outward outward;
-  private Inward inward;
+  private OutboundLinks outward;
+  private InboundLinks inward;
 
   /** The certificates cannot be used; the message names the file and the reason. */
-  public static final class CannotStart extends Exception {
+  public static final class InvalidCertificateException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    CannotStart(String message) {
+    InvalidCertificateException(String message) {
       super(message);
     }
   }
 
   /** Adds a gateway to a node that has not been started. */
   public SiteGateway(Node node, GatewayTable table, List<RequestClass> classes, long seed)
-      throws CannotStart {
+      throws InvalidCertificateException {
     this.node = node;
     gateway = new Gateway(table.site(), classes, seed);
     Identity identity = identity(table);
@@ -52,25 +52,25 @@
 
   private ProtocolListener front(
       ProtocolListener.Context parts, GatewayTable table, Identity identity) {
-    outward = new Outward(table, gateway, parts, identity);
-    inward = new Inward(table, gateway, outward, parts);
+    outward = new OutboundLinks(table, gateway, parts, identity);
+    inward = new InboundLinks(table, gateway, outward, parts);
     return inward;
   }
 
-  private static Identity identity(GatewayTable table) throws CannotStart {
+  private static Identity identity(GatewayTable table) throws InvalidCertificateException {
     try {
       return table.keys() == null ? null : Identity.read(table.keys(), table.site());
-    } catch (Identity.Unusable e) {
-      throw new CannotStart(e.getMessage());
+    } catch (Identity.UnusableFileException e) {
+      throw new InvalidCertificateException(e.getMessage());
     }
   }
 
   /** What is wrong with the certificates that a table names, or null. */
-  public static String fault(GatewayTable table) {
+  public static String certificateFault(GatewayTable table) {
     try {
       identity(table);
       return null;
-    } catch (CannotStart e) {
+    } catch (InvalidCertificateException e) {
       return e.getMessage();
     }
   }
@@ -111,8 +111,8 @@
     outward.forEach(far -> links.add(link(far, now)));
     status.put("links", links);
     Map<String, Object> kept = new LinkedHashMap<>();
-    for (Gateway.Kept why : Gateway.Kept.values()) {
-      kept.put(why.name().toLowerCase(Locale.ROOT), gateway.kept(why.ordinal()));
+    for (Gateway.NotForwardedReason why : Gateway.NotForwardedReason.values()) {
+      kept.put(why.name().toLowerCase(Locale.ROOT), gateway.notForwarded(why.ordinal()));
     }
     status.put("kept", kept);
     Map<String, Object> from = new LinkedHashMap<>();
@@ -120,15 +120,15 @@
     status.put("from", from);
     Map<String, Object> lending = new LinkedHashMap<>();
     lending.put("room", gateway.room(now));
-    lending.put("lent", gateway.lent());
-    lending.put("window", gateway.lendingWindow());
-    lending.put("strained", gateway.strained(now));
+    lending.put("lent", gateway.admittedCalls());
+    lending.put("window", gateway.admissionWindow());
+    lending.put("strained", gateway.isCongested(now));
     status.put("lending", lending);
     return status;
   }
 
-  private static Map<String, Object> link(Far far, long now) {
-    FarLink.View view = far.state.view(now);
+  private static Map<String, Object> link(PeerGateway far, long now) {
+    PeerLink.View view = far.state.view(now);
     Map<String, Object> link = new LinkedHashMap<>();
     link.put("link", far.place.name);
     link.put("state", view.drained() ? "drained" : far.linkState(now));
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import heathswitch.policy.api.RequestProtocol;
-import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.BufferingMode;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.InboundConnection;
 import heathswitch.proxy.http2.MultiplexedConnection;
@@ -111,7 +111,7 @@
     deadlineNanos = server.clock().nowNanos() + ttl;
     messages = new Messages(table.mostMessage());
     kept = new Gathered(server.held(), mostKept(table));
-    if (ended || method.mode() == Gathering.STREAM) {
+    if (ended || method.mode() == BufferingMode.STREAM) {
       dispatch();
     } else {
       server.patience().watch(this);
@@ -123,7 +123,7 @@
    * and the last frame before the call went on.
    */
   private int mostKept(GrpcTable table) {
-    return method.mode() == Gathering.UNARY
+    return method.mode() == BufferingMode.UNARY
         ? table.mostMessage() + Messages.PREFIX
         : table.gathered() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
   }
@@ -147,7 +147,7 @@
     if (!kept.add(data)) {
       giveUp(Status.RESOURCE_EXHAUSTED, kept.full() ? tooMuch() : server.held().words());
     } else if (last
-        || method.mode().passesOn(messages.begun(), kept.size(), server.table().gathered())) {
+        || method.mode().shouldForward(messages.begun(), kept.size(), server.table().gathered())) {
       dispatch();
     }
     return bytes;
@@ -165,7 +165,7 @@
     if (dispatched || answered) {
       return;
     }
-    if (method.mode().passesOnLate()) {
+    if (method.mode().forwardsAfterTimeout()) {
       dispatch();
     } else {
       watchDeadline();
@@ -230,7 +230,7 @@
     return kept;
   }
 
-  Gathering mode() {
+  BufferingMode mode() {
     return method.mode();
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.grpc;
 
 import heathswitch.policy.api.Outcome;
-import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.BufferingMode;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Log;
@@ -138,12 +138,12 @@
     } else {
       headers = frame;
       messages = new Messages(server.table().mostMessage());
-      Gathering mode = call.mode();
-      if (mode == Gathering.STREAM || mode == Gathering.AUTO && !call.whole()) {
+      BufferingMode mode = call.mode();
+      if (mode == BufferingMode.STREAM || mode == BufferingMode.AUTO && !call.whole()) {
         passOn();
       } else {
         gathered = new Gathered(server.held(), server.table().mostMessage() + Messages.PREFIX);
-        if (mode == Gathering.AUTO) {
+        if (mode == BufferingMode.AUTO) {
           server.patience().watch(this);
         }
       }
@@ -166,7 +166,8 @@
       foreign(headers, "no trailers");
     } else if (passing) {
       return passData(data);
-    } else if (call.mode().passesOn(messages.begun(), gathered.size(), server.table().gathered())) {
+    } else if (call.mode()
+        .shouldForward(messages.begun(), gathered.size(), server.table().gathered())) {
       passOn();
     }
     return bytes;
@@ -191,7 +192,7 @@
   /** It has been held back for long enough: what there is goes on, and the rest as it comes. */
   @Override
   public void late() {
-    if (!ended && headers != null && !passing && call.mode().passesOnLate()) {
+    if (!ended && headers != null && !passing && call.mode().forwardsAfterTimeout()) {
       passOn();
     }
   }
@@ -215,7 +216,7 @@
   }
 
   private void trailers(Http2Headers frame) {
-    Status status = Status.of(frame.get(GrpcHeaders.STATUS));
+    Status status = Status.parse(frame.get(GrpcHeaders.STATUS));
     boolean neverRan = headers == null && frame.contains(GrpcHeaders.NOT_RUN);
     Outcome outcome = Status.outcome(status, neverRan);
     if (status == null) {
@@ -272,7 +273,7 @@
    */
   private void foreign(Http2Headers head, String why) {
     CharSequence code = head.status();
-    Status status = Status.ofHttp(code == null || code.length() != 3 ? 0 : number(code));
+    Status status = Status.fromHttpStatus(code == null || code.length() != 3 ? 0 : number(code));
     boolean notRun = headers == null && head.contains(GrpcHeaders.NOT_RUN);
     String server = upstream().name;
     Log.warn("foreign gRPC answer", server + ": " + why, "server", server, "reason", why);
@@ -302,7 +303,7 @@
       broken(refused ? Outcome.REFUSED : Outcome.RESET);
       return;
     }
-    Status status = Status.ofReset(code);
+    Status status = Status.fromResetCode(code);
     Http2Headers trailers = GrpcHeaders.trailersOnly(status, "the server reset the call: " + code);
     end(Outcome.RESET, new GrpcAnswer(null, null, trailers));
   }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.grpc;
 
 import heathswitch.policy.api.RequestClass;
-import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.BufferingMode;
 import heathswitch.proxy.config.Section;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -41,7 +41,7 @@
    * @param path {@code /service/method}, {@code /service/*} or {@code *} for the default
    * @param mode how it is told whether it is one message or a stream
    */
-  public record Method(String path, RequestClass type, String tenant, Gathering mode) {}
+  public record Method(String path, RequestClass type, String tenant, BufferingMode mode) {}
 
   /** Reads and checks the table; null where there is none, and the listener is off. */
   public static GrpcTable read(Section root, List<RequestClass> classes) {
@@ -71,7 +71,7 @@
             "path", "is \"" + path + "\"; \"/service/method\", \"/service/*\" or \"*\" expected");
       }
       String tenant = section.optionalText("tenant");
-      Gathering mode = section.choice("mode", Gathering.AUTO, Gathering.class);
+      BufferingMode mode = section.choice("mode", BufferingMode.AUTO, BufferingMode.class);
       if (fits && methods.containsKey(path)) {
         section.fault("path", "\"" + path + "\" stands twice; another one expected");
       }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -44,7 +44,7 @@
   /** Reads the members; fails where there is no list to serve with, or no certificate. */
   public StandaloneNode(Path path, StandaloneConfig config)
       throws MembersWatcher.StartException,
-          SiteGateway.CannotStart,
+          SiteGateway.InvalidCertificateException,
           MaintenanceService.StartException,
           GossipService.StartException {
     this.path = path;
--- a/src/test/java/heathswitch/policy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/policy/gateway/GatewayTest.java
@@ -7,7 +7,7 @@
 
 import heathswitch.policy.api.Outcome;
 import heathswitch.policy.api.RequestClass;
-import heathswitch.policy.gateway.Gateway.Kept;
+import heathswitch.policy.gateway.Gateway.NotForwardedReason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -30,8 +30,8 @@
         name, effect, RequestClass.Group.ALL, 500 * MS, 2 * SECOND, 0, worth, 0, false);
   }
 
-  private FarLink link(String site, long tripMillis) {
-    FarLink link = gateway.add(site);
+  private PeerLink link(String site, long tripMillis) {
+    PeerLink link = gateway.add(site);
     gateway.onUp(now, link);
     for (int i = 0; i < 20; i++) {
       gateway.onRoundTrip(link, tripMillis * MS);
@@ -39,43 +39,43 @@
     return link;
   }
 
-  private FarLink choose() {
+  private PeerLink choose() {
     return gateway.choose(now, VIEW, 2 * SECOND, 0);
   }
 
-  private void served(FarLink link, long tookMillis, long farMillis, int room) {
+  private void served(PeerLink link, long tookMillis, long farMillis, int room) {
     gateway.onAnswer(now, link, VIEW, tookMillis * MS, farMillis * MS, true, room);
     gateway.onEnded(now, link, VIEW, Outcome.OK, tookMillis * MS);
   }
 
-  private long kept(Kept why) {
-    return gateway.kept(why.ordinal());
+  private long kept(NotForwardedReason why) {
+    return gateway.notForwarded(why.ordinal());
   }
 
   @Test
   void nothingGoesOverALinkThatIsNotThereOrNotMeasured() {
-    FarLink link = gateway.add("bangkok");
+    PeerLink link = gateway.add("bangkok");
     assertNull(choose());
     gateway.onUp(now, link);
     assertNull(choose());
-    assertEquals(2, kept(Kept.NO_LINK));
+    assertEquals(2, kept(NotForwardedReason.NO_LINK));
     gateway.onRoundTrip(link, 15 * MS);
     assertEquals(link, choose());
   }
 
   @Test
   void theWayAndTheFarDelayComeOffTheTimeLeft() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     served(choose(), 215, 200, 10);
     assertNull(gateway.choose(now, VIEW, 210 * MS, 0));
-    assertEquals(1, kept(Kept.NO_TIME));
+    assertEquals(1, kept(NotForwardedReason.NO_TIME));
     assertNotNull(gateway.choose(now, VIEW, 400 * MS, 0));
-    assertEquals(385 * MS, gateway.leftThere(link, 400 * MS), MS);
+    assertEquals(385 * MS, gateway.remoteTimeLeft(link, 400 * MS), MS);
   }
 
   @Test
   void howLongARefusalTakesSaysNothing() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     served(choose(), 215, 200, 10);
     for (int i = 0; i < 50; i++) {
       gateway.onAnswer(now, link, VIEW, 16 * MS, MS, false, 10);
@@ -86,8 +86,8 @@
   /** Without any loss: the way alone leaves too little, and the other link is taken. */
   @Test
   void aDelayThatRisesTenfoldClosesALinkForShortCalls() {
-    FarLink slow = link("bangkok", 15);
-    FarLink good = link("udon", 15);
+    PeerLink slow = link("bangkok", 15);
+    PeerLink good = link("udon", 15);
     for (int i = 0; i < 40; i++) {
       gateway.onRoundTrip(slow, 150 * MS);
     }
@@ -100,13 +100,13 @@
   /** One that ranked would send all calls of this second, of all gateways here, to one link. */
   @Test
   void linksAreDrawnByTheirRoom() {
-    FarLink wide = link("bangkok", 15);
-    FarLink narrow = link("udon", 15);
+    PeerLink wide = link("bangkok", 15);
+    PeerLink narrow = link("udon", 15);
     int[] counts = new int[2];
     for (int i = 0; i < 2000; i++) {
-      wide.onNews(now, 15);
-      narrow.onNews(now, 5);
-      FarLink drawn = choose();
+      wide.onRoomReport(now, 15);
+      narrow.onRoomReport(now, 5);
+      PeerLink drawn = choose();
       counts[drawn == wide ? 0 : 1]++;
       gateway.onEnded(now, drawn, VIEW, Outcome.CANCELLED, 0);
     }
@@ -115,20 +115,20 @@
 
   @Test
   void newsOfRoomHoldsForASecond() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     gateway.onAnswer(now, link, VIEW, 60 * MS, 40 * MS, true, 2);
     assertNotNull(choose());
     assertNotNull(choose());
     assertNull(choose());
-    assertEquals(1, kept(Kept.NO_ROOM));
-    now += FarLink.NEWS_NANOS;
+    assertEquals(1, kept(NotForwardedReason.NO_ROOM));
+    now += PeerLink.ROOM_REPORT_NANOS;
     assertNotNull(choose());
   }
 
   /** What it says beyond its window changes nothing, and what it says of its time is bounded. */
   @Test
   void aPeerThatLiesGainsNothing() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     gateway.onAnswer(now, link, VIEW, 60 * MS, Long.MAX_VALUE, true, Integer.MAX_VALUE);
     gateway.onAnswer(now, link, VIEW, 60 * MS, -5, true, Integer.MIN_VALUE);
     gateway.onAnswer(now, link, VIEW, 60 * MS, 45 * MS, true, Integer.MAX_VALUE);
@@ -137,8 +137,8 @@
       sent++;
     }
     assertTrue(sent <= link.window.size(), "sent " + sent);
-    assertTrue(gateway.leftThere(link, SECOND) <= SECOND);
-    assertTrue(gateway.leftThere(link, SECOND) > 900 * MS);
+    assertTrue(gateway.remoteTimeLeft(link, SECOND) <= SECOND);
+    assertTrue(gateway.remoteTimeLeft(link, SECOND) > 900 * MS);
   }
 
   /** The last half of a window is for what is worth more. */
@@ -158,7 +158,7 @@
 
   @Test
   void aRefusalCutsTheWindowOnceAFlight() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     for (int i = 0; i < 10; i++) {
       choose();
     }
@@ -172,9 +172,10 @@
 
   @Test
   void aLinkThatBrokeReturnsBySlowStart() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     long rest = gateway.onBroken(now, link);
-    assertTrue(rest >= 0.75 * FarLink.REST_NANOS && rest <= 1.25 * FarLink.REST_NANOS);
+    assertTrue(
+        rest >= 0.75 * PeerLink.BASE_BACKOFF_NANOS && rest <= 1.25 * PeerLink.BASE_BACKOFF_NANOS);
     assertNull(choose());
     now += rest;
     gateway.onUp(now, link);
@@ -195,7 +196,7 @@
   /** However often a link flaps, a good one is not kept out for longer than the bound. */
   @Test
   void aLinkThatFlapsIsDampedWithABound() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     long before = 0;
     long longest = 0;
     for (int i = 0; i < 50; i++) {
@@ -209,14 +210,14 @@
       gateway.onUp(now, link);
       now += 20 * MS;
     }
-    assertTrue(longest <= 1.25 * FarLink.MOST_REST_NANOS, "longest " + longest);
-    now += 6 * FarLink.FORGIVEN_NANOS;
-    assertTrue(gateway.onBroken(now, link) <= 1.25 * FarLink.REST_NANOS, "forgiven");
+    assertTrue(longest <= 1.25 * PeerLink.MAX_BACKOFF_NANOS, "longest " + longest);
+    now += 6 * PeerLink.FORGIVE_NANOS;
+    assertTrue(gateway.onBroken(now, link) <= 1.25 * PeerLink.BASE_BACKOFF_NANOS, "forgiven");
   }
 
   @Test
   void aDrainedLinkGetsNothingAndIsPutBack() {
-    FarLink link = link("bangkok", 15);
+    PeerLink link = link("bangkok", 15);
     gateway.drain(link, true);
     assertNull(choose());
     gateway.drain(link, false);
@@ -228,7 +229,7 @@
     link("bangkok", 15);
     assertNotNull(gateway.choose(now, VIEW, SECOND, 1));
     assertNull(gateway.choose(now, VIEW, SECOND, 2));
-    assertEquals(1, kept(Kept.TRIED));
+    assertEquals(1, kept(NotForwardedReason.TRIED));
   }
 
   /** Two sites' clocks are never compared: a far site with any clock at all is the same. */
@@ -239,16 +240,16 @@
             .mapToObj(
                 run -> {
                   Gateway each = new Gateway("hat-yai", CLASSES, 3);
-                  List<FarLink> links = List.of(each.add("a"), each.add("b"), each.add("c"));
+                  List<PeerLink> links = List.of(each.add("a"), each.add("b"), each.add("c"));
                   List<String> drawn = new ArrayList<>();
                   long at = run * 1_000_000 * SECOND; // Its readings' start is of no matter.
-                  for (FarLink link : links) {
+                  for (PeerLink link : links) {
                     each.onUp(at, link);
                     each.onRoundTrip(link, 15 * MS);
                   }
                   for (int i = 0; i < 200; i++) {
                     at += 3 * MS;
-                    FarLink link = each.choose(at, VIEW, SECOND, 0);
+                    PeerLink link = each.choose(at, VIEW, SECOND, 0);
                     drawn.add(link == null ? "-" : link.site());
                     if (link != null) {
                       each.onAnswer(at, link, VIEW, 20 * MS, 5 * MS, true, 9);
--- a/src/test/java/heathswitch/policy/gateway/LendingTest.java
+++ b/src/test/java/heathswitch/policy/gateway/PeerAdmissionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a site takes of others, in virtual time. */
-class LendingTest {
+class PeerAdmissionTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
 
@@ -17,7 +17,7 @@
 
   private int takeAll() {
     int taken = 0;
-    while (gateway.lend(now)) {
+    while (gateway.tryAdmit(now)) {
       taken++;
     }
     return taken;
@@ -25,14 +25,14 @@
 
   private void end(int count, long tookMillis, boolean served) {
     for (int i = 0; i < count; i++) {
-      gateway.onLentEnded(now, now - tookMillis * MS, GatewayTest.VIEW, served);
+      gateway.onAdmittedEnd(now, now - tookMillis * MS, GatewayTest.VIEW, served);
     }
   }
 
   private void servedHere(int count, double meanMillis, SplittableRandom random) {
     for (int i = 0; i < count; i++) {
       double millis = random == null ? meanMillis : -meanMillis * Math.log(1 - random.nextDouble());
-      gateway.onServedHere(now, GatewayTest.VIEW, (long) (millis * MS));
+      gateway.onLocalAnswer(now, GatewayTest.VIEW, (long) (millis * MS));
       now += 5 * MS;
     }
   }
@@ -43,24 +43,24 @@
     assertTrue(taken > 0 && taken < 100, "taken " + taken);
     assertEquals(0, gateway.room(now));
     end(taken, 40, true);
-    assertEquals(0, gateway.lent());
+    assertEquals(0, gateway.admittedCalls());
     assertTrue(gateway.room(now) >= taken);
   }
 
   /** Its own callers come first: one of them turned away, and nothing is taken for a while. */
   @Test
   void afterARefusalOfItsOwnNothingIsTaken() {
-    gateway.onRefusedHere(now, true);
+    gateway.onLocalRefusal(now, true);
     assertEquals(0, gateway.room(now));
-    assertFalse(gateway.lend(now));
-    now += Lending.HOLD_NANOS;
+    assertFalse(gateway.tryAdmit(now));
+    now += PeerAdmission.REFUSAL_HOLD_NANOS;
     assertEquals(1, gateway.room(now), "and then one by one");
     assertEquals(1, takeAll());
   }
 
   @Test
   void aRefusalOfAnotherSitesCallCutsTheWindowAlone() {
-    gateway.onRefusedHere(now, false);
+    gateway.onLocalRefusal(now, false);
     assertEquals(1, gateway.room(now));
   }
 
@@ -68,13 +68,13 @@
   @Test
   void aStrainedSiteTakesNothing() {
     servedHere(300, 40, null);
-    assertFalse(gateway.strained(now));
+    assertFalse(gateway.isCongested(now));
     assertTrue(gateway.room(now) > 0);
     servedHere(200, 90, null);
-    assertTrue(gateway.strained(now));
+    assertTrue(gateway.isCongested(now));
     assertEquals(0, gateway.room(now));
     servedHere(2000, 42, null);
-    assertFalse(gateway.strained(now));
+    assertFalse(gateway.isCongested(now));
   }
 
   /** A site near full looks at ease in each lull; what it takes in the long run shows it. */
@@ -85,7 +85,7 @@
       servedHere(150, 75, null);
       servedHere(60, 45, null);
     }
-    assertTrue(gateway.strained(now));
+    assertTrue(gateway.isCongested(now));
     assertEquals(0, gateway.room(now));
   }
 
@@ -94,20 +94,20 @@
   void chanceIsNoStrain() {
     SplittableRandom random = new SplittableRandom(5);
     servedHere(1000, 40, random);
-    int strained = 0;
+    int isCongested = 0;
     for (int i = 0; i < 20_000; i++) {
       servedHere(1, 40, random);
-      strained += gateway.strained(now) ? 1 : 0;
+      isCongested += gateway.isCongested(now) ? 1 : 0;
     }
-    assertTrue(strained < 400, "strained " + strained + " of 20,000 looks");
+    assertTrue(isCongested < 400, "strained " + isCongested + " of 20,000 looks");
   }
 
   @Test
   void whatHasNotBeenSeenOfLateSaysNothing() {
     servedHere(300, 40, null);
     servedHere(300, 100, null);
-    assertTrue(gateway.strained(now));
+    assertTrue(gateway.isCongested(now));
     now += 3 * SECOND;
-    assertFalse(gateway.strained(now));
+    assertFalse(gateway.isCongested(now));
   }
 }
--- a/src/test/java/heathswitch/policy/gateway/TrailTest.java
+++ b/src/test/java/heathswitch/policy/gateway/TrailTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import heathswitch.policy.gateway.Gateway.Entry;
+import heathswitch.policy.gateway.Gateway.TrailVerdict;
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
@@ -18,14 +18,14 @@
 
   @Test
   void whatOneGatewayWritesAnotherReads() {
-    assertEquals(List.of("hat-yai"), Trail.parse(Trail.from("hat-yai")).sites());
+    assertEquals(List.of("hat-yai"), Trail.parse(Trail.headerFrom("hat-yai")).sites());
   }
 
   /** A later version adds fields and keeps those before them. */
   @Test
   void aLaterVersionIsRead() {
     assertEquals(List.of("a", "b"), Trail.parse("2;a,b;hops=2;x").sites());
-    assertEquals(Entry.GOOD, gateway.entry("hat-yai", "17;hat-yai;anything"));
+    assertEquals(TrailVerdict.GOOD, gateway.checkTrail("hat-yai", "17;hat-yai;anything"));
   }
 
   @ParameterizedTest
@@ -53,13 +53,13 @@
       })
   void whatIsGarbledIsNoTrail(String text) {
     assertNull(Trail.parse(text));
-    assertEquals(Entry.GARBLED, gateway.entry("hat-yai", text));
+    assertEquals(TrailVerdict.GARBLED, gateway.checkTrail("hat-yai", text));
   }
 
   @Test
   void whatIsTooLongIsNoTrail() {
     String later =
-        IntStream.range(0, Trail.MOST_LENGTH).mapToObj(i -> "x").collect(Collectors.joining());
+        IntStream.range(0, Trail.MAX_LENGTH).mapToObj(i -> "x").collect(Collectors.joining());
     assertNull(Trail.parse("2;hat-yai;" + later));
     assertNull(Trail.parse(null));
   }
@@ -73,7 +73,7 @@
     "hat-yai, '1;bangkok,hat-yai', BOUNCED",
     "bangkok, 1;bangkok, BOUNCED"
   })
-  void aTrailIsJudgedByWhoBringsIt(String peer, String text, Entry expected) {
-    assertEquals(expected, gateway.entry(peer, text));
+  void aTrailIsJudgedByWhoBringsIt(String peer, String text, TrailVerdict expected) {
+    assertEquals(expected, gateway.checkTrail(peer, text));
   }
 }
--- a/src/test/java/heathswitch/policy/grpc/GatheringTest.java
+++ b/src/test/java/heathswitch/policy/grpc/BufferingModeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class GatheringTest {
+class BufferingModeTest {
   private static final long MOST = 1000;
 
   @ParameterizedTest
@@ -16,14 +16,14 @@
     "UNARY,1,5000,false", "UNARY,7,5000,false", "STREAM,0,0,true", "STREAM,1,1,true"
   })
   void itGoesOnAsSoonAsItShowsThatItIsAStream(
-      Gathering mode, long messages, long bytes, boolean on) {
-    assertEquals(on, mode.passesOn(messages, bytes, MOST));
+      BufferingMode mode, long messages, long bytes, boolean on) {
+    assertEquals(on, mode.shouldForward(messages, bytes, MOST));
   }
 
   @ParameterizedTest
   @CsvSource({"AUTO", "STREAM"})
-  void whatHasNotEndedInTimeGoesOn(Gathering mode) {
-    assertTrue(mode.passesOnLate());
-    assertFalse(Gathering.UNARY.passesOnLate());
+  void whatHasNotEndedInTimeGoesOn(BufferingMode mode) {
+    assertTrue(mode.forwardsAfterTimeout());
+    assertFalse(BufferingMode.UNARY.forwardsAfterTimeout());
   }
 }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -48,7 +48,7 @@
     assertEquals(List.of(), document.faults());
     assertEquals("hat-yai", table.site());
     assertNull(table.keys());
-    assertEquals(1_000_000_000L, table.silenceNanos());
+    assertEquals(1_000_000_000L, table.silenceTimeoutNanos());
     assertEquals(2, table.sites().get(0).gateways().size());
     assertNull(GatewayTable.read(read("")));
   }
@@ -96,7 +96,7 @@
     try {
       Identity.read(keys, site);
       return null;
-    } catch (Identity.Unusable e) {
+    } catch (Identity.UnusableFileException e) {
       return e.getMessage().replace(folder + "/", "");
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
@@ -267,14 +267,14 @@
   @Test
   void aLongAnswerGoesOnAsItComes() throws Exception {
     try (SitesFixture sites = new SitesFixture().site("hat-yai", 1, 1, 3000);
-        LongServer far = new LongServer(3 << 20)) {
+        LongResponseServer far = new LongResponseServer(3 << 20)) {
       sites.site("bangkok", 0, 1, 1);
       sites.site("bangkok").line(far.line("long-1"));
       sites.linked(false);
       SitesFixture.Site home = sites.site("hat-yai");
       OpenLoop busy = home.load(20, 5000, PUBLISH);
       Await.until("home is full", () -> home.sum("bangkok", "calls") > 0);
-      assertEquals(3 << 20, LongServer.ask(home.node.node().address(), "view", "GET"));
+      assertEquals(3 << 20, LongResponseServer.ask(home.node.node().address(), "view", "GET"));
       busy.stop();
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/PeerTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/InboundCallTest.java
@@ -31,7 +31,7 @@
 
 /** What a gateway makes of what a peer says, and of a client that speaks as if it were one. */
 @Timeout(60)
-class PeerTest {
+class InboundCallTest {
   private SitesFixture sites;
 
   @BeforeEach
@@ -202,7 +202,7 @@
 
   @Test
   void anAnswerThatIsNotTakenIsGivenUpAndItsLinkStays() throws Exception {
-    try (LongServer server = new LongServer(4 << 20);
+    try (LongResponseServer server = new LongResponseServer(4 << 20);
         SitesFixture own = new SitesFixture().site("hat-yai", 1, 4, 5).site("bangkok", 0, 4, 5)) {
       own.site("bangkok").line(server.line("long"));
       own.with("patience = \"500ms\"").linked(false);
--- a/src/test/java/heathswitch/proxy/gateway/LongServer.java
+++ b/src/test/java/heathswitch/proxy/gateway/LongResponseServer.java
@@ -9,13 +9,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** A server of one long answer, over HTTP/1.1, each time on a connection of its own. */
-final class LongServer implements AutoCloseable {
+final class LongResponseServer implements AutoCloseable {
   private static final int PIECE = 16 << 10;
 
   private final ServerSocket listener;
   private final int bytes;
 
-  LongServer(int bytes) throws Exception {
+  LongResponseServer(int bytes) throws Exception {
     this.bytes = bytes;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread thread = new Thread(this::serve, "long-server");
--- a/src/test/java/heathswitch/proxy/gateway/TrustTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
@@ -26,7 +26,7 @@
 
 /** Who is let in, and what becomes of links when certificates are replaced. */
 @Timeout(120)
-class TrustTest {
+class MutualTlsTest {
   private static SSLContext client(Path folder, String file, Path authority) throws Exception {
     return ((JdkSslContext)
             SslContextBuilder.forClient()
--- a/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
@@ -54,9 +54,9 @@
 
   @Test
   void readsStatuses() {
-    assertEquals(Status.UNAUTHENTICATED, Status.of("16"));
+    assertEquals(Status.UNAUTHENTICATED, Status.parse("16"));
     for (String none : new String[] {null, "", "17", "-1", "x", "014", "1.0"}) {
-      assertEquals(null, Status.of(none));
+      assertEquals(null, Status.parse(none));
     }
     assertEquals(Outcome.OK, Status.outcome(Status.NOT_FOUND, false));
     assertEquals(Outcome.ERROR, Status.outcome(Status.UNAVAILABLE, false));
