--- a/src/main/java/heathswitch/policy/gateway/CongestionDetector.java
+++ b/src/main/java/heathswitch/policy/gateway/CongestionDetector.java
@@ -1,83 +1,92 @@
 package heathswitch.policy.gateway;
 
 /**
- * Whether a site's own servers take visibly longer than they do at ease: its present delay of a
- * class against the least that it has been of late. Then it has nothing to lend, though nothing was
- * refused yet. A short mean sees a burst; a long one sees a site that is near full all the time and
- * would look at ease in each lull of its arrivals.
+ * Detects that this site's servers are congested: the mean delay of a class is clearly above its
+ * baseline, the lowest mean of recent time. A congested site admits no calls of peer sites, even if
+ * it has refused nothing yet. A short mean detects bursts. A long mean detects a site that is
+ * almost full all the time and looks uncongested in each lull of its arrivals.
  */
 final class CongestionDetector {
-  /** Times the delay at ease, of the short mean. A queue as long as three quarters of the work. */
-  static final double BOUND = 1.75;
+  /**
+   * Bound of the short mean, as a multiple of the baseline. At 1.75 calls queue for three quarters
+   * of their processing time.
+   */
+  static final double SHORT_MEAN_BOUND = 1.75;
 
-  /** The same of the long mean. */
-  static final double LONG_BOUND = 1.35;
+  /** Bound of the long mean, as a multiple of the baseline. */
+  static final double LONG_MEAN_BOUND = 1.35;
 
-  /** Weight of one result; a tenth of noise where times are exponential. */
-  private static final double WEIGHT = 0.02;
+  /**
+   * Weight of one sample in the short mean; with exponentially distributed delays the noise of the
+   * mean is a tenth.
+   */
+  private static final double SHORT_MEAN_WEIGHT = 0.02;
 
-  /** Of the long mean: a thirtieth of noise. */
-  private static final double LONG_WEIGHT = 0.002;
+  /** Weight of one sample in the long mean; its noise is a thirtieth. */
+  private static final double LONG_MEAN_WEIGHT = 0.002;
 
-  /** For so long a least delay counts, and as long again. */
-  static final long EASE_NANOS = 30_000_000_000L;
+  /** The baseline is the lowest mean of the current and the previous period of this length. */
+  static final long BASELINE_PERIOD_NANOS = 30_000_000_000L;
 
-  /** What has not been seen for so long says nothing of the present. */
+  /** A class without samples for this long is ignored. */
   private static final long RECENT_NANOS = 2_000_000_000L;
 
-  private static final int LEAST_SAMPLES = 50;
+  private static final int MIN_SAMPLES = 50;
 
-  private static final class Kind {
-    double delay;
-    double longDelay;
+  /** Delay statistics of one class. */
+  private static final class ClassDelay {
+    double shortMean;
+    double longMean;
     long count;
-    long lastNanos;
-    double least = Double.MAX_VALUE;
-    double leastBefore = Double.MAX_VALUE;
-    long turnNanos;
+    long lastSampleNanos;
+    double lowest = Double.MAX_VALUE;
+    double previousLowest = Double.MAX_VALUE;
+    long periodStartNanos;
   }
 
-  private final Kind[] kinds;
+  private final ClassDelay[] classes;
 
-  CongestionDetector(int classes) {
-    kinds = new Kind[classes];
-    for (int i = 0; i < classes; i++) {
-      kinds[i] = new Kind();
+  CongestionDetector(int classCount) {
+    classes = new ClassDelay[classCount];
+    for (int i = 0; i < classCount; i++) {
+      classes[i] = new ClassDelay();
     }
   }
 
-  void served(long nowNanos, int type, long tookNanos) {
-    Kind kind = kinds[type];
-    double first = 1.0 / ++kind.count;
-    kind.delay += Math.max(WEIGHT, first) * (tookNanos - kind.delay);
-    kind.longDelay += Math.max(LONG_WEIGHT, first) * (tookNanos - kind.longDelay);
-    kind.lastNanos = nowNanos;
-    if (kind.count < LEAST_SAMPLES) {
-      kind.turnNanos = nowNanos;
+  /** Adds the delay of a call that a server of this site has served. */
+  void addSample(long nowNanos, int classIndex, long tookNanos) {
+    ClassDelay delay = classes[classIndex];
+    double initialWeight = 1.0 / ++delay.count;
+    delay.shortMean += Math.max(SHORT_MEAN_WEIGHT, initialWeight) * (tookNanos - delay.shortMean);
+    delay.longMean += Math.max(LONG_MEAN_WEIGHT, initialWeight) * (tookNanos - delay.longMean);
+    delay.lastSampleNanos = nowNanos;
+    if (delay.count < MIN_SAMPLES) {
+      delay.periodStartNanos = nowNanos;
       return;
     }
-    if (nowNanos - kind.turnNanos > EASE_NANOS) {
-      kind.turnNanos = nowNanos;
-      kind.leastBefore = kind.least;
-      kind.least = kind.longDelay;
+    if (nowNanos - delay.periodStartNanos > BASELINE_PERIOD_NANOS) {
+      delay.periodStartNanos = nowNanos;
+      delay.previousLowest = delay.lowest;
+      delay.lowest = delay.longMean;
     }
-    kind.least = Math.min(kind.least, kind.longDelay);
+    delay.lowest = Math.min(delay.lowest, delay.longMean);
   }
 
   boolean isCongested(long nowNanos) {
-    for (Kind kind : kinds) {
-      double ease = Math.min(kind.least, kind.leastBefore);
-      if (kind.count >= LEAST_SAMPLES
-          && nowNanos - kind.lastNanos < RECENT_NANOS
-          && (kind.delay > BOUND * ease || kind.longDelay > LONG_BOUND * ease)) {
+    for (ClassDelay delay : classes) {
+      double baseline = Math.min(delay.lowest, delay.previousLowest);
+      if (delay.count >= MIN_SAMPLES
+          && nowNanos - delay.lastSampleNanos < RECENT_NANOS
+          && (delay.shortMean > SHORT_MEAN_BOUND * baseline
+              || delay.longMean > LONG_MEAN_BOUND * baseline)) {
         return true;
       }
     }
     return false;
   }
 
-  /** The present delay of a class, or the other value where it is not known. */
-  double delay(int type, double otherwise) {
-    return kinds[type].count == 0 ? otherwise : kinds[type].delay;
+  /** Returns the short mean delay of a class, or the given value if there is no sample. */
+  double meanDelay(int classIndex, double defaultValue) {
+    return classes[classIndex].count == 0 ? defaultValue : classes[classIndex].shortMean;
   }
 }
--- a/src/main/java/heathswitch/policy/gateway/Gateway.java
+++ b/src/main/java/heathswitch/policy/gateway/Gateway.java
@@ -9,59 +9,64 @@
 import java.util.SplittableRandom;
 
 /**
- * One gateway of one site: to which other site a call goes that its own cannot carry, or that it is
- * kept; and which calls of other sites are taken. Single-threaded; the same events and seed give
- * the same decisions. Times are readings of one clock that never steps, and nothing compares the
- * clocks of two sites.
+ * Decisions of one gateway of a site: to which peer site a call overflows if the site's own servers
+ * have no room for it, if to any, and which calls of peer sites are admitted. Single-threaded; the
+ * same events and seed give the same decisions. Times are readings of one monotonic clock; clocks
+ * of different sites are never compared.
  */
 public final class Gateway {
-  /** Tries elsewhere of one call, each at another link than the last where there is one. */
-  static final int MOST_TRIES = 2;
+  /** Attempts of one call at peer sites. */
+  static final int MAX_REMOTE_ATTEMPTS = 2;
 
-  /** Of a link's window, what a call that is worth nothing may use; the rest goes by worth. */
-  static final double LEAST_SHARE = 0.5;
+  /** Share of a link's window that a call of no worth may use; the rest is scaled by worth. */
+  static final double MIN_WINDOW_SHARE = 0.5;
 
-  /** Weight of one result in what a class takes at present. */
-  private static final double WEIGHT = 0.05;
+  /** Weight of one sample in the mean delay of a class. */
+  private static final double DELAY_WEIGHT = 0.05;
 
   private static final double LEVEL_WEIGHT = 0.1;
 
-  /** As in the decision module: one heavy call must not look like a slow link. */
-  private static final double SAMPLE_BOUND = 2;
+  /**
+   * Upper bound of one sample, as in the decision module, so that one expensive call does not look
+   * like a slow link.
+   */
+  private static final double MAX_SAMPLE = 2;
 
-  /** Why a call was kept. */
+  /** Why a call was not forwarded to a peer site. */
   public enum NotForwardedReason {
-    /** No link is up that may be used. */
+    /** No usable link is up. */
     NO_LINK,
-    /** The way and the far site's present delay would take longer than is left. */
+    /** The round trip and the delay at the peer site would exceed the time left. */
     NO_TIME,
-    /** Windows are full, or the far sites say that they are. */
+    /** The windows are full, or the peer sites report that they have no room. */
     NO_ROOM,
-    /** It was sent away as often as may be. */
+    /** The call has already been forwarded as often as permitted. */
     TRIED
   }
 
-  /** What becomes of a call that a peer brings, before anything is done for it. */
+  /** Result of checking the trail of a call from a peer, before the call is processed. */
   public enum TrailVerdict {
     GOOD,
-    /** Its trail cannot be read. */
+    /** The trail cannot be parsed. */
     GARBLED,
-    /** Its trail does not end with the peer that brings it. */
+    /** The trail does not end with the peer that sent the call. */
     FORGED,
-    /** It has been here, or was sent on by another site. */
+    /** The call has already passed through this site, or was forwarded by more than one site. */
     BOUNCED
   }
 
   private final String site;
   private final List<RequestClass> classes;
-  private final Map<String, Integer> index = new HashMap<>();
+  private final Map<String, Integer> classIndex = new HashMap<>();
   private final SplittableRandom random;
   private final List<PeerLink> links = new ArrayList<>();
   private final double[] classDelay;
-  private final CongestionDetector strain;
-  private final PeerAdmission lending;
-  private final long[] kept = new long[NotForwardedReason.values().length];
-  private double level = 1;
+  private final CongestionDetector congestion;
+  private final PeerAdmission admission;
+  private final long[] notForwarded = new long[NotForwardedReason.values().length];
+
+  /** Mean delay over all links, in multiples of the mean delay of each call's class. */
+  private double delayLevel = 1;
 
   public Gateway(String site, List<RequestClass> classes, long seed) {
     this.site = site;
@@ -69,99 +74,103 @@
     this.random = new SplittableRandom(seed);
     this.classDelay = new double[classes.size()];
     for (int i = 0; i < classDelay.length; i++) {
-      index.put(classes.get(i).name(), i);
+      classIndex.put(classes.get(i).name(), i);
       classDelay[i] = classes.get(i).aimNanos() / 4.0;
     }
-    this.strain = new CongestionDetector(classDelay.length);
-    this.lending = new PeerAdmission(strain);
+    this.congestion = new CongestionDetector(classDelay.length);
+    this.admission = new PeerAdmission(congestion);
   }
 
-  /** One gateway of another site; to be added before the start. */
-  public PeerLink add(String farSite) {
-    PeerLink link = new PeerLink(farSite, classDelay.length);
+  /** Adds the link to one gateway of a peer site; must be called before the start. */
+  public PeerLink add(String peerSite) {
+    PeerLink link = new PeerLink(peerSite, classDelay.length);
     links.add(link);
     return link;
   }
 
-  // ---- away ----
+  // ---- calls to peer sites ----
 
   /**
-   * The link for a call that has no room at home, or null.
+   * Chooses a link for a call that has no room at this site, or returns null for none.
    *
-   * @param tries how often it was sent away before
+   * @param earlierAttempts how often the call has been forwarded before
    */
-  public PeerLink choose(long nowNanos, RequestClass type, long leftNanos, int tries) {
-    if (tries >= MOST_TRIES) {
-      return kept(NotForwardedReason.TRIED);
+  public PeerLink choose(
+      long nowNanos, RequestClass requestClass, long leftNanos, int earlierAttempts) {
+    if (earlierAttempts >= MAX_REMOTE_ATTEMPTS) {
+      return notForwarded(NotForwardedReason.TRIED);
     }
-    int of = index.get(type.name());
-    double share = share(of);
+    int index = classIndex.get(requestClass.name());
+    double share = windowShare(index);
     int[] rooms = new int[links.size()];
-    int all = 0;
+    int totalRoom = 0;
     boolean usable = false;
     boolean inTime = false;
     for (int i = 0; i < rooms.length; i++) {
       PeerLink link = links.get(i);
-      if (!link.up || link.drained || !link.trip.known()) {
+      if (!link.up || link.drained || !link.roundTrip.isKnown()) {
         continue;
       }
       usable = true;
-      if (link.trip.bound() + link.remoteDelay[of] >= leftNanos) {
+      if (link.roundTrip.upperBoundNanos() + link.remoteDelay[index] >= leftNanos) {
         continue;
       }
       inTime = true;
       rooms[i] = Math.max(0, link.room(nowNanos, share));
-      all += rooms[i];
+      totalRoom += rooms[i];
     }
-    if (all == 0) {
-      return kept(
+    if (totalRoom == 0) {
+      return notForwarded(
           !usable
               ? NotForwardedReason.NO_LINK
               : !inTime ? NotForwardedReason.NO_TIME : NotForwardedReason.NO_ROOM);
     }
-    // Drawn by room and not the one with most of it: all gateways here would take the same one.
-    int at = random.nextInt(all);
+    // Weighted random choice. If the link with the most room were taken, all gateways of this site
+    // would choose the same one.
+    int drawn = random.nextInt(totalRoom);
     for (int i = 0; i < rooms.length; i++) {
-      at -= rooms[i];
-      if (at < 0) {
+      drawn -= rooms[i];
+      if (drawn < 0) {
         links.get(i).onSent();
         return links.get(i);
       }
     }
-    throw new IllegalStateException("no link drawn");
+    throw new IllegalStateException("weighted choice selected no link");
   }
 
-  private PeerLink kept(NotForwardedReason why) {
-    kept[why.ordinal()]++;
+  private PeerLink notForwarded(NotForwardedReason reason) {
+    notForwarded[reason.ordinal()]++;
     return null;
   }
 
-  /** Of a link's window, what a class may use. */
-  private double share(int of) {
-    return LEAST_SHARE + (1 - LEAST_SHARE) * relativeWorth(of);
+  /** Share of a link's window that a class may use. */
+  private double windowShare(int index) {
+    return MIN_WINDOW_SHARE + (1 - MIN_WINDOW_SHARE) * relativeWorth(index);
   }
 
-  /** From 0 to 1, where 1 is the class that is worth most for the work that it takes. */
-  private double relativeWorth(int of) {
+  /** From 0 to 1, where 1 is the class with the highest worth for the time that it takes. */
+  private double relativeWorth(int index) {
     double best = 0;
     for (int i = 0; i < classDelay.length; i++) {
       best = Math.max(best, classes.get(i).worth() / classDelay[i]);
     }
-    return best > 0 ? classes.get(of).worth() / classDelay[of] / best : 1;
+    return best > 0 ? classes.get(index).worth() / classDelay[index] / best : 1;
   }
 
-  /** Of the caller's time, what the far site may use: the way there and back is taken off. */
+  /** Returns the part of the caller's time that the peer site may use: less the round trip. */
   public long remoteTimeLeft(PeerLink link, long leftNanos) {
-    return leftNanos - link.trip.nanos();
+    return leftNanos - link.roundTrip.smoothedNanos();
   }
 
-  /** A call that was chosen a link is over. */
+  /** A call has ended for which a link was chosen. */
   public void onEnded(
-      long nowNanos, PeerLink link, RequestClass type, Outcome outcome, long tookNanos) {
+      long nowNanos, PeerLink link, RequestClass requestClass, Outcome outcome, long tookNanos) {
     long sentNanos = nowNanos - tookNanos;
-    int flight = link.inFlight--;
+    int inFlight = link.inFlight--;
     switch (outcome) {
-      case OK -> served(nowNanos, link, index.get(type.name()), sentNanos, flight);
+      case OK ->
+          onServedRemotely(
+              nowNanos, link, classIndex.get(requestClass.name()), sentNanos, inFlight);
       case REFUSED, TIMEOUT, RESET, CONNECT_FAILED -> {
         if (!link.window.cutSince(sentNanos)) {
           link.window.cut(nowNanos);
@@ -171,45 +180,50 @@
     }
   }
 
-  private void served(long nowNanos, PeerLink link, int of, long sentNanos, int flight) {
+  private void onServedRemotely(
+      long nowNanos, PeerLink link, int index, long sentNanos, int inFlight) {
     long tookNanos = nowNanos - sentNanos;
-    double bare = tookNanos / classDelay[of];
-    // A class that may use a part of the window has used it when it has filled that part.
-    link.window.onCompletion(nowNanos, sentNanos, bare / level, (int) (flight / share(of)));
-    level += LEVEL_WEIGHT * (Math.min(bare, SAMPLE_BOUND) - level);
-    classDelay[of] += WEIGHT * (tookNanos - classDelay[of]);
+    double delayRatio = tookNanos / classDelay[index];
+    // A class that may use only a part of the window counts as using all of it once that part is
+    // full.
+    link.window.onCompletion(
+        nowNanos, sentNanos, delayRatio / delayLevel, (int) (inFlight / windowShare(index)));
+    delayLevel += LEVEL_WEIGHT * (Math.min(delayRatio, MAX_SAMPLE) - delayLevel);
+    classDelay[index] += DELAY_WEIGHT * (tookNanos - classDelay[index]);
   }
 
   /**
-   * An answer has come over a link.
+   * An answer has arrived over a link.
    *
-   * @param tookNanos from the call to its answer
-   * @param farNanos of it in the far site, as that says
-   * @param served whether it was served; how long a refusal takes says nothing of the next call
-   * @param room that the far site says to have
+   * @param tookNanos the time from the call to its answer
+   * @param remoteNanos the part of it spent at the peer site, as reported by that site
+   * @param served whether the call was served; the time of a refusal is not added to the remote
+   *     delay, because it does not predict how long the next call takes
+   * @param room the room that the peer site reports
    */
   public void onAnswer(
       long nowNanos,
       PeerLink link,
-      RequestClass type,
+      RequestClass requestClass,
       long tookNanos,
-      long farNanos,
+      long remoteNanos,
       boolean served,
       int room) {
-    long far = Math.max(0, Math.min(tookNanos, farNanos));
-    link.trip.sample(tookNanos - far);
+    long remote = Math.max(0, Math.min(tookNanos, remoteNanos));
+    link.roundTrip.addSample(tookNanos - remote);
     link.onRoomReport(nowNanos, room);
     if (!served) {
       return;
     }
-    int of = index.get(type.name());
-    double before = link.remoteDelay[of];
-    link.remoteDelay[of] = before == 0 ? far : before + WEIGHT * (far - before);
+    int index = classIndex.get(requestClass.name());
+    double previous = link.remoteDelay[index];
+    link.remoteDelay[index] =
+        previous == 0 ? remote : previous + DELAY_WEIGHT * (remote - previous);
   }
 
-  /** Something has come back over a link that the far site only returned. */
+  /** A PING has been answered over a link. */
   public void onRoundTrip(PeerLink link, long nanos) {
-    link.trip.sample(nanos);
+    link.roundTrip.addSample(nanos);
   }
 
   /** The link can be used. */
@@ -217,24 +231,27 @@
     link.onUp(nowNanos);
   }
 
-  /** The link takes no more calls, though it did not break: another connection takes its place. */
+  /** The link accepts no more calls, without having broken: another connection replaces it. */
   public void onLeaving(PeerLink link) {
     link.onLeaving();
   }
 
-  /** The link broke or could not be had; nanoseconds until it may be tried again. */
+  /**
+   * The link broke or could not be established. Returns the backoff in nanoseconds before the next
+   * attempt to connect.
+   */
   public long onBroken(long nowNanos, PeerLink link) {
     return link.onBroken(nowNanos, random.nextDouble());
   }
 
-  /** An operator takes a link out, or puts it back: calls that are out finish. */
-  public void drain(PeerLink link, boolean out) {
-    link.drained = out;
+  /** Takes a link out of use for an operator, or returns it; its calls in flight finish. */
+  public void drain(PeerLink link, boolean drained) {
+    link.drained = drained;
   }
 
-  // ---- from other sites ----
+  // ---- calls from peer sites ----
 
-  /** Judges the trail of a call that an authenticated peer brings. */
+  /** Checks the trail of a call that an authenticated peer sent. */
   public TrailVerdict checkTrail(String peer, CharSequence trailText) {
     Trail trail = Trail.parse(trailText);
     if (trail == null) {
@@ -243,38 +260,45 @@
     if (!trail.lastSite().equals(peer)) {
       return TrailVerdict.FORGED;
     }
-    // Nobody sends on what came from another site, so a longer trail has gone astray.
+    // A gateway never forwards a call that came from another site, so a longer trail shows a
+    // routing error.
     return trail.sites().contains(site) || trail.sites().size() > 1
         ? TrailVerdict.BOUNCED
         : TrailVerdict.GOOD;
   }
 
-  /** Whether another site's call is taken; then {@link #onAdmittedEnd} has to follow. */
+  /** Admits a call of a peer site if there is room; then {@link #onAdmittedEnd} must follow. */
   public boolean tryAdmit(long nowNanos) {
-    return lending.take(nowNanos);
+    return admission.tryAdmit(nowNanos);
   }
 
-  /** A call that was taken of another site is over. */
-  public void onAdmittedEnd(long nowNanos, long takenNanos, RequestClass type, boolean served) {
-    int of = index.get(type.name());
-    long took = nowNanos - takenNanos;
-    double ratio = served ? Math.max(1e-3, took / Math.max(1, strain.delay(of, took))) : 0;
-    lending.ended(nowNanos, takenNanos, ratio);
+  /** An admitted call of a peer site has ended. */
+  public void onAdmittedEnd(
+      long nowNanos, long admittedNanos, RequestClass requestClass, boolean served) {
+    int index = classIndex.get(requestClass.name());
+    long took = nowNanos - admittedNanos;
+    double delayRatio =
+        served ? Math.max(1e-3, took / Math.max(1, congestion.meanDelay(index, took))) : 0;
+    admission.onEnd(nowNanos, admittedNanos, delayRatio);
   }
 
-  /** Calls of other sites that would be taken now. */
+  /** Returns the number of calls of peer sites that would be admitted now. */
   public int room(long nowNanos) {
-    return lending.room(nowNanos);
+    return admission.room(nowNanos);
   }
 
-  /** This site's servers had no room for a call, of its own or of another site. */
+  /**
+   * This site's servers had no room for a call.
+   *
+   * @param own whether the call came from a client of this site, not from a peer site
+   */
   public void onLocalRefusal(long nowNanos, boolean own) {
-    lending.refused(nowNanos, own);
+    admission.onRefusal(nowNanos, own);
   }
 
   /** This site's servers have served a call. */
-  public void onLocalAnswer(long nowNanos, RequestClass type, long tookNanos) {
-    strain.served(nowNanos, index.get(type.name()), tookNanos);
+  public void onLocalAnswer(long nowNanos, RequestClass requestClass, long tookNanos) {
+    congestion.addSample(nowNanos, classIndex.get(requestClass.name()), tookNanos);
   }
 
   // ---- for operators ----
@@ -283,22 +307,22 @@
     return site;
   }
 
-  /** Calls that were kept, by why, since the start. */
-  public long notForwarded(int ordinal) {
-    return kept[ordinal];
+  /** Returns the calls since the start that were not forwarded, by the ordinal of the reason. */
+  public long notForwarded(int reasonOrdinal) {
+    return notForwarded[reasonOrdinal];
   }
 
   public boolean isCongested(long nowNanos) {
-    return strain.isCongested(nowNanos);
+    return congestion.isCongested(nowNanos);
   }
 
-  /** Calls of other sites that are being served. */
+  /** Returns the number of admitted calls of peer sites that have not ended. */
   public int admittedCalls() {
-    return lending.lent();
+    return admission.admitted();
   }
 
-  /** How many of them there may be at a time, while nothing else forbids it. */
+  /** Returns the current limit of admitted calls, disregarding congestion and recent refusals. */
   public int admissionWindow() {
-    return lending.size();
+    return admission.windowSize();
   }
 }
--- a/src/main/java/heathswitch/policy/gateway/PeerAdmission.java
+++ b/src/main/java/heathswitch/policy/gateway/PeerAdmission.java
@@ -3,67 +3,75 @@
 import heathswitch.policy.core.DelayWindow;
 
 /**
- * What a site takes of others: as many calls at a time as a delay window allows that is cut when
- * the site turns anybody away, and none while it is isCongested or has just refused a call of its
- * own.
+ * Admission of calls from peer sites. A delay window limits how many are in flight; it is cut when
+ * this site refuses any call. No call is admitted while this site is congested or shortly after it
+ * refused a call of its own clients.
  */
 final class PeerAdmission {
   /**
-   * After a call of its own was refused, nothing is taken for so long. At a quarter of it a site at
-   * 97% of its servers, which refused seven of its own a second, lent in the gaps, and each call
-   * that it took cost it one of its own.
+   * Time without admission after a call of this site's own clients was refused. With a quarter of
+   * this, a site at 97% of its servers' capacity, which refused seven calls of its own clients a
+   * second, admitted calls in between, and each of them cost it one call of its own.
    */
   static final long REFUSAL_HOLD_NANOS = 1_000_000_000L;
 
-  /** The window is cut once in so long. */
-  private static final long CUT_NANOS = 250_000_000L;
+  /** The window is cut at most once in this period. */
+  private static final long CUT_INTERVAL_NANOS = 250_000_000L;
 
   private final DelayWindow window = new DelayWindow();
-  private final CongestionDetector strain;
-  private int lent;
-  private long refusedNanos = Long.MIN_VALUE / 2;
+  private final CongestionDetector congestion;
+  private int admitted;
+  private long ownRefusalNanos = Long.MIN_VALUE / 2;
 
-  PeerAdmission(CongestionDetector strain) {
-    this.strain = strain;
+  PeerAdmission(CongestionDetector congestion) {
+    this.congestion = congestion;
   }
 
+  /** Returns the number of calls that would be admitted now. */
   int room(long nowNanos) {
-    boolean closed = nowNanos - refusedNanos < REFUSAL_HOLD_NANOS || strain.isCongested(nowNanos);
-    return closed ? 0 : Math.max(0, window.size() - lent);
+    boolean closed =
+        nowNanos - ownRefusalNanos < REFUSAL_HOLD_NANOS || congestion.isCongested(nowNanos);
+    return closed ? 0 : Math.max(0, window.size() - admitted);
   }
 
-  boolean take(long nowNanos) {
-    boolean room = room(nowNanos) > 0;
-    lent += room ? 1 : 0;
-    return room;
+  boolean tryAdmit(long nowNanos) {
+    boolean hasRoom = room(nowNanos) > 0;
+    admitted += hasRoom ? 1 : 0;
+    return hasRoom;
   }
 
   /**
-   * A call that was taken is over.
+   * An admitted call has ended.
    *
-   * @param ratio of its delay to what its class takes here; 0 where it was not served
+   * @param delayRatio its delay relative to the mean of its class at this site; 0 if not served
    */
-  void ended(long nowNanos, long takenNanos, double ratio) {
-    if (ratio > 0) {
-      window.onCompletion(nowNanos, takenNanos, ratio, lent);
+  void onEnd(long nowNanos, long admittedNanos, double delayRatio) {
+    if (delayRatio > 0) {
+      window.onCompletion(nowNanos, admittedNanos, delayRatio, admitted);
     }
-    lent--;
+    admitted--;
   }
 
-  void refused(long nowNanos, boolean own) {
+  /**
+   * The servers of this site had no room for a call.
+   *
+   * @param own whether the call came from a client of this site, not from a peer site
+   */
+  void onRefusal(long nowNanos, boolean own) {
     if (own) {
-      refusedNanos = nowNanos;
+      ownRefusalNanos = nowNanos;
     }
-    if (!window.cutSince(nowNanos - CUT_NANOS)) {
+    if (!window.cutSince(nowNanos - CUT_INTERVAL_NANOS)) {
       window.cut(nowNanos);
     }
   }
 
-  int lent() {
-    return lent;
+  /** Returns the number of admitted calls that have not ended. */
+  int admitted() {
+    return admitted;
   }
 
-  int size() {
+  int windowSize() {
     return window.size();
   }
 }
--- a/src/main/java/heathswitch/policy/gateway/PeerLink.java
+++ b/src/main/java/heathswitch/policy/gateway/PeerLink.java
@@ -2,32 +2,35 @@
 
 import heathswitch.policy.core.DelayWindow;
 
-/** What a gateway knows of one gateway of another site. Its calls go through a delay window. */
+/**
+ * The state of the link to one gateway of a peer site: whether it can be used, its round-trip time,
+ * the delay window that limits its calls in flight, and the backoff after it broke.
+ */
 public final class PeerLink {
-  /** First rest after a break; doubled with each further one. */
+  /** Backoff after the first break; doubled with each further break. */
   static final long BASE_BACKOFF_NANOS = 250_000_000L;
 
   /**
-   * A link is kept out for no longer than this and a quarter of it, however often it broke: its
-   * calls would be refused at home meanwhile.
+   * Longest backoff before jitter, which adds up to a quarter. However often a link broke, it is
+   * not kept out of use for longer, because its calls would be refused locally meanwhile.
    */
   static final long MAX_BACKOFF_NANOS = 4_000_000_000L;
 
-  /** One break is forgiven for each such time that the link stays up. */
+  /** For each such period that the link stays up, one break is no longer counted. */
   static final long FORGIVE_NANOS = 10_000_000_000L;
 
-  private static final int MOST_BREAKS = 6;
+  private static final int MAX_BREAKS = 6;
 
-  /** News of the far site's room that is older counts as none. */
+  /** A report of the peer site's room is ignored when it is older than this. */
   static final long ROOM_REPORT_NANOS = 1_000_000_000L;
 
-  static final int MOST_ROOM = 10_000;
+  static final int MAX_ROOM = 10_000;
 
   final String site;
   final DelayWindow window = new DelayWindow();
-  final RoundTripEstimator trip = new RoundTripEstimator();
+  final RoundTripEstimator roundTrip = new RoundTripEstimator();
 
-  /** What the far site itself takes at present, by class; 0 for not known. */
+  /** Mean time that the peer site itself takes, by class index; 0 if not known. */
   final double[] remoteDelay;
 
   boolean up;
@@ -35,10 +38,10 @@
   int inFlight;
   private long upSinceNanos;
   private int breaks;
-  private int room;
-  private int sentSinceNews;
-  private long newsNanos;
-  private boolean news;
+  private int reportedRoom;
+  private int sentSinceReport;
+  private long reportedNanos;
+  private boolean roomReported;
 
   PeerLink(String site, int classes) {
     this.site = site;
@@ -50,80 +53,91 @@
     upSinceNanos = nowNanos;
   }
 
-  /** Nothing more may be sent, though it did not break. */
+  /** The link accepts no more calls, without having broken. */
   void onLeaving() {
     up = false;
-    trip.forget();
-    news = false;
+    roundTrip.reset();
+    roomReported = false;
   }
 
   /**
-   * It broke, or could not be had.
+   * The link broke or could not be established.
    *
    * @param jitter from 0 to 1
-   * @return nanoseconds until it may be tried again
+   * @return the backoff in nanoseconds before the next attempt to connect
    */
   long onBroken(long nowNanos, double jitter) {
     long forgiven = up ? (nowNanos - upSinceNanos) / FORGIVE_NANOS : 0;
-    breaks = (int) Math.min(MOST_BREAKS, Math.max(0, breaks - forgiven) + 1);
+    breaks = (int) Math.min(MAX_BREAKS, Math.max(0, breaks - forgiven) + 1);
     onLeaving();
-    window.cut(nowNanos); // It returns by slow start.
-    long rest = Math.min(MAX_BACKOFF_NANOS, BASE_BACKOFF_NANOS << breaks - 1);
-    return (long) (rest * (0.75 + 0.5 * jitter));
+    window.cut(nowNanos); // The link returns with slow start.
+    long backoff = Math.min(MAX_BACKOFF_NANOS, BASE_BACKOFF_NANOS << breaks - 1);
+    return (long) (backoff * (0.75 + 0.5 * jitter));
   }
 
-  void onRoomReport(long nowNanos, int said) {
-    room = Math.max(0, Math.min(MOST_ROOM, said));
-    newsNanos = nowNanos;
-    sentSinceNews = 0;
-    news = true;
+  /** The peer site has reported how many more calls it would admit. */
+  void onRoomReport(long nowNanos, int reported) {
+    reportedRoom = Math.max(0, Math.min(MAX_ROOM, reported));
+    reportedNanos = nowNanos;
+    sentSinceReport = 0;
+    roomReported = true;
   }
 
   void onSent() {
     inFlight++;
-    sentSinceNews++;
+    sentSinceReport++;
   }
 
-  /** What the far site is believed to have room for, or null where there is no news. */
-  Integer believed(long nowNanos) {
-    boolean fresh = news && nowNanos - newsNanos < ROOM_REPORT_NANOS;
-    return fresh ? Math.max(0, room - sentSinceNews) : null;
+  /**
+   * Returns the room left at the peer site: the last report less the calls sent since then, or null
+   * if there is no recent report.
+   */
+  Integer remoteRoom(long nowNanos) {
+    boolean fresh = roomReported && nowNanos - reportedNanos < ROOM_REPORT_NANOS;
+    return fresh ? Math.max(0, reportedRoom - sentSinceReport) : null;
   }
 
   /**
-   * Calls that may be sent now.
+   * Returns the number of calls that may be sent now.
    *
-   * @param share of the window that a call of this worth may use
+   * @param windowShare the share of the window that a call of this worth may use
    */
-  int room(long nowNanos, double share) {
-    // Rounded up: a window that is never used by half does not grow, and of three one is less.
-    int own = (int) Math.ceil(window.size() * share) - inFlight;
-    Integer believed = believed(nowNanos);
-    return believed == null ? own : Math.min(own, believed);
+  int room(long nowNanos, double windowShare) {
+    // Rounded up, because a window grows only if at least half of it is in use: half of a window of
+    // three, rounded down, is one, which is less than that.
+    int windowRoom = (int) Math.ceil(window.size() * windowShare) - inFlight;
+    Integer remoteRoom = remoteRoom(nowNanos);
+    return remoteRoom == null ? windowRoom : Math.min(windowRoom, remoteRoom);
   }
 
   public String site() {
     return site;
   }
 
-  /** What operators are shown. */
+  /** Returns a snapshot for operators. */
   public View view(long nowNanos) {
-    return new View(up, drained, inFlight, window.size(), believed(nowNanos), trip.nanos(), breaks);
+    return new View(
+        up,
+        drained,
+        inFlight,
+        window.size(),
+        remoteRoom(nowNanos),
+        roundTrip.smoothedNanos(),
+        breaks);
   }
 
   /**
-   * A look at a link.
+   * A snapshot of a link.
    *
-   * @param room null where there is no news that counts
-   * @param tripNanos there and back
-   * @param breaks that are not forgiven yet
+   * @param remoteRoom the room at the peer site, or null if there is no recent report
+   * @param breaks the breaks that still count for the backoff
    */
   public record View(
       boolean up,
       boolean drained,
       int inFlight,
       int window,
-      Integer room,
-      long tripNanos,
+      Integer remoteRoom,
+      long roundTripNanos,
       int breaks) {}
 }
--- a/src/main/java/heathswitch/policy/gateway/RoundTripEstimator.java
+++ b/src/main/java/heathswitch/policy/gateway/RoundTripEstimator.java
@@ -1,42 +1,42 @@
 package heathswitch.policy.gateway;
 
-/** What a link takes there and back, from what passes on it (RFC 6298, section 2). */
+/** Estimates the round-trip time of a link from samples (RFC 6298, section 2). */
 final class RoundTripEstimator {
-  private static final double SMOOTH_WEIGHT = 1.0 / 8;
+  private static final double MEAN_WEIGHT = 1.0 / 8;
   private static final double VARIATION_WEIGHT = 1.0 / 4;
-  private static final double VARIATIONS = 4;
+  private static final double BOUND_VARIATIONS = 4;
 
-  private double smooth;
-  private double variation;
+  private double smoothedNanos;
+  private double variationNanos;
   private boolean known;
 
-  void sample(long nanos) {
+  void addSample(long nanos) {
     long bounded = Math.max(0, nanos);
     if (known) {
-      variation += VARIATION_WEIGHT * (Math.abs(smooth - bounded) - variation);
-      smooth += SMOOTH_WEIGHT * (bounded - smooth);
+      variationNanos += VARIATION_WEIGHT * (Math.abs(smoothedNanos - bounded) - variationNanos);
+      smoothedNanos += MEAN_WEIGHT * (bounded - smoothedNanos);
     } else {
-      smooth = bounded;
-      variation = bounded / 2.0;
+      smoothedNanos = bounded;
+      variationNanos = bounded / 2.0;
       known = true;
     }
   }
 
-  boolean known() {
+  boolean isKnown() {
     return known;
   }
 
-  long nanos() {
-    return (long) smooth;
+  long smoothedNanos() {
+    return (long) smoothedNanos;
   }
 
-  /** What hardly any takes longer than. */
-  long bound() {
-    return (long) (smooth + VARIATIONS * variation);
+  /** Returns a time that hardly any round trip exceeds. */
+  long upperBoundNanos() {
+    return (long) (smoothedNanos + BOUND_VARIATIONS * variationNanos);
   }
 
-  /** The next connection may go another way. */
-  void forget() {
+  /** Discards the estimate, because the next connection may take another route. */
+  void reset() {
     known = false;
   }
 }
--- a/src/main/java/heathswitch/policy/gateway/package-info.java
+++ b/src/main/java/heathswitch/policy/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a gateway between sites: what goes to which other site, what is taken from
- * there, when a link that broke is used again. Free of I/O, clocks and threads.
+ * The decisions of a gateway between sites: which calls overflow to which peer site, which calls of
+ * peer sites are admitted, and when a broken link is used again. Free of I/O, clocks and threads.
  */
 package heathswitch.policy.gateway;
--- a/src/main/java/heathswitch/policy/grpc/BufferingMode.java
+++ b/src/main/java/heathswitch/policy/grpc/BufferingMode.java
@@ -1,30 +1,31 @@
 package heathswitch.policy.grpc;
 
 /**
- * When a call or its answer is no longer held back but goes on as it comes. What is held back can
- * be taken back: a call can go to another server, an answer can be replaced by that of another
- * attempt. The wire does not say which kind a method is; only what has come of it does.
+ * When a call or its answer is no longer buffered but forwarded as it arrives. As long as it is
+ * buffered, a call can be sent to another server, and an answer can be replaced by that of another
+ * attempt. The protocol does not announce whether a method is unary or streaming; only the traffic
+ * shows it.
  */
 public enum BufferingMode {
-  /** Told from the traffic: it is one message until it shows that it is not. */
+  /** Detected from the traffic: treated as a single message until there is evidence of a stream. */
   AUTO,
-  /** Held back whole, within the bound of a message. */
+  /** Buffered completely, within the maximum message size. */
   UNARY,
-  /** Never held back. */
+  /** Never buffered. */
   STREAM;
 
   /**
-   * Whether it goes on from here, not having ended.
+   * Returns whether a call or answer that has not ended is forwarded from now on.
    *
-   * @param messages begun so far
-   * @param bytes held back so far
-   * @param most bytes that are held back of what may be a stream
+   * @param messages the messages begun so far
+   * @param bytes the bytes buffered so far
+   * @param maxBytes the bytes to buffer at most of what may be a stream
    */
-  public boolean shouldForward(long messages, long bytes, long most) {
-    return this == STREAM || this == AUTO && (messages > 1 || bytes > most);
+  public boolean shouldForward(long messages, long bytes, long maxBytes) {
+    return this == STREAM || this == AUTO && (messages > 1 || bytes > maxBytes);
   }
 
-  /** Whether it goes on when it has not ended after the time for which it is held back. */
+  /** Returns whether a call or answer that has not ended within the buffering time is forwarded. */
   public boolean forwardsAfterTimeout() {
     return this != UNARY;
   }
--- a/src/main/java/heathswitch/policy/grpc/Status.java
+++ b/src/main/java/heathswitch/policy/grpc/Status.java
@@ -3,29 +3,29 @@
 import heathswitch.policy.api.Outcome;
 
 /**
- * gRPC's status codes (the protocol's statuscodes page) and what an answer with each of them says
- * of the server: its own work failed, or it answered what it was asked.
+ * The gRPC status codes (statuscodes page of the protocol documentation) and the outcome of an
+ * attempt that was answered with each of them: whether the server failed, or answered as asked.
  */
 public enum Status {
   OK(Outcome.OK),
-  /** The application gave the call up, mostly because its caller did. */
+  /** The application cancelled the call, in most cases because its caller did. */
   CANCELLED(Outcome.OK),
-  /** What libraries answer for an exception that nobody caught. */
+  /** Libraries use this for an uncaught exception. */
   UNKNOWN(Outcome.ERROR),
   INVALID_ARGUMENT(Outcome.OK),
-  /** The server ran out of the caller's time. */
+  /** The caller's deadline passed at the server. */
   DEADLINE_EXCEEDED(Outcome.ERROR),
   NOT_FOUND(Outcome.OK),
   ALREADY_EXISTS(Outcome.OK),
   PERMISSION_DENIED(Outcome.OK),
-  /** May come from the server or from an application's quota; in neither case is it served. */
+  /** The server or a quota of the application is exhausted; in both cases nothing was served. */
   RESOURCE_EXHAUSTED(Outcome.ERROR),
   FAILED_PRECONDITION(Outcome.OK),
   ABORTED(Outcome.OK),
   OUT_OF_RANGE(Outcome.OK),
   UNIMPLEMENTED(Outcome.OK),
   INTERNAL(Outcome.ERROR),
-  /** Promises nothing about the effect, unless the server says that the call never ran. */
+  /** The call may have run, unless the server states that it did not. */
   UNAVAILABLE(Outcome.ERROR),
   DATA_LOSS(Outcome.ERROR),
   UNAUTHENTICATED(Outcome.OK);
@@ -38,12 +38,12 @@
     this.outcome = outcome;
   }
 
-  /** The code on the wire. */
+  /** Returns the code on the wire. */
   public int code() {
     return ordinal();
   }
 
-  /** The status of a trailer's text, or null for one that is none. */
+  /** Parses the value of a status trailer; returns null if it is not a status code. */
   public static Status parse(CharSequence text) {
     if (text == null || text.length() == 0 || text.length() > 2) {
       return null;
@@ -60,10 +60,12 @@
   }
 
   /**
-   * What an answer over HTTP that brings no status of gRPC comes to (the protocol's page on mapping
-   * HTTP statuses): mostly that of a proxy, or of a server that speaks something else.
+   * Maps an HTTP status to a gRPC status, for an answer without a gRPC status (page on mapping HTTP
+   * status codes of the protocol documentation). Such an answer mostly comes from a proxy or from a
+   * server of another protocol.
    *
-   * @param code the HTTP status; 200 too, as one that served would have said so
+   * @param code the HTTP status; 200 maps to UNKNOWN too, because a server that had served the call
+   *     would have sent a gRPC status
    */
   public static Status fromHttpStatus(int code) {
     return switch (code) {
@@ -77,12 +79,12 @@
   }
 
   /**
-   * What a stream that its server reset comes to (the errors of the protocol's page on HTTP/2; the
-   * codes are those of RFC 9113, section 7).
+   * Maps the error code with which the server reset a stream to a gRPC status (section on errors of
+   * the protocol's page on HTTP/2; the codes are those of RFC 9113, section 7).
    */
   public static Status fromResetCode(long code) {
     return switch ((int) Math.min(Math.max(0, code), 0xff)) {
-      case 0x5 -> UNKNOWN; // STREAM_CLOSED has no meaning of its own for a call.
+      case 0x5 -> UNKNOWN; // STREAM_CLOSED is not mapped to a status by the protocol.
       case 0x7 -> UNAVAILABLE;
       case 0x8 -> CANCELLED;
       case 0xb -> RESOURCE_EXHAUSTED;
@@ -92,10 +94,10 @@
   }
 
   /**
-   * How an attempt ended that was answered with a status.
+   * Returns the outcome of an attempt that was answered with a status.
    *
-   * @param status null for trailers that bring none, which is no answer at all
-   * @param neverRan the server's own word that it did not begin the call
+   * @param status null for trailers without a status, which do not count as an answer
+   * @param neverRan whether the server states that it did not begin the call
    */
   public static Outcome outcome(Status status, boolean neverRan) {
     if (status == null) {
--- a/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
@@ -135,8 +135,8 @@
     link.putAll(far.counts.json());
     link.put("in_flight", view.inFlight());
     link.put("window", view.window());
-    link.put("room", view.room() == null ? "unknown" : view.room());
-    link.put("there_and_back_ms", Math.round(view.tripNanos() / 1e4) / 100.0);
+    link.put("room", view.remoteRoom() == null ? "unknown" : view.remoteRoom());
+    link.put("there_and_back_ms", Math.round(view.roundTripNanos() / 1e4) / 100.0);
     link.put("breaks", view.breaks());
     return link;
   }
--- a/src/test/java/heathswitch/policy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/policy/gateway/GatewayTest.java
@@ -13,28 +13,28 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What goes to which site, in virtual time. */
+/** Which calls are forwarded over which link, in virtual time. */
 class GatewayTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
 
-  static final RequestClass VIEW = type("view", RequestClass.Effect.SAFE, 1);
-  static final RequestClass PUBLISH = type("publish", RequestClass.Effect.UNSAFE, 4);
+  static final RequestClass VIEW = requestClass("view", RequestClass.Effect.SAFE, 1);
+  static final RequestClass PUBLISH = requestClass("publish", RequestClass.Effect.UNSAFE, 4);
   static final List<RequestClass> CLASSES = List.of(VIEW, PUBLISH);
 
   private final Gateway gateway = new Gateway("hat-yai", CLASSES, 7);
   private long now = 10 * SECOND;
 
-  private static RequestClass type(String name, RequestClass.Effect effect, double worth) {
+  private static RequestClass requestClass(String name, RequestClass.Effect effect, double worth) {
     return new RequestClass(
         name, effect, RequestClass.Group.ALL, 500 * MS, 2 * SECOND, 0, worth, 0, false);
   }
 
-  private PeerLink link(String site, long tripMillis) {
+  private PeerLink addLink(String site, long roundTripMillis) {
     PeerLink link = gateway.add(site);
     gateway.onUp(now, link);
     for (int i = 0; i < 20; i++) {
-      gateway.onRoundTrip(link, tripMillis * MS);
+      gateway.onRoundTrip(link, roundTripMillis * MS);
     }
     return link;
   }
@@ -43,51 +43,53 @@
     return gateway.choose(now, VIEW, 2 * SECOND, 0);
   }
 
-  private void served(PeerLink link, long tookMillis, long farMillis, int room) {
-    gateway.onAnswer(now, link, VIEW, tookMillis * MS, farMillis * MS, true, room);
+  private void serve(PeerLink link, long tookMillis, long remoteMillis, int room) {
+    gateway.onAnswer(now, link, VIEW, tookMillis * MS, remoteMillis * MS, true, room);
     gateway.onEnded(now, link, VIEW, Outcome.OK, tookMillis * MS);
   }
 
-  private long kept(NotForwardedReason why) {
-    return gateway.notForwarded(why.ordinal());
+  private long notForwarded(NotForwardedReason reason) {
+    return gateway.notForwarded(reason.ordinal());
   }
 
   @Test
-  void nothingGoesOverALinkThatIsNotThereOrNotMeasured() {
+  void doesNotChooseALinkThatIsDownOrHasNoRoundTripTime() {
     PeerLink link = gateway.add("bangkok");
     assertNull(choose());
     gateway.onUp(now, link);
     assertNull(choose());
-    assertEquals(2, kept(NotForwardedReason.NO_LINK));
+    assertEquals(2, notForwarded(NotForwardedReason.NO_LINK));
     gateway.onRoundTrip(link, 15 * MS);
     assertEquals(link, choose());
   }
 
   @Test
-  void theWayAndTheFarDelayComeOffTheTimeLeft() {
-    PeerLink link = link("bangkok", 15);
-    served(choose(), 215, 200, 10);
+  void roundTripAndRemoteDelayAreDeductedFromTheTimeLeft() {
+    PeerLink link = addLink("bangkok", 15);
+    serve(choose(), 215, 200, 10);
     assertNull(gateway.choose(now, VIEW, 210 * MS, 0));
-    assertEquals(1, kept(NotForwardedReason.NO_TIME));
+    assertEquals(1, notForwarded(NotForwardedReason.NO_TIME));
     assertNotNull(gateway.choose(now, VIEW, 400 * MS, 0));
     assertEquals(385 * MS, gateway.remoteTimeLeft(link, 400 * MS), MS);
   }
 
   @Test
-  void howLongARefusalTakesSaysNothing() {
-    PeerLink link = link("bangkok", 15);
-    served(choose(), 215, 200, 10);
+  void refusalsDoNotChangeTheRemoteDelay() {
+    PeerLink link = addLink("bangkok", 15);
+    serve(choose(), 215, 200, 10);
     for (int i = 0; i < 50; i++) {
       gateway.onAnswer(now, link, VIEW, 16 * MS, MS, false, 10);
     }
     assertNull(gateway.choose(now, VIEW, 190 * MS, 0));
   }
 
-  /** Without any loss: the way alone leaves too little, and the other link is taken. */
+  /**
+   * Nothing is lost, but the round trip alone leaves too little time, so the other link is used.
+   */
   @Test
-  void aDelayThatRisesTenfoldClosesALinkForShortCalls() {
-    PeerLink slow = link("bangkok", 15);
-    PeerLink good = link("udon", 15);
+  void shortCallsAvoidALinkWhoseRoundTripTimeRisesTenfold() {
+    PeerLink slow = addLink("bangkok", 15);
+    PeerLink good = addLink("udon", 15);
     for (int i = 0; i < 40; i++) {
       gateway.onRoundTrip(slow, 150 * MS);
     }
@@ -97,11 +99,13 @@
     }
   }
 
-  /** One that ranked would send all calls of this second, of all gateways here, to one link. */
+  /**
+   * If links were ranked, all gateways of a site would send the calls of a second over one link.
+   */
   @Test
-  void linksAreDrawnByTheirRoom() {
-    PeerLink wide = link("bangkok", 15);
-    PeerLink narrow = link("udon", 15);
+  void linksAreChosenAtRandomInProportionToTheirRoom() {
+    PeerLink wide = addLink("bangkok", 15);
+    PeerLink narrow = addLink("udon", 15);
     int[] counts = new int[2];
     for (int i = 0; i < 2000; i++) {
       wide.onRoomReport(now, 15);
@@ -114,21 +118,21 @@
   }
 
   @Test
-  void newsOfRoomHoldsForASecond() {
-    PeerLink link = link("bangkok", 15);
+  void reportedRoomExpiresAfterASecond() {
+    PeerLink link = addLink("bangkok", 15);
     gateway.onAnswer(now, link, VIEW, 60 * MS, 40 * MS, true, 2);
     assertNotNull(choose());
     assertNotNull(choose());
     assertNull(choose());
-    assertEquals(1, kept(NotForwardedReason.NO_ROOM));
+    assertEquals(1, notForwarded(NotForwardedReason.NO_ROOM));
     now += PeerLink.ROOM_REPORT_NANOS;
     assertNotNull(choose());
   }
 
-  /** What it says beyond its window changes nothing, and what it says of its time is bounded. */
+  /** A room beyond the window has no effect, and the reported time is bounded. */
   @Test
-  void aPeerThatLiesGainsNothing() {
-    PeerLink link = link("bangkok", 15);
+  void falseReportsOfAPeerAreBounded() {
+    PeerLink link = addLink("bangkok", 15);
     gateway.onAnswer(now, link, VIEW, 60 * MS, Long.MAX_VALUE, true, Integer.MAX_VALUE);
     gateway.onAnswer(now, link, VIEW, 60 * MS, -5, true, Integer.MIN_VALUE);
     gateway.onAnswer(now, link, VIEW, 60 * MS, 45 * MS, true, Integer.MAX_VALUE);
@@ -141,24 +145,24 @@
     assertTrue(gateway.remoteTimeLeft(link, SECOND) > 900 * MS);
   }
 
-  /** The last half of a window is for what is worth more. */
+  /** The second half of a window is reserved for calls of higher worth. */
   @Test
-  void whatIsWorthMoreHasMoreOfTheWindow() {
-    link("bangkok", 15);
-    int plain = 0;
+  void classOfHigherWorthMayUseMoreOfTheWindow() {
+    addLink("bangkok", 15);
+    int ordinary = 0;
     while (choose() != null) {
-      plain++;
+      ordinary++;
     }
-    int worthy = 0;
+    int valuable = 0;
     while (gateway.choose(now, PUBLISH, 2 * SECOND, 0) != null) {
-      worthy++;
+      valuable++;
     }
-    assertTrue(worthy >= plain / 2, plain + " and " + worthy);
+    assertTrue(valuable >= ordinary / 2, ordinary + " and " + valuable);
   }
 
   @Test
-  void aRefusalCutsTheWindowOnceAFlight() {
-    PeerLink link = link("bangkok", 15);
+  void refusalsCutTheWindowOncePerRoundTrip() {
+    PeerLink link = addLink("bangkok", 15);
     for (int i = 0; i < 10; i++) {
       choose();
     }
@@ -171,13 +175,14 @@
   }
 
   @Test
-  void aLinkThatBrokeReturnsBySlowStart() {
-    PeerLink link = link("bangkok", 15);
-    long rest = gateway.onBroken(now, link);
+  void brokenLinkReturnsWithSlowStart() {
+    PeerLink link = addLink("bangkok", 15);
+    long backoff = gateway.onBroken(now, link);
     assertTrue(
-        rest >= 0.75 * PeerLink.BASE_BACKOFF_NANOS && rest <= 1.25 * PeerLink.BASE_BACKOFF_NANOS);
+        backoff >= 0.75 * PeerLink.BASE_BACKOFF_NANOS
+            && backoff <= 1.25 * PeerLink.BASE_BACKOFF_NANOS);
     assertNull(choose());
-    now += rest;
+    now += backoff;
     gateway.onUp(now, link);
     gateway.onRoundTrip(link, 15 * MS);
     assertEquals(link, choose());
@@ -185,28 +190,28 @@
     List<Integer> sizes = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       now += 60 * MS;
-      served(link, 60, 45, 1000);
-      while (choose() != null) {} // Kept as full as it may be.
+      serve(link, 60, 45, 1000);
+      while (choose() != null) {} // Fills the window.
       sizes.add(link.window.size());
     }
     assertTrue(sizes.get(3) <= 5, sizes.toString());
     assertTrue(sizes.get(23) >= 12, sizes.toString());
   }
 
-  /** However often a link flaps, a good one is not kept out for longer than the bound. */
+  /** However often a link breaks, it is not kept out of use for longer than the bound. */
   @Test
-  void aLinkThatFlapsIsDampedWithABound() {
-    PeerLink link = link("bangkok", 15);
-    long before = 0;
+  void backoffOfAFlappingLinkGrowsUpToABound() {
+    PeerLink link = addLink("bangkok", 15);
+    long first = 0;
     long longest = 0;
     for (int i = 0; i < 50; i++) {
-      long rest = gateway.onBroken(now, link);
-      longest = Math.max(longest, rest);
+      long backoff = gateway.onBroken(now, link);
+      longest = Math.max(longest, backoff);
       if (i == 4) {
-        assertTrue(rest > 2 * before, "each break is dearer than the first");
+        assertTrue(backoff > 2 * first, "the backoff grows with each break");
       }
-      before = i == 0 ? rest : before;
-      now += rest;
+      first = i == 0 ? backoff : first;
+      now += backoff;
       gateway.onUp(now, link);
       now += 20 * MS;
     }
@@ -216,8 +221,8 @@
   }
 
   @Test
-  void aDrainedLinkGetsNothingAndIsPutBack() {
-    PeerLink link = link("bangkok", 15);
+  void drainedLinkIsNotChosenUntilItIsResumed() {
+    PeerLink link = addLink("bangkok", 15);
     gateway.drain(link, true);
     assertNull(choose());
     gateway.drain(link, false);
@@ -225,14 +230,14 @@
   }
 
   @Test
-  void aCallIsSentAwayTwiceAtMost() {
-    link("bangkok", 15);
+  void callIsForwardedAtMostTwice() {
+    addLink("bangkok", 15);
     assertNotNull(gateway.choose(now, VIEW, SECOND, 1));
     assertNull(gateway.choose(now, VIEW, SECOND, 2));
-    assertEquals(1, kept(NotForwardedReason.TRIED));
+    assertEquals(1, notForwarded(NotForwardedReason.TRIED));
   }
 
-  /** Two sites' clocks are never compared: a far site with any clock at all is the same. */
+  /** The origin of the clock does not matter, as clocks of different sites are never compared. */
   @Test
   void sameEventsAndSeedGiveTheSameDecisions() {
     List<List<String>> runs =
@@ -242,7 +247,7 @@
                   Gateway each = new Gateway("hat-yai", CLASSES, 3);
                   List<PeerLink> links = List.of(each.add("a"), each.add("b"), each.add("c"));
                   List<String> drawn = new ArrayList<>();
-                  long at = run * 1_000_000 * SECOND; // Its readings' start is of no matter.
+                  long at = run * 1_000_000 * SECOND; // Each run has another origin.
                   for (PeerLink link : links) {
                     each.onUp(at, link);
                     each.onRoundTrip(link, 15 * MS);
--- a/src/test/java/heathswitch/policy/gateway/PeerAdmissionTest.java
+++ b/src/test/java/heathswitch/policy/gateway/PeerAdmissionTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a site takes of others, in virtual time. */
+/** Admission of calls from peer sites, in virtual time. */
 class PeerAdmissionTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
@@ -15,21 +15,21 @@
   private final Gateway gateway = new Gateway("bangkok", GatewayTest.CLASSES, 7);
   private long now = 100 * SECOND;
 
-  private int takeAll() {
-    int taken = 0;
+  private int admitAll() {
+    int admitted = 0;
     while (gateway.tryAdmit(now)) {
-      taken++;
+      admitted++;
     }
-    return taken;
+    return admitted;
   }
 
-  private void end(int count, long tookMillis, boolean served) {
+  private void endCalls(int count, long tookMillis, boolean served) {
     for (int i = 0; i < count; i++) {
       gateway.onAdmittedEnd(now, now - tookMillis * MS, GatewayTest.VIEW, served);
     }
   }
 
-  private void servedHere(int count, double meanMillis, SplittableRandom random) {
+  private void serveLocally(int count, double meanMillis, SplittableRandom random) {
     for (int i = 0; i < count; i++) {
       double millis = random == null ? meanMillis : -meanMillis * Math.log(1 - random.nextDouble());
       gateway.onLocalAnswer(now, GatewayTest.VIEW, (long) (millis * MS));
@@ -38,74 +38,74 @@
   }
 
   @Test
-  void whatIsTakenIsBoundedAndGivenBack() {
-    int taken = takeAll();
-    assertTrue(taken > 0 && taken < 100, "taken " + taken);
+  void admittedCallsAreLimitedAndReleasedWhenTheyEnd() {
+    int admitted = admitAll();
+    assertTrue(admitted > 0 && admitted < 100, "admitted " + admitted);
     assertEquals(0, gateway.room(now));
-    end(taken, 40, true);
+    endCalls(admitted, 40, true);
     assertEquals(0, gateway.admittedCalls());
-    assertTrue(gateway.room(now) >= taken);
+    assertTrue(gateway.room(now) >= admitted);
   }
 
-  /** Its own callers come first: one of them turned away, and nothing is taken for a while. */
+  /** Clients of the site itself have priority over peer sites. */
   @Test
-  void afterARefusalOfItsOwnNothingIsTaken() {
+  void admitsNothingForAWhileAfterRefusingAnOwnCall() {
     gateway.onLocalRefusal(now, true);
     assertEquals(0, gateway.room(now));
     assertFalse(gateway.tryAdmit(now));
     now += PeerAdmission.REFUSAL_HOLD_NANOS;
-    assertEquals(1, gateway.room(now), "and then one by one");
-    assertEquals(1, takeAll());
+    assertEquals(1, gateway.room(now), "admission resumes with a single call");
+    assertEquals(1, admitAll());
   }
 
   @Test
-  void aRefusalOfAnotherSitesCallCutsTheWindowAlone() {
+  void refusalOfAPeerCallOnlyCutsTheWindow() {
     gateway.onLocalRefusal(now, false);
     assertEquals(1, gateway.room(now));
   }
 
-  /** Before anybody is turned away: its servers take twice what they take at ease. */
+  /** The delay of its servers doubles, although nothing was refused yet. */
   @Test
-  void aStrainedSiteTakesNothing() {
-    servedHere(300, 40, null);
+  void congestedSiteAdmitsNothing() {
+    serveLocally(300, 40, null);
     assertFalse(gateway.isCongested(now));
     assertTrue(gateway.room(now) > 0);
-    servedHere(200, 90, null);
+    serveLocally(200, 90, null);
     assertTrue(gateway.isCongested(now));
     assertEquals(0, gateway.room(now));
-    servedHere(2000, 42, null);
+    serveLocally(2000, 42, null);
     assertFalse(gateway.isCongested(now));
   }
 
-  /** A site near full looks at ease in each lull; what it takes in the long run shows it. */
+  /** An almost full site looks uncongested in each lull; the long mean still shows congestion. */
   @Test
-  void aLullIsNoEase() {
-    servedHere(1000, 40, null);
+  void shortLullsDoNotEndCongestion() {
+    serveLocally(1000, 40, null);
     for (int i = 0; i < 20; i++) {
-      servedHere(150, 75, null);
-      servedHere(60, 45, null);
+      serveLocally(150, 75, null);
+      serveLocally(60, 45, null);
     }
     assertTrue(gateway.isCongested(now));
     assertEquals(0, gateway.room(now));
   }
 
-  /** Times that vary as much as their mean are no strain. */
+  /** Exponentially distributed service times around a constant mean. */
   @Test
-  void chanceIsNoStrain() {
+  void randomServiceTimesRarelyCountAsCongestion() {
     SplittableRandom random = new SplittableRandom(5);
-    servedHere(1000, 40, random);
-    int isCongested = 0;
+    serveLocally(1000, 40, random);
+    int congested = 0;
     for (int i = 0; i < 20_000; i++) {
-      servedHere(1, 40, random);
-      isCongested += gateway.isCongested(now) ? 1 : 0;
+      serveLocally(1, 40, random);
+      congested += gateway.isCongested(now) ? 1 : 0;
     }
-    assertTrue(isCongested < 400, "strained " + isCongested + " of 20,000 looks");
+    assertTrue(congested < 400, "congested in " + congested + " of 20,000 checks");
   }
 
   @Test
-  void whatHasNotBeenSeenOfLateSaysNothing() {
-    servedHere(300, 40, null);
-    servedHere(300, 100, null);
+  void congestionEndsWithoutRecentSamples() {
+    serveLocally(300, 40, null);
+    serveLocally(300, 100, null);
     assertTrue(gateway.isCongested(now));
     now += 3 * SECOND;
     assertFalse(gateway.isCongested(now));
--- a/src/test/java/heathswitch/policy/gateway/TrailTest.java
+++ b/src/test/java/heathswitch/policy/gateway/TrailTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The header that keeps a call from being sent on. */
+/** The header with which gateways detect loops. */
 class TrailTest {
   private final Gateway gateway = new Gateway("bangkok", GatewayTest.CLASSES, 1);
 
   @Test
-  void whatOneGatewayWritesAnotherReads() {
+  void parsesWhatAnotherGatewayWrites() {
     assertEquals(List.of("hat-yai"), Trail.parse(Trail.headerFrom("hat-yai")).sites());
   }
 
-  /** A later version adds fields and keeps those before them. */
+  /** A later version only appends fields. */
   @Test
-  void aLaterVersionIsRead() {
+  void parsesALaterVersion() {
     assertEquals(List.of("a", "b"), Trail.parse("2;a,b;hops=2;x").sites());
     assertEquals(TrailVerdict.GOOD, gateway.checkTrail("hat-yai", "17;hat-yai;anything"));
   }
@@ -51,16 +51,16 @@
         "1;abcdefghijklmnopqrstuvwxyz0123456",
         "1;hat-yai;\u00e9"
       })
-  void whatIsGarbledIsNoTrail(String text) {
+  void rejectsAMalformedTrail(String text) {
     assertNull(Trail.parse(text));
     assertEquals(TrailVerdict.GARBLED, gateway.checkTrail("hat-yai", text));
   }
 
   @Test
-  void whatIsTooLongIsNoTrail() {
-    String later =
+  void rejectsATrailThatIsTooLong() {
+    String appended =
         IntStream.range(0, Trail.MAX_LENGTH).mapToObj(i -> "x").collect(Collectors.joining());
-    assertNull(Trail.parse("2;hat-yai;" + later));
+    assertNull(Trail.parse("2;hat-yai;" + appended));
     assertNull(Trail.parse(null));
   }
 
@@ -73,7 +73,7 @@
     "hat-yai, '1;bangkok,hat-yai', BOUNCED",
     "bangkok, 1;bangkok, BOUNCED"
   })
-  void aTrailIsJudgedByWhoBringsIt(String peer, String text, TrailVerdict expected) {
+  void trailIsCheckedAgainstTheSendingPeer(String peer, String text, TrailVerdict expected) {
     assertEquals(expected, gateway.checkTrail(peer, text));
   }
 }
--- a/src/test/java/heathswitch/policy/grpc/BufferingModeTest.java
+++ b/src/test/java/heathswitch/policy/grpc/BufferingModeTest.java
@@ -7,22 +7,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** When a call or an answer that may be a stream is forwarded. */
 class BufferingModeTest {
-  private static final long MOST = 1000;
+  private static final long MAX_BYTES = 1000;
 
   @ParameterizedTest
   @CsvSource({
     "AUTO,0,0,false", "AUTO,1,1000,false", "AUTO,1,1001,true", "AUTO,2,10,true",
     "UNARY,1,5000,false", "UNARY,7,5000,false", "STREAM,0,0,true", "STREAM,1,1,true"
   })
-  void itGoesOnAsSoonAsItShowsThatItIsAStream(
-      BufferingMode mode, long messages, long bytes, boolean on) {
-    assertEquals(on, mode.shouldForward(messages, bytes, MOST));
+  void forwardsAsSoonAsTheTrafficShowsAStream(
+      BufferingMode mode, long messages, long bytes, boolean expected) {
+    assertEquals(expected, mode.shouldForward(messages, bytes, MAX_BYTES));
   }
 
   @ParameterizedTest
   @CsvSource({"AUTO", "STREAM"})
-  void whatHasNotEndedInTimeGoesOn(BufferingMode mode) {
+  void forwardsAfterTheTimeoutUnlessUnary(BufferingMode mode) {
     assertTrue(mode.forwardsAfterTimeout());
     assertFalse(BufferingMode.UNARY.forwardsAfterTimeout());
   }
