--- a/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
+++ b/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
@@ -14,13 +14,15 @@
 /**
  * The table {@code [gateway]} of the configuration.
  *
- * @param site this site's name, which its certificate has to carry
- * @param listen where gateways of other sites connect
- * @param keys null for plain text, which a configuration has to ask for
- * @param silenceTimeoutNanos after which a link that answers no PING is broken
- * @param stallTimeoutNanos after which a call is given up whose peer sends or takes nothing
- * @param maxStreams calls of one peer's connection at a time
- * @param maxBufferedBytes bytes of other sites' calls that are held at a time
+ * @param site this site's name, which its certificate must contain
+ * @param listen the address to which gateways of peer sites connect
+ * @param keys null for plain text, which the configuration must request explicitly
+ * @param silenceTimeoutNanos the time without any frame, even an answer to PING, after which a link
+ *     is closed as broken
+ * @param stallTimeoutNanos the time after which a call is aborted whose peer neither sends nor
+ *     accepts data
+ * @param maxStreams the concurrent calls per connection of a peer
+ * @param maxBufferedBytes the bytes of calls from peer sites that are buffered at a time
  */
 public record GatewayTable(
     String site,
@@ -33,35 +35,35 @@
     long maxBufferedBytes) {
 
   /**
-   * What this gateway shows its peers, and whom it believes; all in PEM.
+   * The files of this gateway's identity and of its trust anchor, all in PEM.
    *
-   * @param certificate with the chain up to the authority, if there is one
-   * @param key PKCS #8, without a password
-   * @param authority the certificate of whoever signs for all sites
+   * @param certificate the certificate, followed by intermediate certificates if there are any
+   * @param key the private key as PKCS #8, without a password
+   * @param authority the certificate of the authority that signs for all sites
    */
   public record Keys(Path certificate, Path key, Path authority) {}
 
-  /** Another site and the addresses of its gateways. */
+  /** A peer site and the addresses of its gateways. */
   public record PeerSite(String name, List<InetSocketAddress> gateways) {}
 
-  /** Reads and checks the table; null where there is none, and the gateway is off. */
+  /** Reads and validates the table; returns null if there is none, and the gateway is off. */
   public static GatewayTable read(Document document) {
     Section table = document.root().table("gateway");
     if (table == null) {
       return null;
     }
-    String site = name(table, "site");
+    String site = siteName(table, "site");
     InetSocketAddress listen = table.address("listen", true);
     Keys keys = keys(document, table);
     List<PeerSite> sites = new ArrayList<>();
     Set<String> names = new HashSet<>();
     Set<InetSocketAddress> addresses = new HashSet<>();
     for (Section section : table.tables("peer")) {
-      String name = name(section, "site");
+      String name = siteName(section, "site");
       if (name != null && name.equals(site)) {
         section.fault("site", "is this site itself; another site expected");
       } else if (name != null && !names.add(name)) {
-        section.fault("site", "\"" + name + "\" stands twice; another site expected");
+        section.fault("site", "\"" + name + "\" is listed twice; another site expected");
       }
       sites.add(new PeerSite(name, gateways(section, addresses)));
       section.end();
@@ -80,23 +82,23 @@
             (int) table.whole("most_streams", 1000L, 1, 100_000),
             table.whole("most_held", 16L << 20, 1 << 20, 1L << 32));
     if (keys == null && table.flag("insecure", false)) {
-      onlyLoopback(table, listen, addresses);
+      checkLoopbackOnly(table, listen, addresses);
     }
     table.end();
     return listen == null ? null : gateway;
   }
 
-  private static void onlyLoopback(
+  private static void checkLoopbackOnly(
       Section table, InetSocketAddress listen, Set<InetSocketAddress> addresses) {
-    boolean away =
+    boolean beyondLoopback =
         listen != null && !listen.getAddress().isLoopbackAddress()
             || addresses.stream().anyMatch(each -> !each.getAddress().isLoopbackAddress());
-    if (away) {
+    if (beyondLoopback) {
       table.fault("insecure", "is for tests on loopback addresses alone; certificates expected");
     }
   }
 
-  private static String name(Section section, String key) {
+  private static String siteName(Section section, String key) {
     String name = section.text(key, null);
     if (name != null && !Trail.isSiteName(name)) {
       section.fault(key, "is \"" + name + "\"; 1 to 32 of the characters a-z, 0-9 and - expected");
@@ -105,11 +107,11 @@
   }
 
   private static Keys keys(Document document, Section table) {
-    boolean plain = table.flag("insecure", false);
+    boolean insecure = table.flag("insecure", false);
     String certificate = table.optionalText("certificate");
     String key = table.optionalText("key");
     String authority = table.optionalText("authority");
-    if (plain) {
+    if (insecure) {
       if (certificate != null || key != null || authority != null) {
         table.fault("insecure", "and certificates exclude each other; one of the two expected");
       }
@@ -124,13 +126,14 @@
         document.resolve(certificate), document.resolve(key), document.resolve(authority));
   }
 
-  private static List<InetSocketAddress> gateways(Section section, Set<InetSocketAddress> all) {
+  private static List<InetSocketAddress> gateways(
+      Section section, Set<InetSocketAddress> allAddresses) {
     List<InetSocketAddress> gateways = new ArrayList<>();
     for (String text : section.texts("gateways", true)) {
       InetSocketAddress address = Addresses.parse(text);
       if (address == null) {
         section.fault("gateways", "has \"" + text + "\"; ADDRESS:PORT expected");
-      } else if (!all.add(address)) {
+      } else if (!allAddresses.add(address)) {
         section.fault("gateways", "has " + text + " a second time; each address once expected");
       } else {
         gateways.add(address);
--- a/src/main/java/heathswitch/proxy/gateway/Identity.java
+++ b/src/main/java/heathswitch/proxy/gateway/Identity.java
@@ -27,35 +27,35 @@
 import java.util.List;
 
 /**
- * What a gateway shows its peers, and whom it believes, as read from its files at one time. TLS 1.3
- * alone (RFC 8446), both sides with a certificate; a site is a DNS name among the certificate's
- * subject alternative names (RFC 5280, section 4.2.1.6).
+ * The certificate, key and trust anchor of a gateway, as read from their files at one time. Uses
+ * TLS 1.3 only (RFC 8446) with mutual authentication. A site is identified by a DNS name among the
+ * certificate's subject alternative names (RFC 5280, section 4.2.1.6).
  */
 final class Identity {
-  private static final int MOST_BYTES = 1 << 20;
-  private static final int DNS_NAME = 2;
+  private static final int MAX_FILE_BYTES = 1 << 20;
+  private static final int DNS_NAME_TYPE = 2;
   private static final String PEM_KEY = "PRIVATE KEY";
 
-  /** A file that cannot be used; the message names it and what is wrong. */
+  /** A file cannot be used; the message names the file and the reason. */
   static final class UnusableFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnusableFileException(Path file, String why) {
-      super(file + ": " + why);
+    UnusableFileException(Path file, String reason) {
+      super(file + ": " + reason);
     }
   }
 
-  private final SslContext server;
-  private final SslContext client;
-  private final Date until;
+  private final SslContext serverContext;
+  private final SslContext clientContext;
+  private final Date expiry;
 
-  private Identity(SslContext server, SslContext client, Date until) {
-    this.server = server;
-    this.client = client;
-    this.until = until;
+  private Identity(SslContext serverContext, SslContext clientContext, Date expiry) {
+    this.serverContext = serverContext;
+    this.clientContext = clientContext;
+    this.expiry = expiry;
   }
 
-  /** Reads the files and checks that they belong together and name the site. */
+  /** Reads the files and checks that the key fits the certificate and that it names the site. */
   static Identity read(GatewayTable.Keys keys, String site) throws UnusableFileException {
     List<X509Certificate> chain = certificates(keys.certificate());
     List<X509Certificate> authority = certificates(keys.authority());
@@ -65,31 +65,31 @@
     } catch (CertificateException e) {
       throw new UnusableFileException(keys.certificate(), "is not valid now: " + e.getMessage());
     }
-    if (!sites(own).contains(site)) {
+    if (!dnsNames(own).contains(site)) {
       throw new UnusableFileException(
-          keys.certificate(), "names " + sites(own) + " and not the site \"" + site + '"');
+          keys.certificate(), "names " + dnsNames(own) + " and not the site \"" + site + '"');
     }
     PrivateKey key = key(keys.key(), own);
-    X509Certificate[] shown = chain.toArray(X509Certificate[]::new);
-    X509Certificate[] believed = authority.toArray(X509Certificate[]::new);
+    X509Certificate[] ownChain = chain.toArray(X509Certificate[]::new);
+    X509Certificate[] trusted = authority.toArray(X509Certificate[]::new);
     try {
-      SslContextBuilder server = SslContextBuilder.forServer(key, shown);
-      SslContextBuilder client = SslContextBuilder.forClient().keyManager(key, shown);
+      SslContextBuilder serverBuilder = SslContextBuilder.forServer(key, ownChain);
+      SslContextBuilder clientBuilder = SslContextBuilder.forClient().keyManager(key, ownChain);
       return new Identity(
-          common(server.clientAuth(ClientAuth.REQUIRE), believed).build(),
-          common(client, believed).build(),
+          configure(serverBuilder.clientAuth(ClientAuth.REQUIRE), trusted).build(),
+          configure(clientBuilder, trusted).build(),
           own.getNotAfter());
     } catch (IOException e) {
       throw new UnusableFileException(keys.certificate(), "cannot be used: " + e.getMessage());
     }
   }
 
-  private static SslContextBuilder common(SslContextBuilder builder, X509Certificate[] believed) {
+  private static SslContextBuilder configure(SslContextBuilder builder, X509Certificate[] trusted) {
     return builder
         .sslProvider(SslProvider.JDK)
         .protocols("TLSv1.3")
-        .trustManager(believed)
-        // A session that is taken up again would outlive a certificate that was replaced.
+        .trustManager(trusted)
+        // A resumed session would remain valid after its certificate was replaced.
         .sessionCacheSize(1)
         .sessionTimeout(1)
         .applicationProtocolConfig(
@@ -100,26 +100,26 @@
                 ApplicationProtocolNames.HTTP_2));
   }
 
-  SslContext server() {
-    return server;
+  SslContext serverContext() {
+    return serverContext;
   }
 
-  SslContext client() {
-    return client;
+  SslContext clientContext() {
+    return clientContext;
   }
 
-  /** When the certificate that is shown ends. */
-  Date until() {
-    return until;
+  /** Returns when the certificate of this gateway expires. */
+  Date expiry() {
+    return expiry;
   }
 
-  /** The names that a certificate carries for its holder. */
-  static List<String> sites(Certificate certificate) {
+  /** Returns the DNS names among the subject alternative names of a certificate. */
+  static List<String> dnsNames(Certificate certificate) {
     List<String> names = new ArrayList<>();
     try {
       Collection<List<?>> all = ((X509Certificate) certificate).getSubjectAlternativeNames();
       for (List<?> name : all == null ? List.<List<?>>of() : all) {
-        if (name.get(0).equals(DNS_NAME)) {
+        if (name.get(0).equals(DNS_NAME_TYPE)) {
           names.add(String.valueOf(name.get(1)));
         }
       }
@@ -131,7 +131,7 @@
 
   private static String text(Path file) throws UnusableFileException {
     try {
-      return BoundedFile.text(BoundedFile.read(file, MOST_BYTES));
+      return BoundedFile.text(BoundedFile.read(file, MAX_FILE_BYTES));
     } catch (IOException e) {
       throw new UnusableFileException(file, String.valueOf(e.getMessage()));
     }
@@ -146,44 +146,45 @@
         certificates.add((X509Certificate) each);
       }
       if (certificates.isEmpty()) {
-        throw new UnusableFileException(file, "has no certificate");
+        throw new UnusableFileException(file, "contains no certificate");
       }
       return certificates;
     } catch (CertificateException e) {
-      throw new UnusableFileException(file, "is no certificate in PEM: " + e.getMessage());
+      throw new UnusableFileException(file, "is not a certificate in PEM: " + e.getMessage());
     }
   }
 
-  /** The key, if it is that of the certificate. */
+  /** Reads the private key and checks that it belongs to the certificate. */
   private static PrivateKey key(Path file, X509Certificate certificate)
       throws UnusableFileException {
     String text = text(file);
-    int from = text.indexOf("-----BEGIN " + PEM_KEY + "-----");
-    int to = text.indexOf("-----END " + PEM_KEY + "-----");
-    if (from < 0 || to < from) {
+    int begin = text.indexOf("-----BEGIN " + PEM_KEY + "-----");
+    int end = text.indexOf("-----END " + PEM_KEY + "-----");
+    if (begin < 0 || end < begin) {
       throw new UnusableFileException(
-          file, "is no private key in PEM, as PKCS #8 without a password");
+          file, "is not a private key in PEM (PKCS #8 without a password)");
     }
     try {
-      String body = text.substring(text.indexOf('\n', from), to);
+      String body = text.substring(text.indexOf('\n', begin), end);
       byte[] bytes = Base64.getMimeDecoder().decode(body);
       String algorithm = certificate.getPublicKey().getAlgorithm();
       PrivateKey key =
           KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(bytes));
-      String signing = algorithm.equals("EC") ? "SHA256withECDSA" : "SHA256with" + algorithm;
-      Signature signature = Signature.getInstance(signing);
+      String signatureAlgorithm =
+          algorithm.equals("EC") ? "SHA256withECDSA" : "SHA256with" + algorithm;
+      Signature signature = Signature.getInstance(signatureAlgorithm);
       signature.initSign(key);
       signature.update(bytes);
-      byte[] signed = signature.sign();
+      byte[] signatureBytes = signature.sign();
       signature.initVerify(certificate);
       signature.update(bytes);
-      if (!signature.verify(signed)) {
+      if (!signature.verify(signatureBytes)) {
         throw new UnusableFileException(file, "is not the key of the certificate");
       }
       return key;
     } catch (GeneralSecurityException | IllegalArgumentException e) {
       throw new UnusableFileException(
-          file, "is no key that fits the certificate: " + e.getMessage());
+          file, "is not a key that fits the certificate: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/IdentityFiles.java
+++ b/src/main/java/heathswitch/proxy/gateway/IdentityFiles.java
@@ -13,47 +13,48 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the files of an identity while the gateway runs: a replacement is read whole and taken if
- * it can be used, else the identity stays as it was and the log says why. Reads on a thread of its
- * own.
+ * Watches the files of an identity while the gateway runs. If they change and can be used, the new
+ * identity is activated; otherwise the current one stays in use and the reason is logged. Reads the
+ * files on its own thread.
  */
 final class IdentityFiles implements AutoCloseable {
   private static final long POLL_MILLIS = 500;
 
+  /** What is compared to detect a change of a file; the size is -1 if it cannot be read. */
   private record Stamp(FileTime time, long size) {}
 
   private final GatewayTable.Keys keys;
   private final String site;
-  private final Consumer<Identity> taken;
+  private final Consumer<Identity> activate;
   private final ScheduledExecutorService poller;
-  private List<Stamp> seen;
-  private List<Stamp> read;
+  private List<Stamp> polledStamps;
+  private List<Stamp> readStamps;
 
-  /** What was wrong at the look before, told once. */
-  private String told = "";
+  /** The problem that was logged last, which is not logged again while it persists. */
+  private String loggedProblem = "";
 
   /**
-   * Follows the files from now on.
+   * Starts to watch the files.
    *
-   * @param taken told of each identity that is to be used from now on, on the poller's thread
+   * @param activate called on the poller's thread with each identity to be used from then on
    */
-  IdentityFiles(GatewayTable.Keys keys, String site, Consumer<Identity> taken) {
+  IdentityFiles(GatewayTable.Keys keys, String site, Consumer<Identity> activate) {
     this.keys = keys;
     this.site = site;
-    this.taken = taken;
-    seen = stamps();
-    read = seen;
+    this.activate = activate;
+    polledStamps = currentStamps();
+    readStamps = polledStamps;
     poller =
         Executors.newSingleThreadScheduledExecutor(
-            work -> {
-              Thread thread = new Thread(work, "gateway-identity");
+            task -> {
+              Thread thread = new Thread(task, "gateway-identity");
               thread.setDaemon(true);
               return thread;
             });
-    poller.scheduleWithFixedDelay(this::look, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
+    poller.scheduleWithFixedDelay(this::poll, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private List<Stamp> stamps() {
+  private List<Stamp> currentStamps() {
     List<Stamp> stamps = new ArrayList<>(3);
     for (Path file : List.of(keys.certificate(), keys.key(), keys.authority())) {
       try {
@@ -65,27 +66,28 @@
     return stamps;
   }
 
-  /** Reads what has changed and then stayed as it is for one look. */
-  private void look() {
+  /** Reads the files if they have changed and then remained unchanged for one poll. */
+  private void poll() {
     try {
-      List<Stamp> now = stamps();
-      boolean settled = now.equals(seen);
-      seen = now;
-      if (!settled || now.equals(read)) {
+      List<Stamp> now = currentStamps();
+      boolean unchanged = now.equals(polledStamps);
+      polledStamps = now;
+      if (!unchanged || now.equals(readStamps)) {
         return;
       }
       Identity next = Identity.read(keys, site);
-      read = now; // Only now: what could not be used may be in a moment, and looks the same then.
-      told = "";
-      Log.info("gateway", "new certificate, valid until " + next.until().toInstant());
-      taken.accept(next);
+      // Only after success: an unusable file may become usable without a change of its stamp.
+      readStamps = now;
+      loggedProblem = "";
+      Log.info("gateway", "new certificate, valid until " + next.expiry().toInstant());
+      activate.accept(next);
     } catch (Identity.UnusableFileException e) {
-      if (!told.equals(e.getMessage())) {
-        told = String.valueOf(e.getMessage());
-        Log.warn("gateway", "certificate left as it was: " + told);
+      if (!loggedProblem.equals(e.getMessage())) {
+        loggedProblem = String.valueOf(e.getMessage());
+        Log.warn("gateway", "certificate not replaced: " + loggedProblem);
       }
     } catch (RuntimeException e) {
-      Log.error("gateway", "certificate left as it was", e); // Thrown on, it would end the polls.
+      Log.error("gateway", "certificate not replaced", e); // Rethrown, it would end the polling.
     }
   }
 
--- a/src/main/java/heathswitch/proxy/gateway/InboundCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundCall.java
@@ -32,139 +32,151 @@
 import java.util.Map;
 
 /**
- * One call of another site: served by this site's own servers or refused at once, and never sent
- * on. Everything that its peer says is checked before anything is done for it.
+ * A call from a peer site: served by this site's own servers or refused at once, and never
+ * forwarded to another site. The headers of the call are validated before anything else is done.
  */
 final class InboundCall implements InboundConnection.Call, Caller, StreamedAnswerSink {
-  /** A front gathers no longer body, so no peer sends one. */
-  private static final int MOST_BODY_BYTES = 1 << 20;
+  /** No peer sends a longer body, because its listener for clients does not buffer one. */
+  private static final int MAX_BODY_BYTES = 1 << 20;
 
-  private static final int MOST_COMPONENTS = 1024;
-  private static final int MOST_ID_LENGTH = 128;
-  private static final int MOST_PATH = 64 << 10;
+  private static final int MAX_COMPONENTS = 1024;
+  private static final int MAX_ID_LENGTH = 128;
+  private static final int MAX_PATH_LENGTH = 64 << 10;
 
-  /** Of a long answer, bytes that wait for the peer before its server is told to wait. */
-  private static final int MOST_UNSENT = 256 << 10;
+  /** Bytes of a streamed answer that may wait for the peer before its source is paused. */
+  private static final int MAX_UNSENT_BYTES = 256 << 10;
 
-  private final InboundLinks inward;
+  private final InboundLinks inboundLinks;
   private final InboundLink link;
   private final int id;
-  private final long begunNanos;
+  private final long startNanos;
   private Http2Headers head;
   private String site;
-  private RequestClass type;
+  private RequestClass requestClass;
   private CompositeByteBuf body;
-  private long held;
-  private boolean ended;
+  private long reservedBytes;
+  private boolean requestEnded;
   private boolean answered;
-  private boolean lent;
-  private long takenNanos;
-  private RequestHandle ticket;
+  private boolean admitted;
+  private long admittedNanos;
+  private RequestHandle openRequest;
 
-  /** Brings an answer that goes on as it comes. */
+  /** The source of a streamed answer. */
   private StreamedAnswerSource source;
 
-  /** Bytes of the answer that the peer has not taken, and when it last took or sent any. */
-  private int unsent;
+  /** Bytes of the answer that the peer has not accepted. */
+  private int unsentBytes;
 
-  private long movedNanos;
+  /** When writing the answer last made progress. */
+  private long progressNanos;
 
-  InboundCall(InboundLinks inward, InboundLink link, int id) {
-    this.inward = inward;
+  InboundCall(InboundLinks inboundLinks, InboundLink link, int id) {
+    this.inboundLinks = inboundLinks;
     this.link = link;
     this.id = id;
-    begunNanos = inward.now();
-    movedNanos = begunNanos;
+    startNanos = inboundLinks.now();
+    progressNanos = startNanos;
   }
 
-  // ---- what the peer sends ----
+  // ---- request ----
 
   @Override
   public void onHeaders(Http2Headers frame, boolean last) {
-    ended |= last;
+    requestEnded |= last;
     if (answered) {
       return;
     }
     if (head == null) {
       head = frame;
-      String fault = fault(frame);
+      String fault = validate(frame);
       if (fault != null) {
-        Log.warn("gateway", "call of " + site + " refused: " + fault);
+        Log.warn("gateway", "call from " + site + " refused: " + fault);
         answer(SiteHeaders.Result.REFUSED);
         return;
       }
-      body = Unpooled.compositeBuffer(MOST_COMPONENTS);
+      body = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
     if (last) {
-      whole();
+      requestComplete();
     }
   }
 
-  /** What is wrong with a call, or null; sets what was read from it. */
-  private String fault(Http2Headers frame) {
-    CharSequence text = frame.get(SiteHeaders.TRAIL);
-    Trail trail = Trail.parse(text);
-    site = link.peer() != null ? link.peer() : trail == null ? "?" : trail.lastSite();
-    if (!inward.isPeer(site)) {
-      site = "?"; // In plain text anybody can name any site.
-      return "of no site expected";
+  /** Validates the headers and sets the fields read from them; returns the fault or null. */
+  private String validate(Http2Headers frame) {
+    CharSequence trailText = frame.get(SiteHeaders.TRAIL);
+    Trail trail = Trail.parse(trailText);
+    site = link.peerSite() != null ? link.peerSite() : trail == null ? "?" : trail.lastSite();
+    if (!inboundLinks.isPeerSite(site)) {
+      site = "?"; // In plain text the peer can claim any name.
+      return "not a configured peer site";
     }
-    Gateway.TrailVerdict entry =
+    Gateway.TrailVerdict verdict =
         frame.getAll(SiteHeaders.TRAIL).size() > 1
             ? Gateway.TrailVerdict.GARBLED
-            : inward.gateway().checkTrail(site, text);
-    inward.counts(site).entered(entry);
-    if (entry != Gateway.TrailVerdict.GOOD) {
-      return "trail is " + entry.name().toLowerCase(Locale.ROOT);
+            : inboundLinks.gateway().checkTrail(site, trailText);
+    inboundLinks.counters(site).onTrailChecked(verdict);
+    if (verdict != Gateway.TrailVerdict.GOOD) {
+      return "trail is " + verdict.name().toLowerCase(Locale.ROOT);
     }
-    CharSequence name = frame.get(AsciiString.of(HeaderRules.CLASS).toLowerCase());
-    type = name == null ? null : inward.dispatcher().requestClass(name.toString());
-    if (type == null) {
-      return "class " + name + " is not known here";
+    CharSequence className = frame.get(AsciiString.of(HeaderRules.CLASS).toLowerCase());
+    requestClass =
+        className == null ? null : inboundLinks.dispatcher().requestClass(className.toString());
+    if (requestClass == null) {
+      return "class " + className + " is not configured at this site";
     }
     CharSequence effect = frame.get(SiteHeaders.EFFECT);
-    String own = type.effect().name().toLowerCase(Locale.ROOT);
-    if (effect == null || !own.contentEquals(effect)) {
-      return "class " + name + " is " + own + " here and " + effect + " there";
-    }
-    CharSequence call = frame.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
-    if (call == null || !HeaderRules.isVisibleAscii(call.toString(), MOST_ID_LENGTH)) {
-      return "no readable id";
-    }
-    boolean clear =
-        frame.path() != null && HeaderRules.isVisibleAscii(frame.path().toString(), MOST_PATH);
-    return frame.method() == null || !clear || SiteHeaders.number(frame, SiteHeaders.LEFT) < 0
-        ? "no clear method, path or time"
+    String localEffect = requestClass.effect().name().toLowerCase(Locale.ROOT);
+    if (effect == null || !localEffect.contentEquals(effect)) {
+      return "class "
+          + className
+          + " is "
+          + localEffect
+          + " at this site and "
+          + effect
+          + " at the peer site";
+    }
+    CharSequence requestId = frame.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
+    if (requestId == null || !HeaderRules.isVisibleAscii(requestId.toString(), MAX_ID_LENGTH)) {
+      return "request id missing or invalid";
+    }
+    boolean validPath =
+        frame.path() != null
+            && HeaderRules.isVisibleAscii(frame.path().toString(), MAX_PATH_LENGTH);
+    return frame.method() == null || !validPath || SiteHeaders.number(frame, SiteHeaders.LEFT) < 0
+        ? "method, path or time left missing or invalid"
         : null;
   }
 
   @Override
   public int onData(ByteBuf data, boolean last) {
     int bytes = data.readableBytes();
-    ended |= last;
+    requestEnded |= last;
     if (answered) {
       return bytes;
     }
-    if (body.readableBytes() + bytes > MOST_BODY_BYTES || !inward.hold(bytes)) {
+    if (body.readableBytes() + bytes > MAX_BODY_BYTES || !inboundLinks.reserve(bytes)) {
       answer(SiteHeaders.Result.REFUSED);
       return bytes;
     }
-    held += bytes;
+    reservedBytes += bytes;
     if (bytes > 0) {
       body.addComponent(true, data.retainedSlice());
     }
     if (last) {
-      whole();
+      requestComplete();
     }
     return bytes;
   }
 
-  /** All of it has come: taken if there is room to lend. */
-  private void whole() {
-    takenNanos = inward.now();
-    long left = SiteHeaders.number(head, SiteHeaders.LEFT) * 1000 - (takenNanos - begunNanos);
-    String name = site + ' ' + head.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
-    if (left <= 0 || inward.draining() || inward.dispatcher().isRequestOpen(name)) {
+  /** The request is complete: processes it if it is admitted, and refuses it otherwise. */
+  private void requestComplete() {
+    admittedNanos = inboundLinks.now();
+    long leftNanos =
+        SiteHeaders.number(head, SiteHeaders.LEFT) * 1000 - (admittedNanos - startNanos);
+    String requestId = site + ' ' + head.get(AsciiString.of(HeaderRules.REQUEST_ID).toLowerCase());
+    if (leftNanos <= 0
+        || inboundLinks.draining()
+        || inboundLinks.dispatcher().isRequestOpen(requestId)) {
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
@@ -172,143 +184,146 @@
     HttpMethod method;
     try {
       method = HttpMethod.valueOf(head.method().toString());
-      HeaderRules.copyEndToEndHeaders(said(), forwarded);
-    } catch (IllegalArgumentException e) { // Over HTTP/1.1 it could say more than one request.
-      Log.warn("gateway", "call of " + site + " refused: " + e.getMessage());
+      HeaderRules.copyEndToEndHeaders(requestHeaders(), forwarded);
+    } catch (IllegalArgumentException e) { // Over HTTP/1.1 it could be read as several requests.
+      Log.warn("gateway", "call from " + site + " refused: " + e.getMessage());
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
     if (!HeaderRules.methodMatchesClass(
-        type, method, forwarded.contains(HeaderRules.IDEMPOTENCY_KEY))) {
-      Log.warn("gateway", "call of " + site + " refused: method or key does not fit its class");
+        requestClass, method, forwarded.contains(HeaderRules.IDEMPOTENCY_KEY))) {
+      Log.warn("gateway", "call from " + site + " refused: method or key does not match its class");
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
-    lent = inward.gateway().tryAdmit(takenNanos);
-    if (!lent) {
+    admitted = inboundLinks.gateway().tryAdmit(admittedNanos);
+    if (!admitted) {
       answer(SiteHeaders.Result.REFUSED);
       return;
     }
-    ByteBuf taken = body;
+    ByteBuf completeBody = body;
     body = null;
     HttpPayload payload =
-        new HttpPayload(inward.pool(), this, method, head.path().toString(), forwarded, taken);
-    inward
+        new HttpPayload(
+            inboundLinks.pool(), this, method, head.path().toString(), forwarded, completeBody);
+    inboundLinks
         .dispatcher()
         .onRequest(
             this,
-            type,
-            name,
+            requestClass,
+            requestId,
             forwarded.get(HeaderRules.TENANT),
             "1".equals(forwarded.get(HeaderRules.RETRY)),
-            Math.min(left, type.deadlineNanos()),
+            Math.min(leftNanos, requestClass.deadlineNanos()),
             RequestProtocol.HTTP1,
             payload);
   }
 
-  /** What the call says to a server; fails on what cannot stand in a message of HTTP/1.1. */
-  private HttpHeaders said() {
-    HttpHeaders said = new DefaultHttpHeaders(true);
+  /** Returns the headers for a server; throws if one is not valid in an HTTP/1.1 message. */
+  private HttpHeaders requestHeaders() {
+    HttpHeaders headers = new DefaultHttpHeaders(true);
     for (Map.Entry<CharSequence, CharSequence> header : head) {
-      if (!SiteHeaders.own(header.getKey())) {
-        said.add(header.getKey(), header.getValue());
+      if (!SiteHeaders.isLinkOnly(header.getKey())) {
+        headers.add(header.getKey(), header.getValue());
       }
     }
     if (head.authority() != null) {
-      said.set(HttpHeaderNames.HOST, head.authority());
+      headers.set(HttpHeaderNames.HOST, head.authority());
     }
-    return said;
+    return headers;
   }
 
-  // ---- the one answer ----
+  // ---- answer ----
 
   @Override
-  public void accepted(RequestHandle live) {
-    ticket = live;
+  public void accepted(RequestHandle handle) {
+    openRequest = handle;
   }
 
-  /** What came from another site is served here or nowhere. */
+  /** A call from a peer site is never forwarded to another site. */
   @Override
   public boolean mayOverflow() {
     return false;
   }
 
   @Override
-  public void serve(Answer whole) {
-    HttpAnswer from = (HttpAnswer) whole; // The only kind that an HttpPayload brings.
-    ticket = null;
+  public void serve(Answer buffered) {
+    HttpAnswer httpAnswer = (HttpAnswer) buffered; // The only type of answer to an HttpPayload.
+    openRequest = null;
     if (answered) {
-      from.release();
+      httpAnswer.release();
       return;
     }
-    boolean empty = !from.body().isReadable();
-    begin(from.head(), empty);
+    boolean empty = !httpAnswer.body().isReadable();
+    writeAnswerHead(httpAnswer.head(), empty);
     if (empty) {
-      from.release();
+      httpAnswer.release();
     } else {
-      send(from.body(), true);
+      writeBody(httpAnswer.body(), true);
     }
   }
 
   @Override
   public void refuse(long retryAfterNanos, Answer last) {
-    ticket = null;
+    openRequest = null;
     answer(SiteHeaders.Result.REFUSED);
   }
 
   @Override
   public void fail(Answer last) {
-    ticket = null;
+    openRequest = null;
     answer(SiteHeaders.Result.FAILED);
   }
 
-  private void begin(HttpResponse from, boolean last) {
-    Http2Headers headers = said("200", SiteHeaders.Result.SERVED);
-    HttpHeaders kept = new DefaultHttpHeaders(false);
-    HeaderRules.copyEndToEndHeaders(from.headers(), kept);
-    for (Map.Entry<String, String> header : kept) {
+  private void writeAnswerHead(HttpResponse response, boolean last) {
+    Http2Headers headers = answerHeaders("200", SiteHeaders.Result.SERVED);
+    HttpHeaders endToEnd = new DefaultHttpHeaders(false);
+    HeaderRules.copyEndToEndHeaders(response.headers(), endToEnd);
+    for (Map.Entry<String, String> header : endToEnd) {
       AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
-      if (!SiteHeaders.own(name)) {
+      if (!SiteHeaders.isLinkOnly(name)) {
         headers.add(name, header.getValue());
       }
     }
-    String length = from.headers().get(HttpHeaderNames.CONTENT_LENGTH);
+    String length = response.headers().get(HttpHeaderNames.CONTENT_LENGTH);
     if (source != null && length != null) {
-      headers.set(HttpHeaderNames.CONTENT_LENGTH, length); // Its client is told how much comes.
+      // Lets the client know the length in advance.
+      headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
     }
-    over(true);
+    markAnswered(true);
     link.writeHeaders(id, headers, last);
   }
 
-  private Http2Headers said(String status, SiteHeaders.Result result) {
-    long now = inward.now();
-    inward.counts(site).ended(result);
+  private Http2Headers answerHeaders(String status, SiteHeaders.Result result) {
+    long now = inboundLinks.now();
+    inboundLinks.counters(site).onEnd(result);
     return new DefaultHttp2Headers(false)
         .status(status)
         .set(SiteHeaders.RESULT, result.text())
-        .setLong(SiteHeaders.TOOK, (now - begunNanos) / 1000)
-        .setInt(SiteHeaders.ROOM, inward.gateway().room(now));
+        .setLong(SiteHeaders.TOOK, (now - startNanos) / 1000)
+        .setInt(SiteHeaders.ROOM, inboundLinks.gateway().room(now));
   }
 
-  /** An answer without a server's. */
+  /** Answers with a result but without the answer of a server. */
   private void answer(SiteHeaders.Result result) {
     if (answered) {
       return;
     }
-    over(false);
-    Http2Headers headers = said(result == SiteHeaders.Result.REFUSED ? "503" : "502", result);
+    markAnswered(false);
+    Http2Headers headers =
+        answerHeaders(result == SiteHeaders.Result.REFUSED ? "503" : "502", result);
     ChannelFuture writing = link.writeHeaders(id, headers, true);
-    if (!ended) { // A peer that goes on sending is told to stop (RFC 9113, section 8.1).
+    if (!requestEnded) { // Asks the peer to stop sending the request (RFC 9113, section 8.1).
       writing.addListener(done -> link.reset(id, Http2Error.NO_ERROR));
     }
   }
 
-  /** The call is no longer one of those that this site has taken. */
-  private void over(boolean served) {
+  /** Marks the call as answered and releases its admission and its body. */
+  private void markAnswered(boolean served) {
     answered = true;
-    if (lent) {
-      lent = false;
-      inward.gateway().onAdmittedEnd(inward.now(), takenNanos, type, served);
+    if (admitted) {
+      admitted = false;
+      inboundLinks.gateway().onAdmittedEnd(inboundLinks.now(), admittedNanos, requestClass, served);
     }
     if (body != null) {
       body.release();
@@ -316,32 +331,32 @@
     }
   }
 
-  // ---- an answer that goes on as it comes ----
+  // ---- streamed answer ----
 
   @Override
-  public void answerStarted(HttpResponse from, StreamedAnswerSource by) {
-    ticket = null;
-    source = by;
-    begin(from, false);
+  public void answerStarted(HttpResponse response, StreamedAnswerSource from) {
+    openRequest = null;
+    source = from;
+    writeAnswerHead(response, false);
   }
 
   @Override
   public void answerData(ByteBuf piece) {
-    send(piece, false);
+    writeBody(piece, false);
   }
 
-  private void send(ByteBuf piece, boolean last) {
+  private void writeBody(ByteBuf piece, boolean last) {
     int bytes = piece.readableBytes();
-    if (unsent == 0) {
-      movedNanos = inward.now();
+    if (unsentBytes == 0) {
+      progressNanos = inboundLinks.now();
     }
-    unsent += bytes;
+    unsentBytes += bytes;
     link.writeData(id, piece, last)
         .addListener(
             done -> {
-              unsent -= bytes;
-              movedNanos = inward.now();
-              if (source != null && unsent <= MOST_UNSENT / 2) {
+              unsentBytes -= bytes;
+              progressNanos = inboundLinks.now();
+              if (source != null && unsentBytes <= MAX_UNSENT_BYTES / 2) {
                 source.setPaused(false);
               }
             });
@@ -349,7 +364,7 @@
 
   @Override
   public void answerFlush() {
-    if (source != null && unsent > MOST_UNSENT) {
+    if (source != null && unsentBytes > MAX_UNSENT_BYTES) {
       source.setPaused(true);
     }
   }
@@ -366,50 +381,52 @@
     link.reset(id, Http2Error.INTERNAL_ERROR);
   }
 
-  // ---- the end ----
+  // ---- end ----
 
-  /** Of a body that comes, all of it has to be there in time; of an answer, each part taken. */
+  /** A request must arrive completely within the timeout; an answer only has to make progress. */
   @Override
   public boolean stalledSinceBefore(long nanos) {
-    return answered ? unsent > 0 && movedNanos < nanos : !ended && begunNanos < nanos;
+    return answered
+        ? unsentBytes > 0 && progressNanos < nanos
+        : !requestEnded && startNanos < nanos;
   }
 
   @Override
   public void abort() {
     if (answered) {
-      Log.warn("gateway", site + " does not take its answer: call given up");
+      Log.warn("gateway", site + " does not read the answer; aborting the call");
       link.reset(id, Http2Error.CANCEL);
     } else {
-      answer(SiteHeaders.Result.REFUSED); // Nothing of it has run.
+      answer(SiteHeaders.Result.REFUSED); // The call has not run.
     }
   }
 
   @Override
   public void onReset(long code) {
-    gone();
+    onPeerGone();
   }
 
   @Override
   public void onClosed(Http2Stream stream) {
-    gone();
-    inward.giveBack(held);
-    held = 0;
+    onPeerGone();
+    inboundLinks.release(reservedBytes);
+    reservedBytes = 0;
     link.callClosed();
   }
 
-  private void gone() {
+  private void onPeerGone() {
     if (!answered) {
-      over(false);
+      markAnswered(false);
     }
     if (source != null) {
-      StreamedAnswerSource by = source;
+      StreamedAnswerSource lostSource = source;
       source = null;
-      by.clientDisconnected();
+      lostSource.clientDisconnected();
     }
-    if (ticket != null) {
-      RequestHandle live = ticket;
-      ticket = null;
-      live.callerGone();
+    if (openRequest != null) {
+      RequestHandle lostRequest = openRequest;
+      openRequest = null;
+      lostRequest.callerGone();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/InboundLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundLink.java
@@ -5,56 +5,56 @@
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
 
-/** One connection of a gateway of another site, with that site's calls on it. */
+/** A connection from a gateway of a peer site, which carries calls from that site. */
 final class InboundLink extends InboundConnection {
-  /** Peers ask by PING several times a second; one that says nothing for so long has gone. */
-  private static final long SILENT_NANOS = 10_000_000_000L;
+  /** Peers send PINGs several times a second; one that sends no frame for this long is gone. */
+  private static final long SILENCE_TIMEOUT_NANOS = 10_000_000_000L;
 
-  /** Looks at all calls within the time that a stuck one is given. */
-  private static final int LOOKS = 8;
+  /** Number of checks for stalled calls within one stall timeout. */
+  private static final int STALL_CHECKS = 8;
 
-  private final InboundLinks inward;
+  private final InboundLinks inboundLinks;
 
-  /** Whose certificate it brought, or null in plain text. */
-  private final String peer;
+  /** The site in the peer's certificate, or null in plain text. */
+  private final String peerSite;
 
-  private long heardNanos;
-  private long lookedNanos;
+  private long lastFrameNanos;
+  private long lastStallCheckNanos;
 
   InboundLink(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
-      InboundLinks inward,
-      String peer) {
+      InboundLinks inboundLinks,
+      String peerSite) {
     super(decoder, encoder, settings);
-    this.inward = inward;
-    this.peer = peer;
-    heardNanos = inward.now();
-    lookedNanos = heardNanos;
+    this.inboundLinks = inboundLinks;
+    this.peerSite = peerSite;
+    lastFrameNanos = inboundLinks.now();
+    lastStallCheckNanos = lastFrameNanos;
   }
 
-  String peer() {
-    return peer;
+  String peerSite() {
+    return peerSite;
   }
 
   @Override
   protected Call createCall(int id) {
-    return new InboundCall(inward, this, id);
+    return new InboundCall(inboundLinks, this, id);
   }
 
   @Override
   protected void onFrameRead() {
-    heardNanos = inward.now();
+    lastFrameNanos = inboundLinks.now();
   }
 
-  /** Ends what says nothing, and its calls that have stopped. */
+  /** Closes the connection if the peer is silent, and aborts its stalled calls. */
   void tick(long now) {
-    if (now - heardNanos > SILENT_NANOS) {
+    if (now - lastFrameNanos > SILENCE_TIMEOUT_NANOS) {
       context().channel().close();
-    } else if (now - lookedNanos > inward.stallTimeoutNanos() / LOOKS) {
-      lookedNanos = now;
-      abortStalledCalls(now - inward.stallTimeoutNanos());
+    } else if (now - lastStallCheckNanos > inboundLinks.stallTimeoutNanos() / STALL_CHECKS) {
+      lastStallCheckNanos = now;
+      abortStalledCalls(now - inboundLinks.stallTimeoutNanos());
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/InboundLinks.java
+++ b/src/main/java/heathswitch/proxy/gateway/InboundLinks.java
@@ -23,45 +23,51 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Listens for the gateways of other sites; with it the links to them begin and end. */
+/**
+ * Listens for gateways of peer sites and keeps their connections. Its timer also drives the
+ * outbound links.
+ */
 final class InboundLinks implements ProtocolListener {
   private static final long TICK_MILLIS = 50;
-  private static final int HANDSHAKE_MILLIS = 3000;
-  private static final int MOST_CONNECTIONS = 256;
+  private static final int HANDSHAKE_TIMEOUT_MILLIS = 3000;
+  private static final int MAX_CONNECTIONS = 256;
 
   private final GatewayTable table;
   private final Gateway gateway;
-  private final OutboundLinks outward;
+  private final OutboundLinks outboundLinks;
   private final EventLoop loop;
   private final Clock clock;
   private final ResourceBudget budget;
   private final Dispatcher dispatcher;
   private final UpstreamConnectionPool pool;
-  private final Map<String, PeerCounters> peers = new LinkedHashMap<>();
+  private final Map<String, PeerCounters> countersBySite = new LinkedHashMap<>();
   private final Set<Channel> channels = new HashSet<>();
   private final Set<InboundLink> links = new HashSet<>();
   private Channel listener;
-  private long free;
+  private long freeBytes;
   private boolean draining;
 
   InboundLinks(
-      GatewayTable table, Gateway gateway, OutboundLinks outward, ProtocolListener.Context parts) {
+      GatewayTable table,
+      Gateway gateway,
+      OutboundLinks outboundLinks,
+      ProtocolListener.Context context) {
     this.table = table;
     this.gateway = gateway;
-    this.outward = outward;
-    loop = parts.loop();
-    clock = parts.clock();
-    budget = parts.budget();
-    dispatcher = parts.dispatcher();
-    pool = parts.pool();
-    free = table.maxBufferedBytes();
-    table.sites().forEach(site -> peers.put(site.name(), new PeerCounters()));
+    this.outboundLinks = outboundLinks;
+    loop = context.loop();
+    clock = context.clock();
+    budget = context.budget();
+    dispatcher = context.dispatcher();
+    pool = context.pool();
+    freeBytes = table.maxBufferedBytes();
+    table.sites().forEach(site -> countersBySite.put(site.name(), new PeerCounters()));
   }
 
   @Override
   public void start() throws InterruptedException {
     listener =
-        Listeners.bootstrap(loop, this::accepted)
+        Listeners.bootstrap(loop, this::onAccepted)
             .option(ChannelOption.SO_BACKLOG, 128)
             .bind(table.listen())
             .sync()
@@ -73,22 +79,22 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void accepted(Channel channel) {
+  private void onAccepted(Channel channel) {
     budget.connectionOpened();
     channel.closeFuture().addListener(closed -> budget.connectionClosed());
-    if (channels.size() >= MOST_CONNECTIONS || budget.availableConnections() <= 0 || draining) {
+    if (channels.size() >= MAX_CONNECTIONS || budget.availableConnections() <= 0 || draining) {
       channel.close();
       return;
     }
     channels.add(channel);
     channel.closeFuture().addListener(closed -> channels.remove(channel));
-    Identity identity = outward.identity();
+    Identity identity = outboundLinks.identity();
     if (identity == null) {
-      letIn(channel, null);
+      addLink(channel, null);
       return;
     }
-    SslHandler tls = identity.server().newHandler(channel.alloc());
-    tls.setHandshakeTimeoutMillis(HANDSHAKE_MILLIS);
+    SslHandler tls = identity.serverContext().newHandler(channel.alloc());
+    tls.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT_MILLIS);
     channel
         .pipeline()
         .addLast(
@@ -96,23 +102,23 @@
             new PeerSiteVerifier(
                 tls,
                 name -> {
-                  boolean peer = isPeer(name);
-                  if (peer) {
-                    letIn(channel, name);
+                  boolean peerSite = isPeerSite(name);
+                  if (peerSite) {
+                    addLink(channel, name);
                   }
-                  return peer;
+                  return peerSite;
                 }));
   }
 
-  private void letIn(Channel channel, String peer) {
+  private void addLink(Channel channel, String peerSite) {
     InboundLink link =
         MultiplexedConnection.build(
             true,
             table.maxStreams(),
-            SiteHeaders.MOST_BYTES,
-            SiteHeaders.CHANGING,
+            SiteHeaders.MAX_HEADER_BYTES,
+            SiteHeaders.VARIABLE_HEADERS,
             (decoder, encoder, settings) ->
-                new InboundLink(decoder, encoder, settings, this, peer));
+                new InboundLink(decoder, encoder, settings, this, peerSite));
     links.add(link);
     channel.closeFuture().addListener(closed -> links.remove(link));
     channel.pipeline().addLast(link);
@@ -120,11 +126,11 @@
 
   private void tick() {
     try {
-      outward.tick(TICK_MILLIS * 1_000_000L);
+      outboundLinks.tick(TICK_MILLIS * 1_000_000L);
       long now = now();
       List.copyOf(links).forEach(link -> link.tick(now));
     } catch (RuntimeException e) {
-      Log.error("gateway", "tick failed", e); // Thrown on, it would end all later ticks.
+      Log.error("gateway", "tick failed", e); // Rethrown, it would cancel all later ticks.
     }
   }
 
@@ -132,7 +138,7 @@
     return clock.nowNanos();
   }
 
-  /** For which a call waits for its peer. */
+  /** Returns the time that a call waits for its peer before it is aborted. */
   long stallTimeoutNanos() {
     return table.stallTimeoutNanos();
   }
@@ -153,29 +159,31 @@
     return draining;
   }
 
-  boolean isPeer(String site) {
-    return peers.containsKey(site);
+  boolean isPeerSite(String site) {
+    return countersBySite.containsKey(site);
   }
 
-  /** Of a peer; of somebody else they are kept nowhere. */
-  PeerCounters counts(String site) {
-    PeerCounters counts = peers.get(site);
-    return counts == null ? new PeerCounters() : counts;
+  /** Returns the counters of a peer site; for any other name, counters that are discarded. */
+  PeerCounters counters(String site) {
+    PeerCounters counters = countersBySite.get(site);
+    return counters == null ? new PeerCounters() : counters;
   }
 
-  void forEachPeer(BiConsumer<String, PeerCounters> each) {
-    peers.forEach(each);
+  void forEachPeerSite(BiConsumer<String, PeerCounters> each) {
+    countersBySite.forEach(each);
   }
 
-  /** Takes the bytes of a call, or returns false and takes none. */
-  boolean hold(long bytes) {
-    boolean fits = bytes <= free;
-    free -= fits ? bytes : 0;
+  /**
+   * Reserves buffer space for bytes of a call; returns false and reserves nothing if it is full.
+   */
+  boolean reserve(long bytes) {
+    boolean fits = bytes <= freeBytes;
+    freeBytes -= fits ? bytes : 0;
     return fits;
   }
 
-  void giveBack(long bytes) {
-    free += bytes;
+  void release(long bytes) {
+    freeBytes += bytes;
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/gateway/LinkCounters.java
+++ b/src/main/java/heathswitch/proxy/gateway/LinkCounters.java
@@ -4,22 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What became of the calls of a link since the start. */
+/** Counts how the calls over one link have ended since the start. */
 final class LinkCounters {
   private long calls;
   private long served;
   private long refused;
   private long failed;
-  private long late;
-  private long calledOff;
+  private long timedOut;
+  private long cancelled;
 
-  void ended(Outcome outcome) {
+  void onEnd(Outcome outcome) {
     calls++;
     switch (outcome) {
       case OK -> served++;
       case REFUSED, CONNECT_FAILED, MOOT -> refused++;
-      case TIMEOUT -> late++;
-      case CANCELLED -> calledOff++;
+      case TIMEOUT -> timedOut++;
+      case CANCELLED -> cancelled++;
       default -> failed++;
     }
   }
@@ -30,8 +30,8 @@
     json.put("served", served);
     json.put("refused", refused);
     json.put("failed", failed);
-    json.put("late", late);
-    json.put("called_off", calledOff);
+    json.put("late", timedOut);
+    json.put("called_off", cancelled);
     return json;
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/OutboundCall.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundCall.java
@@ -26,20 +26,21 @@
 import java.util.Map;
 
 /**
- * One attempt at another site, as a stream of a link. It says truly whether the call may have run:
- * it cannot before its last byte was written, nor where the far site says that it refused it.
+ * One attempt at a peer site, as a stream of a link. Its outcome tells reliably whether the call
+ * may have run: it cannot have run before its last byte was written, nor if the peer site reports
+ * that it refused the call.
  */
 final class OutboundCall
     implements MultiplexedConnection.StreamHandler, Attempt.Exchange, StreamedAnswerSource {
-  /** A longer answer goes on as it comes, as one of a server does. */
-  private static final int GATHERED_BYTES = 64 << 10;
+  /** Longer answers are streamed, as those of upstream servers are. */
+  private static final int MAX_BUFFERED_BYTES = 64 << 10;
 
-  private static final int MOST_COMPONENTS = 1024;
+  private static final int MAX_COMPONENTS = 1024;
 
-  private final OutboundLinks outward;
-  private final PeerGateway far;
+  private final OutboundLinks outboundLinks;
+  private final PeerGateway peer;
   private final OutboundLink link;
-  private final RequestClass type;
+  private final RequestClass requestClass;
   private final HttpPayload payload;
   private final long sentNanos;
   private Attempt attempt;
@@ -47,33 +48,33 @@
   private boolean written;
   private boolean ended;
   private HttpResponse head;
-  private CompositeByteBuf gathered;
+  private CompositeByteBuf buffered;
 
-  /** Whoever gets the answer as it comes, once that has begun. */
+  /** The receiver of a streamed answer, once streaming has begun. */
   private StreamedAnswerSink sink;
 
   private boolean paused;
 
-  /** Bytes of the stream's window that are kept back while paused. */
-  private int owed;
+  /** Bytes of the stream's flow control window that are not returned while paused. */
+  private int withheldBytes;
 
   OutboundCall(
-      OutboundLinks outward,
-      PeerGateway far,
+      OutboundLinks outboundLinks,
+      PeerGateway peer,
       OutboundLink link,
       Attempt attempt,
-      RequestClass type,
+      RequestClass requestClass,
       HttpPayload payload) {
-    this.outward = outward;
-    this.far = far;
+    this.outboundLinks = outboundLinks;
+    this.peer = peer;
     this.link = link;
     this.attempt = attempt;
-    this.type = type;
+    this.requestClass = requestClass;
     this.payload = payload;
-    sentNanos = outward.now();
+    sentNanos = outboundLinks.now();
   }
 
-  /** Sends the call; false if the link has no stream for it, and then nothing was sent. */
+  /** Sends the call; returns false if the link has no stream for it, and nothing was sent. */
   boolean begin() {
     ByteBuf body = payload.retainedBody();
     boolean empty = !body.isReadable();
@@ -83,7 +84,7 @@
       return false;
     }
     attempt.attach(this);
-    link.streamBegun();
+    link.onStreamOpened();
     if (empty) {
       body.release();
       written = true;
@@ -94,7 +95,8 @@
   }
 
   private Http2Headers headers() {
-    long left = outward.gateway().remoteTimeLeft(far.state, attempt.deadlineNanos() - sentNanos);
+    long leftNanos =
+        outboundLinks.gateway().remoteTimeLeft(peer.link, attempt.deadlineNanos() - sentNanos);
     Http2Headers headers =
         new DefaultHttp2Headers(false)
             .method(payload.method().asciiName())
@@ -104,17 +106,17 @@
       AsciiString name = AsciiString.of(header.getKey()).toLowerCase();
       if (name.contentEquals(HttpHeaderNames.HOST)) {
         headers.authority(header.getValue());
-      } else if (!SiteHeaders.own(name)) {
+      } else if (!SiteHeaders.isLinkOnly(name)) {
         headers.add(name, header.getValue());
       }
     }
     return headers
-        .set(SiteHeaders.TRAIL, Trail.headerFrom(outward.gateway().site()))
-        .set(SiteHeaders.EFFECT, AsciiString.of(type.effect().name()).toLowerCase())
-        .setLong(SiteHeaders.LEFT, Math.max(0, left / 1000));
+        .set(SiteHeaders.TRAIL, Trail.headerFrom(outboundLinks.gateway().site()))
+        .set(SiteHeaders.EFFECT, AsciiString.of(requestClass.effect().name()).toLowerCase())
+        .setLong(SiteHeaders.LEFT, Math.max(0, leftNanos / 1000));
   }
 
-  // ---- the answer ----
+  // ---- answer ----
 
   @Override
   public void onHeaders(Http2Headers frame, boolean last) {
@@ -122,47 +124,50 @@
       return;
     }
     if (head != null) {
-      broken("headers in the middle");
+      protocolError("second HEADERS frame in an answer");
       return;
     }
-    SiteHeaders.Result result = SiteHeaders.Result.of(frame.get(SiteHeaders.RESULT));
-    long took = SiteHeaders.number(frame, SiteHeaders.TOOK);
+    SiteHeaders.Result result = SiteHeaders.Result.parse(frame.get(SiteHeaders.RESULT));
+    long tookMicros = SiteHeaders.number(frame, SiteHeaders.TOOK);
     long room = SiteHeaders.number(frame, SiteHeaders.ROOM);
-    if (result == null || took < 0 || room < 0) {
-      broken("no answer of a gateway");
+    if (result == null || tookMicros < 0 || room < 0) {
+      protocolError("answer without the headers of a gateway");
       return;
     }
-    long now = outward.now();
-    int said = (int) Math.min(Integer.MAX_VALUE, room);
+    long now = outboundLinks.now();
+    int reportedRoom = (int) Math.min(Integer.MAX_VALUE, room);
     boolean served = result == SiteHeaders.Result.SERVED;
-    outward.gateway().onAnswer(now, far.state, type, now - sentNanos, took * 1000, served, said);
+    outboundLinks
+        .gateway()
+        .onAnswer(
+            now, peer.link, requestClass, now - sentNanos, tookMicros * 1000, served, reportedRoom);
     switch (result) {
-      case REFUSED -> over(Outcome.REFUSED, last);
-      case FAILED -> over(Outcome.ERROR, last);
-      default -> served(frame, last);
+      case REFUSED -> endWithoutAnswer(Outcome.REFUSED, last);
+      case FAILED -> endWithoutAnswer(Outcome.ERROR, last);
+      default -> onServed(frame, last);
     }
   }
 
-  private void over(Outcome outcome, boolean last) {
+  private void endWithoutAnswer(Outcome outcome, boolean last) {
     end(outcome, null);
     if (!last) {
       link.reset(id, Http2Error.CANCEL);
     }
   }
 
-  private void served(Http2Headers frame, boolean last) {
+  private void onServed(Http2Headers frame, boolean last) {
     head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     try {
       for (Map.Entry<CharSequence, CharSequence> header : frame) {
-        if (!SiteHeaders.own(header.getKey())) {
+        if (!SiteHeaders.isLinkOnly(header.getKey())) {
           head.headers().add(header.getKey(), header.getValue());
         }
       }
-    } catch (IllegalArgumentException e) { // Over HTTP/1.1 it could say more than one answer.
-      broken(String.valueOf(e.getMessage()));
+    } catch (IllegalArgumentException e) { // Over HTTP/1.1 it could be read as several answers.
+      protocolError(String.valueOf(e.getMessage()));
       return;
     }
-    gathered = Unpooled.compositeBuffer(MOST_COMPONENTS);
+    buffered = Unpooled.compositeBuffer(MAX_COMPONENTS);
     if (last) {
       complete();
     }
@@ -175,58 +180,58 @@
       return bytes;
     }
     if (head == null) {
-      broken("data before headers");
+      protocolError("DATA frame before HEADERS");
       return bytes;
     }
     if (sink != null) {
-      return passOn(data, last);
+      return streamData(data, last);
     }
     if (bytes > 0) {
-      gathered.addComponent(true, data.retainedSlice());
+      buffered.addComponent(true, data.retainedSlice());
     }
     if (last) {
       complete();
-    } else if (gathered.readableBytes() > GATHERED_BYTES) {
-      startPassing();
+    } else if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+      startStreaming();
     }
     return bytes;
   }
 
   private void complete() {
-    ByteBuf body = gathered;
-    gathered = null;
+    ByteBuf body = buffered;
+    buffered = null;
     end(Outcome.OK, new HttpAnswer(head, body));
   }
 
-  /** From here on the request has this answer and no other. */
-  private void startPassing() {
-    Attempt begun = attempt;
-    if (begun == null || !begun.beginStreaming()) {
-      return; // It has another one, and this one is about to be called off.
+  /** Starts to stream; from now on no other attempt can answer the request. */
+  private void startStreaming() {
+    Attempt current = attempt;
+    if (current == null || !current.beginStreaming()) {
+      return; // Another attempt answers the request, and this one is about to be cancelled.
     }
     sink = payload.sink();
     sink.answerStarted(head, this);
-    ByteBuf first = gathered;
-    gathered = null;
-    sink.answerData(first);
+    ByteBuf firstPiece = buffered;
+    buffered = null;
+    sink.answerData(firstPiece);
     sink.answerFlush();
     end(Outcome.OK, null);
   }
 
-  private int passOn(ByteBuf data, boolean last) {
+  private int streamData(ByteBuf data, boolean last) {
     int bytes = data.readableBytes();
     if (bytes > 0) {
       sink.answerData(data.retainedSlice());
     }
     if (last) {
-      StreamedAnswerSink to = sink;
+      StreamedAnswerSink receiver = sink;
       sink = null;
-      to.answerEnd();
+      receiver.answerEnd();
       return bytes;
     }
     sink.answerFlush();
     if (paused) {
-      owed += bytes;
+      withheldBytes += bytes;
       return 0;
     }
     return bytes;
@@ -235,9 +240,9 @@
   @Override
   public void setPaused(boolean pause) {
     paused = pause;
-    if (!pause && owed > 0) {
-      int bytes = owed;
-      owed = 0;
+    if (!pause && withheldBytes > 0) {
+      int bytes = withheldBytes;
+      withheldBytes = 0;
       link.returnWindow(id, bytes);
     }
   }
@@ -248,18 +253,18 @@
     link.reset(id, Http2Error.CANCEL);
   }
 
-  /** What came is no answer: the call may have run. */
-  private void broken(String why) {
-    Log.warn("gateway", far.place.name + ": " + why);
-    lost(Outcome.ERROR);
+  /** The answer violates the protocol; the call may have run. */
+  private void protocolError(String reason) {
+    Log.warn("gateway", peer.upstream.name + ": " + reason);
+    endLost(Outcome.ERROR);
     link.reset(id, Http2Error.CANCEL);
   }
 
-  private void lost(Outcome outcome) {
+  private void endLost(Outcome outcome) {
     if (sink != null) {
-      StreamedAnswerSink to = sink;
+      StreamedAnswerSink receiver = sink;
       sink = null;
-      to.answerAborted();
+      receiver.answerAborted();
     }
     end(outcome, null);
   }
@@ -267,16 +272,16 @@
   @Override
   public void onReset(long code) {
     boolean refused = code == Http2Error.REFUSED_STREAM.code() && head == null;
-    lost(refused ? Outcome.REFUSED : Outcome.RESET);
+    endLost(refused ? Outcome.REFUSED : Outcome.RESET);
   }
 
   @Override
   public void onClosed(Http2Stream stream) {
-    boolean unseen =
+    boolean unprocessed =
         link.connection().goAwayReceived()
             && id > link.connection().local().lastStreamKnownByPeer();
-    lost(unseen ? Outcome.REFUSED : written ? Outcome.RESET : Outcome.CONNECT_FAILED);
-    link.streamDone();
+    endLost(unprocessed ? Outcome.REFUSED : written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    link.onStreamClosed();
   }
 
   private void end(Outcome outcome, HttpAnswer answer) {
@@ -284,14 +289,14 @@
       return;
     }
     ended = true;
-    if (gathered != null) {
-      gathered.release();
-      gathered = null;
+    if (buffered != null) {
+      buffered.release();
+      buffered = null;
     }
-    Attempt over = attempt;
+    Attempt endedAttempt = attempt;
     attempt = null;
-    if (over != null) {
-      over.complete(outcome, answer);
+    if (endedAttempt != null) {
+      endedAttempt.complete(outcome, answer);
     } else if (answer != null) {
       answer.release();
     }
--- a/src/main/java/heathswitch/proxy/gateway/OutboundLink.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundLink.java
@@ -5,61 +5,61 @@
 import io.netty.handler.codec.http2.Http2ConnectionEncoder;
 import io.netty.handler.codec.http2.Http2Settings;
 
-/** One connection to a gateway of another site, with this site's calls on it. */
+/** A connection to a gateway of a peer site, which carries calls from this site. */
 final class OutboundLink extends MultiplexedConnection {
-  private final PeerGateway far;
+  private final PeerGateway peer;
   private int streams;
-  private boolean leaving;
+  private boolean closing;
 
   OutboundLink(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
-      PeerGateway far) {
+      PeerGateway peer) {
     super(decoder, encoder, settings);
-    this.far = far;
+    this.peer = peer;
   }
 
-  void streamBegun() {
+  void onStreamOpened() {
     streams++;
   }
 
-  void streamDone() {
+  void onStreamClosed() {
     streams--;
-    closeIfDone();
+    closeIfIdle();
   }
 
-  /** No new calls; it closes when those that are on are over. */
-  void leave() {
-    leaving = true;
-    closeIfDone();
+  /** Accepts no new calls and closes the connection once those in flight have ended. */
+  void closeWhenIdle() {
+    closing = true;
+    closeIfIdle();
   }
 
-  private void closeIfDone() {
-    if (leaving && streams == 0) {
+  private void closeIfIdle() {
+    if (closing && streams == 0) {
       context().channel().close();
     }
   }
 
   @Override
   protected void onFrameRead() {
-    far.heard(this);
+    peer.onFrame(this);
   }
 
   @Override
   protected void onSettings(Http2Settings settings) {
-    far.ready(this);
+    peer.onReady(this);
   }
 
   @Override
-  protected void onPing(boolean answer, long content) {
+  protected void onPing(boolean answer, long sentNanos) {
     if (answer) {
-      far.returned(this, content);
+      peer.onPingAnswered(this, sentNanos);
     }
   }
 
   @Override
   protected void onGoAway() {
-    far.leaving(this);
+    peer.onLeaving(this);
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/OutboundLinks.java
+++ b/src/main/java/heathswitch/proxy/gateway/OutboundLinks.java
@@ -22,44 +22,45 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The links to other sites, and the calls that go over them. */
+/** The links to gateways of peer sites, over which calls overflow that have no room here. */
 final class OutboundLinks implements OverflowRouter {
-  private static final int CONNECT_MILLIS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   private final GatewayTable table;
   private final Gateway gateway;
   private final Clock clock;
   private final ResourceBudget budget;
   private final Bootstrap bootstrap;
-  private final Map<Upstream, PeerGateway> byPlace = new LinkedHashMap<>();
-  private final List<PeerGateway> all;
+  private final Map<Upstream, PeerGateway> byUpstream = new LinkedHashMap<>();
+  private final List<PeerGateway> peers;
   private Identity identity;
   private long lastTickNanos;
 
   OutboundLinks(
-      GatewayTable table, Gateway gateway, ProtocolListener.Context parts, Identity identity) {
+      GatewayTable table, Gateway gateway, ProtocolListener.Context context, Identity identity) {
     this.table = table;
     this.gateway = gateway;
-    this.clock = parts.clock();
-    this.budget = parts.budget();
+    this.clock = context.clock();
+    this.budget = context.budget();
     this.identity = identity;
     bootstrap =
         new Bootstrap()
-            .group(parts.loop())
+            .group(context.loop())
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     for (GatewayTable.PeerSite site : table.sites()) {
       site.gateways()
           .forEach(
               address -> {
-                // Below zero: the numbers above are of upstreams.
-                PeerGateway far =
-                    new PeerGateway(this, gateway.add(site.name()), address, -1 - byPlace.size());
-                byPlace.put(far.place, far);
+                // Negative, because ids from 0 up belong to upstream servers.
+                PeerGateway peer =
+                    new PeerGateway(
+                        this, gateway.add(site.name()), address, -1 - byUpstream.size());
+                byUpstream.put(peer.upstream, peer);
               });
     }
-    all = List.copyOf(byPlace.values());
+    peers = List.copyOf(byUpstream.values());
   }
 
   GatewayTable table() {
@@ -82,65 +83,70 @@
     return clock.nowNanos();
   }
 
-  boolean mayOpen() {
+  boolean mayConnect() {
     return budget.availableConnections() > 0;
   }
 
-  /** Counts a descriptor until its channel closes. */
-  void opened(Channel channel) {
+  /** Counts the descriptor of a channel until the channel is closed. */
+  void onChannelOpened(Channel channel) {
     budget.connectionOpened();
     channel.closeFuture().addListener(closed -> budget.connectionClosed());
   }
 
-  /** To be called every so often; what comes much later was held up, and its links with it. */
+  /**
+   * Called periodically. If a call is more than a period late, the event loop was stalled, which
+   * must not count against the peers.
+   */
   void tick(long periodNanos) {
     long now = now();
     long late = lastTickNanos == 0 ? 0 : now - lastTickNanos - periodNanos;
     lastTickNanos = now;
-    all.forEach(far -> far.tick(now, late > periodNanos ? late : 0));
+    peers.forEach(peer -> peer.tick(now, late > periodNanos ? late : 0));
   }
 
-  /** From now on this is shown; links that have the earlier one are replaced. */
+  /** Uses a new identity from now on and replaces the connections that use the previous one. */
   void identity(Identity next) {
     identity = next;
-    all.forEach(PeerGateway::renew);
+    peers.forEach(PeerGateway::reconnect);
   }
 
   void close() {
-    all.forEach(PeerGateway::close);
+    peers.forEach(PeerGateway::close);
   }
 
   void forEach(Consumer<PeerGateway> each) {
-    all.forEach(each);
+    peers.forEach(each);
   }
 
   @Override
-  public Upstream chooseSite(RequestClass type, Payload payload, long leftNanos, int tries) {
+  public Upstream chooseSite(
+      RequestClass requestClass, Payload payload, long leftNanos, int earlierAttempts) {
     if (!(payload instanceof HttpPayload http) || !http.isBodyComplete()) {
-      return null; // What still comes can be sent to one place only.
+      return null; // A body that is still arriving can be sent to one upstream only.
     }
-    PeerLink link = gateway.choose(now(), type, leftNanos, tries);
-    for (PeerGateway far : all) {
-      if (far.state == link) {
-        return far.place;
+    PeerLink link = gateway.choose(now(), requestClass, leftNanos, earlierAttempts);
+    for (PeerGateway peer : peers) {
+      if (peer.link == link) {
+        return peer.upstream;
       }
     }
     return null;
   }
 
   @Override
-  public boolean start(Attempt attempt, RequestClass type, Payload payload) {
-    PeerGateway far = byPlace.get(attempt.upstream());
-    OutboundLink link = far.link();
-    return link != null
-        && new OutboundCall(this, far, link, attempt, type, (HttpPayload) payload).begin();
+  public boolean start(Attempt attempt, RequestClass requestClass, Payload payload) {
+    PeerGateway peer = byUpstream.get(attempt.upstream());
+    OutboundLink connection = peer.connection();
+    return connection != null
+        && new OutboundCall(this, peer, connection, attempt, requestClass, (HttpPayload) payload)
+            .begin();
   }
 
   @Override
-  public void onEnd(Upstream at, RequestClass type, Outcome outcome, long tookNanos) {
-    PeerGateway far = byPlace.get(at);
-    far.counts.ended(outcome);
-    gateway.onEnded(now(), far.state, type, outcome, tookNanos);
+  public void onEnd(Upstream upstream, RequestClass requestClass, Outcome outcome, long tookNanos) {
+    PeerGateway peer = byUpstream.get(upstream);
+    peer.counters.onEnd(outcome);
+    gateway.onEnded(now(), peer.link, requestClass, outcome, tookNanos);
   }
 
   @Override
@@ -149,17 +155,17 @@
   }
 
   @Override
-  public void onLocalAnswer(RequestClass type, long tookNanos) {
-    gateway.onLocalAnswer(now(), type, tookNanos);
+  public void onLocalAnswer(RequestClass requestClass, long tookNanos) {
+    gateway.onLocalAnswer(now(), requestClass, tookNanos);
   }
 
-  /** A link is taken out or put back; false if there is none of the name. */
-  boolean drain(String name, boolean out) {
+  /** Drains or resumes a link or all links of a site; returns false if the name is unknown. */
+  boolean drain(String name, boolean drained) {
     boolean found = false;
-    for (PeerGateway far : all) {
-      if (far.place.name.equals(name.replace('/', ' ')) || far.state.site().equals(name)) {
-        gateway.drain(far.state, out);
-        Log.info("gateway", far.place.name + (out ? " drained" : " in use again"));
+    for (PeerGateway peer : peers) {
+      if (peer.upstream.name.equals(name.replace('/', ' ')) || peer.link.site().equals(name)) {
+        gateway.drain(peer.link, drained);
+        Log.info("gateway", peer.upstream.name + (drained ? " drained" : " resumed"));
         found = true;
       }
     }
--- a/src/main/java/heathswitch/proxy/gateway/PeerCounters.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerCounters.java
@@ -5,32 +5,32 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What became of the calls of another site since the start. */
+/** Counts the calls from one peer site since the start, by trail verdict and by result. */
 final class PeerCounters {
-  private final long[] entries = new long[Gateway.TrailVerdict.values().length];
+  private final long[] verdicts = new long[Gateway.TrailVerdict.values().length];
   private final long[] results = new long[SiteHeaders.Result.values().length];
 
-  void entered(Gateway.TrailVerdict entry) {
-    entries[entry.ordinal()]++;
+  void onTrailChecked(Gateway.TrailVerdict verdict) {
+    verdicts[verdict.ordinal()]++;
   }
 
-  void ended(SiteHeaders.Result result) {
+  void onEnd(SiteHeaders.Result result) {
     results[result.ordinal()]++;
   }
 
   Map<String, Object> json() {
     Map<String, Object> json = new LinkedHashMap<>();
-    for (Gateway.TrailVerdict entry : Gateway.TrailVerdict.values()) {
-      String name = entry == Gateway.TrailVerdict.GOOD ? "calls" : lower(entry);
-      json.put(name, entries[entry.ordinal()]);
+    for (Gateway.TrailVerdict verdict : Gateway.TrailVerdict.values()) {
+      String name = verdict == Gateway.TrailVerdict.GOOD ? "calls" : lowerCase(verdict);
+      json.put(name, verdicts[verdict.ordinal()]);
     }
     for (SiteHeaders.Result result : SiteHeaders.Result.values()) {
-      json.put(lower(result), results[result.ordinal()]);
+      json.put(lowerCase(result), results[result.ordinal()]);
     }
     return json;
   }
 
-  private static String lower(Enum<?> constant) {
+  private static String lowerCase(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/PeerGateway.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerGateway.java
@@ -12,120 +12,121 @@
 import java.net.InetSocketAddress;
 
 /**
- * One gateway of another site: connected as long as this one runs, asked by PING all the time, and
- * tried again after a break when the module says so.
+ * One gateway of a peer site. Keeps a connection to it as long as this gateway runs, measures and
+ * checks the connection with PING, and reconnects after the backoff when it broke.
  */
 final class PeerGateway {
-  /** Between two PINGs: they measure the way and show a link that is cut. */
-  private static final long PING_NANOS = 200_000_000L;
+  /** Time between PINGs, which measure the round trip and detect a broken link. */
+  private static final long PING_INTERVAL_NANOS = 200_000_000L;
 
-  /** For the connection, its handshake and the first SETTINGS together. */
-  private static final long DIAL_NANOS = 3_000_000_000L;
+  /** Timeout for the TCP connection, the TLS handshake and the first SETTINGS together. */
+  private static final long CONNECT_TIMEOUT_NANOS = 3_000_000_000L;
 
-  private static final int HANDSHAKE_MILLIS = 2500;
+  private static final int HANDSHAKE_TIMEOUT_MILLIS = 2500;
 
-  final PeerLink state;
+  final PeerLink link;
   final InetSocketAddress address;
 
-  /** How the dispatcher knows it. */
-  final Upstream place;
-
-  final LinkCounters counts = new LinkCounters();
-  private final OutboundLinks outward;
-  private OutboundLink link;
-  private Channel dialing;
-  private long dialedNanos;
-  private long nextDialNanos;
-  private long pingNanos;
-  private long heardNanos;
-
-  PeerGateway(OutboundLinks outward, PeerLink state, InetSocketAddress address, long id) {
-    this.outward = outward;
-    this.state = state;
+  /** Represents this gateway in the dispatcher. */
+  final Upstream upstream;
+
+  final LinkCounters counters = new LinkCounters();
+  private final OutboundLinks outboundLinks;
+  private OutboundLink connection;
+  private Channel connectingChannel;
+  private long connectStartNanos;
+  private long nextConnectNanos;
+  private long lastPingNanos;
+  private long lastFrameNanos;
+
+  PeerGateway(OutboundLinks outboundLinks, PeerLink link, InetSocketAddress address, long id) {
+    this.outboundLinks = outboundLinks;
+    this.link = link;
     this.address = address;
     String host = address.getAddress().getHostAddress() + ':' + address.getPort();
-    place = new Upstream(id, state.site() + ' ' + host);
+    upstream = new Upstream(id, link.site() + ' ' + host);
   }
 
-  /** The connection that takes calls, or null. */
-  OutboundLink link() {
-    return link;
+  /** Returns the connection that accepts calls, or null if there is none. */
+  OutboundLink connection() {
+    return connection;
   }
 
   /**
-   * Looks after the connection.
+   * Maintains the connection: opens it, sends PINGs and applies the timeouts.
    *
-   * @param stalledNanos for which this loop has done nothing at all: no sign against the far side
+   * @param stalledNanos the time for which the event loop was stalled; it does not count as silence
+   *     of the peer
    */
   void tick(long now, long stalledNanos) {
-    if (link != null) {
-      heardNanos = Math.min(now, heardNanos + stalledNanos);
-      if (now - heardNanos > outward.table().silenceTimeoutNanos()) {
-        Log.warn("gateway", place.name + " says nothing: link given up");
-        link.context().channel().close();
-      } else if (now - pingNanos >= PING_NANOS) {
-        pingNanos = now;
-        link.writePing(now);
+    if (connection != null) {
+      lastFrameNanos = Math.min(now, lastFrameNanos + stalledNanos);
+      if (now - lastFrameNanos > outboundLinks.table().silenceTimeoutNanos()) {
+        Log.warn("gateway", upstream.name + " has sent nothing for too long; closing the link");
+        connection.context().channel().close();
+      } else if (now - lastPingNanos >= PING_INTERVAL_NANOS) {
+        lastPingNanos = now;
+        connection.writePing(now);
       }
-    } else if (dialing != null) {
-      dialedNanos += stalledNanos;
-      if (now - dialedNanos > DIAL_NANOS) {
-        dialing.close();
+    } else if (connectingChannel != null) {
+      connectStartNanos += stalledNanos;
+      if (now - connectStartNanos > CONNECT_TIMEOUT_NANOS) {
+        connectingChannel.close();
       }
-    } else if (now >= nextDialNanos) {
-      dial(now);
+    } else if (now >= nextConnectNanos) {
+      connect(now);
     }
   }
 
-  private void dial(long now) {
-    if (!outward.mayOpen()) {
-      nextDialNanos = now + PING_NANOS;
+  private void connect(long now) {
+    if (!outboundLinks.mayConnect()) {
+      nextConnectNanos = now + PING_INTERVAL_NANOS;
       return;
     }
-    dialedNanos = now;
-    OutboundLink next =
+    connectStartNanos = now;
+    OutboundLink newConnection =
         MultiplexedConnection.build(
             false,
             0,
-            SiteHeaders.MOST_BYTES,
-            SiteHeaders.CHANGING,
+            SiteHeaders.MAX_HEADER_BYTES,
+            SiteHeaders.VARIABLE_HEADERS,
             (decoder, encoder, settings) -> new OutboundLink(decoder, encoder, settings, this));
     ChannelFuture connecting =
-        outward
+        outboundLinks
             .bootstrap()
             .clone()
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    begin(channel, next);
+                    addHandlers(channel, newConnection);
                   }
                 })
             .connect(address);
     Channel channel = connecting.channel();
-    dialing = channel;
+    connectingChannel = channel;
     if (!Channels.hasSocket(channel)) {
-      closed(channel, next);
+      onClosed(channel, newConnection);
       return;
     }
-    outward.opened(channel);
-    channel.closeFuture().addListener(closed -> closed(channel, next));
+    outboundLinks.onChannelOpened(channel);
+    channel.closeFuture().addListener(closed -> onClosed(channel, newConnection));
     connecting.addListener(
-        done -> {
-          if (!done.isSuccess()) {
+        connected -> {
+          if (!connected.isSuccess()) {
             channel.close();
           }
         });
   }
 
-  private void begin(Channel channel, OutboundLink next) {
-    Identity identity = outward.identity();
+  private void addHandlers(Channel channel, OutboundLink newConnection) {
+    Identity identity = outboundLinks.identity();
     if (identity == null) {
-      channel.pipeline().addLast(next);
+      channel.pipeline().addLast(newConnection);
       return;
     }
-    SslHandler tls = identity.client().newHandler(channel.alloc());
-    tls.setHandshakeTimeoutMillis(HANDSHAKE_MILLIS);
+    SslHandler tls = identity.clientContext().newHandler(channel.alloc());
+    tls.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT_MILLIS);
     channel
         .pipeline()
         .addLast(
@@ -133,92 +134,92 @@
             new PeerSiteVerifier(
                 tls,
                 name -> {
-                  boolean right = name.equals(state.site());
-                  if (right) {
-                    channel.pipeline().addLast(next);
+                  boolean expected = name.equals(link.site());
+                  if (expected) {
+                    channel.pipeline().addLast(newConnection);
                   }
-                  return right;
+                  return expected;
                 }));
   }
 
-  /** Its first SETTINGS have come. */
-  void ready(OutboundLink of) {
-    if (dialing == null || of.context().channel() != dialing) {
+  /** The first SETTINGS of a connection have been received. */
+  void onReady(OutboundLink source) {
+    if (connectingChannel == null || source.context().channel() != connectingChannel) {
       return;
     }
-    dialing = null;
-    link = of;
-    long now = outward.now();
-    heardNanos = now;
-    pingNanos = now;
-    outward.gateway().onUp(now, state);
-    Log.info("gateway", place.name + " is linked");
-    of.writePing(now); // Calls go once the way is known.
+    connectingChannel = null;
+    connection = source;
+    long now = outboundLinks.now();
+    lastFrameNanos = now;
+    lastPingNanos = now;
+    outboundLinks.gateway().onUp(now, link);
+    Log.info("gateway", upstream.name + " is connected");
+    source.writePing(now); // Calls are sent once the round-trip time is known.
   }
 
-  void heard(OutboundLink of) {
-    if (of == link) {
-      heardNanos = outward.now();
+  void onFrame(OutboundLink source) {
+    if (source == connection) {
+      lastFrameNanos = outboundLinks.now();
     }
   }
 
-  void returned(OutboundLink of, long sentNanos) {
-    if (of == link) {
-      heardNanos = outward.now();
-      outward.gateway().onRoundTrip(state, heardNanos - sentNanos);
+  void onPingAnswered(OutboundLink source, long sentNanos) {
+    if (source == connection) {
+      lastFrameNanos = outboundLinks.now();
+      outboundLinks.gateway().onRoundTrip(link, lastFrameNanos - sentNanos);
     }
   }
 
-  /** It takes no more calls; another connection may. */
-  void leaving(OutboundLink of) {
-    if (of == link) {
-      link = null;
-      outward.gateway().onLeaving(state);
-      nextDialNanos = outward.now();
-      of.leave();
+  /** The connection accepts no more calls and is to be replaced. */
+  void onLeaving(OutboundLink source) {
+    if (source == connection) {
+      connection = null;
+      outboundLinks.gateway().onLeaving(link);
+      nextConnectNanos = outboundLinks.now();
+      source.closeWhenIdle();
     }
   }
 
-  /** What it shows has changed: a new connection takes the place of this one. */
-  void renew() {
-    if (link != null) {
-      leaving(link);
+  /** Replaces the connection by one that uses the new identity. */
+  void reconnect() {
+    if (connection != null) {
+      onLeaving(connection);
     }
   }
 
-  private void closed(Channel channel, OutboundLink of) {
-    boolean broke = of == link;
-    if (!broke && channel != dialing) {
-      return; // It was leaving.
+  private void onClosed(Channel channel, OutboundLink source) {
+    boolean broke = source == connection;
+    if (!broke && channel != connectingChannel) {
+      return; // It had already been replaced.
     }
-    link = broke ? null : link;
-    dialing = channel == dialing ? null : dialing;
-    long now = outward.now();
-    long rest = outward.gateway().onBroken(now, state);
-    nextDialNanos = now + rest;
+    connection = broke ? null : connection;
+    connectingChannel = channel == connectingChannel ? null : connectingChannel;
+    long now = outboundLinks.now();
+    long backoff = outboundLinks.gateway().onBroken(now, link);
+    nextConnectNanos = now + backoff;
     Log.warn(
         "gateway",
-        place.name
-            + (broke ? " broke" : " cannot be had")
-            + "; again in "
-            + rest / 1_000_000
+        upstream.name
+            + (broke ? ": the link broke" : " cannot be reached")
+            + "; reconnecting in "
+            + backoff / 1_000_000
             + " ms");
   }
 
   void close() {
-    nextDialNanos = Long.MAX_VALUE;
-    if (dialing != null) {
-      dialing.close();
+    nextConnectNanos = Long.MAX_VALUE;
+    if (connectingChannel != null) {
+      connectingChannel.close();
     }
-    if (link != null) {
-      link.context().channel().close();
+    if (connection != null) {
+      connection.context().channel().close();
     }
   }
 
-  String linkState(long now) {
-    if (link != null) {
+  String connectionState(long now) {
+    if (connection != null) {
       return "up";
     }
-    return dialing != null ? "dialing" : now < nextDialNanos ? "resting" : "down";
+    return connectingChannel != null ? "dialing" : now < nextConnectNanos ? "resting" : "down";
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/PeerSiteVerifier.java
+++ b/src/main/java/heathswitch/proxy/gateway/PeerSiteVerifier.java
@@ -10,35 +10,45 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 
 /**
- * Waits for the handshake and lets the peer in whose certificate names a site that is expected; the
- * connection of any other is closed. The library has checked the certificate itself by then.
+ * Waits for the TLS handshake and accepts the peer if its certificate names an expected site;
+ * closes the connection otherwise. The TLS library has validated the certificate by then.
  */
 final class PeerSiteVerifier extends ChannelInboundHandlerAdapter {
   private final SslHandler tls;
-  private final Predicate<String> letIn;
+  private final Predicate<String> accept;
 
   /**
-   * For one connection.
+   * Creates the verifier of one connection.
    *
-   * @param letIn asked for each name of the peer until it takes one
+   * @param accept called with each name of the peer until it accepts one
    */
-  PeerSiteVerifier(SslHandler tls, Predicate<String> letIn) {
+  PeerSiteVerifier(SslHandler tls, Predicate<String> accept) {
     this.tls = tls;
-    this.letIn = letIn;
+    this.accept = accept;
   }
 
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-    if (event instanceof SslHandshakeCompletionEvent done) {
-      if (!done.isSuccess()) {
-        Log.warn("gateway", "no link with " + ctx.channel().remoteAddress() + ": " + done.cause());
+    if (event instanceof SslHandshakeCompletionEvent handshake) {
+      if (!handshake.isSuccess()) {
+        Log.warn(
+            "gateway",
+            "TLS handshake with "
+                + ctx.channel().remoteAddress()
+                + " failed: "
+                + handshake.cause());
         ctx.close();
         return;
       }
-      List<String> names = names();
+      List<String> names = peerNames();
       ctx.pipeline().remove(this);
-      if (names.stream().noneMatch(letIn)) {
-        Log.warn("gateway", ctx.channel().remoteAddress() + " is of no site expected: " + names);
+      if (names.stream().noneMatch(accept)) {
+        Log.warn(
+            "gateway",
+            "certificate of "
+                + ctx.channel().remoteAddress()
+                + " names no expected site: "
+                + names);
         ctx.close();
       }
       return;
@@ -46,9 +56,9 @@
     super.userEventTriggered(ctx, event);
   }
 
-  private List<String> names() {
+  private List<String> peerNames() {
     try {
-      return Identity.sites(tls.engine().getSession().getPeerCertificates()[0]);
+      return Identity.dnsNames(tls.engine().getSession().getPeerCertificates()[0]);
     } catch (SSLPeerUnverifiedException e) {
       return List.of();
     }
@@ -56,6 +66,6 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    ctx.close(); // The handshake's event has said why.
+    ctx.close(); // The event of the handshake has already logged the reason.
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteGateway.java
@@ -13,18 +13,18 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The gateway of a node: puts its parts together, and shows them to operators. */
+/** The gateway of a node: assembles its parts and provides the pages for operators. */
 public final class SiteGateway implements AutoCloseable {
-  /** The header that no client may send: a trail is believed of an authenticated peer alone. */
+  /** The header that no client may send: a trail is only trusted from an authenticated peer. */
   public static final String TRAIL = SiteHeaders.TRAIL.toString();
 
   private final Node node;
   private final Gateway gateway;
-  private final IdentityFiles files;
-  private OutboundLinks outward;
-  private InboundLinks inward;
+  private final IdentityFiles identityFiles;
+  private OutboundLinks outboundLinks;
+  private InboundLinks inboundLinks;
 
-  /** The certificates cannot be used; the message names the file and the reason. */
+  /** A file of the identity cannot be used; the message names the file and the reason. */
   public static final class InvalidCertificateException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -39,22 +39,22 @@
     this.node = node;
     gateway = new Gateway(table.site(), classes, seed);
     Identity identity = identity(table);
-    node.addListener(parts -> front(parts, table, identity));
-    node.dispatcher().setOverflowRouter(outward);
-    files =
+    node.addListener(context -> createListener(context, table, identity));
+    node.dispatcher().setOverflowRouter(outboundLinks);
+    identityFiles =
         identity == null
             ? null
             : new IdentityFiles(
                 table.keys(),
                 table.site(),
-                next -> node.loop().execute(() -> outward.identity(next)));
+                next -> node.loop().execute(() -> outboundLinks.identity(next)));
   }
 
-  private ProtocolListener front(
-      ProtocolListener.Context parts, GatewayTable table, Identity identity) {
-    outward = new OutboundLinks(table, gateway, parts, identity);
-    inward = new InboundLinks(table, gateway, outward, parts);
-    return inward;
+  private ProtocolListener createListener(
+      ProtocolListener.Context context, GatewayTable table, Identity identity) {
+    outboundLinks = new OutboundLinks(table, gateway, context, identity);
+    inboundLinks = new InboundLinks(table, gateway, outboundLinks, context);
+    return inboundLinks;
   }
 
   private static Identity identity(GatewayTable table) throws InvalidCertificateException {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** What is wrong with the certificates that a table names, or null. */
+  /** Returns the problem with the certificates of a configuration, or null if there is none. */
   public static String certificateFault(GatewayTable table) {
     try {
       identity(table);
@@ -75,64 +75,65 @@
     }
   }
 
-  /** Where gateways of other sites connect; after the start. */
+  /** Returns the address to which gateways of peer sites connect; only after the start. */
   public InetSocketAddress address() {
-    return inward.address();
+    return inboundLinks.address();
   }
 
   /** Adds {@code GET /gateway}, {@code POST /gateway/drain/LINK} and {@code .../resume/LINK}. */
   public void addPages(AdminServer admin) {
-    admin.get("gateway", (rest, reply) -> reply.accept(AdminServer.Reply.ok(status())));
-    admin.post("gateway", (rest, reply) -> reply.accept(change(rest)));
+    admin.get("gateway", (path, reply) -> reply.accept(AdminServer.Reply.ok(status())));
+    admin.post("gateway", (path, reply) -> reply.accept(drainOrResume(path)));
   }
 
-  /** Carries out what an operator asks; on the loop. */
-  AdminServer.Reply change(String rest) {
-    boolean out = rest.startsWith("drain/");
-    if (!out && !rest.startsWith("resume/")) {
+  /** Handles an operator's request to drain or resume; must be called on the event loop. */
+  AdminServer.Reply drainOrResume(String path) {
+    boolean drain = path.startsWith("drain/");
+    if (!drain && !path.startsWith("resume/")) {
       return AdminServer.Reply.error(404, "gateway/drain/LINK or gateway/resume/LINK expected");
     }
-    String name = rest.substring(rest.indexOf('/') + 1);
-    return outward.drain(name, out)
+    String name = path.substring(path.indexOf('/') + 1);
+    return outboundLinks.drain(name, drain)
         ? AdminServer.Reply.ok(status())
         : AdminServer.Reply.error(404, "no link or site " + name);
   }
 
-  /** What operators are shown; on the loop. */
+  /** Returns the status page for operators; must be called on the event loop. */
   public Map<String, Object> status() {
-    long now = outward.now();
+    long now = outboundLinks.now();
     Map<String, Object> status = new LinkedHashMap<>();
     status.put("site", gateway.site());
-    Identity identity = outward.identity();
+    Identity identity = outboundLinks.identity();
     status.put(
         "certificate_until",
-        identity == null ? "insecure" : identity.until().toInstant().toString());
+        identity == null ? "insecure" : identity.expiry().toInstant().toString());
     List<Object> links = new ArrayList<>();
-    outward.forEach(far -> links.add(link(far, now)));
+    outboundLinks.forEach(peer -> links.add(linkStatus(peer, now)));
     status.put("links", links);
-    Map<String, Object> kept = new LinkedHashMap<>();
-    for (Gateway.NotForwardedReason why : Gateway.NotForwardedReason.values()) {
-      kept.put(why.name().toLowerCase(Locale.ROOT), gateway.notForwarded(why.ordinal()));
+    Map<String, Object> notForwarded = new LinkedHashMap<>();
+    for (Gateway.NotForwardedReason reason : Gateway.NotForwardedReason.values()) {
+      notForwarded.put(
+          reason.name().toLowerCase(Locale.ROOT), gateway.notForwarded(reason.ordinal()));
     }
-    status.put("kept", kept);
-    Map<String, Object> from = new LinkedHashMap<>();
-    inward.forEachPeer((site, counts) -> from.put(site, counts.json()));
-    status.put("from", from);
-    Map<String, Object> lending = new LinkedHashMap<>();
-    lending.put("room", gateway.room(now));
-    lending.put("lent", gateway.admittedCalls());
-    lending.put("window", gateway.admissionWindow());
-    lending.put("strained", gateway.isCongested(now));
-    status.put("lending", lending);
+    status.put("kept", notForwarded);
+    Map<String, Object> fromPeerSites = new LinkedHashMap<>();
+    inboundLinks.forEachPeerSite((site, counters) -> fromPeerSites.put(site, counters.json()));
+    status.put("from", fromPeerSites);
+    Map<String, Object> admission = new LinkedHashMap<>();
+    admission.put("room", gateway.room(now));
+    admission.put("lent", gateway.admittedCalls());
+    admission.put("window", gateway.admissionWindow());
+    admission.put("strained", gateway.isCongested(now));
+    status.put("lending", admission);
     return status;
   }
 
-  private static Map<String, Object> link(PeerGateway far, long now) {
-    PeerLink.View view = far.state.view(now);
+  private static Map<String, Object> linkStatus(PeerGateway peer, long now) {
+    PeerLink.View view = peer.link.view(now);
     Map<String, Object> link = new LinkedHashMap<>();
-    link.put("link", far.place.name);
-    link.put("state", view.drained() ? "drained" : far.linkState(now));
-    link.putAll(far.counts.json());
+    link.put("link", peer.upstream.name);
+    link.put("state", view.drained() ? "drained" : peer.connectionState(now));
+    link.putAll(peer.counters.json());
     link.put("in_flight", view.inFlight());
     link.put("window", view.window());
     link.put("room", view.remoteRoom() == null ? "unknown" : view.remoteRoom());
@@ -141,14 +142,14 @@
     return link;
   }
 
-  /** Ends the links and the watching of files; calls that are out are lost with them. */
+  /** Closes the links and stops watching the files; calls in flight on the links are lost. */
   @Override
   public void close() {
-    if (files != null) {
-      files.close();
+    if (identityFiles != null) {
+      identityFiles.close();
     }
     if (!node.loop().isShuttingDown()) {
-      node.loop().execute(outward::close);
+      node.loop().execute(outboundLinks::close);
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/gateway/SiteHeaders.java
+++ b/src/main/java/heathswitch/proxy/gateway/SiteHeaders.java
@@ -4,41 +4,42 @@
 import io.netty.util.AsciiString;
 import java.util.Set;
 
-/** The headers that gateways say to each other; none of them goes on to a server or a client. */
+/** The headers between gateways; none of them is forwarded to a server or a client. */
 final class SiteHeaders {
-  /** What all of their names begin with. */
+  /** The common prefix of all names. */
   static final AsciiString PREFIX = AsciiString.cached("x-site-");
 
-  /** {@link heathswitch.policy.gateway.Trail}. */
+  /** The sites that the call has passed through; see {@link heathswitch.policy.gateway.Trail}. */
   static final AsciiString TRAIL = AsciiString.cached("x-site-trail");
 
-  /** Microseconds that the far site may use. */
+  /** The time in microseconds that the peer site may use. */
   static final AsciiString LEFT = AsciiString.cached("x-site-left");
 
-  /** The class's effect, so that two sites that differ on it find out before anything runs. */
+  /** The effect of the class, so that sites with different settings notice before a call runs. */
   static final AsciiString EFFECT = AsciiString.cached("x-site-effect");
 
-  /** How the call ended: {@link Result} in small letters. */
+  /** How the call ended: {@link Result} in lower case. */
   static final AsciiString RESULT = AsciiString.cached("x-site-result");
 
-  /** Microseconds that the far site took. */
+  /** The time in microseconds that the peer site took. */
   static final AsciiString TOOK = AsciiString.cached("x-site-took");
 
-  /** Calls that the far site would take now. */
+  /** The number of calls that the peer site would admit now. */
   static final AsciiString ROOM = AsciiString.cached("x-site-room");
 
-  static final Set<AsciiString> CHANGING = Set.of(LEFT, TOOK, ROOM);
+  /** The headers whose value differs from call to call. */
+  static final Set<AsciiString> VARIABLE_HEADERS = Set.of(LEFT, TOOK, ROOM);
 
-  /** Bytes of the headers of a call or an answer. */
-  static final int MOST_BYTES = 64 << 10;
+  /** Maximum size in bytes of the headers of a call or an answer. */
+  static final int MAX_HEADER_BYTES = 64 << 10;
 
-  /** How a call ended at the far site. */
+  /** How a call ended at the peer site. */
   enum Result {
-    /** The answer is that of a server. */
+    /** The answer comes from a server. */
     SERVED,
-    /** Nothing ran. */
+    /** The call has not run. */
     REFUSED,
-    /** It may have run. */
+    /** The call may have run. */
     FAILED;
 
     private final AsciiString text = AsciiString.cached(name().toLowerCase(java.util.Locale.ROOT));
@@ -47,8 +48,8 @@
       return text;
     }
 
-    /** Null for what is none. */
-    static Result of(CharSequence text) {
+    /** Parses a header value; returns null if it is not a result. */
+    static Result parse(CharSequence text) {
       for (Result result : values()) {
         if (result.text.contentEquals(text == null ? "" : text)) {
           return result;
@@ -60,7 +61,7 @@
 
   private SiteHeaders() {}
 
-  /** A whole number that is not below zero, or -1 for what is none. */
+  /** Returns the value of a header as a non-negative integer, or -1 if it is missing or invalid. */
   static long number(Http2Headers headers, AsciiString name) {
     CharSequence text = headers.get(name);
     if (text == null || text.length() == 0 || text.length() > 15) {
@@ -77,8 +78,8 @@
     return number;
   }
 
-  /** Whether a header is between gateways or frames the message, and not for whoever is behind. */
-  static boolean own(CharSequence name) {
+  /** Whether a header is a pseudo-header or only for gateways, and must not be forwarded. */
+  static boolean isLinkOnly(CharSequence name) {
     return name.length() > 0 && name.charAt(0) == ':' || AsciiString.of(name).startsWith(PREFIX);
   }
 }
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -137,7 +137,7 @@
       try {
         node.node()
             .loop()
-            .submit(() -> node.gateway().change((out ? "drain/" : "resume/") + link))
+            .submit(() -> node.gateway().drainOrResume((out ? "drain/" : "resume/") + link))
             .get(10, TimeUnit.SECONDS);
       } catch (Exception e) {
         throw new AssertionError(e);
