--- a/src/main/java/heathswitch/proxy/cli/Commands.java
+++ b/src/main/java/heathswitch/proxy/cli/Commands.java
@@ -75,7 +75,7 @@
     try {
       balancer = new StandaloneNode(file, result.config());
     } catch (MembersWatcher.StartException
-        | SiteGateway.CannotStart
+        | SiteGateway.InvalidCertificateException
         | MaintenanceService.StartException
         | GossipService.StartException e) {
       err().println(file + ": " + e.getMessage());
@@ -113,7 +113,7 @@
     }
     report.lines().forEach(out()::println);
     GatewayTable gateway = result.config().gateway();
-    String gatewayFault = gateway == null ? null : SiteGateway.fault(gateway);
+    String gatewayFault = gateway == null ? null : SiteGateway.certificateFault(gateway);
     if (gatewayFault != null) {
       out().println(gatewayFault);
     }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -51,7 +51,7 @@
    */
   public StandaloneNode(Path path, StandaloneConfig config)
       throws MembersWatcher.StartException,
-          SiteGateway.CannotStart,
+          SiteGateway.InvalidCertificateException,
           MaintenanceService.StartException,
           GossipService.StartException {
     this.path = path;
