--- a/src/main/java/heathswitch/proxy/grpc/GrpcStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
@@ -20,14 +20,14 @@
  * before its headers were; {@code REFUSED_STREAM} and a GOAWAY with a lower last id say that it
  * never did (RFC 9113, sections 8.7 and 6.8).
  */
-final class GrpcStream
+final class AttemptStream
     implements MultiplexedConnection.StreamHandler,
         Attempt.Exchange,
         ChannelFutureListener,
-        Patience.Waiting {
+        BufferingTimer.Listener {
   private final GrpcServer server;
   private final GrpcCall call;
-  private UpstreamLink link;
+  private UpstreamConnection link;
   private Attempt attempt;
   private int id = -1;
   private boolean written;
@@ -37,13 +37,13 @@
   /** The answer's head, once it has come. */
   private Http2Headers headers;
 
-  private Messages messages;
-  private Gathered gathered;
+  private MessageBoundaryTracker messages;
+  private MessageBuffer gathered;
 
   /** Whether the answer goes on to the caller as it comes. */
   private boolean passing;
 
-  GrpcStream(GrpcServer server, UpstreamLink link, Attempt attempt, GrpcCall call) {
+  AttemptStream(GrpcServer server, UpstreamConnection link, Attempt attempt, GrpcCall call) {
     this.server = server;
     this.link = link;
     this.attempt = attempt;
@@ -56,7 +56,7 @@
   }
 
   /** Before it has begun, another connection takes it. */
-  void movedTo(UpstreamLink other) {
+  void movedTo(UpstreamConnection other) {
     link = other;
   }
 
@@ -137,12 +137,14 @@
       foreign(frame, "content type " + frame.get(GrpcHeaders.CONTENT_TYPE));
     } else {
       headers = frame;
-      messages = new Messages(server.table().mostMessage());
+      messages = new MessageBoundaryTracker(server.config().maxMessageBytes());
       Gathering mode = call.mode();
       if (mode == Gathering.STREAM || mode == Gathering.AUTO && !call.whole()) {
         passOn();
       } else {
-        gathered = new Gathered(server.held(), server.table().mostMessage() + Messages.PREFIX);
+        gathered =
+            new MessageBuffer(
+                server.held(), server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX);
         if (mode == Gathering.AUTO) {
           server.patience().watch(this);
         }
@@ -166,7 +168,8 @@
       foreign(headers, "no trailers");
     } else if (passing) {
       return passData(data);
-    } else if (call.mode().passesOn(messages.begun(), gathered.size(), server.table().gathered())) {
+    } else if (call.mode()
+        .passesOn(messages.begun(), gathered.size(), server.config().maxBufferedBytes())) {
       passOn();
     }
     return bytes;
@@ -190,7 +193,7 @@
 
   /** It has been held back for long enough: what there is goes on, and the rest as it comes. */
   @Override
-  public void late() {
+  public void onBufferingTimeout() {
     if (!ended && headers != null && !passing && call.mode().passesOnLate()) {
       passOn();
     }
@@ -204,7 +207,7 @@
     passing = true;
     call.passHeaders(this, GrpcHeaders.strip(headers));
     if (gathered != null) {
-      Gathered first = gathered;
+      MessageBuffer first = gathered;
       gathered = null;
       if (first.size() > 0) {
         call.passData(first.share()).addListener(done -> first.release());
@@ -225,7 +228,7 @@
       end(outcome, null);
     } else {
       Http2Headers head = headers == null ? null : GrpcHeaders.strip(headers);
-      Gathered message = gathered;
+      MessageBuffer message = gathered;
       gathered = null;
       end(outcome, new GrpcAnswer(head, message, GrpcHeaders.strip(frame)));
     }
@@ -239,7 +242,7 @@
     giveUp(
         Outcome.BAD_REQUEST,
         Status.RESOURCE_EXHAUSTED,
-        GrpcHeaders.tooLong("answer", claimed, server.table().mostMessage()));
+        GrpcHeaders.tooLong("answer", claimed, server.config().maxMessageBytes()));
   }
 
   private void tooMany() {
--- a/src/main/java/heathswitch/proxy/grpc/Held.java
+++ b/src/main/java/heathswitch/proxy/grpc/BufferBudget.java
@@ -1,11 +1,11 @@
 package heathswitch.proxy.grpc;
 
 /** Bytes of messages that are held, of all calls together. On the loop only. */
-final class Held {
+final class BufferBudget {
   private final long most;
   private long free;
 
-  Held(long most) {
+  BufferBudget(long most) {
     this.most = most;
     free = most;
   }
--- a/src/main/java/heathswitch/proxy/grpc/Patience.java
+++ b/src/main/java/heathswitch/proxy/grpc/BufferingTimer.java
@@ -12,13 +12,13 @@
  * matter is settled sooner are told all the same, and stay here no longer than that time. On the
  * loop only.
  */
-final class Patience {
+final class BufferingTimer {
   /** Told once. */
-  interface Waiting {
-    void late();
+  interface Listener {
+    void onBufferingTimeout();
   }
 
-  private record Due(Waiting waiting, long nanos) {}
+  private record Due(Listener listener, long nanos) {}
 
   private final EventLoop loop;
   private final Clock clock;
@@ -26,15 +26,15 @@
   private final ArrayDeque<Due> due = new ArrayDeque<>();
   private boolean planned;
 
-  Patience(EventLoop loop, Clock clock, long nanos) {
+  BufferingTimer(EventLoop loop, Clock clock, long nanos) {
     this.loop = loop;
     this.clock = clock;
     this.nanos = nanos;
   }
 
-  void watch(Waiting waiting) {
+  void watch(Listener listener) {
     long at = clock.nowNanos() + nanos;
-    due.add(new Due(waiting, at));
+    due.add(new Due(listener, at));
     plan(nanos);
   }
 
@@ -49,7 +49,7 @@
     planned = false;
     long now = clock.nowNanos();
     while (!due.isEmpty() && due.peek().nanos() <= now) {
-      due.poll().waiting().late();
+      due.poll().listener().onBufferingTimeout();
     }
     if (!due.isEmpty()) {
       plan(Math.max(1, due.peek().nanos() - now));
--- a/src/main/java/heathswitch/proxy/grpc/ClientLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/ClientConnection.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** One client's connection, with its streams' calls. */
-final class ClientLink extends InboundConnection {
+final class ClientConnection extends InboundConnection {
   /** PING and SETTINGS frames that a connection may send in the time below. */
   private static final int MOST_CONTROL_FRAMES = 200;
 
@@ -24,7 +24,7 @@
   private long idleSinceNanos;
   private long leaveAtNanos;
 
-  ClientLink(
+  ClientConnection(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
@@ -54,7 +54,8 @@
   /** Ends what is old, idle or stuck. */
   void tick(long now) {
     boolean idle =
-        openCalls() == 0 && now - idleSinceNanos > server.table().idleMillis() * 1_000_000L;
+        openCalls() == 0
+            && now - idleSinceNanos > server.config().connectionIdleMillis() * 1_000_000L;
     if (idle || now - leaveAtNanos >= 0) {
       closeGracefully();
     }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcAnswer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcAnswer.java
@@ -9,7 +9,8 @@
  * @param headers null where the trailers are all
  * @param message null where there is none
  */
-record GrpcAnswer(Http2Headers headers, Gathered message, Http2Headers trailers) implements Answer {
+record GrpcAnswer(Http2Headers headers, MessageBuffer message, Http2Headers trailers)
+    implements Answer {
   @Override
   public void release() {
     if (message != null) {
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -27,25 +27,25 @@
  * until it is longer than that: then it goes on to the one attempt that it has, drawn from the
  * client only as fast as the upstream takes it.
  */
-final class GrpcCall implements InboundConnection.Call, Caller, Payload, Patience.Waiting {
+final class GrpcCall implements InboundConnection.Call, Caller, Payload, BufferingTimer.Listener {
   private static final String HEALTH = "/grpc.health.v1.Health/";
 
   private final GrpcServer server;
-  private final ClientLink link;
+  private final ClientConnection link;
   private final int id;
   private Http2Headers headers;
-  private GrpcTable.Method method;
-  private Messages messages;
-  private Gathered kept;
+  private GrpcConfig.MethodConfig method;
+  private MessageBoundaryTracker messages;
+  private MessageBuffer kept;
   private long deadlineNanos;
   private Future<?> deadline;
   private RequestHandle ticket;
 
   /** The attempt that gets what the client still sends. */
-  private GrpcStream upstream;
+  private AttemptStream upstream;
 
   /** The attempt whose answer goes on as it comes. */
-  private GrpcStream answering;
+  private AttemptStream answering;
 
   /** Bytes of the client's window that no attempt has taken yet. */
   private int owed;
@@ -59,7 +59,7 @@
   /** When the last thing was written that has not been taken by the client; 0 for none. */
   private long unwrittenNanos;
 
-  GrpcCall(GrpcServer server, ClientLink link, int id) {
+  GrpcCall(GrpcServer server, ClientConnection link, int id) {
     this.server = server;
     this.link = link;
     this.id = id;
@@ -104,13 +104,13 @@
       giveUp(Status.INVALID_ARGUMENT, "malformed grpc-timeout");
       return;
     }
-    GrpcTable table = server.table();
-    method = table.method(head.path());
+    GrpcConfig config = server.config();
+    method = config.method(head.path());
     // No client waits longer than its class allows, and nothing is held for it any longer.
     ttl = Math.min(ttl, method.type().deadlineNanos());
     deadlineNanos = server.clock().nowNanos() + ttl;
-    messages = new Messages(table.mostMessage());
-    kept = new Gathered(server.held(), mostKept(table));
+    messages = new MessageBoundaryTracker(config.maxMessageBytes());
+    kept = new MessageBuffer(server.held(), mostKept(config));
     if (ended || method.mode() == Gathering.STREAM) {
       dispatch();
     } else {
@@ -122,10 +122,10 @@
    * Beyond what is to be sent again, what may come before an attempt has its connection: a window,
    * and the last frame before the call went on.
    */
-  private int mostKept(GrpcTable table) {
+  private int mostKept(GrpcConfig config) {
     return method.mode() == Gathering.UNARY
-        ? table.mostMessage() + Messages.PREFIX
-        : table.gathered() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
+        ? config.maxMessageBytes() + MessageBoundaryTracker.PREFIX
+        : config.maxBufferedBytes() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
   }
 
   @Override
@@ -138,7 +138,7 @@
     if (!messages.add(data)) {
       giveUp(
           Status.RESOURCE_EXHAUSTED,
-          GrpcHeaders.tooLong("request", messages.claimed(), server.table().mostMessage()));
+          GrpcHeaders.tooLong("request", messages.claimed(), server.config().maxMessageBytes()));
       return bytes;
     }
     if (dispatched) {
@@ -147,7 +147,9 @@
     if (!kept.add(data)) {
       giveUp(Status.RESOURCE_EXHAUSTED, kept.full() ? tooMuch() : server.held().words());
     } else if (last
-        || method.mode().passesOn(messages.begun(), kept.size(), server.table().gathered())) {
+        || method
+            .mode()
+            .passesOn(messages.begun(), kept.size(), server.config().maxBufferedBytes())) {
       dispatch();
     }
     return bytes;
@@ -155,13 +157,13 @@
 
   private String tooMuch() {
     return "a unary call of more than "
-        + (server.table().mostMessage() + Messages.PREFIX)
+        + (server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX)
         + " bytes, most_message of the balancer";
   }
 
   /** It has not ended by itself: from now on it is one that goes on. */
   @Override
-  public void late() {
+  public void onBufferingTimeout() {
     if (dispatched || answered) {
       return;
     }
@@ -226,7 +228,7 @@
     return ended;
   }
 
-  Gathered kept() {
+  MessageBuffer kept() {
     return kept;
   }
 
@@ -244,7 +246,7 @@
   }
 
   /** An attempt has a stream: it gets what there is, and what still comes. */
-  void replayTo(GrpcStream stream) {
+  void replayTo(AttemptStream stream) {
     int before = owed;
     owed = 0;
     if (kept.size() > 0 || ended) {
@@ -258,7 +260,7 @@
 
   /** Beyond the bound there is no other attempt: what one has got needs not be kept. */
   private void forgetIfLong() {
-    if (kept != null && kept.size() > server.table().gathered()) {
+    if (kept != null && kept.size() > server.config().maxBufferedBytes()) {
       release();
     }
   }
@@ -292,7 +294,7 @@
   }
 
   /** An attempt is over. */
-  void left(GrpcStream stream) {
+  void left(AttemptStream stream) {
     if (upstream == stream) {
       upstream = null;
     }
@@ -300,7 +302,7 @@
 
   // ---- an answer that goes on as it comes ----
 
-  void passHeaders(GrpcStream from, Http2Headers head) {
+  void passHeaders(AttemptStream from, Http2Headers head) {
     answering = from;
     watchDeadline();
     link.writeHeaders(id, head, false);
@@ -327,7 +329,7 @@
   @Override
   public void serve(Answer answer) {
     ticket = null;
-    GrpcAnswer whole = (GrpcAnswer) answer; // The only kind that a GrpcStream brings.
+    GrpcAnswer whole = (GrpcAnswer) answer; // The only kind that a AttemptStream brings.
     if (whole == null || answered) {
       release(whole);
       return;
--- a/src/main/java/heathswitch/proxy/grpc/GrpcTable.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConfig.java
@@ -13,27 +13,28 @@
 /**
  * The table {@code [grpc]} of the configuration.
  *
- * @param mostMessage bytes of a message, either way, without its prefix
- * @param gathered bytes of a call that are kept for another attempt, and of an answer that are held
- *     back before it goes on as it comes
- * @param gatherNanos for which a call or an answer that has not ended is held back
- * @param mostHeld bytes of all messages that are held at a time
- * @param mostStreams calls of one client connection at a time
- * @param mostConnections client connections at a time
- * @param ageMillis after which a client connection is ended in good order, give or take a tenth
- * @param idleMillis after which a connection without a call is closed
+ * @param maxMessageBytes bytes of a message, either way, without its prefix
+ * @param maxBufferedBytes bytes of a call that are kept for another attempt, and of an answer that
+ *     are held back before it goes on as it comes
+ * @param bufferingNanos for which a call or an answer that has not ended is held back
+ * @param maxTotalBufferedBytes bytes of all messages that are held at a time
+ * @param maxStreamsPerConnection calls of one client connection at a time
+ * @param maxConnections client connections at a time
+ * @param maxConnectionAgeMillis after which a client connection is ended in good order, give or
+ *     take a tenth
+ * @param connectionIdleMillis after which a connection without a call is closed
  */
-public record GrpcTable(
+public record GrpcConfig(
     InetSocketAddress listen,
-    int mostMessage,
-    int gathered,
-    long gatherNanos,
-    long mostHeld,
-    int mostStreams,
-    int mostConnections,
-    long ageMillis,
-    long idleMillis,
-    Map<String, Method> methods) {
+    int maxMessageBytes,
+    int maxBufferedBytes,
+    long bufferingNanos,
+    long maxTotalBufferedBytes,
+    int maxStreamsPerConnection,
+    int maxConnections,
+    long maxConnectionAgeMillis,
+    long connectionIdleMillis,
+    Map<String, MethodConfig> methods) {
 
   /**
    * How calls of a method are taken.
@@ -41,10 +42,10 @@
    * @param path {@code /service/method}, {@code /service/*} or {@code *} for the default
    * @param mode how it is told whether it is one message or a stream
    */
-  public record Method(String path, RequestClass type, String tenant, Gathering mode) {}
+  public record MethodConfig(String path, RequestClass type, String tenant, Gathering mode) {}
 
   /** Reads and checks the table; null where there is none, and the listener is off. */
-  public static GrpcTable read(Section root, List<RequestClass> classes) {
+  public static GrpcConfig read(Section root, List<RequestClass> classes) {
     Section table = root.table("grpc");
     if (table == null) {
       return null;
@@ -52,7 +53,7 @@
     Map<String, RequestClass> types =
         classes.stream()
             .collect(Collectors.toMap(RequestClass::name, Function.identity(), (a, b) -> a));
-    Map<String, Method> methods = new LinkedHashMap<>();
+    Map<String, MethodConfig> methods = new LinkedHashMap<>();
     for (Section section : table.tables("method")) {
       String path = section.text("path", null);
       String name = section.text("class", null);
@@ -75,15 +76,15 @@
       if (fits && methods.containsKey(path)) {
         section.fault("path", "\"" + path + "\" stands twice; another one expected");
       }
-      methods.put(path == null ? "?" : path, new Method(path, type, tenant, mode));
+      methods.put(path == null ? "?" : path, new MethodConfig(path, type, tenant, mode));
       section.end();
     }
     if (!methods.containsKey("*")) {
       table.fault("method", "has no default; a [[grpc.method]] with path = \"*\" expected");
     }
     InetSocketAddress listen = table.address("listen", true);
-    GrpcTable grpc =
-        new GrpcTable(
+    GrpcConfig grpc =
+        new GrpcConfig(
             listen,
             (int) table.whole("most_message", 4L << 20, 1024, 64 << 20),
             (int) table.whole("gather", 256L << 10, 1024, 4 << 20),
@@ -99,8 +100,8 @@
   }
 
   /** The method's own entry, else that of its service, else the default. */
-  Method method(CharSequence path) {
-    Method own = methods.size() == 1 ? null : methods.get(path.toString());
+  MethodConfig method(CharSequence path) {
+    MethodConfig own = methods.size() == 1 ? null : methods.get(path.toString());
     if (own == null && methods.size() > 1) {
       String text = path.toString();
       own = methods.get(text.substring(0, text.lastIndexOf('/') + 1) + '*');
--- a/src/main/java/heathswitch/proxy/grpc/GrpcPool.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConnectionPool.java
@@ -24,7 +24,7 @@
 import java.util.function.BooleanSupplier;
 
 /** HTTP/2 connections to upstreams: opened as their streams run out, closed when idle or silent. */
-final class GrpcPool implements Transport {
+final class GrpcConnectionPool implements Transport {
   private final GrpcServer server;
   private final Clock clock;
   private final ResourceBudget budget;
@@ -33,12 +33,12 @@
   private final Bootstrap bootstrap;
 
   /** Those that take new streams; others end by themselves. */
-  private final Map<Upstream, List<UpstreamLink>> links = new HashMap<>();
+  private final Map<Upstream, List<UpstreamConnection>> links = new HashMap<>();
 
   /** All that have not closed yet, also those that take nothing new. */
-  private final Set<UpstreamLink> alive = new HashSet<>();
+  private final Set<UpstreamConnection> alive = new HashSet<>();
 
-  GrpcPool(
+  GrpcConnectionPool(
       GrpcServer server,
       EventLoop loop,
       ResourceBudget budget,
@@ -65,20 +65,20 @@
     if (upstream.grpcAddress == null) {
       return false;
     }
-    UpstreamLink link = link(upstream);
+    UpstreamConnection link = link(upstream);
     if (link == null) {
       return false;
     }
     if (upstream.inFlight++ == 0) {
       upstream.silentSinceNanos = clock.nowNanos();
     }
-    link.start(new GrpcStream(server, link, attempt, call));
+    link.start(new AttemptStream(server, link, attempt, call));
     return true;
   }
 
   /** Another connection for a stream that its own turned out to have no room for. */
-  void move(GrpcStream stream) {
-    UpstreamLink link = link(stream.upstream());
+  void move(AttemptStream stream) {
+    UpstreamConnection link = link(stream.upstream());
     if (link == null) {
       stream.unplaced();
     } else {
@@ -88,8 +88,8 @@
   }
 
   /** One with room, or a new one; null if no descriptor can be had. */
-  private UpstreamLink link(Upstream upstream) {
-    for (UpstreamLink link : links.getOrDefault(upstream, List.of())) {
+  private UpstreamConnection link(Upstream upstream) {
+    for (UpstreamConnection link : links.getOrDefault(upstream, List.of())) {
       if (link.hasRoom()) {
         return link;
       }
@@ -97,15 +97,15 @@
     return budget.availableConnections() > 0 || evict.getAsBoolean() ? dial(upstream) : null;
   }
 
-  private UpstreamLink dial(Upstream upstream) {
-    UpstreamLink link =
+  private UpstreamConnection dial(Upstream upstream) {
+    UpstreamConnection link =
         MultiplexedConnection.build(
             false,
             0,
             GrpcHeaders.MOST_BYTES,
             GrpcHeaders.CHANGING,
             (decoder, encoder, settings) ->
-                new UpstreamLink(decoder, encoder, settings, this, upstream, clock));
+                new UpstreamConnection(decoder, encoder, settings, this, upstream, clock));
     ChannelFuture connecting = bootstrap.clone().handler(link).connect(upstream.grpcAddress);
     if (!Channels.hasSocket(connecting.channel())) {
       return null; // As if there were no descriptor: the attempt ends and may go elsewhere.
@@ -118,13 +118,13 @@
     return link;
   }
 
-  void closed(UpstreamLink link) {
+  void closed(UpstreamConnection link) {
     forget(link);
     alive.remove(link);
   }
 
-  void forget(UpstreamLink link) {
-    List<UpstreamLink> of = links.get(link.upstream());
+  void forget(UpstreamConnection link) {
+    List<UpstreamConnection> of = links.get(link.upstream());
     if (of != null && of.remove(link) && of.isEmpty()) {
       links.remove(link.upstream());
     }
@@ -133,7 +133,7 @@
   /** No new stream goes to connections that the upstream had before. */
   @Override
   public void closeIdle(Upstream upstream) {
-    List.copyOf(links.getOrDefault(upstream, List.of())).forEach(UpstreamLink::goAway);
+    List.copyOf(links.getOrDefault(upstream, List.of())).forEach(UpstreamConnection::goAway);
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -25,28 +25,29 @@
   private final EventLoop loop;
   private final Clock clock;
   private final ResourceBudget budget;
-  private final GrpcTable table;
+  private final GrpcConfig config;
   private final Dispatcher dispatcher;
-  private final Held held;
-  private final GrpcPool pool;
+  private final BufferBudget held;
+  private final GrpcConnectionPool pool;
   private final SplittableRandom random;
-  private final Patience patience;
-  private final Set<ClientLink> links = new HashSet<>();
+  private final BufferingTimer patience;
+  private final Set<ClientConnection> links = new HashSet<>();
   private Channel listener;
   private boolean draining;
   private String forbidden;
   private long number;
 
   /** Makes the front and its transport; to be called on the loop's node before its start. */
-  public GrpcServer(ProtocolListener.Context parts, GrpcTable table, Settings settings, long seed) {
+  public GrpcServer(
+      ProtocolListener.Context parts, GrpcConfig config, Settings settings, long seed) {
     this.loop = parts.loop();
     this.clock = parts.clock();
     this.budget = parts.budget();
     this.dispatcher = parts.dispatcher();
-    this.table = table;
-    held = new Held(table.mostHeld());
-    patience = new Patience(loop, clock, table.gatherNanos());
-    pool = new GrpcPool(this, loop, budget, settings.limits(), parts.evictIdle());
+    this.config = config;
+    held = new BufferBudget(config.maxTotalBufferedBytes());
+    patience = new BufferingTimer(loop, clock, config.bufferingNanos());
+    pool = new GrpcConnectionPool(this, loop, budget, settings.limits(), parts.evictIdle());
     dispatcher.addTransport(pool);
     random = new SplittableRandom(seed);
   }
@@ -56,7 +57,7 @@
     listener =
         Listeners.bootstrap(loop, this::accepted)
             .option(ChannelOption.SO_BACKLOG, 1024)
-            .bind(table.listen())
+            .bind(config.listen())
             .sync()
             .channel();
     loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
@@ -70,21 +71,23 @@
   private void accepted(Channel channel) {
     budget.connectionOpened();
     channel.closeFuture().addListener(closed -> budget.connectionClosed());
-    if (links.size() >= table.mostConnections() || budget.availableConnections() <= 0) {
+    if (links.size() >= config.maxConnections() || budget.availableConnections() <= 0) {
       channel.close();
       return;
     }
-    ClientLink link =
+    ClientConnection link =
         MultiplexedConnection.build(
             true,
-            table.mostStreams(),
+            config.maxStreamsPerConnection(),
             GrpcHeaders.MOST_BYTES,
             GrpcHeaders.CHANGING,
-            (decoder, encoder, settings) -> new ClientLink(decoder, encoder, settings, this));
+            (decoder, encoder, settings) -> new ClientConnection(decoder, encoder, settings, this));
     links.add(link);
     channel.closeFuture().addListener(closed -> links.remove(link));
     long now = clock.nowNanos();
-    link.accepted(now, now + (long) (table.ageMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
+    link.accepted(
+        now,
+        now + (long) (config.maxConnectionAgeMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
     channel.pipeline().addLast(link);
     if (draining) {
       link.closeGracefully();
@@ -97,7 +100,7 @@
   }
 
   /** A header that no client may send; before the start. */
-  public void forbid(String header) {
+  public void setForbiddenHeader(String header) {
     forbidden = header;
   }
 
@@ -113,19 +116,19 @@
     return dispatcher;
   }
 
-  Patience patience() {
+  BufferingTimer patience() {
     return patience;
   }
 
-  GrpcTable table() {
-    return table;
+  GrpcConfig config() {
+    return config;
   }
 
-  GrpcPool pool() {
+  GrpcConnectionPool pool() {
     return pool;
   }
 
-  Held held() {
+  BufferBudget held() {
     return held;
   }
 
@@ -141,7 +144,7 @@
   @Override
   public void startDraining() {
     draining = true;
-    List.copyOf(links).forEach(ClientLink::closeGracefully);
+    List.copyOf(links).forEach(ClientConnection::closeGracefully);
   }
 
   @Override
@@ -161,6 +164,6 @@
 
   @Override
   public void closeIdle() {
-    List.copyOf(links).forEach(ClientLink::closeIfIdle);
+    List.copyOf(links).forEach(ClientConnection::closeIfIdle);
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/Messages.java
+++ b/src/main/java/heathswitch/proxy/grpc/MessageBoundaryTracker.java
@@ -6,7 +6,7 @@
  * Follows the messages in the data of one direction by their prefixes of a flag and a length
  * ("Length-Prefixed-Message" of gRPC over HTTP/2), wherever the frames cut them.
  */
-final class Messages {
+final class MessageBoundaryTracker {
   /** Bytes before each message. */
   static final int PREFIX = 5;
 
@@ -17,7 +17,7 @@
   private int prefix;
 
   /** For messages of so many bytes at most, without their prefix. */
-  Messages(long most) {
+  MessageBoundaryTracker(long most) {
     this.most = most;
   }
 
@@ -50,7 +50,7 @@
     return true;
   }
 
-  /** Messages of which at least the first byte has come. */
+  /** MessageBoundaryTracker of which at least the first byte has come. */
   long begun() {
     return begun;
   }
--- a/src/main/java/heathswitch/proxy/grpc/Gathered.java
+++ b/src/main/java/heathswitch/proxy/grpc/MessageBuffer.java
@@ -5,13 +5,13 @@
 import io.netty.buffer.Unpooled;
 
 /** What has come of a message, within a bound and within what all may hold. */
-final class Gathered {
+final class MessageBuffer {
   private static final int MOST_COMPONENTS = 1024;
 
   /** A shorter piece is copied: it would keep the whole buffer that it was read into. */
   private static final int SHORT = 1024;
 
-  private final Held held;
+  private final BufferBudget held;
   private final int most;
 
   /** The one piece that there is in most cases, or all of them. */
@@ -20,7 +20,7 @@
   private long taken;
   private boolean full;
 
-  Gathered(Held held, int most) {
+  MessageBuffer(BufferBudget held, int most) {
     this.held = held;
     this.most = most;
   }
--- a/src/main/java/heathswitch/proxy/grpc/UpstreamLink.java
+++ b/src/main/java/heathswitch/proxy/grpc/UpstreamConnection.java
@@ -11,7 +11,7 @@
 import java.util.ArrayDeque;
 
 /** One connection to an upstream with many streams, each of them an attempt. */
-final class UpstreamLink extends MultiplexedConnection {
+final class UpstreamConnection extends MultiplexedConnection {
   /** Until the upstream's SETTINGS tell, as RFC 9113 section 6.5.2 recommends at least. */
   private static final int STREAMS_UNTOLD = 100;
 
@@ -42,10 +42,10 @@
 
   private static final long PATIENT_NANOS = 310_000_000_000L;
 
-  private final GrpcPool pool;
+  private final GrpcConnectionPool pool;
   private final Upstream upstream;
   private final Clock clock;
-  private final ArrayDeque<GrpcStream> pending = new ArrayDeque<>();
+  private final ArrayDeque<AttemptStream> pending = new ArrayDeque<>();
   private ChannelFuture connecting;
   private boolean open;
   private boolean going;
@@ -58,11 +58,11 @@
   private int resets;
   private long resetsSinceNanos;
 
-  UpstreamLink(
+  UpstreamConnection(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
-      GrpcPool pool,
+      GrpcConnectionPool pool,
       Upstream upstream,
       Clock clock) {
     super(decoder, encoder, settings);
@@ -96,7 +96,7 @@
   }
 
   /** Begins a stream now, or when the connection is there. */
-  void start(GrpcStream stream) {
+  void start(AttemptStream stream) {
     streams++;
     if (open) {
       begin(stream);
@@ -105,7 +105,7 @@
     }
   }
 
-  private void begin(GrpcStream stream) {
+  private void begin(AttemptStream stream) {
     if (!stream.wanted()) {
       streamDone();
     } else if (!stream.mayBegin()) {
@@ -179,7 +179,7 @@
       begun++;
     }
     while (!pending.isEmpty()) {
-      GrpcStream stream = pending.poll();
+      AttemptStream stream = pending.poll();
       streams--;
       pool.move(stream);
     }
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -6,7 +6,7 @@
 import heathswitch.proxy.config.Fault;
 import heathswitch.proxy.gateway.GatewayTable;
 import heathswitch.proxy.gossip.PeersTable;
-import heathswitch.proxy.grpc.GrpcTable;
+import heathswitch.proxy.grpc.GrpcConfig;
 import heathswitch.proxy.logging.LogTable;
 import heathswitch.proxy.maintenance.MaintenanceConfig;
 import heathswitch.proxy.members.MembersConfig;
@@ -31,7 +31,7 @@
     NodeSettings node,
     MembersConfig members,
     AdminTable admin,
-    GrpcTable grpc,
+    GrpcConfig grpc,
     GatewayTable gateway,
     MaintenanceConfig work,
     PeersTable peers,
@@ -68,7 +68,7 @@
             node,
             MembersConfig.read(document),
             AdminTable.read(document.root()),
-            GrpcTable.read(
+            GrpcConfig.read(
                 document.root(), node == null ? List.of() : node.policySettings().classes()),
             GatewayTable.read(document),
             work(document, node),
--- a/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneNode.java
@@ -68,7 +68,7 @@
               node, config.gateway(), settings.policySettings().classes(), settings.seed() + 1);
       node.forbidHeader(SiteGateway.TRAIL);
       if (grpc != null) {
-        grpc.forbid(SiteGateway.TRAIL);
+        grpc.setForbiddenHeader(SiteGateway.TRAIL);
       }
     }
     if (config.peers() != null) {
--- a/src/test/java/heathswitch/proxy/grpc/Echo.java
+++ b/src/test/java/heathswitch/proxy/grpc/EchoServer.java
@@ -26,7 +26,7 @@
  * A stand-in gRPC server on grpc-java: messages are bytes, and the calls are those of the published
  * interop cases as far as bytes can say them.
  */
-final class Echo implements AutoCloseable {
+final class EchoServer implements AutoCloseable {
   static final String SERVICE = "timetable.Store";
   static final Metadata.Key<String> ASCII =
       Metadata.Key.of("x-grpc-test-echo-initial", Metadata.ASCII_STRING_MARSHALLER);
@@ -86,7 +86,7 @@
   volatile boolean failing;
   private final Server server;
 
-  Echo() throws IOException {
+  EchoServer() throws IOException {
     server =
         NettyServerBuilder.forAddress(new InetSocketAddress("127.0.0.1", 0))
             .maxInboundMessageSize(8 << 20)
--- a/src/test/java/heathswitch/proxy/grpc/HardCasesTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcFailureTest.java
@@ -36,12 +36,12 @@
 
 /** Servers that fail or vanish, ends that cross calls, readers that are slow. */
 @Timeout(120)
-class HardCasesTest {
+class GrpcFailureTest {
   private static final Metadata.Key<String> PUSHBACK =
       Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
 
   private static final MethodDescriptor<byte[], byte[]> HEALTH =
-      Echo.UNARY.toBuilder().setFullMethodName("grpc.health.v1.Health/Check").build();
+      EchoServer.UNARY.toBuilder().setFullMethodName("grpc.health.v1.Health/Check").build();
 
   static StreamObserver<byte[]> observer(BlockingQueue<Object> results) {
     return new StreamObserver<>() {
@@ -88,22 +88,22 @@
   }
 
   /** Windows start small; waves of calls that are held and then answered together open them. */
-  private static void openWindows(GrpcFixture fixture, int target, RawServer... servers)
+  private static void openWindows(GrpcFixture fixture, int target, RawHttp2Server... servers)
       throws Exception {
     BlockingQueue<Object> results = new LinkedBlockingQueue<>();
     ManagedChannel channel = fixture.channel();
     for (int wave = 40; wave < target; wave = wave * 5 / 4) {
       int size = wave;
       for (int i = 0; i < size; i++) {
-        unary(channel, Echo.UNARY, "w", results);
+        unary(channel, EchoServer.UNARY, "w", results);
       }
       Await.until(
           "a wave of " + size,
-          () -> Stream.of(servers).mapToLong(RawServer::whole).sum() + results.size() >= size);
-      Stream.of(servers).forEach(RawServer::answerAll);
+          () -> Stream.of(servers).mapToLong(RawHttp2Server::whole).sum() + results.size() >= size);
+      Stream.of(servers).forEach(RawHttp2Server::answerAll);
       for (int i = 0; i < size; i++) {
         while (results.isEmpty()) { // Some may have come to a server by way of a second attempt.
-          Stream.of(servers).forEach(RawServer::answerAll);
+          Stream.of(servers).forEach(RawHttp2Server::answerAll);
           Thread.sleep(1);
         }
         results.poll();
@@ -117,8 +117,8 @@
    */
   @Test
   void twoHundredStreamsToANodeThatStartsFailing() throws Exception {
-    try (RawServer good = new RawServer(1000);
-        RawServer bad = new RawServer(1000);
+    try (RawHttp2Server good = new RawHttp2Server(1000);
+        RawHttp2Server bad = new RawHttp2Server(1000);
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(good.port())
@@ -139,11 +139,11 @@
         bad.calls.clear();
         results.clear();
         for (int i = 0; i < sent; i++) {
-          unary(channel, i % 2 == 0 ? Echo.UNARY : Echo.UNSAFE, "call", results);
+          unary(channel, i % 2 == 0 ? EchoServer.UNARY : EchoServer.UNSAFE, "call", results);
         }
         Await.until("all out", () -> good.whole() + bad.whole() + results.size() >= sent);
       }
-      List<RawServer.Call> flight = List.copyOf(bad.calls);
+      List<RawHttp2Server.Call> flight = List.copyOf(bad.calls);
       // The other node is done with its own, so that there is room for those of the failing one.
       good.answering = true;
       good.answerAll();
@@ -171,27 +171,27 @@
   /** Streams that the server had not seen when it said so go elsewhere; the others go on. */
   @Test
   void goAwayAndNewStreamsCross() throws Exception {
-    try (Echo good = new Echo();
-        RawServer leaving = new RawServer(1000);
+    try (EchoServer good = new EchoServer();
+        RawHttp2Server leaving = new RawHttp2Server(1000);
         GrpcFixture fixture =
             new GrpcFixture().server(good.port()).server(leaving.port()).start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       int sent = 0;
       while (leaving.calls.size() < 5) {
-        unary(channel, Echo.UNSAFE, "u " + sent++, results);
+        unary(channel, EchoServer.UNSAFE, "u " + sent++, results);
         Thread.sleep(1);
       }
       leaving.goAway();
       for (int i = 0; i < 40; i++) {
-        unary(channel, Echo.UNSAFE, "u " + sent++, results);
+        unary(channel, EchoServer.UNSAFE, "u " + sent++, results);
       }
-      List<RawServer.Call> answered = new ArrayList<>();
+      List<RawHttp2Server.Call> answered = new ArrayList<>();
       int served = 0;
       for (int i = 0; i < sent; i++) {
         Object result = null;
         while (result == null) {
-          for (RawServer.Call call : leaving.calls) {
+          for (RawHttp2Server.Call call : leaving.calls) {
             if (call.whole && !answered.contains(call)) {
               answered.add(call);
               call.answer("0");
@@ -213,10 +213,10 @@
 
   @Test
   void trailersWithoutAStatusAreNoAnswer() throws Exception {
-    try (RawServer raw = new RawServer(100);
+    try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      unary(fixture.channel(), Echo.UNSAFE, "x", results);
+      unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
       Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
       raw.calls.get(0).answer(null);
       Status status = (Status) results.poll(30, TimeUnit.SECONDS);
@@ -259,11 +259,11 @@
   }
 
   /** Of an unsafe call that its one server, which may have run it, ends in this way. */
-  private static Status statusOfOne(Consumer<RawServer.Call> end) throws Exception {
-    try (RawServer raw = new RawServer(100);
+  private static Status statusOfOne(Consumer<RawHttp2Server.Call> end) throws Exception {
+    try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      unary(fixture.channel(), Echo.UNSAFE, "x", results);
+      unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
       Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
       end.accept(raw.calls.get(0));
       Status status = (Status) results.poll(30, TimeUnit.SECONDS);
@@ -276,12 +276,12 @@
   /** Its kernel acknowledges and it says nothing more: PING finds out, long before the deadline. */
   @Test
   void aHalfClosedStreamWhoseServerHangsIsEnded() throws Exception {
-    try (RawServer raw = new RawServer(100);
+    try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       StreamObserver<byte[]> to =
           ClientCalls.asyncBidiStreamingCall(
-              fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT), observer(results));
+              fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(results));
       to.onNext(new byte[] {1});
       to.onCompleted();
       Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
@@ -296,12 +296,12 @@
   /** The caller has gone when the answer comes: nobody gets it, and nothing is left over. */
   @Test
   void aCancelCrossesTheTrailers() throws Exception {
-    try (RawServer raw = new RawServer(1000);
+    try (RawHttp2Server raw = new RawHttp2Server(1000);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       ManagedChannel channel = fixture.channel();
       for (int i = 0; i < 50; i++) {
         int size = i + 1; // Tells the calls apart: one that is late may have a second copy.
-        ClientCall<byte[], byte[]> call = channel.newCall(Echo.UNARY, CallOptions.DEFAULT);
+        ClientCall<byte[], byte[]> call = channel.newCall(EchoServer.UNARY, CallOptions.DEFAULT);
         BlockingQueue<Object> results = new LinkedBlockingQueue<>();
         ClientCalls.asyncUnaryCall(call, new byte[size], observer(results));
         Await.until("the call", () -> raw.call(size) != null);
@@ -318,17 +318,17 @@
   /** More calls than its SETTINGS allow on one connection go over further ones. */
   @Test
   void aServersLimitOfStreamsIsObeyed() throws Exception {
-    try (RawServer raw = new RawServer(3);
+    try (RawHttp2Server raw = new RawHttp2Server(3);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       raw.answering = true;
-      unary(fixture.channel(), Echo.UNSAFE, "first", results);
+      unary(fixture.channel(), EchoServer.UNSAFE, "first", results);
       results.poll(30, TimeUnit.SECONDS);
       raw.answering = false;
       raw.calls.clear();
       ManagedChannel channel = fixture.channel();
       for (int i = 0; i < 10; i++) {
-        unary(channel, Echo.UNSAFE, "x", results);
+        unary(channel, EchoServer.UNSAFE, "x", results);
       }
       Await.until("all calls", () -> raw.calls.size() == 10);
       Await.until("all whole", () -> raw.calls.stream().allMatch(call -> call.whole));
@@ -345,7 +345,7 @@
     try (GrpcFixture fixture = new GrpcFixture().server(1).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       ClientCalls.asyncUnaryCall(
-          fixture.channel().newCall(Echo.UNSAFE, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.UNSAFE, CallOptions.DEFAULT),
           new byte[1],
           observer(results));
       StatusRuntimeException error = (StatusRuntimeException) results.poll(30, TimeUnit.SECONDS);
@@ -357,8 +357,8 @@
   /** Its effect is not known, so no library may try it again by itself. */
   @Test
   void anUnsafeCallWhoseServerDiesIsAFailure() throws Exception {
-    Echo echo = new Echo();
-    MethodDescriptor<byte[], byte[]> sleep = Echo.SLEEP;
+    EchoServer echo = new EchoServer();
+    MethodDescriptor<byte[], byte[]> sleep = EchoServer.SLEEP;
     try (GrpcFixture fixture =
         new GrpcFixture()
             .server(echo.port())
@@ -378,7 +378,7 @@
   /** A reader that takes nothing holds back the sender, through the balancer. */
   @Test
   void aSlowReaderHoldsBackTheSender() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       AtomicInteger ready = new AtomicInteger();
       List<ClientCallStreamObserver<byte[]>> calls = new ArrayList<>();
@@ -386,7 +386,7 @@
       int messages = 400;
       byte[] message = new byte[64 << 10];
       ClientCalls.asyncBidiStreamingCall(
-          fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT),
           new ClientResponseObserver<byte[], byte[]>() {
             @Override
             public void beforeStart(ClientCallStreamObserver<byte[]> call) {
@@ -441,9 +441,9 @@
   /** With a gateway, what gateways say to each other is not for clients. */
   @Test
   void aForbiddenHeaderIsTurnedAway() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
-      fixture.node().grpc().forbid("x-site-trail");
+      fixture.node().grpc().setForbiddenHeader("x-site-trail");
       Metadata headers = new Metadata();
       headers.put(Metadata.Key.of("x-site-trail", Metadata.ASCII_STRING_MARSHALLER), "1;a");
       var channel =
@@ -454,7 +454,7 @@
               StatusRuntimeException.class,
               () ->
                   ClientCalls.blockingUnaryCall(
-                      channel, Echo.UNARY, CallOptions.DEFAULT, new byte[1]));
+                      channel, EchoServer.UNARY, CallOptions.DEFAULT, new byte[1]));
       assertEquals(Status.Code.INVALID_ARGUMENT, error.getStatus().getCode());
       assertEquals(0, echo.calls.get());
     }
@@ -473,12 +473,12 @@
   /** Calls that are on when the balancer is told to end get their answers, and then it is done. */
   @Test
   void aDrainLetsCallsFinish() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       StreamObserver<byte[]> to =
           ClientCalls.asyncBidiStreamingCall(
-              fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT), observer(results));
+              fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(results));
       to.onNext(new byte[] {1});
       assertArrayEquals(new byte[] {1}, (byte[]) results.poll(30, TimeUnit.SECONDS));
       var drained = fixture.node().node().shutdown().drain();
@@ -493,7 +493,7 @@
   /** A connection that is old is ended in good order: no call on it is lost. */
   @Test
   void anOldConnectionIsReplacedUnderLoad() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture().server(echo.port()).with("connection_age = \"1s\"").start()) {
       ManagedChannel channel = fixture.channel();
@@ -501,7 +501,8 @@
       int calls = 0;
       while (System.nanoTime() < until) {
         CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(15, TimeUnit.SECONDS);
-        ClientCalls.blockingUnaryCall(channel, Echo.UNSAFE, options, ("c " + calls++).getBytes());
+        ClientCalls.blockingUnaryCall(
+            channel, EchoServer.UNSAFE, options, ("c " + calls++).getBytes());
       }
       assertEquals(calls, echo.calls.get());
     }
@@ -510,14 +511,14 @@
   /** The server is told how many attempts came before (gRFC A6), and a first one says nothing. */
   @Test
   void aRetryIsMarked() throws Exception {
-    try (RawServer one = new RawServer(100);
-        RawServer two = new RawServer(100);
+    try (RawHttp2Server one = new RawHttp2Server(100);
+        RawHttp2Server two = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(one.port()).server(two.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      unary(fixture.channel(), Echo.UNSAFE, "x", results);
+      unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
       Await.until("the first attempt", () -> one.whole() + two.whole() == 1);
-      RawServer first = one.whole() == 1 ? one : two;
-      RawServer second = first == one ? two : one;
+      RawHttp2Server first = one.whole() == 1 ? one : two;
+      RawHttp2Server second = first == one ? two : one;
       assertEquals(null, first.calls.get(0).headers.get("grpc-previous-rpc-attempts"));
       first.calls.get(0).reset(Http2Error.REFUSED_STREAM);
       Await.until("the second attempt", () -> second.whole() == 1);
@@ -532,7 +533,7 @@
    */
   @Test
   void withoutDescriptorsCallsAreAnsweredAllTheSame() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).sockets(64).start()) {
       List<Socket> silent = new ArrayList<>();
       ManagedChannel channel = fixture.channel();
@@ -543,7 +544,7 @@
         for (int i = 0; i < 14; i++) {
           silent.add(new Socket("127.0.0.1", fixture.port()));
         }
-        unary(channel, Echo.UNSAFE, "x", results);
+        unary(channel, EchoServer.UNSAFE, "x", results);
         Object result = results.poll(30, TimeUnit.SECONDS);
         boolean refused =
             result instanceof Status status && status.getCode() == Status.Code.UNAVAILABLE;
@@ -556,7 +557,7 @@
       Await.until(
           "served again",
           () -> {
-            unary(channel, Echo.UNSAFE, "y", results);
+            unary(channel, EchoServer.UNSAFE, "y", results);
             try {
               return "y".equals(results.poll(30, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
--- a/src/test/java/heathswitch/proxy/grpc/InteropTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcInteropTest.java
@@ -32,13 +32,13 @@
 
 /** The published interop cases, by grpc-java on both sides with the balancer between. */
 @Timeout(120)
-class InteropTest {
-  private Echo echo;
+class GrpcInteropTest {
+  private EchoServer echo;
   private GrpcFixture fixture;
 
   @BeforeEach
   void start() throws Exception {
-    echo = new Echo();
+    echo = new EchoServer();
     fixture = new GrpcFixture().server(echo.port()).start();
   }
 
@@ -77,20 +77,20 @@
 
   @Test
   void emptyUnary() {
-    assertArrayEquals(new byte[0], unary(Echo.UNARY, new byte[0]));
+    assertArrayEquals(new byte[0], unary(EchoServer.UNARY, new byte[0]));
   }
 
   @Test
   void largeUnary() {
     for (int size : new int[] {271_828, 64 << 10, 1 << 20, (4 << 20) - 5}) {
-      assertArrayEquals(random(size), unary(Echo.UNARY, random(size)));
+      assertArrayEquals(random(size), unary(EchoServer.UNARY, random(size)));
     }
   }
 
   @Test
   void aMessageOverTheBoundIsTurnedAway() {
     assertEquals(
-        Status.Code.RESOURCE_EXHAUSTED, code(() -> unary(Echo.UNARY, random((4 << 20) + 1))));
+        Status.Code.RESOURCE_EXHAUSTED, code(() -> unary(EchoServer.UNARY, random((4 << 20) + 1))));
     assertEquals(0, echo.calls.get());
   }
 
@@ -98,7 +98,7 @@
   void serverStreaming() {
     Iterator<byte[]> answers =
         ClientCalls.blockingServerStreamingCall(
-            fixture.channel(), Echo.DOWN, CallOptions.DEFAULT, new byte[] {100, 100});
+            fixture.channel(), EchoServer.DOWN, CallOptions.DEFAULT, new byte[] {100, 100});
     int count = 0;
     while (answers.hasNext()) {
       assertEquals(100 << 10, answers.next().length);
@@ -112,7 +112,7 @@
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
     StreamObserver<byte[]> to =
         ClientCalls.asyncClientStreamingCall(
-            fixture.channel().newCall(Echo.UP, CallOptions.DEFAULT), observer(answers));
+            fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT), observer(answers));
     for (int size : new int[] {27182, 8, 1828, 45904, 500_000}) {
       to.onNext(random(size));
     }
@@ -126,7 +126,7 @@
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
     StreamObserver<byte[]> to =
         ClientCalls.asyncBidiStreamingCall(
-            fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT), observer(answers));
+            fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(answers));
     for (int size : new int[] {31415, 9, 2653, 58979, 0}) {
       to.onNext(random(size));
       assertArrayEquals(random(size), (byte[]) answers.poll(30, TimeUnit.SECONDS));
@@ -139,7 +139,7 @@
   void emptyStream() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
     ClientCalls.asyncBidiStreamingCall(
-            fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT), observer(answers))
+            fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(answers))
         .onCompleted();
     assertEquals("done", answers.poll(30, TimeUnit.SECONDS));
   }
@@ -147,7 +147,7 @@
   @Test
   void cancelAfterBegin() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
-    ClientCall<byte[], byte[]> call = fixture.channel().newCall(Echo.UP, CallOptions.DEFAULT);
+    ClientCall<byte[], byte[]> call = fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT);
     StreamObserver<byte[]> to = ClientCalls.asyncClientStreamingCall(call, observer(answers));
     to.onNext(random(10));
     Await.until("begun", () -> echo.received.get() == 1);
@@ -159,7 +159,8 @@
   @Test
   void cancelAfterFirstResponse() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
-    ClientCall<byte[], byte[]> call = fixture.channel().newCall(Echo.PING, CallOptions.DEFAULT);
+    ClientCall<byte[], byte[]> call =
+        fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT);
     StreamObserver<byte[]> to = ClientCalls.asyncBidiStreamingCall(call, observer(answers));
     to.onNext(random(31415));
     assertArrayEquals(random(31415), (byte[]) answers.poll(30, TimeUnit.SECONDS));
@@ -170,12 +171,12 @@
 
   @Test
   void timeoutOnASleepingServer() throws Exception {
-    for (MethodDescriptor<byte[], byte[]> method : List.of(Echo.SLEEP, Echo.PING)) {
+    for (MethodDescriptor<byte[], byte[]> method : List.of(EchoServer.SLEEP, EchoServer.PING)) {
       int before = echo.cancelled.get();
       BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
       CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(300, TimeUnit.MILLISECONDS);
       ClientCall<byte[], byte[]> call = fixture.channel().newCall(method, options);
-      if (method == Echo.SLEEP) {
+      if (method == EchoServer.SLEEP) {
         ClientCalls.asyncUnaryCall(call, random(1), observer(answers));
       } else {
         ClientCalls.asyncBidiStreamingCall(call, observer(answers));
@@ -194,7 +195,7 @@
       Status status =
           assertThrows(
                   StatusRuntimeException.class,
-                  () -> unary(Echo.FAIL, new byte[] {(byte) code.value()}))
+                  () -> unary(EchoServer.FAIL, new byte[] {(byte) code.value()}))
               .getStatus();
       assertEquals(code, status.getCode());
       assertEquals("test status message \u2713 \t%", status.getDescription());
@@ -203,15 +204,15 @@
 
   @Test
   void unimplementedMethod() {
-    assertEquals(Status.Code.UNIMPLEMENTED, code(() -> unary(Echo.NONE, random(1))));
+    assertEquals(Status.Code.UNIMPLEMENTED, code(() -> unary(EchoServer.NONE, random(1))));
   }
 
   @Test
   void customMetadata() {
     Metadata sent = new Metadata();
-    sent.put(Echo.ASCII, "test_initial_metadata_value");
-    sent.put(Echo.BINARY, new byte[] {(byte) 0xab, 0, (byte) 0xab, 10, 13});
-    for (MethodDescriptor<byte[], byte[]> method : List.of(Echo.UNARY, Echo.DOWN)) {
+    sent.put(EchoServer.ASCII, "test_initial_metadata_value");
+    sent.put(EchoServer.BINARY, new byte[] {(byte) 0xab, 0, (byte) 0xab, 10, 13});
+    for (MethodDescriptor<byte[], byte[]> method : List.of(EchoServer.UNARY, EchoServer.DOWN)) {
       AtomicReference<Metadata> headers = new AtomicReference<>();
       AtomicReference<Metadata> trailers = new AtomicReference<>();
       Channel channel =
@@ -228,9 +229,9 @@
       while (answers.hasNext()) {
         answers.next();
       }
-      assertEquals("test_initial_metadata_value", headers.get().get(Echo.ASCII));
+      assertEquals("test_initial_metadata_value", headers.get().get(EchoServer.ASCII));
       assertArrayEquals(
-          new byte[] {(byte) 0xab, 0, (byte) 0xab, 10, 13}, trailers.get().get(Echo.BINARY));
+          new byte[] {(byte) 0xab, 0, (byte) 0xab, 10, 13}, trailers.get().get(EchoServer.BINARY));
     }
   }
 
@@ -243,12 +244,12 @@
             fixture.channel(),
             MetadataUtils.newCaptureMetadataInterceptor(headers, new AtomicReference<>()));
     CallOptions shorter = CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS);
-    ClientCalls.blockingUnaryCall(channel, Echo.UNARY, shorter, random(1));
-    long nanos = GrpcTimeout.parse(headers.get().get(Echo.TIMEOUT));
+    ClientCalls.blockingUnaryCall(channel, EchoServer.UNARY, shorter, random(1));
+    long nanos = GrpcTimeout.parse(headers.get().get(EchoServer.TIMEOUT));
     assertTrue(nanos > 0 && nanos < 10_000_000_000L, "shorter than the class's: " + nanos);
     CallOptions longer = CallOptions.DEFAULT.withDeadlineAfter(1000, TimeUnit.SECONDS);
-    ClientCalls.blockingUnaryCall(channel, Echo.UNARY, longer, random(1));
-    nanos = GrpcTimeout.parse(headers.get().get(Echo.TIMEOUT));
+    ClientCalls.blockingUnaryCall(channel, EchoServer.UNARY, longer, random(1));
+    nanos = GrpcTimeout.parse(headers.get().get(EchoServer.TIMEOUT));
     assertTrue(nanos > 0 && nanos <= 20_000_000_000L, "the class's own: " + nanos);
   }
 
--- a/src/test/java/heathswitch/proxy/grpc/MessagesTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/MessageBoundaryTrackerTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class MessagesTest {
+class MessageBoundaryTrackerTest {
   /** Wherever the frames cut them, also within a prefix. */
   @Test
   void messagesAreCountedHoweverTheyAreCut() {
@@ -21,7 +21,7 @@
         int size = random.nextInt(3) == 0 ? 0 : random.nextInt(300);
         all.writeByte(0).writeInt(size).writeZero(size);
       }
-      Messages messages = new Messages(300);
+      MessageBoundaryTracker messages = new MessageBoundaryTracker(300);
       while (all.isReadable()) {
         int step = Math.min(all.readableBytes(), 1 + random.nextInt(40));
         assertTrue(messages.add(all.readSlice(step)));
@@ -32,11 +32,11 @@
 
   @Test
   void oneByteOverIsTooLongAndSaysHowLong() {
-    Messages messages = new Messages(300);
+    MessageBoundaryTracker messages = new MessageBoundaryTracker(300);
     assertTrue(messages.add(Unpooled.buffer().writeByte(0).writeInt(300).writeZero(300)));
     assertFalse(messages.add(Unpooled.buffer().writeByte(0).writeInt(301)));
     assertEquals(301, messages.claimed());
-    Messages huge = new Messages(300);
+    MessageBoundaryTracker huge = new MessageBoundaryTracker(300);
     assertFalse(huge.add(Unpooled.buffer().writeByte(1).writeInt(-1)));
     assertEquals(0xffff_ffffL, huge.claimed());
   }
--- a/src/test/java/heathswitch/proxy/grpc/AbuseTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/ProtocolAbuseTest.java
@@ -23,15 +23,15 @@
  * Frames that no library would send: each sort has its end, and another connection is served on.
  */
 @Timeout(120)
-class AbuseTest {
+class ProtocolAbuseTest {
 
-  private Echo echo;
+  private EchoServer echo;
   private GrpcFixture fixture;
   private ManagedChannel other;
 
   @BeforeEach
   void start() throws Exception {
-    echo = new Echo();
+    echo = new EchoServer();
     fixture = new GrpcFixture().server(echo.port()).start();
     other = fixture.channel();
     served();
@@ -47,17 +47,18 @@
   private void served() {
     byte[] message = {1, 2};
     assertArrayEquals(
-        message, ClientCalls.blockingUnaryCall(other, Echo.UNARY, CallOptions.DEFAULT, message));
+        message,
+        ClientCalls.blockingUnaryCall(other, EchoServer.UNARY, CallOptions.DEFAULT, message));
   }
 
   @FunctionalInterface
   private interface Flood {
-    void send(RawClient raw, int i) throws IOException;
+    void send(RawHttp2Client raw, int i) throws IOException;
   }
 
   /** Sends until the connection ends; a flood that never ends it is the fault. */
   private void ends(Flood flood, int most) throws IOException {
-    try (RawClient raw = new RawClient(fixture.port())) {
+    try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
       Thread sender =
           new Thread(
               () -> {
@@ -80,23 +81,23 @@
     ends(
         (raw, i) -> {
           raw.frame(
-              RawClient.HEADERS,
-              RawClient.END_HEADERS,
+              RawHttp2Client.HEADERS,
+              RawHttp2Client.END_HEADERS,
               2 * i + 1,
-              RawClient.call("/timetable.Store/Sleep"));
-          raw.frame(RawClient.RST, 0, 2 * i + 1, new byte[] {0, 0, 0, 8});
+              RawHttp2Client.call("/timetable.Store/Sleep"));
+          raw.frame(RawHttp2Client.RST, 0, 2 * i + 1, new byte[] {0, 0, 0, 8});
         },
         5000);
   }
 
   @Test
   void pingFlood() throws IOException {
-    ends((raw, i) -> raw.frame(RawClient.PING, 0, 0, new byte[8]), 20_000);
+    ends((raw, i) -> raw.frame(RawHttp2Client.PING, 0, 0, new byte[8]), 20_000);
   }
 
   @Test
   void settingsFlood() throws IOException {
-    ends((raw, i) -> raw.frame(RawClient.SETTINGS, 0, 0, new byte[0]), 20_000);
+    ends((raw, i) -> raw.frame(RawHttp2Client.SETTINGS, 0, 0, new byte[0]), 20_000);
   }
 
   @Test
@@ -105,12 +106,12 @@
         (raw, i) -> {
           if (i == 0) {
             raw.frame(
-                RawClient.HEADERS,
-                RawClient.END_HEADERS,
+                RawHttp2Client.HEADERS,
+                RawHttp2Client.END_HEADERS,
                 1,
-                RawClient.call("/timetable.Store/Sleep"));
+                RawHttp2Client.call("/timetable.Store/Sleep"));
           }
-          raw.frame(RawClient.DATA, 0, 1, new byte[0]);
+          raw.frame(RawHttp2Client.DATA, 0, 1, new byte[0]);
         },
         5000);
   }
@@ -120,9 +121,9 @@
     ends(
         (raw, i) -> {
           if (i == 0) {
-            raw.frame(RawClient.HEADERS, 0, 1, RawClient.call("/timetable.Store/Sleep"));
+            raw.frame(RawHttp2Client.HEADERS, 0, 1, RawHttp2Client.call("/timetable.Store/Sleep"));
           }
-          raw.frame(RawClient.CONTINUATION, 0, 1, new byte[0]);
+          raw.frame(RawHttp2Client.CONTINUATION, 0, 1, new byte[0]);
         },
         5000);
   }
@@ -131,7 +132,7 @@
   @Test
   void headerBomb() throws Exception {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.write(RawClient.call("/timetable.Store/Sleep"));
+    bytes.write(RawHttp2Client.call("/timetable.Store/Sleep"));
     bytes.write(0x40); // Literal with indexing, a new name.
     bytes.write(1);
     bytes.write('x');
@@ -143,10 +144,11 @@
       bytes.write(0x80 | 62); // The first entry of the dynamic table.
     }
     byte[] block = bytes.toByteArray();
-    try (RawClient raw = new RawClient(fixture.port())) {
-      raw.frame(RawClient.HEADERS, RawClient.END_HEADERS | RawClient.END_STREAM, 1, block);
+    try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
+      raw.frame(
+          RawHttp2Client.HEADERS, RawHttp2Client.END_HEADERS | RawHttp2Client.END_STREAM, 1, block);
       raw.out.flush();
-      RawClient.Frame frame = raw.read();
+      RawHttp2Client.Frame frame = raw.read();
       while (!frame.last()) {
         frame = raw.read(); // Null, and so a failure, if the connection ends without an answer.
       }
@@ -175,11 +177,14 @@
   /** Five bytes that claim four gigabytes are turned away before any more come. */
   @Test
   void aMessageThatClaimsAHugeLength() throws Exception {
-    try (RawClient raw = new RawClient(fixture.port())) {
+    try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
       raw.frame(
-          RawClient.HEADERS, RawClient.END_HEADERS, 1, RawClient.call("/timetable.Store/Sleep"));
+          RawHttp2Client.HEADERS,
+          RawHttp2Client.END_HEADERS,
+          1,
+          RawHttp2Client.call("/timetable.Store/Sleep"));
       raw.frame(
-          RawClient.DATA,
+          RawHttp2Client.DATA,
           0,
           1,
           new byte[] {1, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0});
@@ -190,7 +195,7 @@
         assertTrue(head.length == 9, "an answer comes");
         int length = (head[0] & 255) << 16 | (head[1] & 255) << 8 | head[2] & 255;
         in.readNBytes(length);
-        if (head[3] == RawClient.HEADERS && (head[4] & RawClient.END_STREAM) != 0) {
+        if (head[3] == RawHttp2Client.HEADERS && (head[4] & RawHttp2Client.END_STREAM) != 0) {
           break;
         }
       }
--- a/src/test/java/heathswitch/proxy/grpc/RawClient.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawHttp2Client.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A client that writes its frames by hand, and can so do what no library would. */
-final class RawClient implements AutoCloseable {
+final class RawHttp2Client implements AutoCloseable {
   static final int DATA = 0;
   static final int HEADERS = 1;
   static final int RST = 3;
@@ -30,7 +30,7 @@
   final Socket socket;
   final DataOutputStream out;
 
-  RawClient(int port) throws IOException {
+  RawHttp2Client(int port) throws IOException {
     socket = new Socket("127.0.0.1", port);
     socket.setSoTimeout(30_000);
     out = new DataOutputStream(socket.getOutputStream());
--- a/src/test/java/heathswitch/proxy/grpc/RawServer.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawHttp2Server.java
@@ -30,7 +30,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** An HTTP/2 server that does what no library would: the test holds and ends each stream. */
-final class RawServer implements AutoCloseable {
+final class RawHttp2Server implements AutoCloseable {
   /** One call that has come, whole or not. */
   final class Call {
     final ChannelHandlerContext ctx;
@@ -105,7 +105,7 @@
   volatile boolean answering;
   private final Channel listener;
 
-  RawServer(int mostStreams) throws Exception {
+  RawHttp2Server(int mostStreams) throws Exception {
     listener =
         new ServerBootstrap()
             .group(group)
--- a/src/test/java/heathswitch/proxy/grpc/StreamingTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/StreamingAndLimitsTest.java
@@ -32,7 +32,7 @@
 
 /** Calls that the table says nothing of, told from their traffic; bounds; what servers speak. */
 @Timeout(120)
-class StreamingTest {
+class StreamingAndLimitsTest {
   private static final Object DONE = "done";
 
   private static BlockingQueue<Object> results() {
@@ -53,7 +53,7 @@
     Await.until(
         "served",
         () -> {
-          HardCasesTest.unary(channel, Echo.UNSAFE, text, results);
+          GrpcFailureTest.unary(channel, EchoServer.UNSAFE, text, results);
           try {
             Object result = next(results);
             boolean refused =
@@ -71,18 +71,18 @@
   @ValueSource(booleans = {true, false})
   void aSecondMessageComesJustAsTheFirstAttemptFails(boolean messageFirst) throws Exception {
     for (int round = 0; round < 5; round++) {
-      try (RawServer one = new RawServer(100);
-          RawServer two = new RawServer(100);
+      try (RawHttp2Server one = new RawHttp2Server(100);
+          RawHttp2Server two = new RawHttp2Server(100);
           GrpcFixture fixture = new GrpcFixture().server(one.port()).server(two.port()).start()) {
         BlockingQueue<Object> results = results();
         StreamObserver<byte[]> to =
             ClientCalls.asyncClientStreamingCall(
-                fixture.channel().newCall(Echo.UP, CallOptions.DEFAULT),
-                HardCasesTest.observer(results));
+                fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT),
+                GrpcFailureTest.observer(results));
         to.onNext(new byte[10]);
         Await.until("begun", () -> one.calls.size() + two.calls.size() == 1);
-        RawServer first = one.calls.isEmpty() ? two : one;
-        RawServer second = first == one ? two : one;
+        RawHttp2Server first = one.calls.isEmpty() ? two : one;
+        RawHttp2Server second = first == one ? two : one;
         if (messageFirst) {
           to.onNext(new byte[20]);
           first.calls.get(0).reset(Http2Error.REFUSED_STREAM);
@@ -105,18 +105,18 @@
   /** However the two fall, the caller gets one end and nothing behind it. */
   @Test
   void aSecondMessageOfTheAnswerComesJustAsTheDeadlinePasses() throws Exception {
-    try (RawServer server = new RawServer(100);
+    try (RawHttp2Server server = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(server.port()).start()) {
       for (int i = 0; i < 20; i++) {
         int number = i;
-        try (RawClient raw = new RawClient(fixture.port())) {
-          byte[] head = RawClient.call("/timetable.Store/Down", "grpc-timeout", "100m");
-          raw.frame(RawClient.HEADERS, RawClient.END_HEADERS, 1, head);
-          raw.frame(RawClient.DATA, RawClient.END_STREAM, 1, RawClient.message("x"));
+        try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
+          byte[] head = RawHttp2Client.call("/timetable.Store/Down", "grpc-timeout", "100m");
+          raw.frame(RawHttp2Client.HEADERS, RawHttp2Client.END_HEADERS, 1, head);
+          raw.frame(RawHttp2Client.DATA, RawHttp2Client.END_STREAM, 1, RawHttp2Client.message("x"));
           raw.out.flush();
           long began = System.nanoTime();
           Await.until("the call", () -> server.calls.size() > number);
-          RawServer.Call call = server.calls.get(i);
+          RawHttp2Server.Call call = server.calls.get(i);
           Await.until("whole", () -> call.whole);
           call.begin();
           call.message(10);
@@ -130,18 +130,18 @@
                   });
           sender.start();
           int ends = 0;
-          raw.frame(RawClient.PING, 0, 0, new byte[8]);
+          raw.frame(RawHttp2Client.PING, 0, 0, new byte[8]);
           raw.out.flush();
           while (ends == 0) {
-            RawClient.Frame frame = raw.read();
+            RawHttp2Client.Frame frame = raw.read();
             assertNotNull(frame, "an end comes");
             ends += frame.last() ? 1 : 0;
           }
           sender.join();
-          raw.frame(RawClient.PING, 0, 0, new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
+          raw.frame(RawHttp2Client.PING, 0, 0, new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
           raw.out.flush();
-          RawClient.Frame after = raw.read();
-          while (after.type() != RawClient.PING || after.payload()[0] != 1) {
+          RawHttp2Client.Frame after = raw.read();
+          while (after.type() != RawHttp2Client.PING || after.payload()[0] != 1) {
             assertTrue(after.stream() == 0, "nothing of the call behind its end: " + after.type());
             after = raw.read();
           }
@@ -153,13 +153,13 @@
 
   @Test
   void aStreamOfNoMessageAtAll() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       BlockingQueue<Object> results = results();
       StreamObserver<byte[]> to =
           ClientCalls.asyncClientStreamingCall(
-              fixture.channel().newCall(Echo.UP, CallOptions.DEFAULT),
-              HardCasesTest.observer(results));
+              fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT),
+              GrpcFailureTest.observer(results));
       to.onCompleted();
       assertArrayEquals("0".getBytes(), (byte[]) next(results));
       assertEquals(DONE, next(results));
@@ -170,25 +170,28 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 5, 30, 200})
   void theEndOfAUnaryCallComesLate(int millis) throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start();
-        RawClient raw = new RawClient(fixture.port())) {
+        RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
       raw.frame(
-          RawClient.HEADERS, RawClient.END_HEADERS, 1, RawClient.call("/timetable.Store/Unary"));
-      raw.frame(RawClient.DATA, 0, 1, RawClient.message("late"));
+          RawHttp2Client.HEADERS,
+          RawHttp2Client.END_HEADERS,
+          1,
+          RawHttp2Client.call("/timetable.Store/Unary"));
+      raw.frame(RawHttp2Client.DATA, 0, 1, RawHttp2Client.message("late"));
       raw.out.flush();
       Thread.sleep(millis);
-      raw.frame(RawClient.DATA, RawClient.END_STREAM, 1, new byte[0]);
+      raw.frame(RawHttp2Client.DATA, RawHttp2Client.END_STREAM, 1, new byte[0]);
       raw.out.flush();
       StringBuilder data = new StringBuilder();
-      RawClient.Frame frame = raw.read();
+      RawHttp2Client.Frame frame = raw.read();
       while (!frame.last()) {
-        if (frame.type() == RawClient.DATA) {
+        if (frame.type() == RawHttp2Client.DATA) {
           data.append(new String(frame.payload()));
         }
         frame = raw.read();
       }
-      assertEquals(new String(RawClient.message("late")), data.toString());
+      assertEquals(new String(RawHttp2Client.message("late")), data.toString());
       assertEquals(1, echo.calls.get());
     }
   }
@@ -196,11 +199,11 @@
   /** It is answered all the same, by a refusal or by its server. */
   @Test
   void anUndeclaredStreamWhenNoDescriptorIsLeft() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).sockets(64).start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = results();
-      HardCasesTest.unary(channel, Echo.NONE, "", results);
+      GrpcFailureTest.unary(channel, EchoServer.NONE, "", results);
       next(results); // The client has its connection.
       List<Socket> silent = new ArrayList<>();
       try {
@@ -209,7 +212,8 @@
         }
         StreamObserver<byte[]> to =
             ClientCalls.asyncBidiStreamingCall(
-                channel.newCall(Echo.PING, CallOptions.DEFAULT), HardCasesTest.observer(results));
+                channel.newCall(EchoServer.PING, CallOptions.DEFAULT),
+                GrpcFailureTest.observer(results));
         to.onNext(new byte[] {1});
         Object result = next(results);
         assertTrue(
@@ -228,8 +232,8 @@
   /** A call that is out when its server turns HTTP/1.1 ends there; none that follows goes there. */
   @Test
   void aListTurnsAServerFromOneProtocolIntoTheOther() throws Exception {
-    try (RawServer turning = new RawServer(100);
-        Echo other = new Echo();
+    try (RawHttp2Server turning = new RawHttp2Server(100);
+        EchoServer other = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .line("s-1 grpc://127.0.0.1:" + turning.port() + " a store 0 1 in_service")
@@ -237,7 +241,7 @@
                 .start()) {
       BlockingQueue<Object> results = results();
       for (int sent = 0; turning.calls.isEmpty(); sent++) {
-        HardCasesTest.unary(fixture.channel(), Echo.UNSAFE, "x " + sent, results);
+        GrpcFailureTest.unary(fixture.channel(), EchoServer.UNSAFE, "x " + sent, results);
         Thread.sleep(5);
       }
       Await.until("one is out", () -> turning.whole() >= 1);
@@ -270,7 +274,7 @@
   /** None of a call's attempts is spent on a server that cannot take it, however many there are. */
   @Test
   void serversThatSpeakHttpAloneAreNotTried() throws Exception {
-    try (Echo echo = new Echo()) {
+    try (EchoServer echo = new EchoServer()) {
       GrpcFixture fixture = new GrpcFixture();
       for (int i = 0; i < 60; i++) {
         fixture.line("h-" + i + " 127.0.0.1:" + (i + 10) + " a store 0 1 in_service");
@@ -291,8 +295,8 @@
    */
   @Test
   void anAnswerOneByteOverTheBound() throws Exception {
-    try (Echo echo = new Echo();
-        Echo twin = new Echo();
+    try (EchoServer echo = new EchoServer();
+        EchoServer twin = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
@@ -304,9 +308,9 @@
         int before = echo.calls.get() + twin.calls.get();
         BlockingQueue<Object> results = results();
         ClientCalls.asyncServerStreamingCall(
-            channel.newCall(Echo.DOWN, CallOptions.DEFAULT),
+            channel.newCall(EchoServer.DOWN, CallOptions.DEFAULT),
             new byte[] {1, 64},
-            HardCasesTest.observer(results));
+            GrpcFailureTest.observer(results));
         Status status = status(next(results));
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, status.getCode());
         assertTrue(status.getDescription().contains("65536"), status.getDescription());
@@ -318,9 +322,9 @@
         assertTrue(load[1] >= 32, "a window was cut to " + load[1]);
       }
       served(channel, "after");
-      HardCasesTest.unary(channel, Echo.UNARY, "x".repeat(65535), results);
+      GrpcFailureTest.unary(channel, EchoServer.UNARY, "x".repeat(65535), results);
       assertEquals(65535, ((String) next(results)).length());
-      HardCasesTest.unary(channel, Echo.UNARY, "x".repeat(65536), results);
+      GrpcFailureTest.unary(channel, EchoServer.UNARY, "x".repeat(65536), results);
       Status status = (Status) next(results);
       assertEquals(Status.Code.RESOURCE_EXHAUSTED, status.getCode());
       assertTrue(status.getDescription().contains("65536"), status.getDescription());
@@ -330,11 +334,11 @@
   /** A caller that takes nothing of 4 MiB holds up nobody else on its connection. */
   @Test
   void aStalledWindowUnderALargeAnswer() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> large = results();
-      ClientCall<byte[], byte[]> call = channel.newCall(Echo.UNARY, CallOptions.DEFAULT);
+      ClientCall<byte[], byte[]> call = channel.newCall(EchoServer.UNARY, CallOptions.DEFAULT);
       call.start(
           new ClientCall.Listener<>() {
             @Override
@@ -365,7 +369,7 @@
   /** They wait, cost nothing but their place, and all end. */
   @Test
   void manyIdleStreams() throws Exception {
-    try (RawServer server = new RawServer(5000)) {
+    try (RawHttp2Server server = new RawHttp2Server(5000)) {
       GrpcFixture fixture = new GrpcFixture().with("most_streams = 3000");
       for (int i = 0; i < 80; i++) { // Each entry has a window of its own.
         fixture.server(server.port());
@@ -377,9 +381,9 @@
         BlockingQueue<Object> results = results();
         for (int i = 0; i < streams; i++) {
           ClientCalls.asyncServerStreamingCall(
-              channel.newCall(Echo.DOWN, CallOptions.DEFAULT),
+              channel.newCall(EchoServer.DOWN, CallOptions.DEFAULT),
               new byte[] {1, 1},
-              HardCasesTest.observer(results));
+              GrpcFailureTest.observer(results));
           int number = i;
           Await.until("call " + i, () -> server.calls.size() > number);
           server.calls.get(i).begin();
@@ -397,12 +401,12 @@
 
   @Test
   void noMoreConnectionsThanTheTableSays() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture().server(echo.port()).with("most_connections = 3").start()) {
-      List<RawClient> clients = new ArrayList<>();
+      List<RawHttp2Client> clients = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        RawClient client = new RawClient(fixture.port());
+        RawHttp2Client client = new RawHttp2Client(fixture.port());
         client.out.flush();
         assertNotNull(client.read(), "its SETTINGS come");
         clients.add(client);
@@ -416,14 +420,14 @@
       Await.until(
           "there is room again",
           () -> {
-            HardCasesTest.unary(fixture.channel(), Echo.UNARY, "x", results);
+            GrpcFailureTest.unary(fixture.channel(), EchoServer.UNARY, "x", results);
             try {
               return "x".equals(next(results));
             } catch (InterruptedException e) {
               throw new AssertionError(e);
             }
           });
-      for (RawClient client : clients) {
+      for (RawHttp2Client client : clients) {
         client.close();
       }
     }
@@ -437,9 +441,9 @@
       BlockingQueue<Object> results = results();
       silent.setSoTimeout(30_000);
       ClientCalls.asyncUnaryCall(
-          fixture.channel().newCall(Echo.UNSAFE, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.UNSAFE, CallOptions.DEFAULT),
           new byte[1],
-          HardCasesTest.observer(results));
+          GrpcFailureTest.observer(results));
       try (Socket accepted = silent.accept()) {
         accepted.setSoTimeout(30_000);
         accepted.getInputStream().readAllBytes(); // Fails by its time-out if it is not ended.
@@ -453,7 +457,7 @@
   /** Servers take PINGs beyond the third for abuse, and would end the connection with all calls. */
   @Test
   void aQuietCallIsNotLostByBeingAskedAfter() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
@@ -462,9 +466,9 @@
       BlockingQueue<Object> results = results();
       CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(12, TimeUnit.SECONDS);
       ClientCalls.asyncUnaryCall(
-          fixture.channel().newCall(Echo.SLEEP, options),
+          fixture.channel().newCall(EchoServer.SLEEP, options),
           new byte[1],
-          HardCasesTest.observer(results));
+          GrpcFailureTest.observer(results));
       assertEquals(Status.Code.DEADLINE_EXCEEDED, status(next(results)).getCode());
     }
   }
@@ -472,7 +476,7 @@
   /** The table can still fix what a method is. */
   @Test
   void aMethodThatIsFixedAsUnaryIsBounded() throws Exception {
-    try (Echo echo = new Echo();
+    try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
@@ -487,9 +491,9 @@
                 .start()) {
       BlockingQueue<Object> results = results();
       ClientCalls.asyncServerStreamingCall(
-          fixture.channel().newCall(Echo.DOWN, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.DOWN, CallOptions.DEFAULT),
           new byte[] {3, 60},
-          HardCasesTest.observer(results));
+          GrpcFailureTest.observer(results));
       assertEquals(Status.Code.RESOURCE_EXHAUSTED, status(next(results)).getCode());
       assertEquals(1, echo.calls.get());
     }
