--- a/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
@@ -15,10 +15,11 @@
 import io.netty.handler.codec.http2.Http2Stream;
 
 /**
- * One attempt as a stream of a connection to an upstream. It says truly whether the call may have
- * run: a call that is whole cannot before its last byte was written, one that still goes on cannot
- * before its headers were; {@code REFUSED_STREAM} and a GOAWAY with a lower last id say that it
- * never did (RFC 9113, sections 8.7 and 6.8).
+ * The stream of one attempt on a connection to an upstream. Reports exactly whether the upstream
+ * may have run the call. A call whose request is complete cannot have run before its last byte was
+ * written, and one whose request is still being received cannot have run before its headers were.
+ * {@code REFUSED_STREAM} and a GOAWAY with a lower last stream id mean that it never ran (RFC 9113,
+ * sections 8.7 and 6.8).
  */
 final class AttemptStream
     implements MultiplexedConnection.StreamHandler,
@@ -27,91 +28,97 @@
         BufferingTimer.Listener {
   private final GrpcServer server;
   private final GrpcCall call;
-  private UpstreamConnection link;
+  private UpstreamConnection connection;
   private Attempt attempt;
   private int id = -1;
-  private boolean written;
+  private boolean mayHaveRun;
   private boolean ended;
-  private boolean counted = true;
+  private boolean countedOnConnection = true;
 
-  /** The answer's head, once it has come. */
+  /** The headers of the answer; null until they are received. */
   private Http2Headers headers;
 
-  private MessageBoundaryTracker messages;
-  private MessageBuffer gathered;
+  private MessageBoundaryTracker boundaryTracker;
+  private MessageBuffer buffer;
 
-  /** Whether the answer goes on to the caller as it comes. */
-  private boolean passing;
+  /** Whether the answer is streamed to the caller as it arrives. */
+  private boolean streaming;
 
-  AttemptStream(GrpcServer server, UpstreamConnection link, Attempt attempt, GrpcCall call) {
+  AttemptStream(GrpcServer server, UpstreamConnection connection, Attempt attempt, GrpcCall call) {
     this.server = server;
-    this.link = link;
+    this.connection = connection;
     this.attempt = attempt;
     this.call = call;
     attempt.attach(this);
   }
 
   Upstream upstream() {
-    return link.upstream();
+    return connection.upstream();
   }
 
-  /** Before it has begun, another connection takes it. */
-  void movedTo(UpstreamConnection other) {
-    link = other;
+  /** Moves the stream, which is not open yet, to another connection. */
+  void moveTo(UpstreamConnection other) {
+    connection = other;
   }
 
-  /** Whether anybody still waits for it; it may have been called off while its connection came. */
-  boolean wanted() {
+  /** Whether the attempt is still needed; it may be cancelled while the connection is set up. */
+  boolean isNeeded() {
     return attempt != null;
   }
 
-  boolean mayBegin() {
+  boolean maySend() {
     return attempt.maySend();
   }
 
-  /** The connection is there; false if it has no stream for the attempt. */
-  boolean begin(long nowNanos) {
-    boolean whole = call.whole();
-    boolean empty = whole && call.kept().size() == 0;
+  /**
+   * Opens the stream and sends what the client has sent so far. Returns false if the connection can
+   * open no more streams.
+   */
+  boolean open(long nowNanos) {
+    boolean complete = call.isRequestComplete();
+    boolean empty = complete && call.replayBuffer().size() == 0;
     id =
-        link.openStream(
+        connection.openStream(
             this, call.attemptHeaders(attempt.deadlineNanos() - nowNanos, attempt), empty);
     if (id < 0) {
       return false;
     }
-    // A call that goes on may begin to run with its headers.
-    written = empty || !whole;
+    // The server may start to run a call with an incomplete request once it has the headers.
+    mayHaveRun = empty || !complete;
     if (!empty) {
       call.replayTo(this);
     }
     return true;
   }
 
-  /** No stream or connection could be had. */
-  void failed() {
+  /** Ends the attempt because it got no stream or no connection. */
+  void onConnectFailed() {
     end(Outcome.CONNECT_FAILED, null);
-    done();
+    releaseStream();
   }
 
-  /** No connection could be had for it after its own had no room. */
-  void unplaced() {
-    counted = false; // Its own has let go of it.
+  /** Ends the attempt because its connection had no room and no other one was available. */
+  void onNoConnection() {
+    countedOnConnection = false; // Its former connection no longer counts it.
     end(Outcome.CONNECT_FAILED, null);
   }
 
-  /** Passes a piece of the call on, which it takes over; done when it is on the socket. */
-  ChannelFuture pass(ByteBuf data, boolean last) {
-    ChannelFuture writing = link.writeData(id, data, last);
+  /**
+   * Writes request data and takes ownership of it. The future completes when the data is written to
+   * the socket.
+   */
+  ChannelFuture writeData(ByteBuf data, boolean last) {
+    ChannelFuture writing = connection.writeData(id, data, last);
     if (last) {
       writing.addListener(this);
     }
     return writing;
   }
 
-  /** The call's last byte is written. */
+  /** Called when the last byte of the request is written. */
   @Override
   public void operationComplete(ChannelFuture writing) {
-    written |= writing.isSuccess();
+    mayHaveRun |= writing.isSuccess();
   }
 
   // ---- the answer ----
@@ -122,31 +129,32 @@
       return;
     }
     if (last) {
-      trailers(frame);
+      onTrailers(frame);
       return;
     }
     CharSequence status = frame.status();
     if (status != null && status.length() == 3 && status.charAt(0) == '1') {
-      return; // Interim.
+      return; // Informational (1xx) headers.
     }
     if (headers != null) {
-      spoilt("headers in the middle");
+      onProtocolError("headers in the middle");
     } else if (status == null || !"200".contentEquals(status)) {
-      foreign(frame, "HTTP status " + status);
+      onNonGrpcAnswer(frame, "HTTP status " + status);
     } else if (!GrpcHeaders.isGrpc(frame)) {
-      foreign(frame, "content type " + frame.get(GrpcHeaders.CONTENT_TYPE));
+      onNonGrpcAnswer(frame, "content type " + frame.get(GrpcHeaders.CONTENT_TYPE));
     } else {
       headers = frame;
-      messages = new MessageBoundaryTracker(server.config().maxMessageBytes());
+      boundaryTracker = new MessageBoundaryTracker(server.config().maxMessageBytes());
       Gathering mode = call.mode();
-      if (mode == Gathering.STREAM || mode == Gathering.AUTO && !call.whole()) {
-        passOn();
+      if (mode == Gathering.STREAM || mode == Gathering.AUTO && !call.isRequestComplete()) {
+        startStreaming();
       } else {
-        gathered =
+        buffer =
             new MessageBuffer(
-                server.held(), server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX);
+                server.bufferBudget(),
+                server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX_BYTES);
         if (mode == Gathering.AUTO) {
-          server.patience().watch(this);
+          server.bufferingTimer().register(this);
         }
       }
     }
@@ -159,130 +167,134 @@
       return bytes;
     }
     if (headers == null) {
-      spoilt("data before headers");
-    } else if (!messages.add(data)) {
-      tooLong(messages.claimed());
-    } else if (!passing && !gathered.add(data)) {
-      tooMany();
+      onProtocolError("data before headers");
+    } else if (!boundaryTracker.track(data)) {
+      onMessageTooLong(boundaryTracker.declaredLength());
+    } else if (!streaming && !buffer.add(data)) {
+      onBudgetExhausted();
     } else if (last) {
-      foreign(headers, "no trailers");
-    } else if (passing) {
-      return passData(data);
+      onNonGrpcAnswer(headers, "no trailers");
+    } else if (streaming) {
+      return forwardData(data);
     } else if (call.mode()
-        .passesOn(messages.begun(), gathered.size(), server.config().maxBufferedBytes())) {
-      passOn();
+        .passesOn(
+            boundaryTracker.startedCount(), buffer.size(), server.config().maxBufferedBytes())) {
+      startStreaming();
     }
     return bytes;
   }
 
-  /** Gives the piece to the caller; its window comes back as the caller takes it. */
-  private int passData(ByteBuf data) {
+  /**
+   * Forwards data to the caller. The flow control window is returned once the caller accepts it.
+   */
+  private int forwardData(ByteBuf data) {
     int bytes = data.readableBytes();
-    if (!server.held().take(bytes)) {
-      tooMany();
+    if (!server.bufferBudget().tryReserve(bytes)) {
+      onBudgetExhausted();
       return bytes;
     }
-    call.passData(data.retain())
+    call.forwardData(data.retain())
         .addListener(
             done -> {
-              server.held().give(bytes);
-              link.returnWindow(id, bytes);
+              server.bufferBudget().release(bytes);
+              connection.returnWindow(id, bytes);
             });
     return 0;
   }
 
-  /** It has been held back for long enough: what there is goes on, and the rest as it comes. */
+  /** Streams the answer from now on, since it is incomplete after the buffering time. */
   @Override
   public void onBufferingTimeout() {
-    if (!ended && headers != null && !passing && call.mode().passesOnLate()) {
-      passOn();
+    if (!ended && headers != null && !streaming && call.mode().passesOnLate()) {
+      startStreaming();
     }
   }
 
-  /** From here on the call has this answer and no other. */
-  private void passOn() {
+  /** Binds the call to this answer and starts to stream it. */
+  private void startStreaming() {
     if (!attempt.beginStreaming()) {
-      return; // It has another one, and this one is about to be called off.
+      return; // The call is bound to another answer, and this attempt is about to be cancelled.
     }
-    passing = true;
-    call.passHeaders(this, GrpcHeaders.strip(headers));
-    if (gathered != null) {
-      MessageBuffer first = gathered;
-      gathered = null;
-      if (first.size() > 0) {
-        call.passData(first.share()).addListener(done -> first.release());
+    streaming = true;
+    call.forwardHeaders(this, GrpcHeaders.removeHopByHop(headers));
+    if (buffer != null) {
+      MessageBuffer buffered = buffer;
+      buffer = null;
+      if (buffered.size() > 0) {
+        call.forwardData(buffered.retainedDuplicate()).addListener(done -> buffered.release());
       } else {
-        first.release();
+        buffered.release();
       }
     }
   }
 
-  private void trailers(Http2Headers frame) {
+  private void onTrailers(Http2Headers frame) {
     Status status = Status.of(frame.get(GrpcHeaders.STATUS));
     boolean neverRan = headers == null && frame.contains(GrpcHeaders.NOT_RUN);
     Outcome outcome = Status.outcome(status, neverRan);
     if (status == null) {
-      foreign(headers == null ? frame : headers, "trailers without a status");
-    } else if (passing) {
-      call.passTrailers(GrpcHeaders.strip(frame));
+      onNonGrpcAnswer(headers == null ? frame : headers, "trailers without a status");
+    } else if (streaming) {
+      call.forwardTrailers(GrpcHeaders.removeHopByHop(frame));
       end(outcome, null);
     } else {
-      Http2Headers head = headers == null ? null : GrpcHeaders.strip(headers);
-      MessageBuffer message = gathered;
-      gathered = null;
-      end(outcome, new GrpcAnswer(head, message, GrpcHeaders.strip(frame)));
+      Http2Headers head = headers == null ? null : GrpcHeaders.removeHopByHop(headers);
+      MessageBuffer message = buffer;
+      buffer = null;
+      end(outcome, new GrpcAnswer(head, message, GrpcHeaders.removeHopByHop(frame)));
     }
   }
 
   /**
-   * The application's answer does not fit, here or from any other server: no sign of trouble at
-   * this one, and of no use to try again.
+   * Fails an answer that exceeds the size limit. It would do so from any server: this is not a
+   * fault of the upstream, and a retry is of no use.
    */
-  private void tooLong(long claimed) {
-    giveUp(
+  private void onMessageTooLong(long declaredLength) {
+    failWith(
         Outcome.BAD_REQUEST,
         Status.RESOURCE_EXHAUSTED,
-        GrpcHeaders.tooLong("answer", claimed, server.config().maxMessageBytes()));
+        GrpcHeaders.messageTooLong("answer", declaredLength, server.config().maxMessageBytes()));
   }
 
-  private void tooMany() {
-    giveUp(Outcome.BAD_REQUEST, Status.RESOURCE_EXHAUSTED, server.held().words());
+  private void onBudgetExhausted() {
+    failWith(
+        Outcome.BAD_REQUEST, Status.RESOURCE_EXHAUSTED, server.bufferBudget().exhaustedMessage());
   }
 
-  private void giveUp(Outcome outcome, Status status, String words) {
-    Http2Headers trailers = GrpcHeaders.trailersOnly(status, words);
-    if (passing) {
-      call.passTrailers(trailers);
+  private void failWith(Outcome outcome, Status status, String message) {
+    Http2Headers trailers = GrpcHeaders.trailersOnly(status, message);
+    if (streaming) {
+      call.forwardTrailers(trailers);
       end(outcome, null);
     } else {
       end(outcome, new GrpcAnswer(null, null, trailers));
     }
-    link.cancel(id);
+    connection.cancel(id);
   }
 
-  /** An answer that is none: the call may have run, and the server answers. */
-  private void spoilt(String why) {
+  /** Ends an attempt whose answer violates the protocol; the call may have run. */
+  private void onProtocolError(String why) {
     String server = upstream().name;
     Log.warn("spoilt gRPC answer", server + ": " + why, "server", server, "reason", why);
-    broken(Outcome.ERROR);
-    link.cancel(id);
+    endWithoutAnswer(Outcome.ERROR);
+    connection.cancel(id);
   }
 
   /**
-   * An answer over HTTP without a status of gRPC, as proxies give it. Its HTTP status says what the
-   * caller is told if nothing better comes; another server may do better, so it is an error, or a
-   * turning away where it says so.
+   * Handles an HTTP answer without a gRPC status, such as one from a proxy. The HTTP status is
+   * mapped to the gRPC status that the caller gets if no other attempt succeeds. Another server may
+   * succeed, so the outcome is an error, or a refusal if the answer says that the call was not run.
    */
-  private void foreign(Http2Headers head, String why) {
+  private void onNonGrpcAnswer(Http2Headers head, String why) {
     CharSequence code = head.status();
-    Status status = Status.ofHttp(code == null || code.length() != 3 ? 0 : number(code));
+    Status status = Status.ofHttp(code == null || code.length() != 3 ? 0 : parseStatusCode(code));
     boolean notRun = headers == null && head.contains(GrpcHeaders.NOT_RUN);
     String server = upstream().name;
     Log.warn("foreign gRPC answer", server + ": " + why, "server", server, "reason", why);
-    giveUp(status == Status.UNAVAILABLE && notRun ? Outcome.REFUSED : Outcome.ERROR, status, why);
+    failWith(status == Status.UNAVAILABLE && notRun ? Outcome.REFUSED : Outcome.ERROR, status, why);
   }
 
-  private static int number(CharSequence digits) {
+  private static int parseStatusCode(CharSequence digits) {
     int number = 0;
     for (int i = 0; i < digits.length(); i++) {
       int digit = digits.charAt(i) - '0';
@@ -291,9 +303,9 @@
     return number;
   }
 
-  private void broken(Outcome outcome) {
-    if (passing && !ended) {
-      call.passBroken();
+  private void endWithoutAnswer(Outcome outcome) {
+    if (streaming && !ended) {
+      call.forwardFailure();
     }
     end(outcome, null);
   }
@@ -301,8 +313,8 @@
   @Override
   public void onReset(long code) {
     boolean refused = code == Http2Error.REFUSED_STREAM.code() && headers == null;
-    if (passing || refused) {
-      broken(refused ? Outcome.REFUSED : Outcome.RESET);
+    if (streaming || refused) {
+      endWithoutAnswer(refused ? Outcome.REFUSED : Outcome.RESET);
       return;
     }
     Status status = Status.ofReset(code);
@@ -312,11 +324,12 @@
 
   @Override
   public void onClosed(Http2Stream stream) {
-    boolean unseen =
-        link.connection().goAwayReceived()
-            && id > link.connection().local().lastStreamKnownByPeer();
-    broken(unseen ? Outcome.REFUSED : written ? Outcome.RESET : Outcome.CONNECT_FAILED);
-    done();
+    boolean notProcessed =
+        connection.connection().goAwayReceived()
+            && id > connection.connection().local().lastStreamKnownByPeer();
+    endWithoutAnswer(
+        notProcessed ? Outcome.REFUSED : mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    releaseStream();
   }
 
   private void end(Outcome outcome, GrpcAnswer answer) {
@@ -324,25 +337,25 @@
       return;
     }
     ended = true;
-    call.left(this);
-    if (gathered != null) {
-      gathered.release();
-      gathered = null;
+    call.onAttemptEnded(this);
+    if (buffer != null) {
+      buffer.release();
+      buffer = null;
     }
-    Attempt over = attempt;
+    Attempt finished = attempt;
     attempt = null;
-    if (over != null) {
-      over.complete(outcome, answer);
+    if (finished != null) {
+      finished.complete(outcome, answer);
     } else if (answer != null) {
       answer.release();
     }
   }
 
-  /** The stream is gone from its connection. */
-  private void done() {
-    if (counted) {
-      counted = false;
-      link.streamDone();
+  /** Releases the place of the stream on its connection, once. */
+  private void releaseStream() {
+    if (countedOnConnection) {
+      countedOnConnection = false;
+      connection.releaseStream();
     }
   }
 
@@ -351,7 +364,7 @@
     attempt = null;
     end(Outcome.CANCELLED, null);
     if (id >= 0) {
-      link.cancel(id);
+      connection.cancel(id);
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/BufferBudget.java
+++ b/src/main/java/heathswitch/proxy/grpc/BufferBudget.java
@@ -1,34 +1,39 @@
 package heathswitch.proxy.grpc;
 
-/** Bytes of messages that are held, of all calls together. On the loop only. */
+/**
+ * Limits the bytes of messages that all calls together may buffer. Must only be used on the event
+ * loop.
+ */
 final class BufferBudget {
-  private final long most;
-  private long free;
+  private final long maxBytes;
+  private long freeBytes;
 
-  BufferBudget(long most) {
-    this.most = most;
-    free = most;
+  BufferBudget(long maxBytes) {
+    this.maxBytes = maxBytes;
+    freeBytes = maxBytes;
   }
 
-  /** Takes the bytes, or returns false and takes none. */
-  boolean take(long bytes) {
-    if (bytes > free) {
+  /** Reserves the bytes and returns true, or reserves nothing and returns false. */
+  boolean tryReserve(long bytes) {
+    if (bytes > freeBytes) {
       return false;
     }
-    free -= bytes;
+    freeBytes -= bytes;
     return true;
   }
 
-  void give(long bytes) {
-    free += bytes;
+  void release(long bytes) {
+    freeBytes += bytes;
   }
 
-  long free() {
-    return free;
+  long freeBytes() {
+    return freeBytes;
   }
 
-  /** What a caller is told when there is no more. */
-  String words() {
-    return "all calls together hold " + most + " bytes, most_held of the balancer; come back later";
+  /** The status message for calls that fail because the budget is exhausted. */
+  String exhaustedMessage() {
+    return "all calls together hold "
+        + maxBytes
+        + " bytes, most_held of the balancer; come back later";
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/BufferingTimer.java
+++ b/src/main/java/heathswitch/proxy/grpc/BufferingTimer.java
@@ -7,52 +7,52 @@
 import java.util.ArrayDeque;
 
 /**
- * Tells all who wait that the same short time is over for them, by one timer in the order in which
- * they came: a timer for each call would cost more than the rest of its bookkeeping. Those whose
- * matter is settled sooner are told all the same, and stay here no longer than that time. On the
- * loop only.
+ * Notifies each registered listener after the same short delay. One timer serves the listeners in
+ * order of registration, because a timer for each call would cost more than the rest of its
+ * bookkeeping. A listener cannot be removed: it is also notified if its call has ended, and is
+ * referenced for no longer than the delay. Must only be used on the event loop.
  */
 final class BufferingTimer {
-  /** Told once. */
+  /** Notified once, after the delay. */
   interface Listener {
     void onBufferingTimeout();
   }
 
-  private record Due(Listener listener, long nanos) {}
+  private record Entry(Listener listener, long dueNanos) {}
 
   private final EventLoop loop;
   private final Clock clock;
-  private final long nanos;
-  private final ArrayDeque<Due> due = new ArrayDeque<>();
-  private boolean planned;
+  private final long delayNanos;
+  private final ArrayDeque<Entry> queue = new ArrayDeque<>();
+  private boolean scheduled;
 
-  BufferingTimer(EventLoop loop, Clock clock, long nanos) {
+  BufferingTimer(EventLoop loop, Clock clock, long delayNanos) {
     this.loop = loop;
     this.clock = clock;
-    this.nanos = nanos;
+    this.delayNanos = delayNanos;
   }
 
-  void watch(Listener listener) {
-    long at = clock.nowNanos() + nanos;
-    due.add(new Due(listener, at));
-    plan(nanos);
+  void register(Listener listener) {
+    long dueNanos = clock.nowNanos() + delayNanos;
+    queue.add(new Entry(listener, dueNanos));
+    schedule(delayNanos);
   }
 
-  private void plan(long delay) {
-    if (!planned) {
-      planned = true;
-      loop.schedule(this::tell, delay, NANOSECONDS);
+  private void schedule(long inNanos) {
+    if (!scheduled) {
+      scheduled = true;
+      loop.schedule(this::notifyDue, inNanos, NANOSECONDS);
     }
   }
 
-  private void tell() {
-    planned = false;
-    long now = clock.nowNanos();
-    while (!due.isEmpty() && due.peek().nanos() <= now) {
-      due.poll().listener().onBufferingTimeout();
+  private void notifyDue() {
+    scheduled = false;
+    long nowNanos = clock.nowNanos();
+    while (!queue.isEmpty() && queue.peek().dueNanos() <= nowNanos) {
+      queue.poll().listener().onBufferingTimeout();
     }
-    if (!due.isEmpty()) {
-      plan(Math.max(1, due.peek().nanos() - now));
+    if (!queue.isEmpty()) {
+      schedule(Math.max(1, queue.peek().dueNanos() - nowNanos));
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/grpc/ClientConnection.java
@@ -8,21 +8,21 @@
 import io.netty.handler.codec.http2.Http2Error;
 import io.netty.handler.codec.http2.Http2Settings;
 
-/** One client's connection, with its streams' calls. */
+/** A client's HTTP/2 connection; each stream on it is one gRPC call. */
 final class ClientConnection extends InboundConnection {
-  /** PING and SETTINGS frames that a connection may send in the time below. */
-  private static final int MOST_CONTROL_FRAMES = 200;
+  /** PING and SETTINGS frames that a client may send within {@link #CONTROL_FRAME_WINDOW_NANOS}. */
+  private static final int MAX_CONTROL_FRAMES = 200;
 
-  private static final long CONTROL_NANOS = 10_000_000_000L;
+  private static final long CONTROL_FRAME_WINDOW_NANOS = 10_000_000_000L;
 
-  /** An answer that its client does not take for so long is given up with its stream. */
-  private static final long WRITE_NANOS = 10_000_000_000L;
+  /** A stream whose client has not accepted the end of the answer for this long is reset. */
+  private static final long WRITE_TIMEOUT_NANOS = 10_000_000_000L;
 
   private final GrpcServer server;
   private int controlFrames;
-  private long controlSinceNanos;
+  private long controlFrameWindowStartNanos;
   private long idleSinceNanos;
-  private long leaveAtNanos;
+  private long closeAtNanos;
 
   ClientConnection(
       Http2ConnectionDecoder decoder,
@@ -33,11 +33,11 @@
     this.server = server;
   }
 
-  /** It begins now, and is to be left at the time given. */
-  void accepted(long now, long leaveNanos) {
-    controlSinceNanos = now;
-    idleSinceNanos = now;
-    leaveAtNanos = leaveNanos;
+  /** Starts the timers of the connection; it is closed gracefully at the given time. */
+  void onAccepted(long nowNanos, long closeNanos) {
+    controlFrameWindowStartNanos = nowNanos;
+    idleSinceNanos = nowNanos;
+    closeAtNanos = closeNanos;
   }
 
   @Override
@@ -51,36 +51,36 @@
     super.callClosed();
   }
 
-  /** Ends what is old, idle or stuck. */
-  void tick(long now) {
+  /** Closes the connection if it is idle or too old, and resets stalled streams. */
+  void checkTimeouts(long nowNanos) {
     boolean idle =
         openCalls() == 0
-            && now - idleSinceNanos > server.config().connectionIdleMillis() * 1_000_000L;
-    if (idle || now - leaveAtNanos >= 0) {
+            && nowNanos - idleSinceNanos > server.config().connectionIdleMillis() * 1_000_000L;
+    if (idle || nowNanos - closeAtNanos >= 0) {
       closeGracefully();
     }
-    abortStalledCalls(now - WRITE_NANOS);
+    abortStalledCalls(nowNanos - WRITE_TIMEOUT_NANOS);
   }
 
   @Override
   protected void onSettings(Http2Settings settings) {
-    control();
+    countControlFrame();
   }
 
   @Override
-  protected void onPing(boolean answer, long content) {
-    if (!answer) {
-      control();
+  protected void onPing(boolean ack, long content) {
+    if (!ack) {
+      countControlFrame();
     }
   }
 
-  private void control() {
-    long now = server.clock().nowNanos();
-    if (now - controlSinceNanos > CONTROL_NANOS) {
-      controlSinceNanos = now;
+  private void countControlFrame() {
+    long nowNanos = server.clock().nowNanos();
+    if (nowNanos - controlFrameWindowStartNanos > CONTROL_FRAME_WINDOW_NANOS) {
+      controlFrameWindowStartNanos = nowNanos;
       controlFrames = 0;
     }
-    if (++controlFrames == MOST_CONTROL_FRAMES) {
+    if (++controlFrames == MAX_CONTROL_FRAMES) {
       Log.info("gRPC client", "flood of PING or SETTINGS: connection closed");
       sendGoAway(connection().remote().lastStreamCreated(), Http2Error.ENHANCE_YOUR_CALM)
           .addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/heathswitch/proxy/grpc/GrpcAnswer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcAnswer.java
@@ -4,10 +4,10 @@
 import io.netty.handler.codec.http2.Http2Headers;
 
 /**
- * A whole answer.
+ * A complete answer to a gRPC call.
  *
- * @param headers null where the trailers are all
- * @param message null where there is none
+ * @param headers null for a trailers-only answer
+ * @param message the length-prefixed messages, or null if there are none
  */
 record GrpcAnswer(Http2Headers headers, MessageBuffer message, Http2Headers trailers)
     implements Answer {
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -23,145 +23,157 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * One call of a client, on a stream of its own. What has come of it is kept and can be sent again,
- * until it is longer than that: then it goes on to the one attempt that it has, drawn from the
- * client only as fast as the upstream takes it.
+ * A client's call on its own stream. The received request data is buffered so that it can be sent
+ * again with another attempt. Once the data exceeds the buffer limit, it is streamed to the current
+ * attempt, and flow control lets the client send only as fast as the upstream reads.
  */
 final class GrpcCall implements InboundConnection.Call, Caller, Payload, BufferingTimer.Listener {
-  private static final String HEALTH = "/grpc.health.v1.Health/";
+  private static final String HEALTH_SERVICE_PATH = "/grpc.health.v1.Health/";
 
   private final GrpcServer server;
-  private final ClientConnection link;
+  private final ClientConnection connection;
   private final int id;
   private Http2Headers headers;
   private GrpcConfig.MethodConfig method;
-  private MessageBoundaryTracker messages;
-  private MessageBuffer kept;
+  private MessageBoundaryTracker boundaryTracker;
+  private MessageBuffer replayBuffer;
   private long deadlineNanos;
-  private Future<?> deadline;
-  private RequestHandle ticket;
+  private Future<?> deadlineTimer;
+  private RequestHandle requestHandle;
 
-  /** The attempt that gets what the client still sends. */
-  private AttemptStream upstream;
+  /** The attempt that receives the request data still to come. */
+  private AttemptStream receivingAttempt;
 
-  /** The attempt whose answer goes on as it comes. */
-  private AttemptStream answering;
+  /** The attempt whose answer is streamed to the client. */
+  private AttemptStream streamingAttempt;
 
-  /** Bytes of the client's window that no attempt has taken yet. */
-  private int owed;
+  /**
+   * Bytes of flow control window to be returned to the client once an attempt has accepted the
+   * data.
+   */
+  private int unreturnedWindow;
 
   private boolean dispatched;
   private boolean answered;
 
-  /** Whether the client has sent all that it will. */
-  private boolean ended;
+  /** Whether the client has half-closed the stream. */
+  private boolean requestComplete;
 
-  /** When the last thing was written that has not been taken by the client; 0 for none. */
-  private long unwrittenNanos;
+  /** When the end of the answer was written; 0 if it was not. */
+  private long finalWriteNanos;
 
-  GrpcCall(GrpcServer server, ClientConnection link, int id) {
+  GrpcCall(GrpcServer server, ClientConnection connection, int id) {
     this.server = server;
-    this.link = link;
+    this.connection = connection;
     this.id = id;
   }
 
-  // ---- what the client sends ----
+  // ---- the request ----
 
   @Override
   public void onHeaders(Http2Headers head, boolean last) {
-    ended |= last;
+    requestComplete |= last;
     if (answered) {
       return;
     }
     if (headers == null) {
-      begin(head);
+      startCall(head);
     } else if (last) {
-      onData(Unpooled.EMPTY_BUFFER, true); // Trailers of a client say nothing more.
+      onData(Unpooled.EMPTY_BUFFER, true); // Request trailers only end the stream.
     } else {
-      giveUp(Status.INTERNAL, "headers in the middle of a call");
+      reject(Status.INTERNAL, "headers in the middle of a call");
     }
   }
 
-  private void begin(Http2Headers head) {
+  private void startCall(Http2Headers head) {
     headers = head;
     if (head.method() == null || !"POST".contentEquals(head.method()) || head.path() == null) {
-      last(new DefaultHttp2Headers().status("405"));
+      finish(new DefaultHttp2Headers().status("405"));
     } else if (!GrpcHeaders.isGrpc(head)) {
-      last(new DefaultHttp2Headers().status("415"));
-    } else if (server.forbidden() != null && head.contains(server.forbidden())) {
-      giveUp(Status.INVALID_ARGUMENT, server.forbidden() + " is not for clients");
-    } else if (AsciiString.of(head.path()).startsWith(HEALTH)) {
-      health(head.path().toString().substring(HEALTH.length()));
+      finish(new DefaultHttp2Headers().status("415"));
+    } else if (server.forbiddenHeader() != null && head.contains(server.forbiddenHeader())) {
+      reject(Status.INVALID_ARGUMENT, server.forbiddenHeader() + " is not for clients");
+    } else if (AsciiString.of(head.path()).startsWith(HEALTH_SERVICE_PATH)) {
+      answerHealthCheck(head.path().toString().substring(HEALTH_SERVICE_PATH.length()));
     } else {
-      take(head);
+      prepare(head);
     }
   }
 
-  private void take(Http2Headers head) {
+  private void prepare(Http2Headers head) {
     CharSequence timeout = head.get(GrpcHeaders.TIMEOUT);
-    long ttl = timeout == null ? Long.MAX_VALUE : GrpcTimeout.parse(timeout);
-    if (ttl < 0 || timeout != null && head.getAll(GrpcHeaders.TIMEOUT).size() > 1) {
-      giveUp(Status.INVALID_ARGUMENT, "malformed grpc-timeout");
+    long timeoutNanos = timeout == null ? Long.MAX_VALUE : GrpcTimeout.parse(timeout);
+    if (timeoutNanos < 0 || timeout != null && head.getAll(GrpcHeaders.TIMEOUT).size() > 1) {
+      reject(Status.INVALID_ARGUMENT, "malformed grpc-timeout");
       return;
     }
     GrpcConfig config = server.config();
     method = config.method(head.path());
-    // No client waits longer than its class allows, and nothing is held for it any longer.
-    ttl = Math.min(ttl, method.type().deadlineNanos());
-    deadlineNanos = server.clock().nowNanos() + ttl;
-    messages = new MessageBoundaryTracker(config.maxMessageBytes());
-    kept = new MessageBuffer(server.held(), mostKept(config));
-    if (ended || method.mode() == Gathering.STREAM) {
+    // The class limits the deadline, and with it how long data is buffered for a call.
+    timeoutNanos = Math.min(timeoutNanos, method.requestClass().deadlineNanos());
+    deadlineNanos = server.clock().nowNanos() + timeoutNanos;
+    boundaryTracker = new MessageBoundaryTracker(config.maxMessageBytes());
+    replayBuffer = new MessageBuffer(server.bufferBudget(), maxReplayBytes(config));
+    if (requestComplete || method.mode() == Gathering.STREAM) {
       dispatch();
     } else {
-      server.patience().watch(this);
+      server.bufferingTimer().register(this);
     }
   }
 
   /**
-   * Beyond what is to be sent again, what may come before an attempt has its connection: a window,
-   * and the last frame before the call went on.
+   * The limit of the replay buffer. In addition to the data that is kept for another attempt, it
+   * has room for what may arrive before an attempt has its connection: a flow control window, and
+   * the last frame before the call was dispatched.
    */
-  private int mostKept(GrpcConfig config) {
+  private int maxReplayBytes(GrpcConfig config) {
     return method.mode() == Gathering.UNARY
-        ? config.maxMessageBytes() + MessageBoundaryTracker.PREFIX
+        ? config.maxMessageBytes() + MessageBoundaryTracker.PREFIX_BYTES
         : config.maxBufferedBytes() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
   }
 
   @Override
   public int onData(ByteBuf data, boolean last) {
     int bytes = data.readableBytes();
-    ended |= last;
+    requestComplete |= last;
     if (answered || method == null) {
       return bytes;
     }
-    if (!messages.add(data)) {
-      giveUp(
+    if (!boundaryTracker.track(data)) {
+      reject(
           Status.RESOURCE_EXHAUSTED,
-          GrpcHeaders.tooLong("request", messages.claimed(), server.config().maxMessageBytes()));
+          GrpcHeaders.messageTooLong(
+              "request", boundaryTracker.declaredLength(), server.config().maxMessageBytes()));
       return bytes;
     }
     if (dispatched) {
-      return passOn(data, last);
+      return forward(data, last);
     }
-    if (!kept.add(data)) {
-      giveUp(Status.RESOURCE_EXHAUSTED, kept.full() ? tooMuch() : server.held().words());
+    if (!replayBuffer.add(data)) {
+      reject(
+          Status.RESOURCE_EXHAUSTED,
+          replayBuffer.exceededLimit()
+              ? unaryTooLongMessage()
+              : server.bufferBudget().exhaustedMessage());
     } else if (last
         || method
             .mode()
-            .passesOn(messages.begun(), kept.size(), server.config().maxBufferedBytes())) {
+            .passesOn(
+                boundaryTracker.startedCount(),
+                replayBuffer.size(),
+                server.config().maxBufferedBytes())) {
       dispatch();
     }
     return bytes;
   }
 
-  private String tooMuch() {
+  private String unaryTooLongMessage() {
     return "a unary call of more than "
-        + (server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX)
+        + (server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX_BYTES)
         + " bytes, most_message of the balancer";
   }
 
-  /** It has not ended by itself: from now on it is one that goes on. */
+  /** Dispatches a call whose request is incomplete after the buffering time as a stream. */
   @Override
   public void onBufferingTimeout() {
     if (dispatched || answered) {
@@ -170,236 +182,248 @@
     if (method.mode().passesOnLate()) {
       dispatch();
     } else {
-      watchDeadline();
+      scheduleDeadline();
     }
   }
 
   private void dispatch() {
-    long left = deadlineNanos - server.clock().nowNanos();
-    if (left <= 0) {
-      timeUp();
+    long remainingNanos = deadlineNanos - server.clock().nowNanos();
+    if (remainingNanos <= 0) {
+      onDeadline();
       return;
     }
     dispatched = true;
     CharSequence previous = headers.get(GrpcHeaders.PREVIOUS_ATTEMPTS);
     CharSequence tenant = headers.get(GrpcHeaders.TENANT);
-    GrpcHeaders.stripCall(headers);
+    GrpcHeaders.prepareRequest(headers);
     server
         .dispatcher()
         .onRequest(
             this,
-            method.type(),
-            server.nextName(),
+            method.requestClass(),
+            server.nextRequestId(),
             tenant != null ? tenant.toString() : method.tenant(),
             previous != null && !"0".contentEquals(previous),
-            left,
-            ended ? RequestProtocol.GRPC : RequestProtocol.GRPC_STREAM,
+            remainingNanos,
+            requestComplete ? RequestProtocol.GRPC : RequestProtocol.GRPC_STREAM,
             this);
   }
 
   @Override
-  public void accepted(RequestHandle live) {
-    ticket = live;
+  public void accepted(RequestHandle handle) {
+    requestHandle = handle;
   }
 
-  // ---- for attempts ----
+  // ---- used by attempts ----
 
   @Override
   public boolean start(Attempt attempt) {
     return server.pool().start(attempt, this);
   }
 
-  /** Whether all that the client has sent is still there, for another attempt. */
+  /** Whether all request data is still buffered, so that another attempt can be made. */
   @Override
   public boolean isRepeatable() {
-    return kept != null;
+    return replayBuffer != null;
   }
 
   @Override
   public void release() {
-    if (kept != null) {
-      kept.release();
-      kept = null;
+    if (replayBuffer != null) {
+      replayBuffer.release();
+      replayBuffer = null;
     }
   }
 
-  /** Whether the client has sent all of it, so that it stands whole in what is kept. */
-  boolean whole() {
-    return ended;
+  /** Whether the client has half-closed, so that the buffered request is complete. */
+  boolean isRequestComplete() {
+    return requestComplete;
   }
 
-  MessageBuffer kept() {
-    return kept;
+  MessageBuffer replayBuffer() {
+    return replayBuffer;
   }
 
   Gathering mode() {
     return method.mode();
   }
 
-  /** The headers of an attempt with so much time left; written before they are asked for again. */
-  Http2Headers attemptHeaders(long leftNanos, Attempt attempt) {
-    headers.set(GrpcHeaders.TIMEOUT, GrpcTimeout.format(leftNanos));
+  /**
+   * Returns the headers of an attempt with the given time left. All attempts share one object: the
+   * caller must write the headers before the next call of this method.
+   */
+  Http2Headers attemptHeaders(long remainingNanos, Attempt attempt) {
+    headers.set(GrpcHeaders.TIMEOUT, GrpcTimeout.format(remainingNanos));
     if (attempt.number() > 0) {
       headers.setInt(GrpcHeaders.PREVIOUS_ATTEMPTS, attempt.number());
     }
     return headers;
   }
 
-  /** An attempt has a stream: it gets what there is, and what still comes. */
+  /** Sends the buffered request data to the opened stream, which also receives all later data. */
   void replayTo(AttemptStream stream) {
-    int before = owed;
-    owed = 0;
-    if (kept.size() > 0 || ended) {
-      stream.pass(kept.share(), ended).addListener(done -> link.returnWindow(id, before));
+    int windowBytes = unreturnedWindow;
+    unreturnedWindow = 0;
+    if (replayBuffer.size() > 0 || requestComplete) {
+      stream
+          .writeData(replayBuffer.retainedDuplicate(), requestComplete)
+          .addListener(done -> connection.returnWindow(id, windowBytes));
     }
-    if (!ended) {
-      upstream = stream;
-      forgetIfLong();
+    if (!requestComplete) {
+      receivingAttempt = stream;
+      releaseReplayBufferIfTooLong();
     }
   }
 
-  /** Beyond the bound there is no other attempt: what one has got needs not be kept. */
-  private void forgetIfLong() {
-    if (kept != null && kept.size() > server.config().maxBufferedBytes()) {
+  /** Above the limit no other attempt is made, so the data that was sent need not be kept. */
+  private void releaseReplayBufferIfTooLong() {
+    if (replayBuffer != null && replayBuffer.size() > server.config().maxBufferedBytes()) {
       release();
     }
   }
 
-  private int passOn(ByteBuf data, boolean last) {
+  private int forward(ByteBuf data, boolean last) {
     int bytes = data.readableBytes();
-    if (kept == null && upstream == null) {
-      return bytes; // Its one attempt is over; the module's answer is on its way.
+    if (replayBuffer == null && receivingAttempt == null) {
+      return bytes; // The only attempt has ended; the answer to the client follows.
     }
-    if (kept != null && !kept.add(data)) {
-      giveUp(Status.RESOURCE_EXHAUSTED, server.held().words());
+    if (replayBuffer != null && !replayBuffer.add(data)) {
+      reject(Status.RESOURCE_EXHAUSTED, server.bufferBudget().exhaustedMessage());
       return bytes;
     }
-    if (upstream == null) {
-      owed += bytes;
+    if (receivingAttempt == null) {
+      unreturnedWindow += bytes;
       return 0;
     }
-    if (!server.held().take(bytes)) {
-      giveUp(Status.RESOURCE_EXHAUSTED, server.held().words());
+    if (!server.bufferBudget().tryReserve(bytes)) {
+      reject(Status.RESOURCE_EXHAUSTED, server.bufferBudget().exhaustedMessage());
       return bytes;
     }
-    upstream
-        .pass(data.retain(), last)
+    receivingAttempt
+        .writeData(data.retain(), last)
         .addListener(
             done -> {
-              server.held().give(bytes);
-              link.returnWindow(id, bytes);
+              server.bufferBudget().release(bytes);
+              connection.returnWindow(id, bytes);
             });
-    forgetIfLong();
+    releaseReplayBufferIfTooLong();
     return 0;
   }
 
-  /** An attempt is over. */
-  void left(AttemptStream stream) {
-    if (upstream == stream) {
-      upstream = null;
+  /** Stops sending request data to an attempt that has ended. */
+  void onAttemptEnded(AttemptStream stream) {
+    if (receivingAttempt == stream) {
+      receivingAttempt = null;
     }
   }
 
-  // ---- an answer that goes on as it comes ----
+  // ---- a streamed answer ----
 
-  void passHeaders(AttemptStream from, Http2Headers head) {
-    answering = from;
-    watchDeadline();
-    link.writeHeaders(id, head, false);
+  void forwardHeaders(AttemptStream stream, Http2Headers head) {
+    streamingAttempt = stream;
+    scheduleDeadline();
+    connection.writeHeaders(id, head, false);
   }
 
-  /** Passes a piece of the answer on, which it takes over; done when the client has it. */
-  ChannelFuture passData(ByteBuf data) {
-    return link.writeData(id, data, false);
+  /**
+   * Forwards answer data and takes ownership of it. The future completes when the data is written
+   * to the client.
+   */
+  ChannelFuture forwardData(ByteBuf data) {
+    return connection.writeData(id, data, false);
   }
 
-  void passTrailers(Http2Headers trailers) {
-    ticket = null;
-    last(trailers);
+  void forwardTrailers(Http2Headers trailers) {
+    requestHandle = null;
+    finish(trailers);
   }
 
-  /** An answer that has begun cannot go on: a status that no client tries again by itself. */
-  void passBroken() {
-    ticket = null;
-    last(failure(Status.INTERNAL, "the server broke off"));
+  /**
+   * Ends a streamed answer that broke off, with a status that clients do not retry by themselves.
+   */
+  void forwardFailure() {
+    requestHandle = null;
+    finish(noRetryTrailers(Status.INTERNAL, "the server broke off"));
   }
 
-  // ---- answers ----
+  // ---- complete answers ----
 
   @Override
   public void serve(Answer answer) {
-    ticket = null;
-    GrpcAnswer whole = (GrpcAnswer) answer; // The only kind that a AttemptStream brings.
-    if (whole == null || answered) {
-      release(whole);
+    requestHandle = null;
+    GrpcAnswer completeAnswer = (GrpcAnswer) answer; // AttemptStream creates no other kind.
+    if (completeAnswer == null || answered) {
+      release(completeAnswer);
       return;
     }
-    write(whole, whole.trailers());
+    writeAnswer(completeAnswer, completeAnswer.trailers());
   }
 
-  private void write(GrpcAnswer whole, Http2Headers trailers) {
-    if (whole.headers() != null) {
-      link.writeHeaders(id, whole.headers(), false);
-      if (whole.message() != null && whole.message().size() > 0) {
-        // The bytes count as held until the client has taken them.
-        link.writeData(id, whole.message().share(), false).addListener(done -> whole.release());
+  private void writeAnswer(GrpcAnswer completeAnswer, Http2Headers trailers) {
+    if (completeAnswer.headers() != null) {
+      connection.writeHeaders(id, completeAnswer.headers(), false);
+      if (completeAnswer.message() != null && completeAnswer.message().size() > 0) {
+        // The bytes count against the budget until they are written to the client.
+        connection
+            .writeData(id, completeAnswer.message().retainedDuplicate(), false)
+            .addListener(done -> completeAnswer.release());
       } else {
-        whole.release();
+        completeAnswer.release();
       }
     } else {
-      whole.release();
+      completeAnswer.release();
       if (trailers.status() == null) {
         trailers.status("200");
       }
     }
-    last(trailers);
+    finish(trailers);
   }
 
   @Override
-  public void refuse(long retryAfterNanos, Answer last) {
-    ticket = null;
-    if (late(last)) {
+  public void refuse(long retryAfterNanos, Answer lastAnswer) {
+    requestHandle = null;
+    if (failIfDeadlinePassed(lastAnswer)) {
       return;
     }
     long millis = Math.max(0, retryAfterNanos / 1_000_000);
-    if (last instanceof GrpcAnswer error) {
-      write(error, error.trailers().setLong(GrpcHeaders.PUSHBACK, millis));
+    if (lastAnswer instanceof GrpcAnswer error) {
+      writeAnswer(error, error.trailers().setLong(GrpcHeaders.PUSHBACK, millis));
       return;
     }
-    last(
+    finish(
         GrpcHeaders.trailersOnly(Status.UNAVAILABLE, "refused")
             .setLong(GrpcHeaders.PUSHBACK, millis)
             .set(GrpcHeaders.NOT_RUN, "1"));
   }
 
   @Override
-  public void fail(Answer last) {
-    ticket = null;
-    if (late(last)) {
+  public void fail(Answer lastAnswer) {
+    requestHandle = null;
+    if (failIfDeadlinePassed(lastAnswer)) {
       return;
     }
-    if (last instanceof GrpcAnswer error) {
-      write(error, error.trailers().set(GrpcHeaders.PUSHBACK, "-1"));
+    if (lastAnswer instanceof GrpcAnswer error) {
+      writeAnswer(error, error.trailers().set(GrpcHeaders.PUSHBACK, "-1"));
     } else {
-      last(failure(Status.INTERNAL, "failed, and may have had an effect"));
+      finish(noRetryTrailers(Status.INTERNAL, "failed, and may have had an effect"));
     }
   }
 
-  private boolean late(Answer last) {
-    boolean late = server.clock().nowNanos() >= deadlineNanos;
-    if (late) {
-      release(last);
-      last(timeIsUp());
+  private boolean failIfDeadlinePassed(Answer lastAnswer) {
+    boolean passed = server.clock().nowNanos() >= deadlineNanos;
+    if (passed) {
+      release(lastAnswer);
+      finish(deadlineExceeded());
     }
-    return late;
+    return passed;
   }
 
-  private static Http2Headers timeIsUp() {
+  private static Http2Headers deadlineExceeded() {
     return GrpcHeaders.trailersOnly(Status.DEADLINE_EXCEEDED, "no answer in time");
   }
 
-  /** A pushback below zero tells a client's library not to try again (gRFC A6). */
-  private static Http2Headers failure(Status status, String message) {
+  /** A negative pushback tells the client library not to retry (gRFC A6). */
+  private static Http2Headers noRetryTrailers(Status status, String message) {
     return GrpcHeaders.trailersOnly(status, message).set(GrpcHeaders.PUSHBACK, "-1");
   }
 
@@ -409,108 +433,115 @@
     }
   }
 
-  /** A status of the balancer's own; an attempt that is out is called off. */
-  private void giveUp(Status status, String message) {
-    last(GrpcHeaders.trailersOnly(status, message));
-    callOff();
+  /** Ends the call with a status from the balancer and cancels its attempts. */
+  private void reject(Status status, String message) {
+    finish(GrpcHeaders.trailersOnly(status, message));
+    cancelRequest();
   }
 
-  private void health(String name) {
+  private void answerHealthCheck(String name) {
     if (!name.equals("Check")) {
-      giveUp(Status.UNIMPLEMENTED, "only Check is answered");
+      reject(Status.UNIMPLEMENTED, "only Check is answered");
       return;
     }
     int serving = server.draining() ? 2 : 1; // HealthCheckResponse.ServingStatus
     Http2Headers head =
         new DefaultHttp2Headers().status("200").set(GrpcHeaders.CONTENT_TYPE, GrpcHeaders.GRPC);
-    link.writeHeaders(id, head, false);
+    connection.writeHeaders(id, head, false);
     byte[] message = {0, 0, 0, 0, 2, 8, (byte) serving};
-    link.writeData(id, Unpooled.wrappedBuffer(message), false);
-    last(new DefaultHttp2Headers().setInt(GrpcHeaders.STATUS, Status.OK.code()));
+    connection.writeData(id, Unpooled.wrappedBuffer(message), false);
+    finish(new DefaultHttp2Headers().setInt(GrpcHeaders.STATUS, Status.OK.code()));
   }
 
-  /** The last thing that is written; what the client still sends is of no more use. */
-  private void last(Http2Headers trailers) {
+  /** Writes the end of the answer; further request data is discarded. */
+  private void finish(Http2Headers trailers) {
     if (answered) {
       return;
     }
     answered = true;
-    if (answering != null && trailers.status() != null) {
+    if (streamingAttempt != null && trailers.status() != null) {
       trailers.remove(Http2Headers.PseudoHeaderName.STATUS.value());
       trailers.remove(GrpcHeaders.CONTENT_TYPE);
     }
-    drop();
-    unwrittenNanos = server.clock().nowNanos();
-    ChannelFuture writing = link.writeHeaders(id, trailers, true);
-    if (!ended) { // A client that goes on sending is told to stop (RFC 9113, section 8.1).
-      link.returnWindow(id, owed);
-      owed = 0;
-      writing.addListener(done -> link.reset(id, Http2Error.NO_ERROR));
+    releaseResources();
+    finalWriteNanos = server.clock().nowNanos();
+    ChannelFuture writing = connection.writeHeaders(id, trailers, true);
+    if (!requestComplete) { // Tells a client that is still sending to stop (RFC 9113, section 8.1).
+      connection.returnWindow(id, unreturnedWindow);
+      unreturnedWindow = 0;
+      writing.addListener(done -> connection.reset(id, Http2Error.NO_ERROR));
     }
   }
 
-  private void drop() {
-    if (deadline != null) {
-      deadline.cancel(false);
-      deadline = null;
+  private void releaseResources() {
+    if (deadlineTimer != null) {
+      deadlineTimer.cancel(false);
+      deadlineTimer = null;
     }
     if (!dispatched) {
-      release(); // Else it is the dispatcher's to release.
+      release(); // Otherwise the dispatcher releases the payload.
     }
   }
 
-  // ---- the end ----
+  // ---- deadline, cancellation and closing ----
 
-  /** Of what the dispatcher's own timer does not end: not taken yet, or begun to be answered. */
-  private void watchDeadline() {
-    if (deadline == null && !answered) {
-      long left = deadlineNanos - server.clock().nowNanos();
-      deadline = link.context().executor().schedule(this::timeUp, Math.max(0, left), NANOSECONDS);
+  /**
+   * Schedules the deadline of a call that the timer of the dispatcher does not cover: one that is
+   * not dispatched yet, or whose answer is being streamed.
+   */
+  private void scheduleDeadline() {
+    if (deadlineTimer == null && !answered) {
+      long remainingNanos = deadlineNanos - server.clock().nowNanos();
+      deadlineTimer =
+          connection
+              .context()
+              .executor()
+              .schedule(this::onDeadline, Math.max(0, remainingNanos), NANOSECONDS);
     }
   }
 
-  private void timeUp() {
-    if (!answered && (!dispatched || answering != null)) {
-      last(timeIsUp());
-      callOff();
+  private void onDeadline() {
+    if (!answered && (!dispatched || streamingAttempt != null)) {
+      finish(deadlineExceeded());
+      cancelRequest();
     }
   }
 
-  private void callOff() {
-    if (ticket != null) {
-      RequestHandle live = ticket;
-      ticket = null;
-      live.callerGone();
+  private void cancelRequest() {
+    if (requestHandle != null) {
+      RequestHandle handle = requestHandle;
+      requestHandle = null;
+      handle.callerGone();
     }
   }
 
-  /** Whether its client has not taken the end of its answer since then. */
+  /** Whether the end of the answer has been waiting for the client since before the given time. */
   @Override
   public boolean stalledSinceBefore(long nanos) {
-    return answered && unwrittenNanos < nanos;
+    return answered && finalWriteNanos < nanos;
   }
 
   @Override
   public void abort() {
-    link.reset(id, Http2Error.CANCEL);
+    connection.reset(id, Http2Error.CANCEL);
   }
 
   @Override
   public void onReset(long code) {
-    gone();
+    onClientGone();
   }
 
   @Override
   public void onClosed(Http2Stream stream) {
-    link.callClosed();
-    gone();
+    connection.callClosed();
+    onClientGone();
   }
 
-  private void gone() {
+  private void onClientGone() {
     if (!answered) {
       answered = true;
-      drop();
+      releaseResources();
     }
-    callOff();
+    cancelRequest();
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcConfig.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConfig.java
@@ -13,16 +13,18 @@
 /**
  * The table {@code [grpc]} of the configuration.
  *
- * @param maxMessageBytes bytes of a message, either way, without its prefix
- * @param maxBufferedBytes bytes of a call that are kept for another attempt, and of an answer that
- *     are held back before it goes on as it comes
- * @param bufferingNanos for which a call or an answer that has not ended is held back
- * @param maxTotalBufferedBytes bytes of all messages that are held at a time
- * @param maxStreamsPerConnection calls of one client connection at a time
- * @param maxConnections client connections at a time
- * @param maxConnectionAgeMillis after which a client connection is ended in good order, give or
- *     take a tenth
- * @param connectionIdleMillis after which a connection without a call is closed
+ * @param listen the address of the listener
+ * @param maxMessageBytes limit of a message in either direction, without its prefix
+ * @param maxBufferedBytes bytes of a call that are kept to be sent again, and of an answer that are
+ *     held back before it is streamed
+ * @param bufferingNanos how long an incomplete call or answer is held back
+ * @param maxTotalBufferedBytes limit of the message bytes that all calls buffer together
+ * @param maxStreamsPerConnection limit of the concurrent calls of a client connection
+ * @param maxConnections limit of the concurrent client connections
+ * @param maxConnectionAgeMillis age at which a client connection is closed gracefully, varied by up
+ *     to 10% in either direction
+ * @param connectionIdleMillis how long a client connection may stay open without a call
+ * @param methods the methods by path
  */
 public record GrpcConfig(
     InetSocketAddress listen,
@@ -37,46 +39,47 @@
     Map<String, MethodConfig> methods) {
 
   /**
-   * How calls of a method are taken.
+   * How calls of a method are handled.
    *
    * @param path {@code /service/method}, {@code /service/*} or {@code *} for the default
-   * @param mode how it is told whether it is one message or a stream
+   * @param mode how unary and streaming calls are told apart
    */
-  public record MethodConfig(String path, RequestClass type, String tenant, Gathering mode) {}
+  public record MethodConfig(
+      String path, RequestClass requestClass, String tenant, Gathering mode) {}
 
-  /** Reads and checks the table; null where there is none, and the listener is off. */
+  /** Reads and validates the table. Returns null if it is absent; the listener is off then. */
   public static GrpcConfig read(Section root, List<RequestClass> classes) {
     Section table = root.table("grpc");
     if (table == null) {
       return null;
     }
-    Map<String, RequestClass> types =
+    Map<String, RequestClass> classesByName =
         classes.stream()
             .collect(Collectors.toMap(RequestClass::name, Function.identity(), (a, b) -> a));
     Map<String, MethodConfig> methods = new LinkedHashMap<>();
     for (Section section : table.tables("method")) {
       String path = section.text("path", null);
       String name = section.text("class", null);
-      RequestClass type = name == null ? null : types.get(name);
-      if (name != null && type == null) {
+      RequestClass requestClass = name == null ? null : classesByName.get(name);
+      if (name != null && requestClass == null) {
         section.fault(
             "class",
             "is \""
                 + name
                 + "\"; a [[class]] of this file expected: "
-                + String.join(", ", types.keySet()));
+                + String.join(", ", classesByName.keySet()));
       }
-      boolean fits = path != null && (path.equals("*") || path.matches("/[\\w.]+/(\\*|\\w+)"));
-      if (path != null && !fits) {
+      boolean validPath = path != null && (path.equals("*") || path.matches("/[\\w.]+/(\\*|\\w+)"));
+      if (path != null && !validPath) {
         section.fault(
             "path", "is \"" + path + "\"; \"/service/method\", \"/service/*\" or \"*\" expected");
       }
       String tenant = section.optionalText("tenant");
       Gathering mode = section.choice("mode", Gathering.AUTO, Gathering.class);
-      if (fits && methods.containsKey(path)) {
+      if (validPath && methods.containsKey(path)) {
         section.fault("path", "\"" + path + "\" stands twice; another one expected");
       }
-      methods.put(path == null ? "?" : path, new MethodConfig(path, type, tenant, mode));
+      methods.put(path == null ? "?" : path, new MethodConfig(path, requestClass, tenant, mode));
       section.end();
     }
     if (!methods.containsKey("*")) {
@@ -99,13 +102,13 @@
     return listen == null ? null : grpc;
   }
 
-  /** The method's own entry, else that of its service, else the default. */
+  /** Returns the entry of the method, else that of its service, else the default. */
   MethodConfig method(CharSequence path) {
-    MethodConfig own = methods.size() == 1 ? null : methods.get(path.toString());
-    if (own == null && methods.size() > 1) {
+    MethodConfig exact = methods.size() == 1 ? null : methods.get(path.toString());
+    if (exact == null && methods.size() > 1) {
       String text = path.toString();
-      own = methods.get(text.substring(0, text.lastIndexOf('/') + 1) + '*');
+      exact = methods.get(text.substring(0, text.lastIndexOf('/') + 1) + '*');
     }
-    return own == null ? methods.get("*") : own;
+    return exact == null ? methods.get("*") : exact;
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConnectionPool.java
@@ -23,126 +23,135 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** HTTP/2 connections to upstreams: opened as their streams run out, closed when idle or silent. */
+/**
+ * The HTTP/2 connections to gRPC upstreams. Another connection is opened when the streams of the
+ * existing ones are used up; connections are closed when they are idle or unresponsive.
+ */
 final class GrpcConnectionPool implements Transport {
   private final GrpcServer server;
   private final Clock clock;
   private final ResourceBudget budget;
-  private final BooleanSupplier evict;
+  private final BooleanSupplier evictIdle;
   private final long idleNanos;
   private final Bootstrap bootstrap;
 
-  /** Those that take new streams; others end by themselves. */
-  private final Map<Upstream, List<UpstreamConnection>> links = new HashMap<>();
+  /** The connections that accept new streams; others close after their last stream. */
+  private final Map<Upstream, List<UpstreamConnection>> available = new HashMap<>();
 
-  /** All that have not closed yet, also those that take nothing new. */
-  private final Set<UpstreamConnection> alive = new HashSet<>();
+  /** All connections that are not closed yet, including those that accept no new streams. */
+  private final Set<UpstreamConnection> openConnections = new HashSet<>();
 
   GrpcConnectionPool(
       GrpcServer server,
       EventLoop loop,
       ResourceBudget budget,
       Settings.Limits limits,
-      BooleanSupplier evict) {
+      BooleanSupplier evictIdle) {
     this.server = server;
     this.clock = server.clock();
     this.budget = budget;
-    this.evict = evict;
+    this.evictIdle = evictIdle;
     this.idleNanos = limits.keepAliveNanos();
-    long dialMillis = Math.max(1, limits.dialTimeoutNanos() / 1_000_000);
+    long connectTimeoutMillis = Math.max(1, limits.dialTimeoutNanos() / 1_000_000);
     this.bootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(60_000, dialMillis));
-    loop.scheduleAtFixedRate(this::tick, 1, 1, SECONDS);
+            .option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(60_000, connectTimeoutMillis));
+    loop.scheduleAtFixedRate(this::checkTimeouts, 1, 1, SECONDS);
   }
 
-  /** Starts a stream; false if the upstream speaks no gRPC or no descriptor can be had. */
+  /**
+   * Starts an attempt. Returns false if the upstream has no gRPC address or no descriptor is free.
+   */
   boolean start(Attempt attempt, GrpcCall call) {
     Upstream upstream = attempt.upstream();
     if (upstream.grpcAddress == null) {
       return false;
     }
-    UpstreamConnection link = link(upstream);
-    if (link == null) {
+    UpstreamConnection connection = acquire(upstream);
+    if (connection == null) {
       return false;
     }
     if (upstream.inFlight++ == 0) {
       upstream.silentSinceNanos = clock.nowNanos();
     }
-    link.start(new AttemptStream(server, link, attempt, call));
+    connection.start(new AttemptStream(server, connection, attempt, call));
     return true;
   }
 
-  /** Another connection for a stream that its own turned out to have no room for. */
-  void move(AttemptStream stream) {
-    UpstreamConnection link = link(stream.upstream());
-    if (link == null) {
-      stream.unplaced();
+  /** Moves a stream for which its connection turned out to have no room to another connection. */
+  void reassign(AttemptStream stream) {
+    UpstreamConnection connection = acquire(stream.upstream());
+    if (connection == null) {
+      stream.onNoConnection();
     } else {
-      stream.movedTo(link);
-      link.start(stream);
+      stream.moveTo(connection);
+      connection.start(stream);
     }
   }
 
-  /** One with room, or a new one; null if no descriptor can be had. */
-  private UpstreamConnection link(Upstream upstream) {
-    for (UpstreamConnection link : links.getOrDefault(upstream, List.of())) {
-      if (link.hasRoom()) {
-        return link;
+  /** Returns a connection with room for a stream, or a new one; null if no descriptor is free. */
+  private UpstreamConnection acquire(Upstream upstream) {
+    for (UpstreamConnection connection : available.getOrDefault(upstream, List.of())) {
+      if (connection.hasRoom()) {
+        return connection;
       }
     }
-    return budget.availableConnections() > 0 || evict.getAsBoolean() ? dial(upstream) : null;
+    return budget.availableConnections() > 0 || evictIdle.getAsBoolean() ? connect(upstream) : null;
   }
 
-  private UpstreamConnection dial(Upstream upstream) {
-    UpstreamConnection link =
+  private UpstreamConnection connect(Upstream upstream) {
+    UpstreamConnection connection =
         MultiplexedConnection.build(
             false,
             0,
-            GrpcHeaders.MOST_BYTES,
-            GrpcHeaders.CHANGING,
+            GrpcHeaders.MAX_HEADER_BYTES,
+            GrpcHeaders.NEVER_INDEXED,
             (decoder, encoder, settings) ->
                 new UpstreamConnection(decoder, encoder, settings, this, upstream, clock));
-    ChannelFuture connecting = bootstrap.clone().handler(link).connect(upstream.grpcAddress);
+    ChannelFuture connecting = bootstrap.clone().handler(connection).connect(upstream.grpcAddress);
     if (!Channels.hasSocket(connecting.channel())) {
-      return null; // As if there were no descriptor: the attempt ends and may go elsewhere.
+      // Handled like a lack of descriptors: the attempt ends and may be made elsewhere.
+      return null;
     }
-    links.computeIfAbsent(upstream, any -> new ArrayList<>(1)).add(link);
-    alive.add(link);
+    available.computeIfAbsent(upstream, any -> new ArrayList<>(1)).add(connection);
+    openConnections.add(connection);
     budget.connectionOpened();
     connecting.channel().closeFuture().addListener(closed -> budget.connectionClosed());
-    link.dialing(connecting);
-    return link;
+    connection.onConnecting(connecting);
+    return connection;
   }
 
-  void closed(UpstreamConnection link) {
-    forget(link);
-    alive.remove(link);
+  void onClosed(UpstreamConnection connection) {
+    remove(connection);
+    openConnections.remove(connection);
   }
 
-  void forget(UpstreamConnection link) {
-    List<UpstreamConnection> of = links.get(link.upstream());
-    if (of != null && of.remove(link) && of.isEmpty()) {
-      links.remove(link.upstream());
+  void remove(UpstreamConnection connection) {
+    List<UpstreamConnection> candidates = available.get(connection.upstream());
+    if (candidates != null && candidates.remove(connection) && candidates.isEmpty()) {
+      available.remove(connection.upstream());
     }
   }
 
-  /** No new stream goes to connections that the upstream had before. */
+  /** Starts no new streams on the current connections of the upstream. */
   @Override
   public void closeIdle(Upstream upstream) {
-    List.copyOf(links.getOrDefault(upstream, List.of())).forEach(UpstreamConnection::goAway);
+    List.copyOf(available.getOrDefault(upstream, List.of()))
+        .forEach(UpstreamConnection::stopNewStreams);
   }
 
   @Override
   public boolean hasConnection(Upstream upstream) {
-    return links.containsKey(upstream);
+    return available.containsKey(upstream);
   }
 
-  private void tick() {
-    long now = clock.nowNanos();
-    List.copyOf(alive).forEach(link -> link.tick(now, idleNanos));
+  private void checkTimeouts() {
+    long nowNanos = clock.nowNanos();
+    List.copyOf(openConnections)
+        .forEach(connection -> connection.checkTimeouts(nowNanos, idleNanos));
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcHeaders.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcHeaders.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The headers of gRPC over HTTP/2 that the balancer reads or writes, and which ones go on. */
+/**
+ * The headers of gRPC over HTTP/2 that the balancer reads or writes, and the rules for which
+ * headers are forwarded.
+ */
 final class GrpcHeaders {
   static final AsciiString CONTENT_TYPE = AsciiString.cached("content-type");
   static final AsciiString GRPC = AsciiString.cached("application/grpc");
@@ -23,19 +26,20 @@
   static final AsciiString TE = AsciiString.cached("te");
   static final AsciiString TRAILERS = AsciiString.cached("trailers");
 
-  /** The time left is another in every call. */
-  static final Set<AsciiString> CHANGING = Set.of(TIMEOUT);
+  /** Not indexed in the HPACK table, since the time left differs in each call. */
+  static final Set<AsciiString> NEVER_INDEXED = Set.of(TIMEOUT);
 
-  /** Bytes of the headers of a call or an answer. */
-  static final int MOST_BYTES = 16 << 10;
+  /** The maximum size of the headers of a call or an answer. */
+  static final int MAX_HEADER_BYTES = 16 << 10;
 
   static final AsciiString TENANT = AsciiString.cached("x-tenant");
 
   /**
-   * They speak of one connection, or are the balancer's own words. The time left, the number of
-   * attempts and {@code te} of a call are written anew for each attempt.
+   * Headers that are not forwarded: they concern a single connection, or only the balancer may set
+   * them. The timeout, the number of previous attempts and {@code te} are set again for each
+   * attempt.
    */
-  private static final Set<AsciiString> OWN_HOP =
+  private static final Set<AsciiString> HOP_BY_HOP =
       Set.of(
           AsciiString.of("connection"),
           AsciiString.of("keep-alive"),
@@ -51,7 +55,7 @@
 
   private GrpcHeaders() {}
 
-  /** Whether the content type is gRPC's, with whatever message format. */
+  /** Whether the content type is gRPC, with any message format. */
   static boolean isGrpc(Http2Headers headers) {
     CharSequence value = headers.get(CONTENT_TYPE);
     if (value == null) {
@@ -63,47 +67,50 @@
         && (type.length() == length || "+;".indexOf(type.charAt(length)) >= 0);
   }
 
-  /** Makes a call's headers those of its attempts, binary ones as they are. */
-  static void stripCall(Http2Headers headers) {
-    strip(headers).scheme("http").set(TE, TRAILERS);
+  /**
+   * Turns the headers of a call into those of its attempts, in place. Binary metadata is forwarded
+   * unchanged.
+   */
+  static void prepareRequest(Http2Headers headers) {
+    removeHopByHop(headers).scheme("http").set(TE, TRAILERS);
   }
 
-  /** Leaves what goes on of headers or trailers, in place. */
-  static Http2Headers strip(Http2Headers headers) {
-    List<CharSequence> own = null;
+  /** Removes the headers that are not forwarded, in place. */
+  static Http2Headers removeHopByHop(Http2Headers headers) {
+    List<CharSequence> toRemove = null;
     for (Map.Entry<CharSequence, CharSequence> header : headers) {
-      if (OWN_HOP.contains(AsciiString.of(header.getKey()))) {
-        own = own == null ? new ArrayList<>(2) : own;
-        own.add(header.getKey());
+      if (HOP_BY_HOP.contains(AsciiString.of(header.getKey()))) {
+        toRemove = toRemove == null ? new ArrayList<>(2) : toRemove;
+        toRemove.add(header.getKey());
       }
     }
-    if (own != null) {
-      own.forEach(headers::remove);
+    if (toRemove != null) {
+      toRemove.forEach(headers::remove);
     }
     return headers;
   }
 
-  /** What a caller is told of a message that is longer than the balancer takes. */
-  static String tooLong(String what, long claimed, long most) {
+  /** The status message for a message above the size limit of the balancer. */
+  static String messageTooLong(String what, long length, long maxBytes) {
     return what
         + " message of "
-        + claimed
+        + length
         + " bytes; most_message of the balancer is "
-        + most
+        + maxBytes
         + " bytes";
   }
 
-  /** Trailers without anything before them, which are an answer of their own. */
+  /** Creates a trailers-only answer. */
   static Http2Headers trailersOnly(Status status, String message) {
     return new DefaultHttp2Headers(false)
         .status("200")
         .set(CONTENT_TYPE, GRPC)
         .setInt(STATUS, status.code())
-        .set(MESSAGE, percent(message));
+        .set(MESSAGE, percentEncode(message));
   }
 
-  /** Percent-encoding of a status message: all that is not visible ASCII, and the sign itself. */
-  static String percent(String message) {
+  /** Percent-encodes a status message: every byte outside printable ASCII, and the percent sign. */
+  static String percentEncode(String message) {
     StringBuilder text = new StringBuilder();
     for (byte b : message.getBytes(StandardCharsets.UTF_8)) {
       if (b >= ' ' && b <= '~' && b != '%') {
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -18,36 +18,42 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Listens for gRPC clients, bounds what they may do, and ends their connections in good order. */
+/**
+ * The listener for gRPC clients. Limits their connections and the messages that are buffered for
+ * them, and closes connections gracefully.
+ */
 public final class GrpcServer implements ProtocolListener {
-  private static final long TICK_MILLIS = 1000;
+  private static final long CHECK_INTERVAL_MILLIS = 1000;
 
   private final EventLoop loop;
   private final Clock clock;
   private final ResourceBudget budget;
   private final GrpcConfig config;
   private final Dispatcher dispatcher;
-  private final BufferBudget held;
+  private final BufferBudget bufferBudget;
   private final GrpcConnectionPool pool;
   private final SplittableRandom random;
-  private final BufferingTimer patience;
-  private final Set<ClientConnection> links = new HashSet<>();
+  private final BufferingTimer bufferingTimer;
+  private final Set<ClientConnection> connections = new HashSet<>();
   private Channel listener;
   private boolean draining;
-  private String forbidden;
-  private long number;
+  private String forbiddenHeader;
+  private long nextRequestNumber;
 
-  /** Makes the front and its transport; to be called on the loop's node before its start. */
+  /**
+   * Creates the server and registers its upstream transport with the dispatcher. Must be called
+   * before the node of the event loop is started.
+   */
   public GrpcServer(
-      ProtocolListener.Context parts, GrpcConfig config, Settings settings, long seed) {
-    this.loop = parts.loop();
-    this.clock = parts.clock();
-    this.budget = parts.budget();
-    this.dispatcher = parts.dispatcher();
+      ProtocolListener.Context context, GrpcConfig config, Settings settings, long seed) {
+    this.loop = context.loop();
+    this.clock = context.clock();
+    this.budget = context.budget();
+    this.dispatcher = context.dispatcher();
     this.config = config;
-    held = new BufferBudget(config.maxTotalBufferedBytes());
-    patience = new BufferingTimer(loop, clock, config.bufferingNanos());
-    pool = new GrpcConnectionPool(this, loop, budget, settings.limits(), parts.evictIdle());
+    bufferBudget = new BufferBudget(config.maxTotalBufferedBytes());
+    bufferingTimer = new BufferingTimer(loop, clock, config.bufferingNanos());
+    pool = new GrpcConnectionPool(this, loop, budget, settings.limits(), context.evictIdle());
     dispatcher.addTransport(pool);
     random = new SplittableRandom(seed);
   }
@@ -55,57 +61,59 @@
   @Override
   public void start() throws InterruptedException {
     listener =
-        Listeners.bootstrap(loop, this::accepted)
+        Listeners.bootstrap(loop, this::onAccepted)
             .option(ChannelOption.SO_BACKLOG, 1024)
             .bind(config.listen())
             .sync()
             .channel();
-    loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::checkTimeouts, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, MILLISECONDS);
   }
 
-  /** Where it listens; after the start. */
+  /** The address that the server listens on. Only valid after the start. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  private void accepted(Channel channel) {
+  private void onAccepted(Channel channel) {
     budget.connectionOpened();
     channel.closeFuture().addListener(closed -> budget.connectionClosed());
-    if (links.size() >= config.maxConnections() || budget.availableConnections() <= 0) {
+    if (connections.size() >= config.maxConnections() || budget.availableConnections() <= 0) {
       channel.close();
       return;
     }
-    ClientConnection link =
+    ClientConnection connection =
         MultiplexedConnection.build(
             true,
             config.maxStreamsPerConnection(),
-            GrpcHeaders.MOST_BYTES,
-            GrpcHeaders.CHANGING,
+            GrpcHeaders.MAX_HEADER_BYTES,
+            GrpcHeaders.NEVER_INDEXED,
             (decoder, encoder, settings) -> new ClientConnection(decoder, encoder, settings, this));
-    links.add(link);
-    channel.closeFuture().addListener(closed -> links.remove(link));
-    long now = clock.nowNanos();
-    link.accepted(
-        now,
-        now + (long) (config.maxConnectionAgeMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
-    channel.pipeline().addLast(link);
+    connections.add(connection);
+    channel.closeFuture().addListener(closed -> connections.remove(connection));
+    long nowNanos = clock.nowNanos();
+    connection.onAccepted(
+        nowNanos,
+        nowNanos
+            + (long) (config.maxConnectionAgeMillis() * 1e6 * (0.9 + 0.2 * random.nextDouble())));
+    channel.pipeline().addLast(connection);
     if (draining) {
-      link.closeGracefully();
+      connection.closeGracefully();
     }
   }
 
-  private void tick() {
-    long now = clock.nowNanos();
-    List.copyOf(links).forEach(link -> link.tick(now));
+  private void checkTimeouts() {
+    long nowNanos = clock.nowNanos();
+    List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowNanos));
   }
 
-  /** A header that no client may send; before the start. */
+  /** Sets a header that clients must not send. Must be called before the start. */
   public void setForbiddenHeader(String header) {
-    forbidden = header;
+    forbiddenHeader = header;
   }
 
-  String forbidden() {
-    return forbidden;
+  String forbiddenHeader() {
+    return forbiddenHeader;
   }
 
   Clock clock() {
@@ -116,8 +124,8 @@
     return dispatcher;
   }
 
-  BufferingTimer patience() {
-    return patience;
+  BufferingTimer bufferingTimer() {
+    return bufferingTimer;
   }
 
   GrpcConfig config() {
@@ -128,23 +136,26 @@
     return pool;
   }
 
-  BufferBudget held() {
-    return held;
+  BufferBudget bufferBudget() {
+    return bufferBudget;
   }
 
   boolean draining() {
     return draining;
   }
 
-  /** Calls have no names of their own, and no open request may have another's. */
-  String nextName() {
-    return "grpc " + number++;
+  /**
+   * Returns a new request id. gRPC calls carry no id of their own, and the id of an open request
+   * must be unique.
+   */
+  String nextRequestId() {
+    return "grpc " + nextRequestNumber++;
   }
 
   @Override
   public void startDraining() {
     draining = true;
-    List.copyOf(links).forEach(ClientConnection::closeGracefully);
+    List.copyOf(connections).forEach(ClientConnection::closeGracefully);
   }
 
   @Override
@@ -159,11 +170,11 @@
 
   @Override
   public int clientCount() {
-    return links.size();
+    return connections.size();
   }
 
   @Override
   public void closeIdle() {
-    List.copyOf(links).forEach(ClientConnection::closeIfIdle);
+    List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcTimeout.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcTimeout.java
@@ -1,8 +1,11 @@
 package heathswitch.proxy.grpc;
 
-/** The header {@code grpc-timeout}: at most eight digits and a unit (gRPC over HTTP/2). */
+/**
+ * Parses and formats the header {@code grpc-timeout}: at most eight digits and a unit (gRPC over
+ * HTTP/2).
+ */
 final class GrpcTimeout {
-  private static final int MOST_DIGITS = 8;
+  private static final int MAX_DIGITS = 8;
   private static final String UNITS = "HMSmun";
   private static final long[] NANOS = {
     3_600_000_000_000L, 60_000_000_000L, 1_000_000_000L, 1_000_000L, 1000L, 1L
@@ -10,10 +13,13 @@
 
   private GrpcTimeout() {}
 
-  /** Nanoseconds, or -1 for what is no timeout. Eight digits of hours still fit a long's years. */
+  /**
+   * Returns the timeout in nanoseconds, or -1 if the text is malformed. A timeout that exceeds the
+   * range of a long, as large numbers of hours do, becomes {@link Long#MAX_VALUE}.
+   */
   static long parse(CharSequence text) {
     int digits = text.length() - 1;
-    if (digits < 1 || digits > MOST_DIGITS) {
+    if (digits < 1 || digits > MAX_DIGITS) {
       return -1;
     }
     long value = 0;
@@ -31,7 +37,10 @@
     return value > Long.MAX_VALUE / NANOS[unit] ? Long.MAX_VALUE : value * NANOS[unit];
   }
 
-  /** The longest timeout that is no longer than this, in the finest unit that fits eight digits. */
+  /**
+   * Formats the timeout in the finest unit in which it fits eight digits, rounded down, so that a
+   * forwarded timeout never grows.
+   */
   static String format(long nanos) {
     long left = Math.max(0, nanos);
     for (int unit = UNITS.length() - 1; unit >= 0; unit--) {
--- a/src/main/java/heathswitch/proxy/grpc/MessageBoundaryTracker.java
+++ b/src/main/java/heathswitch/proxy/grpc/MessageBoundaryTracker.java
@@ -3,46 +3,50 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Follows the messages in the data of one direction by their prefixes of a flag and a length
- * ("Length-Prefixed-Message" of gRPC over HTTP/2), wherever the frames cut them.
+ * Tracks the boundaries of the messages in the data of one direction of a call. Each message is
+ * preceded by a flag and its size ("Length-Prefixed-Message" of gRPC over HTTP/2); DATA frames may
+ * split the data anywhere.
  */
 final class MessageBoundaryTracker {
-  /** Bytes before each message. */
-  static final int PREFIX = 5;
+  /** Bytes of the flag and the size before each message. */
+  static final int PREFIX_BYTES = 5;
 
-  private final long most;
-  private long begun;
-  private long left;
-  private long length;
-  private int prefix;
+  private final long maxMessageBytes;
+  private long started;
+  private long remaining;
+  private long declaredLength;
+  private int prefixBytesRead;
 
-  /** For messages of so many bytes at most, without their prefix. */
-  MessageBoundaryTracker(long most) {
-    this.most = most;
+  /** Accepts messages of up to the given size, not counting the flag and the size field. */
+  MessageBoundaryTracker(long maxMessageBytes) {
+    this.maxMessageBytes = maxMessageBytes;
   }
 
-  /** Follows a piece, which is not read; false if a message claims to be too long. */
-  boolean add(ByteBuf data) {
-    int at = data.readerIndex();
+  /**
+   * Tracks the data without consuming it. Returns false if a message declares a size above the
+   * limit.
+   */
+  boolean track(ByteBuf data) {
+    int index = data.readerIndex();
     int end = data.writerIndex();
-    while (at < end) {
-      if (left > 0) {
-        int step = (int) Math.min(left, end - at);
-        left -= step;
-        at += step;
+    while (index < end) {
+      if (remaining > 0) {
+        int skipped = (int) Math.min(remaining, end - index);
+        remaining -= skipped;
+        index += skipped;
         continue;
       }
-      if (prefix == 0) {
-        begun++;
-        length = 0;
+      if (prefixBytesRead == 0) {
+        started++;
+        declaredLength = 0;
       } else {
-        length = length << 8 | data.getUnsignedByte(at);
+        declaredLength = declaredLength << 8 | data.getUnsignedByte(index);
       }
-      at++;
-      if (++prefix == PREFIX) {
-        prefix = 0;
-        left = length;
-        if (length > most) {
+      index++;
+      if (++prefixBytesRead == PREFIX_BYTES) {
+        prefixBytesRead = 0;
+        remaining = declaredLength;
+        if (declaredLength > maxMessageBytes) {
           return false;
         }
       }
@@ -50,13 +54,13 @@
     return true;
   }
 
-  /** MessageBoundaryTracker of which at least the first byte has come. */
-  long begun() {
-    return begun;
+  /** The number of messages of which at least the first byte was received. */
+  long startedCount() {
+    return started;
   }
 
-  /** What the last message says of its length. */
-  long claimed() {
-    return length;
+  /** The size that the latest message declares. */
+  long declaredLength() {
+    return declaredLength;
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/MessageBuffer.java
+++ b/src/main/java/heathswitch/proxy/grpc/MessageBuffer.java
@@ -4,73 +4,80 @@
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** What has come of a message, within a bound and within what all may hold. */
+/**
+ * Buffers the bytes received of one direction of a call, up to a limit of its own and within the
+ * budget that all calls share.
+ */
 final class MessageBuffer {
-  private static final int MOST_COMPONENTS = 1024;
+  private static final int MAX_COMPONENTS = 1024;
 
-  /** A shorter piece is copied: it would keep the whole buffer that it was read into. */
-  private static final int SHORT = 1024;
+  /** Shorter data is copied, since a slice would retain the whole buffer that it was read into. */
+  private static final int COPY_BELOW_BYTES = 1024;
 
-  private final BufferBudget held;
-  private final int most;
+  private final BufferBudget budget;
+  private final int maxBytes;
 
-  /** The one piece that there is in most cases, or all of them. */
-  private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
+  /** A single buffer in most cases, else a composite of all data added so far. */
+  private ByteBuf content = Unpooled.EMPTY_BUFFER;
 
-  private long taken;
-  private boolean full;
+  private long size;
+  private boolean overLimit;
 
-  MessageBuffer(BufferBudget held, int most) {
-    this.held = held;
-    this.most = most;
+  MessageBuffer(BufferBudget budget, int maxBytes) {
+    this.budget = budget;
+    this.maxBytes = maxBytes;
   }
 
-  /** Adds a piece, which stays the caller's; false if it is too much. */
-  boolean add(ByteBuf piece) {
-    int more = piece.readableBytes();
-    full = taken + more > most;
-    if (full || !held.take(more)) {
+  /**
+   * Adds data without taking ownership of it. Returns false if the data exceeds the limit of this
+   * buffer or the shared budget.
+   */
+  boolean add(ByteBuf data) {
+    int length = data.readableBytes();
+    overLimit = size + length > maxBytes;
+    if (overLimit || !budget.tryReserve(length)) {
       return false;
     }
-    if (more > 0) {
-      ByteBuf own = more < SHORT ? Unpooled.copiedBuffer(piece) : piece.retainedSlice();
-      if (taken == 0) {
-        bytes = own;
+    if (length > 0) {
+      ByteBuf owned =
+          length < COPY_BELOW_BYTES ? Unpooled.copiedBuffer(data) : data.retainedSlice();
+      if (size == 0) {
+        content = owned;
       } else {
-        composite().addComponent(true, own);
+        composite().addComponent(true, owned);
       }
     }
-    taken += more;
+    size += length;
     return true;
   }
 
   private CompositeByteBuf composite() {
-    if (!(bytes instanceof CompositeByteBuf)) {
-      bytes = Unpooled.compositeBuffer(MOST_COMPONENTS).addComponent(true, bytes);
+    if (!(content instanceof CompositeByteBuf)) {
+      content = Unpooled.compositeBuffer(MAX_COMPONENTS).addComponent(true, content);
     }
-    return (CompositeByteBuf) bytes;
+    return (CompositeByteBuf) content;
   }
 
-  /** Whether the last piece was more than its own bound, and not than what all may hold. */
-  boolean full() {
-    return full;
+  /** Whether the last data exceeded the limit of this buffer rather than the shared budget. */
+  boolean exceededLimit() {
+    return overLimit;
   }
 
   int size() {
-    return (int) taken;
+    return (int) size;
   }
 
-  /** A copy that shares the bytes; whoever gets it releases it. */
-  ByteBuf share() {
-    return bytes.retainedDuplicate();
+  /** Returns a duplicate that shares the content; the caller must release it. */
+  ByteBuf retainedDuplicate() {
+    return content.retainedDuplicate();
   }
 
-  /** Gives all back; may be called twice. */
+  /** Releases the content and returns its bytes to the budget. Idempotent. */
   void release() {
-    if (bytes != null) {
-      bytes.release();
-      bytes = null;
-      held.give(taken);
+    if (content != null) {
+      content.release();
+      content = null;
+      budget.release(size);
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/grpc/UpstreamConnection.java
@@ -10,53 +10,60 @@
 import io.netty.handler.codec.http2.Http2Settings;
 import java.util.ArrayDeque;
 
-/** One connection to an upstream with many streams, each of them an attempt. */
+/** An HTTP/2 connection to an upstream; each stream on it is one attempt. */
 final class UpstreamConnection extends MultiplexedConnection {
-  /** Until the upstream's SETTINGS tell, as RFC 9113 section 6.5.2 recommends at least. */
-  private static final int STREAMS_UNTOLD = 100;
+  /**
+   * Assumed limit until the SETTINGS of the upstream arrive: the minimum that RFC 9113, section
+   * 6.5.2 recommends.
+   */
+  private static final int DEFAULT_MAX_STREAMS = 100;
 
-  /** More than this many on one connection would all be lost with it. */
-  private static final int MOST_STREAMS = 250;
+  /** Limits how many streams are lost with one connection. */
+  private static final int MAX_STREAMS = 250;
 
-  /** With calls out and nothing heard for so long, the upstream is asked by PING. */
-  private static final long SILENT_NANOS = 2_000_000_000L;
+  /** A PING is sent when streams are open and nothing was received for this long. */
+  private static final long PING_AFTER_SILENCE_NANOS = 2_000_000_000L;
 
-  /** It has so long to answer that; its kernel may be alive while the machine hangs. */
-  private static final long ANSWER_NANOS = 2_000_000_000L;
+  /**
+   * How long the upstream may take to send its first SETTINGS or to acknowledge a PING. Its kernel
+   * may still accept connections and TCP segments while the machine hangs.
+   */
+  private static final long RESPONSE_TIMEOUT_NANOS = 2_000_000_000L;
 
   /**
-   * After so many resets within the time below the connection takes no more calls: servers close
-   * one that resets too many (Netty's do after 200 in 30 s), and with it all its calls.
+   * After this many resets within {@link #RESET_WINDOW_NANOS} the connection accepts no more
+   * streams: servers close a connection with too many resets (Netty's do after 200 in 30 s), and
+   * all calls on it fail.
    */
-  private static final int MOST_RESETS = 100;
+  private static final int MAX_RESETS = 100;
 
-  private static final long RESET_NANOS = 30_000_000_000L;
+  private static final long RESET_WINDOW_NANOS = 30_000_000_000L;
 
   /**
-   * So often in a row; from then on it is asked only after the time below, until it has sent
-   * headers or data. Servers take further PINGs for abuse and close the connection (gRPC's A8: by
-   * default the fourth within 5 minutes), and a quiet stream or a long call would be lost by being
-   * asked after.
+   * After this many PINGs without headers or data in between, further PINGs are sent only after
+   * {@link #PING_INTERVAL_NANOS} of silence. Servers treat more frequent PINGs as abuse and close
+   * the connection (gRFC A8: by default at the fourth within 5 minutes), and a quiet stream or a
+   * long call would fail because of its keepalive.
    */
-  private static final int MOST_ASKED = 2;
+  private static final int MAX_FREQUENT_PINGS = 2;
 
-  private static final long PATIENT_NANOS = 310_000_000_000L;
+  private static final long PING_INTERVAL_NANOS = 310_000_000_000L;
 
   private final GrpcConnectionPool pool;
   private final Upstream upstream;
   private final Clock clock;
   private final ArrayDeque<AttemptStream> pending = new ArrayDeque<>();
   private ChannelFuture connecting;
-  private boolean open;
-  private boolean going;
-  private int streams;
-  private int mostStreams = STREAMS_UNTOLD;
-  private long heardNanos;
+  private boolean ready;
+  private boolean draining;
+  private int openStreams;
+  private int maxStreams = DEFAULT_MAX_STREAMS;
+  private long lastReadNanos;
   private long idleSinceNanos;
-  private long pingNanos;
-  private int asked;
+  private long pingSentNanos;
+  private int pingsWithoutData;
   private int resets;
-  private long resetsSinceNanos;
+  private long resetWindowStartNanos;
 
   UpstreamConnection(
       Http2ConnectionDecoder decoder,
@@ -69,70 +76,70 @@
     this.pool = pool;
     this.upstream = upstream;
     this.clock = clock;
-    heardNanos = clock.nowNanos();
-    idleSinceNanos = heardNanos;
+    lastReadNanos = clock.nowNanos();
+    idleSinceNanos = lastReadNanos;
   }
 
   Upstream upstream() {
     return upstream;
   }
 
-  void dialing(ChannelFuture future) {
+  void onConnecting(ChannelFuture future) {
     connecting = future;
     future.addListener(
         done -> {
           if (done.isSuccess()) {
             onFrameRead();
           } else {
-            closed();
+            onConnectionClosed();
           }
         });
-    future.channel().closeFuture().addListener(done -> closed());
+    future.channel().closeFuture().addListener(done -> onConnectionClosed());
   }
 
-  /** Whether another stream may be begun here. */
+  /** Whether another stream may be started on this connection. */
   boolean hasRoom() {
-    return !going && streams < mostStreams;
+    return !draining && openStreams < maxStreams;
   }
 
-  /** Begins a stream now, or when the connection is there. */
+  /** Opens a stream now, or when the connection is ready. */
   void start(AttemptStream stream) {
-    streams++;
-    if (open) {
-      begin(stream);
+    openStreams++;
+    if (ready) {
+      open(stream);
     } else {
       pending.add(stream);
     }
   }
 
-  private void begin(AttemptStream stream) {
-    if (!stream.wanted()) {
-      streamDone();
-    } else if (!stream.mayBegin()) {
-      stream.failed();
-    } else if (!stream.begin(clock.nowNanos())) {
-      goAway(); // Its ids are used up, or its GOAWAY is just being read.
-      stream.failed();
+  private void open(AttemptStream stream) {
+    if (!stream.isNeeded()) {
+      releaseStream();
+    } else if (!stream.maySend()) {
+      stream.onConnectFailed();
+    } else if (!stream.open(clock.nowNanos())) {
+      stopNewStreams(); // The stream ids are used up, or a GOAWAY is being processed.
+      stream.onConnectFailed();
     }
   }
 
-  /** Calls one stream off. */
+  /** Resets a stream whose result is no longer needed. */
   void cancel(int id) {
     reset(id, Http2Error.CANCEL);
-    long now = clock.nowNanos();
-    if (now - resetsSinceNanos > RESET_NANOS) {
-      resetsSinceNanos = now;
+    long nowNanos = clock.nowNanos();
+    if (nowNanos - resetWindowStartNanos > RESET_WINDOW_NANOS) {
+      resetWindowStartNanos = nowNanos;
       resets = 0;
     }
-    if (++resets == MOST_RESETS) {
-      goAway();
+    if (++resets == MAX_RESETS) {
+      stopNewStreams();
     }
   }
 
-  void streamDone() {
-    if (--streams == 0) {
+  void releaseStream() {
+    if (--openStreams == 0) {
       idleSinceNanos = clock.nowNanos();
-      if (going) {
+      if (draining) {
         connecting.channel().close();
       }
     }
@@ -140,94 +147,96 @@
 
   @Override
   protected void onFrameRead() {
-    heardNanos = clock.nowNanos();
-    upstream.silentSinceNanos = heardNanos;
-    pingNanos = 0;
+    lastReadNanos = clock.nowNanos();
+    upstream.silentSinceNanos = lastReadNanos;
+    pingSentNanos = 0;
   }
 
   @Override
   protected void onHeadersOrDataRead() {
-    asked = 0;
+    pingsWithoutData = 0;
   }
 
   @Override
-  protected void onPing(boolean answer, long content) {
-    if (answer) {
+  protected void onPing(boolean ack, long content) {
+    if (ack) {
       onFrameRead();
     }
   }
 
   /**
-   * Streams are begun when the first SETTINGS have come, and no more than they allow: those that
-   * waited beyond that go to other connections.
+   * Opens the pending streams when the first SETTINGS arrive, up to the limit that they set. The
+   * remaining ones are moved to other connections.
    */
   @Override
   protected void onSettings(Http2Settings settings) {
-    Long most = settings.maxConcurrentStreams();
-    if (most != null) {
-      mostStreams = (int) Math.min(MOST_STREAMS, most);
-    } else if (!open) {
-      mostStreams = MOST_STREAMS;
+    Long maxConcurrentStreams = settings.maxConcurrentStreams();
+    if (maxConcurrentStreams != null) {
+      maxStreams = (int) Math.min(MAX_STREAMS, maxConcurrentStreams);
+    } else if (!ready) {
+      maxStreams = MAX_STREAMS;
     }
-    if (open) {
+    if (ready) {
       return;
     }
-    open = true;
-    int begun = 0;
-    while (begun < mostStreams && !pending.isEmpty()) {
-      begin(pending.poll());
-      begun++;
+    ready = true;
+    int started = 0;
+    while (started < maxStreams && !pending.isEmpty()) {
+      open(pending.poll());
+      started++;
     }
     while (!pending.isEmpty()) {
       AttemptStream stream = pending.poll();
-      streams--;
-      pool.move(stream);
+      openStreams--;
+      pool.reassign(stream);
     }
   }
 
   @Override
   protected void onGoAway() {
-    goAway();
+    stopNewStreams();
   }
 
-  /** No new streams; those that are on end by themselves. */
-  void goAway() {
-    going = true;
-    pool.forget(this);
-    if (streams == 0) {
+  /** Accepts no new streams, and closes the connection after the last open one. */
+  void stopNewStreams() {
+    draining = true;
+    pool.remove(this);
+    if (openStreams == 0) {
       connecting.channel().close();
     }
   }
 
   /**
-   * Closes it if it never speaks or is idle for long, and asks by PING if it owes answers and says
-   * nothing.
+   * Closes the connection if it is idle or unresponsive, and sends a PING if answers are
+   * outstanding and nothing is received.
    */
-  void tick(long now, long idleNanos) {
-    if (!open && now - heardNanos > ANSWER_NANOS) {
-      connecting
-          .channel()
-          .close(); // It accepts and says nothing; its calls would hold it for good.
-    } else if (open && streams == 0 && now - idleSinceNanos > idleNanos) {
-      goAway();
-    } else if (open && streams > 0 && pingNanos == 0 && now - heardNanos > patience()) {
-      pingNanos = now;
-      asked++;
-      writePing(now);
-    } else if (pingNanos != 0 && now - pingNanos > ANSWER_NANOS) {
-      connecting.channel().close(); // All its streams end as broken ones.
+  void checkTimeouts(long nowNanos, long idleNanos) {
+    if (!ready && nowNanos - lastReadNanos > RESPONSE_TIMEOUT_NANOS) {
+      // Accepted, but no SETTINGS received. The pending streams would keep it open forever.
+      connecting.channel().close();
+    } else if (ready && openStreams == 0 && nowNanos - idleSinceNanos > idleNanos) {
+      stopNewStreams();
+    } else if (ready
+        && openStreams > 0
+        && pingSentNanos == 0
+        && nowNanos - lastReadNanos > pingDelayNanos()) {
+      pingSentNanos = nowNanos;
+      pingsWithoutData++;
+      writePing(nowNanos);
+    } else if (pingSentNanos != 0 && nowNanos - pingSentNanos > RESPONSE_TIMEOUT_NANOS) {
+      connecting.channel().close(); // All its streams end without an answer.
     }
   }
 
-  private long patience() {
-    return asked < MOST_ASKED ? SILENT_NANOS : PATIENT_NANOS;
+  private long pingDelayNanos() {
+    return pingsWithoutData < MAX_FREQUENT_PINGS ? PING_AFTER_SILENCE_NANOS : PING_INTERVAL_NANOS;
   }
 
-  private void closed() {
-    going = true;
-    pool.closed(this);
+  private void onConnectionClosed() {
+    draining = true;
+    pool.onClosed(this);
     while (!pending.isEmpty()) {
-      pending.poll().failed();
+      pending.poll().onConnectFailed();
     }
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/package-info.java
+++ b/src/main/java/heathswitch/proxy/grpc/package-info.java
@@ -1,5 +1,6 @@
 /**
- * gRPC over HTTP/2 with prior knowledge, in front and towards upstreams, through the same
- * dispatcher and module as HTTP/1.1. Framing, header compression and flow control are Netty's.
+ * The gRPC listener and the connections to gRPC upstreams, over HTTP/2 with prior knowledge. Uses
+ * the same dispatcher and load balancing module as HTTP/1.1. Netty does framing, header compression
+ * and flow control.
  */
 package heathswitch.proxy.grpc;
--- a/src/test/java/heathswitch/proxy/grpc/MessageBoundaryTrackerTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/MessageBoundaryTrackerTest.java
@@ -24,20 +24,20 @@
       MessageBoundaryTracker messages = new MessageBoundaryTracker(300);
       while (all.isReadable()) {
         int step = Math.min(all.readableBytes(), 1 + random.nextInt(40));
-        assertTrue(messages.add(all.readSlice(step)));
+        assertTrue(messages.track(all.readSlice(step)));
       }
-      assertEquals(count, messages.begun());
+      assertEquals(count, messages.startedCount());
     }
   }
 
   @Test
   void oneByteOverIsTooLongAndSaysHowLong() {
     MessageBoundaryTracker messages = new MessageBoundaryTracker(300);
-    assertTrue(messages.add(Unpooled.buffer().writeByte(0).writeInt(300).writeZero(300)));
-    assertFalse(messages.add(Unpooled.buffer().writeByte(0).writeInt(301)));
-    assertEquals(301, messages.claimed());
+    assertTrue(messages.track(Unpooled.buffer().writeByte(0).writeInt(300).writeZero(300)));
+    assertFalse(messages.track(Unpooled.buffer().writeByte(0).writeInt(301)));
+    assertEquals(301, messages.declaredLength());
     MessageBoundaryTracker huge = new MessageBoundaryTracker(300);
-    assertFalse(huge.add(Unpooled.buffer().writeByte(1).writeInt(-1)));
-    assertEquals(0xffff_ffffL, huge.claimed());
+    assertFalse(huge.track(Unpooled.buffer().writeByte(1).writeInt(-1)));
+    assertEquals(0xffff_ffffL, huge.declaredLength());
   }
 }
