--- a/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
+++ b/src/main/java/heathswitch/proxy/standalone/StandaloneConfig.java
@@ -6,7 +6,7 @@
 import heathswitch.proxy.config.ValidationError;
 import heathswitch.proxy.gateway.GatewayTable;
 import heathswitch.proxy.gossip.PeersTable;
-import heathswitch.proxy.grpc.GrpcTable;
+import heathswitch.proxy.grpc.GrpcConfig;
 import heathswitch.proxy.logging.LogConfig;
 import heathswitch.proxy.maintenance.MaintenanceConfig;
 import heathswitch.proxy.members.MembersConfig;
@@ -33,7 +33,7 @@
     NodeSettings node,
     MembersConfig members,
     AdminConfig admin,
-    GrpcTable grpc,
+    GrpcConfig grpc,
     GatewayTable gateway,
     MaintenanceConfig maintenance,
     PeersTable peers,
@@ -75,7 +75,7 @@
             node,
             MembersConfig.read(document),
             AdminConfig.read(document.root()),
-            GrpcTable.read(
+            GrpcConfig.read(
                 document.root(), node == null ? List.of() : node.policySettings().classes()),
             GatewayTable.read(document),
             readMaintenance(document, node),
