--- a/src/main/java/heathswitch/testbed/platform/Reachability.java
+++ b/src/main/java/heathswitch/testbed/platform/DiscoveryOutages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** When discovery was down. */
-final class Reachability {
+final class DiscoveryOutages {
   private static final class Outage {
     private final long fromNanos;
     private long untilNanos = Long.MAX_VALUE;
@@ -16,7 +16,7 @@
 
   private final List<Outage> outages = new ArrayList<>();
 
-  void down(boolean on, long nowNanos) {
+  void setDown(boolean on, long nowNanos) {
     if (on) {
       outages.add(new Outage(nowNanos));
     } else if (!outages.isEmpty()) {
@@ -25,7 +25,7 @@
   }
 
   /** The end of a span that begins at a time, counted anew after each outage that it meets. */
-  long after(long fromNanos, long spanNanos) {
+  long endOfSpan(long fromNanos, long spanNanos) {
     long from = fromNanos;
     for (Outage outage : outages) {
       if (outage.untilNanos > from && outage.fromNanos < from + spanNanos) {
--- a/src/main/java/heathswitch/testbed/platform/ListService.java
+++ b/src/main/java/heathswitch/testbed/platform/DiscoveryStub.java
@@ -46,19 +46,19 @@
  * through calls in turn and turns a call away when its answer would take too long; where lists are
  * pushed it stands for the agents beside the balancers, which answer at once and say nothing while
  * discovery is down. It can be down, busy with other callers, or forget its open watches. Each
- * balancer asks at an address of its own, so that it is known what each has been told. Everything
- * lives on one event loop; the methods may be called from any other thread.
+ * balancer asks at an address of its own, so that it is known what each has been sentRevision.
+ * Everything lives on one event loop; the methods may be called from any other thread.
  */
-public final class ListService implements AutoCloseable {
+public final class DiscoveryStub implements AutoCloseable {
   /** A call waits for so long at most, and is then failed. */
   static final long CALL_TIMEOUT_MILLIS = 3000;
 
   private static final long HEARTBEAT_MILLIS = 2000;
 
-  private static final int MOST_REQUEST_BYTES = 4096;
+  private static final int MAX_REQUEST_BYTES = 4096;
 
   /** What a call that is turned away costs, as a part of one that is answered. */
-  private static final double TURNED_AWAY_COST = 0.2;
+  private static final double REJECTED_CALL_COST = 0.2;
 
   /** A change of the list, and when discovery had it. */
   record Change(long revision, ListedMember member, long nanos) {}
@@ -70,22 +70,22 @@
   private final long mustAskNanos;
   private final Map<String, ListedMember> members = new LinkedHashMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Map<String, Portal> portals = new HashMap<>();
-  private final Reachability reachability = new Reachability();
+  private final Map<String, Endpoint> endpoints = new HashMap<>();
+  private final DiscoveryOutages outages = new DiscoveryOutages();
   private long revision;
   private long busyUntilNanos = System.nanoTime();
   private long callNanos = MILLISECONDS.toNanos(5);
-  private double othersPerSecond;
+  private double otherCallsPerSecond;
   private boolean down;
-  private boolean turnsAway;
+  private boolean rejecting;
 
   /**
    * One that lists nothing yet.
    *
    * @param pushed whether it stands for agents that have the list, or is asked for it
-   * @param mustAskMillis for which a balancer with no watch is held to its list
+   * @param mustAskMillis for which a balancer with no watch is heldCalls to its list
    */
-  public ListService(long seed, boolean pushed, long mustAskMillis) {
+  public DiscoveryStub(long seed, boolean pushed, long mustAskMillis) {
     random = new SplittableRandom(seed);
     this.pushed = pushed;
     this.mustAskNanos = MILLISECONDS.toNanos(mustAskMillis);
@@ -94,7 +94,7 @@
   // ---- what it lists ----
 
   /** Lists an upstream, or tells of a change of one. */
-  void list(ListedMember member) {
+  void publish(ListedMember member) {
     run(
         () -> {
           revision++;
@@ -104,7 +104,7 @@
             members.put(member.id(), member);
           }
           changes.add(new Change(revision, member, System.nanoTime()));
-          portals.values().forEach(Portal::tellChange);
+          endpoints.values().forEach(Endpoint::sendChanges);
           return null;
         });
   }
@@ -113,15 +113,15 @@
     return run(() -> members.get(id));
   }
 
-  /** The whole list in discovery's form, as a balancer knows it at its start. */
-  Map<String, Object> known() {
+  /** The complete list in discovery's form, as a balancer knows it at its start. */
+  Map<String, Object> knownList() {
     return run(() -> document(true, members.values()));
   }
 
-  private Map<String, Object> document(boolean whole, Collection<ListedMember> entries) {
+  private Map<String, Object> document(boolean complete, Collection<ListedMember> entries) {
     Map<String, Object> document = new LinkedHashMap<>();
     document.put("revision", revision);
-    document.put("complete", whole);
+    document.put("complete", complete);
     document.put("members", entries.stream().map(ListedMember::json).toList());
     return document;
   }
@@ -129,50 +129,50 @@
   // ---- what goes wrong ----
 
   /** Down: watches are reset, calls wait and end with an error. */
-  public void down(boolean on) {
+  public void setDown(boolean on) {
     run(
         () -> {
           down = on;
-          reachability.down(on, System.nanoTime());
+          outages.setDown(on, System.nanoTime());
           if (on && !pushed) {
-            portals.values().forEach(Portal::resetWatches);
+            endpoints.values().forEach(Endpoint::resetWatches);
           } else if (!on && pushed) {
-            portals.values().forEach(Portal::back);
+            endpoints.values().forEach(Endpoint::recover);
           }
           return null;
         });
   }
 
   /** Turns all calls away at once, as one does whose queue is full. */
-  public void turnAway(boolean on) {
-    run(() -> turnsAway = on);
+  public void setRejecting(boolean on) {
+    run(() -> rejecting = on);
   }
 
   /** Nobody listens any more where this one balancer asks, though discovery runs; or again. */
-  public void refuse(String balancer, boolean on) {
+  public void setRefusing(String balancer, boolean on) {
     run(
         () -> {
-          portals.computeIfAbsent(balancer, any -> new Portal()).refuse(on);
+          endpoints.computeIfAbsent(balancer, any -> new Endpoint()).refuse(on);
           return null;
         });
   }
 
   /** How long one call takes, and how many calls of others come in a second. */
-  public void load(long callMillis, double others) {
+  public void setLoad(long callMillis, double others) {
     run(
         () -> {
-          boolean idle = othersPerSecond <= 0;
+          boolean idle = otherCallsPerSecond <= 0;
           callNanos = MILLISECONDS.toNanos(callMillis);
-          othersPerSecond = others;
+          otherCallsPerSecond = others;
           if (idle && others > 0) {
-            planOther();
+            scheduleOtherCall();
           }
           return null;
         });
   }
 
   /** So much work is in the queue from now on. */
-  public void occupy(long millis) {
+  public void addBacklog(long millis) {
     run(
         () ->
             busyUntilNanos =
@@ -183,7 +183,7 @@
   public void resetWatches() {
     run(
         () -> {
-          portals.values().forEach(Portal::resetWatches);
+          endpoints.values().forEach(Endpoint::resetWatches);
           return null;
         });
   }
@@ -192,18 +192,18 @@
   public void silenceWatches() {
     run(
         () -> {
-          portals.values().forEach(Portal::silence);
+          endpoints.values().forEach(Endpoint::silence);
           return null;
         });
   }
 
-  private void planOther() {
-    long wait = (long) (-Math.log(1 - random.nextDouble()) / othersPerSecond * 1e9);
+  private void scheduleOtherCall() {
+    long wait = (long) (-Math.log(1 - random.nextDouble()) / otherCallsPerSecond * 1e9);
     loop.schedule(
         () -> {
-          if (othersPerSecond > 0) {
-            place();
-            planOther();
+          if (otherCallsPerSecond > 0) {
+            enqueue();
+            scheduleOtherCall();
           }
         },
         wait,
@@ -211,11 +211,11 @@
   }
 
   /** When a call that comes now is answered, or -1 if it is turned away. */
-  private long place() {
+  private long enqueue() {
     long now = System.nanoTime();
     long end = Math.max(now, busyUntilNanos) + callNanos;
-    if (turnsAway || end - now > MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
-      busyUntilNanos = Math.max(now, busyUntilNanos) + (long) (TURNED_AWAY_COST * callNanos);
+    if (rejecting || end - now > MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
+      busyUntilNanos = Math.max(now, busyUntilNanos) + (long) (REJECTED_CALL_COST * callNanos);
       return -1;
     }
     busyUntilNanos = end;
@@ -225,38 +225,38 @@
   // ---- whom it tells ----
 
   /** Where a balancer asks from now on; the address that it had before ends. */
-  public InetSocketAddress open(String balancer) throws InterruptedException {
-    Portal portal = run(() -> portals.computeIfAbsent(balancer, any -> new Portal()));
-    return portal.move();
+  public InetSocketAddress openEndpoint(String balancer) throws InterruptedException {
+    Endpoint endpoint = run(() -> endpoints.computeIfAbsent(balancer, any -> new Endpoint()));
+    return endpoint.move();
   }
 
   /** A process of a balancer starts, with the list of its configuration. */
-  void started(String balancer) {
+  void balancerStarted(String balancer) {
     run(
         () -> {
-          portals.get(balancer).history.started(System.nanoTime());
+          endpoints.get(balancer).history.balancerStarted(System.nanoTime());
           return null;
         });
   }
 
-  /** When a change counts as told to a balancer. */
-  long toldNanos(String balancer, Change change) {
+  /** When a change counts as sentRevision to a balancer. */
+  long deliveryNanos(String balancer, Change change) {
     return run(
         () -> {
-          PortalHistory history = portals.get(balancer).history;
+          EndpointHistory history = endpoints.get(balancer).history;
           return pushed
-              ? history.pushedToldNanos(change, reachability.after(change.nanos(), 0))
-              : history.askedToldNanos(change, reachability, mustAskNanos);
+              ? history.pushedDeliveryNanos(change, outages.endOfSpan(change.nanos(), 0))
+              : history.polledDeliveryNanos(change, outages, mustAskNanos);
         });
   }
 
   /** Balancers that have a watch which has spoken and has not been silenced. */
-  public int watching() {
+  public int watchingBalancers() {
     return run(
         () ->
             (int)
-                portals.values().stream()
-                    .filter(portal -> portal.watches.stream().anyMatch(watch -> !watch.silent))
+                endpoints.values().stream()
+                    .filter(endpoint -> endpoint.watches.stream().anyMatch(watch -> !watch.silent))
                     .count());
   }
 
@@ -265,13 +265,13 @@
   }
 
   /** Calls that came, and of these the ones that were turned away. */
-  public long[] calls() {
+  public long[] callCounts() {
     return run(
         () -> {
           long[] sums = new long[2];
-          for (Portal portal : portals.values()) {
-            sums[0] += portal.calls;
-            sums[1] += portal.turnedAway;
+          for (Endpoint endpoint : endpoints.values()) {
+            sums[0] += endpoint.calls;
+            sums[1] += endpoint.rejected;
           }
           return sums;
         });
@@ -293,36 +293,36 @@
     channel.close();
   }
 
-  /** The address of one balancer, and what it has been told there. */
-  private final class Portal {
+  /** The address of one balancer, and what it has been sentRevision there. */
+  private final class Endpoint {
     private final Set<Watch> watches = new LinkedHashSet<>();
-    private final PortalHistory history = new PortalHistory();
+    private final EndpointHistory history = new EndpointHistory();
 
     /** Calls to an agent that says nothing while discovery is down. */
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> heldCalls = new ArrayList<>();
 
     private Channel listener;
-    private boolean refuses;
+    private boolean refusing;
     private InetSocketAddress address;
     private long calls;
-    private long turnedAway;
+    private long rejected;
 
     InetSocketAddress move() throws InterruptedException {
       Channel next =
-          Listeners.bootstrap(loop, this::accepted)
+          Listeners.bootstrap(loop, this::initialize)
               .bind(new InetSocketAddress("127.0.0.1", 0))
               .sync()
               .channel();
       run(
           () -> {
             if (listener != null) {
-              history.moved(System.nanoTime());
+              history.endpointMoved(System.nanoTime());
               listener.close();
               resetWatches();
             }
             listener = next;
             address = (InetSocketAddress) next.localAddress();
-            if (refuses) {
+            if (refusing) {
               listener.close();
             }
             return null;
@@ -331,8 +331,8 @@
     }
 
     void refuse(boolean on) {
-      boolean change = on != refuses;
-      refuses = on;
+      boolean change = on != refusing;
+      refusing = on;
       if (listener == null || !change) {
         return;
       }
@@ -340,20 +340,20 @@
         listener.close();
         resetWatches();
       } else {
-        listener = Listeners.bootstrap(loop, this::accepted).bind(address).channel();
+        listener = Listeners.bootstrap(loop, this::initialize).bind(address).channel();
       }
     }
 
-    private void accepted(Channel channel) {
+    private void initialize(Channel channel) {
       channel
           .pipeline()
           .addLast(
               new HttpServerCodec(),
-              new HttpObjectAggregator(MOST_REQUEST_BYTES),
+              new HttpObjectAggregator(MAX_REQUEST_BYTES),
               new SimpleChannelInboundHandler<FullHttpRequest>() {
                 @Override
                 protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                  called(ctx.channel(), request.uri());
+                  handleCall(ctx.channel(), request.uri());
                 }
 
                 @Override
@@ -363,11 +363,11 @@
               });
     }
 
-    private void called(Channel channel, String uri) {
+    private void handleCall(Channel channel, String uri) {
       calls++;
-      Runnable failed = history.called(System.nanoTime());
+      Runnable failed = history.callReceived(System.nanoTime());
       if (down && pushed) {
-        held.add(() -> answer(channel, uri));
+        heldCalls.add(() -> answer(channel, uri));
         return;
       }
       if (down) {
@@ -375,9 +375,9 @@
         loop.schedule(() -> fail(channel), CALL_TIMEOUT_MILLIS, MILLISECONDS);
         return;
       }
-      long answered = pushed ? System.nanoTime() : place();
+      long answered = pushed ? System.nanoTime() : enqueue();
       if (answered < 0) {
-        turnedAway++;
+        rejected++;
         failed.run();
         fail(channel);
         return;
@@ -416,7 +416,7 @@
       List<String> index = new QueryStringDecoder(uri).parameters().get("index");
       Watch watch = new Watch(channel, index == null ? -1 : Long.parseLong(index.get(0)));
       watches.add(watch);
-      Runnable ended = history.watching(System.nanoTime());
+      Runnable ended = history.watchOpened(System.nanoTime());
       channel
           .closeFuture()
           .addListener(
@@ -424,65 +424,65 @@
                 watches.remove(watch);
                 ended.run();
               });
-      tell(watch);
-      beat(watch);
+      sendList(watch);
+      scheduleHeartbeat(watch);
     }
 
-    private void beat(Watch watch) {
+    private void scheduleHeartbeat(Watch watch) {
       loop.schedule(
           () -> {
             if (watch.channel.isActive()) {
               if (!watch.silent && !down) {
-                line(watch, "\n");
+                writeLine(watch, "\n");
               }
-              beat(watch);
+              scheduleHeartbeat(watch);
             }
           },
           HEARTBEAT_MILLIS,
           MILLISECONDS);
     }
 
-    private void tellChange() {
+    private void sendChanges() {
       if (!down) {
-        watches.stream().filter(watch -> !watch.silent).forEach(this::tell);
+        watches.stream().filter(watch -> !watch.silent).forEach(this::sendList);
       }
     }
 
     /** Discovery is back: what waited is answered, and open watches hear what they missed. */
-    void back() {
-      List<Runnable> calls = List.copyOf(held);
-      held.clear();
+    void recover() {
+      List<Runnable> calls = List.copyOf(heldCalls);
+      heldCalls.clear();
       calls.forEach(Runnable::run);
-      tellChange();
+      sendChanges();
     }
 
     void silence() {
       if (!watches.isEmpty()) {
-        history.silenced(System.nanoTime());
+        history.watchesSilenced(System.nanoTime());
         watches.forEach(watch -> watch.silent = true);
       }
     }
 
-    /** What has changed since the last line, or the whole list where that is not known. */
-    private void tell(Watch watch) {
-      boolean whole = watch.told < 0 || watch.told > revision;
+    /** What has changed since the last line, or the complete list where that is not known. */
+    private void sendList(Watch watch) {
+      boolean complete = watch.sentRevision < 0 || watch.sentRevision > revision;
       Map<String, ListedMember> entries = new LinkedHashMap<>();
       for (Change change : changes) {
-        if (whole || change.revision() > watch.told) {
-          history.wrote(change.revision(), System.nanoTime());
+        if (complete || change.revision() > watch.sentRevision) {
+          history.changeSent(change.revision(), System.nanoTime());
           entries.put(change.member().id(), change.member());
         }
       }
       try {
-        Collection<ListedMember> listed = whole ? members.values() : entries.values();
-        line(watch, JSON.std.asString(document(whole, listed)) + "\n");
+        Collection<ListedMember> listed = complete ? members.values() : entries.values();
+        writeLine(watch, JSON.std.asString(document(complete, listed)) + "\n");
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
-      watch.told = revision;
+      watch.sentRevision = revision;
     }
 
-    private void line(Watch watch, String text) {
+    private void writeLine(Watch watch, String text) {
       watch.channel.writeAndFlush(
           new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
@@ -494,12 +494,12 @@
 
   private static final class Watch {
     private final Channel channel;
-    private long told;
+    private long sentRevision;
     private boolean silent;
 
-    Watch(Channel channel, long told) {
+    Watch(Channel channel, long sentRevision) {
       this.channel = channel;
-      this.told = told;
+      this.sentRevision = sentRevision;
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/SteadyLoad.java
+++ b/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
@@ -29,7 +29,7 @@
  * resting connection is sent once more on a new one; where that cannot be made nobody has taken it.
  * Whatever else ends without a whole answer in time is lost. On one event loop.
  */
-public final class SteadyLoad {
+public final class KeepAliveLoad {
   /** What became of the requests. */
   public record Counts(long sent, long served, long refused, long failed, long unreached) {}
 
@@ -42,7 +42,7 @@
    * @param millis how long ago it was sent, the last time
    * @param stoppingMillis how long ago its process was told to end; -1 if it was not
    */
-  public record Lost(
+  public record LostRequest(
       String path,
       String why,
       boolean sentAgain,
@@ -64,7 +64,7 @@
   private final SplittableRandom random;
   private final HttpDialer dialer;
   private final ArrayDeque<Connection> resting = new ArrayDeque<>();
-  private final List<Lost> lost = new ArrayList<>();
+  private final List<LostRequest> lost = new ArrayList<>();
   private boolean stopped;
   private boolean killed;
   private boolean stopping;
@@ -76,7 +76,7 @@
   private long failed;
   private long unreached;
 
-  SteadyLoad(
+  KeepAliveLoad(
       EventLoop loop,
       InetSocketAddress balancer,
       double perSecond,
@@ -90,7 +90,7 @@
     this.dialer = new HttpDialer(loop, balancer, CONNECT_MILLIS);
   }
 
-  SteadyLoad start() {
+  KeepAliveLoad start() {
     loop.execute(this::plan);
     return this;
   }
@@ -130,7 +130,7 @@
     return run(() -> new Counts(sent, served, refused, failed, unreached));
   }
 
-  List<Lost> lost() {
+  List<LostRequest> lost() {
     return run(() -> List.copyOf(lost));
   }
 
@@ -198,7 +198,7 @@
 
   private void lose(Connection connection, Request request, String why) {
     lost.add(
-        new Lost(
+        new LostRequest(
             request.path(),
             why,
             request.again,
--- a/src/main/java/heathswitch/testbed/platform/PlatformProcess.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
@@ -19,7 +19,7 @@
 /**
  * A balancer as the platform runs it: {@code serve} with its configuration named by EDGE_CONFIG.
  */
-public final class PlatformProcess implements AutoCloseable {
+public final class PlatformBalancer implements AutoCloseable {
   private static final List<String> FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
   private static final long START_MILLIS = 30_000;
@@ -37,7 +37,7 @@
   private Process process;
   private int starts;
 
-  PlatformProcess(String name) throws IOException {
+  PlatformBalancer(String name) throws IOException {
     this.name = name;
     this.folder = Files.createTempDirectory("heathswitch-platform-");
   }
--- a/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -25,22 +25,22 @@
 
   private final NioEventLoopGroup serverLoops = new NioEventLoopGroup(1);
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(1);
-  private final ListService discovery;
+  private final DiscoveryStub discovery;
   private final Ledger ledger = new Ledger();
-  private final RoutingRecord routing = new RoutingRecord();
+  private final RoutingHistory routing = new RoutingHistory();
   private final Map<String, StandIn> servers = new LinkedHashMap<>();
-  private final List<PlatformProcess> balancers = new ArrayList<>();
+  private final List<PlatformBalancer> balancers = new ArrayList<>();
   private final Shape shape;
-  private final Terms terms;
+  private final PlatformSettings settings;
   private long seed;
   private int serversMade;
 
   /** A fleet with no process yet; the seed draws times of work and loads. */
-  public PlatformFleet(long seed, Terms terms, Shape shape) {
+  public PlatformFleet(long seed, PlatformSettings settings, Shape shape) {
     this.seed = seed;
-    this.terms = terms;
+    this.settings = settings;
     this.shape = shape;
-    this.discovery = new ListService(seed, terms.pushed(), terms.mustAskMillis());
+    this.discovery = new DiscoveryStub(seed, settings.pushed(), settings.mustAskMillis());
   }
 
   // ---- servers ----
@@ -51,17 +51,18 @@
     StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routing);
     servers.put(id, server.onRun(ledger::ran).start(ANY));
     long started = justStarted ? System.currentTimeMillis() : 0;
-    discovery.list(new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
+    discovery.publish(
+        new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
     return id;
   }
 
   /** Discovery has it that a server drains; the server goes on answering. */
   public void drain(String id) {
-    discovery.list(discovery.member(id).with(ListedMember.Phase.TERMINATING));
+    discovery.publish(discovery.member(id).with(ListedMember.Phase.TERMINATING));
   }
 
   /** The same of a server that turns all new work away from now on. */
-  public void drainAndTurnAway(String id) {
+  public void drainAndReject(String id) {
     servers.get(id).faults().turnsAway(true);
     drain(id);
   }
@@ -69,7 +70,7 @@
   /** A server is gone: nothing listens there any more, and discovery knows. */
   public void remove(String id) {
     servers.get(id).close();
-    discovery.list(discovery.member(id).with(ListedMember.Phase.TERMINATED));
+    discovery.publish(discovery.member(id).with(ListedMember.Phase.TERMINATED));
   }
 
   public StandIn server(String id) {
@@ -90,84 +91,84 @@
   // ---- balancers ----
 
   /** Starts so many balancers, one after another. */
-  public PlatformFleet start(int count) throws IOException, InterruptedException {
+  public PlatformFleet startBalancers(int count) throws IOException, InterruptedException {
     for (int i = 0; i < count; i++) {
-      restart(add());
+      start(addBalancer());
     }
     return this;
   }
 
   /** One more balancer, whose process has not been started yet. */
-  public PlatformProcess add() throws IOException {
-    PlatformProcess balancer = new PlatformProcess("n" + balancers.size());
+  public PlatformBalancer addBalancer() throws IOException {
+    PlatformBalancer balancer = new PlatformBalancer("n" + balancers.size());
     balancers.add(balancer);
     return balancer;
   }
 
   /** Starts one that does not run; how long it took to be ready, in milliseconds. */
-  public long restart(PlatformProcess balancer) throws IOException, InterruptedException {
+  public long start(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
-    discovery.started(balancer.name());
+    discovery.balancerStarted(balancer.name());
     return balancer.start();
   }
 
   /** A new configuration moves the balancer's discovery to another port. */
-  public void reconfigure(PlatformProcess balancer) throws IOException, InterruptedException {
+  public void reconfigure(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
     balancer.signal("HUP");
   }
 
   /** A new configuration is written, and its signal is still to come. */
-  void configure(PlatformProcess balancer) throws IOException, InterruptedException {
-    InetSocketAddress asked = discovery.open(balancer.name());
+  void configure(PlatformBalancer balancer) throws IOException, InterruptedException {
+    InetSocketAddress asked = discovery.openEndpoint(balancer.name());
     Map<String, Object> config = new LinkedHashMap<>();
     config.put("name", balancer.name());
     config.put("listen", "127.0.0.1:" + balancer.listen().getPort());
     config.put("discovery", "127.0.0.1:" + asked.getPort());
     config.put("seed", String.format("%016x", seed++));
-    config.put("limits", Map.of("sockets", terms.sockets(), "memory_mb", 192));
-    config.put("known", discovery.known());
-    config.put("settings", terms.settings(balancers.indexOf(balancer), balancers.size()));
+    config.put("limits", Map.of("sockets", settings.sockets(), "memory_mb", 192));
+    config.put("known", discovery.knownList());
+    config.put("settings", settings.toJson(balancers.indexOf(balancer), balancers.size()));
     balancer.configure(config);
   }
 
-  public List<PlatformProcess> balancers() {
+  public List<PlatformBalancer> balancers() {
     return List.copyOf(balancers);
   }
 
-  public ListService discovery() {
+  public DiscoveryStub discovery() {
     return discovery;
   }
 
   // ---- clients and what became of their requests ----
 
   /** A load on one balancer. */
-  public OpenLoop load(PlatformProcess balancer, double perSecond) {
+  public OpenLoop startLoad(PlatformBalancer balancer, double perSecond) {
     OpenLoop load =
         new OpenLoop(
             clientLoops.next(),
             balancer.listen(),
             KINDS,
             perSecond,
-            terms.deadlineMillis(),
+            settings.deadlineMillis(),
             200,
             seed++,
             ledger);
-    routing.loads(balancer.name(), load::owns);
+    routing.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
   /** Clients of one balancer that use what stays open, also while it ends. */
-  public SteadyLoad steadyLoad(PlatformProcess balancer, double perSecond) {
-    SteadyLoad load =
-        new SteadyLoad(
-            clientLoops.next(), balancer.listen(), perSecond, terms.deadlineMillis(), seed++);
-    routing.loads(balancer.name(), load::owns);
+  public KeepAliveLoad startKeepAliveLoad(PlatformBalancer balancer, double perSecond) {
+    KeepAliveLoad load =
+        new KeepAliveLoad(
+            clientLoops.next(), balancer.listen(), perSecond, settings.deadlineMillis(), seed++);
+    routing.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
-  public Terms terms() {
-    return terms;
+  public PlatformSettings settings() {
+    return settings;
   }
 
   public Ledger ledger() {
@@ -175,13 +176,13 @@
   }
 
   /** Requests that went to a server after the balancer's grace for its drain was over. */
-  public List<RoutingRecord.LateSend> lateSends() {
-    return routing.lateSends(discovery, terms.graceMillis());
+  public List<RoutingHistory.LateRequest> lateRequests() {
+    return routing.lateRequests(discovery, settings.graceMillis());
   }
 
   @Override
   public void close() throws IOException {
-    for (PlatformProcess balancer : balancers) {
+    for (PlatformBalancer balancer : balancers) {
       balancer.close();
     }
     servers.values().forEach(StandIn::close);
--- a/src/main/java/heathswitch/testbed/platform/Terms.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformSettings.java
@@ -13,24 +13,27 @@
  * @param pushed whether lists are pushed to an agent beside each balancer, or asked for
  * @param mustAskMillis for which a balancer with no watch is held to its list
  */
-public record Terms(
+public record PlatformSettings(
     long deadlineMillis, long graceMillis, int sockets, boolean pushed, long mustAskMillis) {
-  private static final long NANOS_A_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long MUST_ASK_MILLIS = 10_000;
 
   /** Terms by which a balancer has to ask as seldom as on most deployments. */
-  public Terms(long deadlineMillis, long graceMillis, int sockets, boolean pushed) {
+  public PlatformSettings(long deadlineMillis, long graceMillis, int sockets, boolean pushed) {
     this(deadlineMillis, graceMillis, sockets, pushed, MUST_ASK_MILLIS);
   }
 
   /** The platform's settings object for one of so many balancers. */
-  Map<String, Object> settings(int number, int balancers) {
+  Map<String, Object> toJson(int index, int balancers) {
     Map<String, Object> settings = new LinkedHashMap<>();
     settings.put(
-        "classes", List.of(type("view", "read_like", 1.0), type("publish", "non_idempotent", 2.0)));
+        "classes",
+        List.of(
+            requestClass("view", "read_like", 1.0),
+            requestClass("publish", "non_idempotent", 2.0)));
     settings.put("tenants", List.of(Map.of("name", "school", "portion", 1.0, "quota_rps", 1000.0)));
     settings.put("membership_mode", pushed ? "automatic" : "subscribe");
-    settings.put("me", number);
+    settings.put("me", index);
     settings.put("replicas_of_me", Math.max(1, balancers));
     settings.put("tier", 0);
     settings.put("zone", "a");
@@ -39,16 +42,16 @@
     return settings;
   }
 
-  private Map<String, Object> type(String name, String effect, double importance) {
-    Map<String, Object> type = new LinkedHashMap<>();
-    type.put("name", name);
-    type.put("idempotency", effect);
-    type.put("group", "all");
-    type.put("aim_ns", deadlineMillis * NANOS_A_MILLI / 2);
-    type.put("hard_limit_ns", deadlineMillis * NANOS_A_MILLI);
-    type.put("window_ns", 5_000 * NANOS_A_MILLI);
-    type.put("importance", importance);
-    return type;
+  private Map<String, Object> requestClass(String name, String effect, double importance) {
+    Map<String, Object> requestClass = new LinkedHashMap<>();
+    requestClass.put("name", name);
+    requestClass.put("idempotency", effect);
+    requestClass.put("group", "all");
+    requestClass.put("aim_ns", deadlineMillis * NANOS_PER_MILLI / 2);
+    requestClass.put("hard_limit_ns", deadlineMillis * NANOS_PER_MILLI);
+    requestClass.put("window_ns", 5_000 * NANOS_PER_MILLI);
+    requestClass.put("importance", importance);
+    return requestClass;
   }
 
   private static Map<String, Object> limits() {
@@ -56,22 +59,22 @@
     limits.put("most_tries", 4);
     limits.put("may_duplicate", true);
     limits.put("cancelling", true);
-    limits.put("keepalive_ns", 5_000 * NANOS_A_MILLI);
-    limits.put("dial_timeout_ns", 250 * NANOS_A_MILLI);
-    limits.put("max_retry_after_ns", 2_000 * NANOS_A_MILLI);
+    limits.put("keepalive_ns", 5_000 * NANOS_PER_MILLI);
+    limits.put("dial_timeout_ns", 250 * NANOS_PER_MILLI);
+    limits.put("max_retry_after_ns", 2_000 * NANOS_PER_MILLI);
     limits.put("retry_after", true);
     return limits;
   }
 
   private Map<String, Object> obligations() {
     Map<String, Object> obligations = new LinkedHashMap<>();
-    obligations.put("grace_to_answer_ns", 20 * NANOS_A_MILLI);
-    obligations.put("stop_sending_within_ns", graceMillis * NANOS_A_MILLI);
-    obligations.put("must_ask_in_ns", mustAskMillis * NANOS_A_MILLI);
+    obligations.put("grace_to_answer_ns", 20 * NANOS_PER_MILLI);
+    obligations.put("stop_sending_within_ns", graceMillis * NANOS_PER_MILLI);
+    obligations.put("must_ask_in_ns", mustAskMillis * NANOS_PER_MILLI);
     obligations.put("start_capacity", 0.2);
-    obligations.put("warm_up_ns", 10_000 * NANOS_A_MILLI);
+    obligations.put("warm_up_ns", 10_000 * NANOS_PER_MILLI);
     obligations.put("tip_multiple", 2.5);
-    obligations.put("fall_ns", 2_000 * NANOS_A_MILLI);
+    obligations.put("fall_ns", 2_000 * NANOS_PER_MILLI);
     return obligations;
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/SoakMeasurement.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakMeasurement.java
@@ -22,10 +22,10 @@
     long first = Long.getLong("soak.first", 1);
     int seeds = Integer.getInteger("soak.seeds", brief ? SHORT_SEEDS : SEEDS);
     ExecutorService side = Executors.newFixedThreadPool(SIDE_BY_SIDE);
-    List<Future<Soak.Result>> results = new ArrayList<>();
+    List<Future<SoakRun.Result>> results = new ArrayList<>();
     for (long seed = first; seed < first + seeds; seed++) {
       long played = seed;
-      results.add(side.submit(() -> Soak.play(played)));
+      results.add(side.submit(() -> SoakRun.run(played)));
     }
     try {
       return figures(results);
@@ -34,7 +34,7 @@
     }
   }
 
-  private static Figures figures(List<Future<Soak.Result>> results) throws Exception {
+  private static Figures figures(List<Future<SoakRun.Result>> results) throws Exception {
     long broken = 0;
     long sent = 0;
     long served = 0;
@@ -42,11 +42,11 @@
     long failed = 0;
     long unreached = 0;
     long slowest = 0;
-    for (Future<Soak.Result> each : results) {
-      Soak.Result result = each.get();
-      if (!result.breaks().isEmpty()) {
+    for (Future<SoakRun.Result> each : results) {
+      SoakRun.Result result = each.get();
+      if (!result.violations().isEmpty()) {
         broken++;
-        Figures.progress("seed " + result.seed() + " broke " + result.breaks());
+        Figures.progress("seed " + result.seed() + " broke " + result.violations());
         result.faults().forEach(fault -> Figures.progress("  " + fault));
       }
       sent += result.counts().sent();
--- a/src/main/java/heathswitch/testbed/platform/Soak.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakRun.java
@@ -22,7 +22,7 @@
  * the system that fail, idle clients that crowd in. SIGKILL comes at the earliest moment that the
  * platform allows, and clients use what is open until then. Afterwards the rules are checked.
  */
-public final class Soak {
+public final class SoakRun {
   /**
    * What was found.
    *
@@ -32,8 +32,8 @@
   public record Result(
       long seed,
       List<String> faults,
-      List<String> breaks,
-      SteadyLoad.Counts counts,
+      List<String> violations,
+      KeepAliveLoad.Counts counts,
       long slowestStartMillis) {}
 
   /** SIGKILL comes so long after the longest deadline, of these at most, at the earliest. */
@@ -44,68 +44,68 @@
   private static final long LAST_FAULT_MILLIS = 13_000;
 
   /** Faults in which a change of the list is not heard. */
-  private static final List<SoakFault> DEAFENING =
+  private static final List<SoakFault> LIST_BLOCKING_FAULTS =
       List.of(
           SoakFault.DISCOVERY_DOWN,
-          SoakFault.DISCOVERY_TURNS_AWAY,
-          SoakFault.DISCOVERY_OCCUPIED,
+          SoakFault.DISCOVERY_REJECTS_CALLS,
+          SoakFault.DISCOVERY_BUSY,
           SoakFault.WATCHES_SILENT,
-          SoakFault.CUT_OFF);
+          SoakFault.DISCOVERY_REFUSES_ONE_BALANCER);
 
   private static final long SETTLE_MILLIS = 15_000;
   private static final int MOST_NAMED = 5;
 
   private final long seed;
   private final SplittableRandom random;
-  private final SoakSettings settings;
+  private final SoakScenario settings;
   private final PlatformFleet fleet;
-  private final Map<PlatformProcess, SystemFaults> systems = new HashMap<>();
-  private final Map<PlatformProcess, SteadyLoad> loads = new HashMap<>();
-  private final List<SteadyLoad> ended = new ArrayList<>();
+  private final Map<PlatformBalancer, SystemFaultInjector> injectors = new HashMap<>();
+  private final Map<PlatformBalancer, KeepAliveLoad> loads = new HashMap<>();
+  private final List<KeepAliveLoad> ended = new ArrayList<>();
 
   /** Those that have been told to end and are not back yet. */
-  private final Set<PlatformProcess> ending = ConcurrentHashMap.newKeySet();
+  private final Set<PlatformBalancer> ending = ConcurrentHashMap.newKeySet();
 
   private final List<CompletableFuture<Void>> running = new ArrayList<>();
-  private final List<Socket> crowd = new ArrayList<>();
+  private final List<Socket> openIdleConnections = new ArrayList<>();
   private final List<String> faults = new ArrayList<>();
-  private final List<String> breaks = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private long beganNanos;
   private long slowestStartMillis;
 
-  private Soak(long seed) {
+  private SoakRun(long seed) {
     this.seed = seed;
     random = new SplittableRandom(seed);
-    settings = SoakSettings.draw(random);
-    fleet = new PlatformFleet(seed, settings.terms(), settings.shape());
+    settings = SoakScenario.draw(random);
+    fleet = new PlatformFleet(seed, settings.settings(), settings.shape());
     faults.add(settings.toString());
   }
 
   /** Plays one seed. */
-  public static Result play(long seed) throws Exception {
-    Soak soak = new Soak(seed);
+  public static Result run(long seed) throws Exception {
+    SoakRun soak = new SoakRun(seed);
     try {
-      return soak.play();
+      return soak.run();
     } finally {
       soak.close();
     }
   }
 
-  private Result play() throws Exception {
+  private Result run() throws Exception {
     for (int i = 0; i < settings.servers(); i++) {
       fleet.addServer(false);
     }
-    fleet.discovery().load(random.nextInt(20, 400), 0);
+    fleet.discovery().setLoad(random.nextInt(20, 400), 0);
     for (int i = 0; i < settings.balancers(); i++) {
-      SystemFaults system = new SystemFaults();
-      PlatformProcess balancer = fleet.add();
-      balancer.environment(system.environment());
-      systems.put(balancer, system);
-      fleet.restart(balancer);
-      loads.put(balancer, fleet.steadyLoad(balancer, settings.perSecond()));
+      SystemFaultInjector injector = new SystemFaultInjector();
+      PlatformBalancer balancer = fleet.addBalancer();
+      balancer.environment(injector.environment());
+      injectors.put(balancer, injector);
+      fleet.start(balancer);
+      loads.put(balancer, fleet.startKeepAliveLoad(balancer, settings.perSecond()));
     }
     beganNanos = System.nanoTime();
-    playFaults();
+    runFaults();
     sleepUntil(RUN_MILLIS);
     for (CompletableFuture<Void> each : running) {
       each.get(60, TimeUnit.SECONDS);
@@ -119,7 +119,7 @@
   private record Planned(long millis, SoakFault fault) {}
 
   /** Drawn faults at drawn times, and in the midst of them a list that changes unheard. */
-  private void playFaults() throws Exception {
+  private void runFaults() throws Exception {
     List<Planned> plan = new ArrayList<>();
     for (int i = random.nextInt(4, 10); i > 0; i--) {
       SoakFault fault = any(settings.faults());
@@ -127,8 +127,9 @@
     }
     long deaf = random.nextLong(1500, 5000);
     plan.add(
-        new Planned(deaf, any(DEAFENING.stream().filter(settings.faults()::contains).toList())));
-    plan.add(new Planned(deaf + random.nextLong(-300, 1500), SoakFault.RECONFIGURED));
+        new Planned(
+            deaf, any(LIST_BLOCKING_FAULTS.stream().filter(settings.faults()::contains).toList())));
+    plan.add(new Planned(deaf + random.nextLong(-300, 1500), SoakFault.BALANCERS_RECONFIGURED));
     plan.add(new Planned(deaf + random.nextLong(100, 2500), SoakFault.SERVER_DRAINS));
     plan.sort(Comparator.comparingLong(Planned::millis));
     for (Planned next : plan) {
@@ -145,34 +146,34 @@
     return among.get(random.nextInt(among.size()));
   }
 
-  private PlatformProcess anyBalancer() {
+  private PlatformBalancer randomBalancer() {
     return fleet.balancers().get(random.nextInt(settings.balancers()));
   }
 
-  private String anyServer() {
+  private String randomServer() {
     List<String> ids = fleet.inService();
     return ids.get(random.nextInt(ids.size()));
   }
 
   /** Begins a fault; what takes its time goes on by itself. */
   private void begin(SoakFault fault) throws Exception {
-    ListService discovery = fleet.discovery();
+    DiscoveryStub discovery = fleet.discovery();
     long span = random.nextLong(1500, 13_000);
     switch (fault) {
       case DISCOVERY_DOWN -> {
         note("discovery down for " + span);
-        discovery.down(true);
-        later(span, () -> discovery.down(false));
+        discovery.setDown(true);
+        later(span, () -> discovery.setDown(false));
       }
-      case DISCOVERY_TURNS_AWAY -> {
+      case DISCOVERY_REJECTS_CALLS -> {
         note("discovery turns calls away for " + span);
-        discovery.turnAway(true);
+        discovery.setRejecting(true);
         discovery.resetWatches();
-        later(span, () -> discovery.turnAway(false));
+        later(span, () -> discovery.setRejecting(false));
       }
-      case DISCOVERY_OCCUPIED -> {
+      case DISCOVERY_BUSY -> {
         note("discovery has work of others for " + span);
-        discovery.occupy(span);
+        discovery.addBacklog(span);
         discovery.resetWatches();
       }
       case WATCHES_RESET -> {
@@ -187,39 +188,39 @@
       case SERVER_JOINS -> note("joins " + fleet.addServer(true));
       case SERVER_DIES -> die();
       case SERVER_HANGS -> {
-        String id = anyServer();
+        String id = randomServer();
         note("hangs " + id + " for " + span);
         fleet.server(id).faults().silent(true);
         later(span, () -> fleet.server(id).faults().silent(false));
       }
       case SERVER_RESETS -> {
-        String id = anyServer();
+        String id = randomServer();
         note("resets " + id + " for " + span);
         fleet.server(id).faults().resets(0.3);
         later(span, () -> fleet.server(id).faults().resets(0));
       }
-      case CUT_OFF -> cutOff(span);
-      case RECONFIGURED -> reconfigure();
-      case RECONFIGURED_BADLY -> {
-        spoilReloads();
+      case DISCOVERY_REFUSES_ONE_BALANCER -> cutOff(span);
+      case BALANCERS_RECONFIGURED -> reconfigure();
+      case BALANCERS_RECONFIGURED_WITH_READ_FAULTS -> {
+        injectReadFaults();
         reconfigure();
       }
-      case RESTARTED -> restart(anyBalancer());
-      case HELD_UP -> {
-        PlatformProcess balancer = anyBalancer();
+      case BALANCER_RESTARTED -> restart(randomBalancer());
+      case BALANCER_PAUSED -> {
+        PlatformBalancer balancer = randomBalancer();
         note("held up " + balancer.name());
         balancer.signal("STOP");
         later(random.nextLong(50, 150), () -> balancer.signal("CONT"));
       }
       case CLOCK_STEPPED -> {
-        PlatformProcess balancer = anyBalancer();
+        PlatformBalancer balancer = randomBalancer();
         long[] steps = {-3_600_000, -7000, 7000, 3_600_000};
         long step = steps[random.nextInt(steps.length)];
         note("clock of " + balancer.name() + " off by " + step);
-        systems.get(balancer).setWallClock(step);
+        injectors.get(balancer).setWallClockOffset(step);
       }
-      case CALLS_FAIL -> failCalls();
-      case CROWD -> crowd();
+      case SYSTEM_CALLS_FAIL -> failSystemCalls();
+      case IDLE_CONNECTIONS -> openIdleConnections();
       default -> throw new IllegalStateException(fault.toString());
     }
   }
@@ -228,33 +229,36 @@
     if (fleet.inService().size() < 3) {
       return;
     }
-    String id = anyServer();
+    String id = randomServer();
     note("drains " + id);
-    if (settings.drainsTurnAway()) {
-      fleet.drainAndTurnAway(id);
+    if (settings.drainingServersReject()) {
+      fleet.drainAndReject(id);
     } else {
       fleet.drain(id);
     }
   }
 
   private void cutOff(long span) {
-    PlatformProcess balancer = anyBalancer();
+    PlatformBalancer balancer = randomBalancer();
     note("discovery refuses " + balancer.name() + " for " + span);
-    fleet.discovery().refuse(balancer.name(), true);
-    later(span, () -> fleet.discovery().refuse(balancer.name(), false));
+    fleet.discovery().setRefusing(balancer.name(), true);
+    later(span, () -> fleet.discovery().setRefusing(balancer.name(), false));
   }
 
   /** The next file of each is read late, or cannot be read at first. */
-  private void spoilReloads() {
+  private void injectReadFaults() {
     boolean late = random.nextBoolean();
     int times = random.nextInt(1, 4);
     long millis = random.nextLong(50, 500);
     note("files of configurations " + (late ? "late by " + millis : "unreadable, " + times));
-    for (SystemFaults system : systems.values()) {
+    for (SystemFaultInjector injector : injectors.values()) {
       if (late) {
-        system.holdConfigurationRead(millis);
+        injector.delayConfigurationRead(millis);
       } else {
-        system.fail(SystemFaults.Call.READ_CONFIGURATION, SystemFaults.Errno.EIO, times);
+        injector.fail(
+            SystemFaultInjector.SystemCall.READ_CONFIGURATION,
+            SystemFaultInjector.Errno.EIO,
+            times);
       }
     }
   }
@@ -263,18 +267,19 @@
     if (fleet.inService().size() < 3) {
       return;
     }
-    String id = anyServer();
+    String id = randomServer();
     note("dies " + id);
     fleet.remove(id);
   }
 
   /** New configurations to all or one, in a series. */
   private void reconfigure() throws Exception {
-    List<PlatformProcess> told = random.nextBoolean() ? fleet.balancers() : List.of(anyBalancer());
+    List<PlatformBalancer> told =
+        random.nextBoolean() ? fleet.balancers() : List.of(randomBalancer());
     int times = random.nextInt(1, 5);
     note("new configurations, " + times + " to " + told.size());
     for (int i = 0; i < times; i++) {
-      for (PlatformProcess balancer : told) {
+      for (PlatformBalancer balancer : told) {
         if (balancer.alive() && !ending.contains(balancer)) {
           fleet.reconfigure(balancer);
         }
@@ -284,16 +289,16 @@
   }
 
   /** SIGTERM, with other signals around it, SIGKILL at the earliest moment, and a new process. */
-  private void restart(PlatformProcess balancer) throws Exception {
+  private void restart(PlatformBalancer balancer) throws Exception {
     if (!ending.add(balancer)) {
       return;
     }
-    SteadyLoad load = loads.get(balancer);
+    KeepAliveLoad load = loads.get(balancer);
     boolean hangUpBefore = random.nextBoolean();
     boolean again = random.nextBoolean();
     boolean hangUpAfter = random.nextBoolean();
     note("restarted " + balancer.name() + (again ? ", TERM twice" : ""));
-    long kill = Math.min(fleet.terms().deadlineMillis(), MOST_DEADLINE_MILLIS) + KILL_MILLIS;
+    long kill = Math.min(fleet.settings().deadlineMillis(), MOST_DEADLINE_MILLIS) + KILL_MILLIS;
     running.add(
         CompletableFuture.runAsync(
             () -> {
@@ -316,63 +321,65 @@
                   load.killed();
                   balancer.kill();
                 } else if (code != 0) {
-                  broke(balancer.name() + " ended with " + code);
+                  addViolation(balancer.name() + " ended with " + code);
                 }
                 load.stop();
-                long took = fleet.restart(balancer);
+                long took = fleet.start(balancer);
                 synchronized (this) {
                   slowestStartMillis = Math.max(slowestStartMillis, took);
                   ended.add(load);
-                  loads.put(balancer, fleet.steadyLoad(balancer, settings.perSecond()));
+                  loads.put(balancer, fleet.startKeepAliveLoad(balancer, settings.perSecond()));
                 }
                 ending.remove(balancer);
               } catch (IOException | InterruptedException e) {
-                broke(balancer.name() + ": " + e);
+                addViolation(balancer.name() + ": " + e);
               }
             }));
   }
 
-  private void failCalls() {
-    PlatformProcess balancer = anyBalancer();
-    SystemFaults.Errno[] accepts = {SystemFaults.Errno.ENFILE, SystemFaults.Errno.ENOBUFS};
-    SystemFaults.Errno[] connects = {
-      SystemFaults.Errno.EADDRNOTAVAIL, SystemFaults.Errno.ENETUNREACH
+  private void failSystemCalls() {
+    PlatformBalancer balancer = randomBalancer();
+    SystemFaultInjector.Errno[] accepts = {
+      SystemFaultInjector.Errno.ENFILE, SystemFaultInjector.Errno.ENOBUFS
+    };
+    SystemFaultInjector.Errno[] connects = {
+      SystemFaultInjector.Errno.EADDRNOTAVAIL, SystemFaultInjector.Errno.ENETUNREACH
     };
     int times = random.nextInt(1, 6);
     note("calls fail at " + balancer.name() + ", " + times);
-    SystemFaults system = systems.get(balancer);
-    system.fail(SystemFaults.Call.ACCEPT, accepts[random.nextInt(2)], times);
-    system.fail(SystemFaults.Call.SOCKET, SystemFaults.Errno.ENFILE, times);
-    system.fail(SystemFaults.Call.CONNECT, connects[random.nextInt(2)], times);
+    SystemFaultInjector injector = injectors.get(balancer);
+    injector.fail(SystemFaultInjector.SystemCall.ACCEPT, accepts[random.nextInt(2)], times);
+    injector.fail(SystemFaultInjector.SystemCall.SOCKET, SystemFaultInjector.Errno.ENFILE, times);
+    injector.fail(SystemFaultInjector.SystemCall.CONNECT, connects[random.nextInt(2)], times);
   }
 
   /** Clients that connect and say nothing, more than there are descriptors. */
-  private void crowd() {
-    PlatformProcess balancer = anyBalancer();
+  private void openIdleConnections() {
+    PlatformBalancer balancer = randomBalancer();
     note("crowd at " + balancer.name());
     for (int i = 0; i < 500; i++) {
       Socket socket = new Socket();
       try {
         socket.connect(balancer.listen(), 50);
-        crowd.add(socket);
+        openIdleConnections.add(socket);
       } catch (IOException e) {
         return; // It is being restarted, or takes no more.
       }
     }
   }
 
-  private interface Deed {
+  private interface Action {
     void run() throws Exception;
   }
 
-  private void later(long millis, Deed deed) {
+  private void later(long millis, Action action) {
     running.add(
         CompletableFuture.runAsync(
             () -> {
               try {
-                deed.run();
+                action.run();
               } catch (Exception e) {
-                broke("the rig: " + e);
+                addViolation("the rig: " + e);
               }
             },
             CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS)));
@@ -387,70 +394,73 @@
 
   // ---- the rules ----
 
-  private synchronized void broke(String what) {
-    breaks.add(what);
+  private synchronized void addViolation(String what) {
+    violations.add(what);
   }
 
-  private synchronized List<SteadyLoad> allLoads() {
-    List<SteadyLoad> all = new ArrayList<>(ended);
+  private synchronized List<KeepAliveLoad> allLoads() {
+    List<KeepAliveLoad> all = new ArrayList<>(ended);
     all.addAll(loads.values());
     return all;
   }
 
   private void finish() throws InterruptedException, ExecutionException {
-    allLoads().forEach(SteadyLoad::stop);
+    allLoads().forEach(KeepAliveLoad::stop);
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_MILLIS);
-    while (!allLoads().stream().allMatch(SteadyLoad::settled) && System.nanoTime() < until) {
+    while (!allLoads().stream().allMatch(KeepAliveLoad::settled) && System.nanoTime() < until) {
       Thread.sleep(50);
     }
-    for (PlatformProcess balancer : fleet.balancers()) {
+    for (PlatformBalancer balancer : fleet.balancers()) {
       if (!balancer.alive()) {
-        broke(balancer.name() + " has crashed");
+        addViolation(balancer.name() + " has crashed");
       }
     }
-    List<RoutingRecord.LateSend> late = fleet.lateSends();
+    List<RoutingHistory.LateRequest> late = fleet.lateRequests();
     if (!late.isEmpty()) {
-      broke("drain: " + late.size() + ", " + late.get(0));
+      addViolation("drain: " + late.size() + ", " + late.get(0));
     }
-    List<SteadyLoad.Lost> lost = new ArrayList<>();
+    List<KeepAliveLoad.LostRequest> lost = new ArrayList<>();
     allLoads().forEach(load -> lost.addAll(load.lost()));
     if (!lost.isEmpty()) {
-      broke("lost: " + lost.size() + ", " + lost.subList(0, Math.min(MOST_NAMED, lost.size())));
+      addViolation(
+          "lost: " + lost.size() + ", " + lost.subList(0, Math.min(MOST_NAMED, lost.size())));
     }
     long twice = fleet.ledger().doubles(path -> path.contains("publish"));
     if (twice > 0) {
-      broke("run twice: " + twice);
+      addViolation("run twice: " + twice);
     }
   }
 
   private Result result() {
     long[] sums = new long[5];
-    for (SteadyLoad load : allLoads()) {
-      SteadyLoad.Counts counts = load.counts();
+    for (KeepAliveLoad load : allLoads()) {
+      KeepAliveLoad.Counts counts = load.counts();
       sums[0] += counts.sent();
       sums[1] += counts.served();
       sums[2] += counts.refused();
       sums[3] += counts.failed();
       sums[4] += counts.unreached();
     }
-    SteadyLoad.Counts counts = new SteadyLoad.Counts(sums[0], sums[1], sums[2], sums[3], sums[4]);
-    return new Result(seed, List.copyOf(faults), List.copyOf(breaks), counts, slowestStartMillis);
+    KeepAliveLoad.Counts counts =
+        new KeepAliveLoad.Counts(sums[0], sums[1], sums[2], sums[3], sums[4]);
+    return new Result(
+        seed, List.copyOf(faults), List.copyOf(violations), counts, slowestStartMillis);
   }
 
   private void close() throws IOException {
-    for (Socket socket : crowd) {
+    for (Socket socket : openIdleConnections) {
       socket.close();
     }
     fleet.close();
-    for (SystemFaults system : systems.values()) {
-      system.close();
+    for (SystemFaultInjector injector : injectors.values()) {
+      injector.close();
     }
   }
 
   /** The logs of a run's processes, by their names; while it runs. */
   Map<String, String> logs() throws IOException {
     Map<String, String> logs = new LinkedHashMap<>();
-    for (PlatformProcess balancer : fleet.balancers()) {
+    for (PlatformBalancer balancer : fleet.balancers()) {
       logs.put(balancer.name(), Files.readString(balancer.log()));
     }
     return logs;
--- a/src/main/java/heathswitch/testbed/platform/SoakSettings.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakScenario.java
@@ -12,13 +12,13 @@
  *
  * @param drainsTurnAway whether a server that drains turns new work away, or goes on serving it
  */
-record SoakSettings(
+record SoakScenario(
     int balancers,
     int servers,
     double perSecond,
-    Terms terms,
+    PlatformSettings settings,
     Shape shape,
-    boolean drainsTurnAway,
+    boolean drainingServersReject,
     List<SoakFault> faults) {
   private static final int SOCKETS = 512;
 
@@ -28,28 +28,30 @@
    * soak has the two together in no run.
    */
   private static final List<SoakFault> CUT_OFF_ALONE =
-      List.of(SoakFault.CUT_OFF, SoakFault.CALLS_FAIL);
+      List.of(SoakFault.DISCOVERY_REFUSES_ONE_BALANCER, SoakFault.SYSTEM_CALLS_FAIL);
 
-  static SoakSettings draw(SplittableRandom random) {
+  static SoakScenario draw(SplittableRandom random) {
     int balancers = random.nextInt(2, 5);
     double perSecond = random.nextInt(15, 40);
     long deadlineMillis = random.nextInt(600, 4000);
     ServiceTime time = ServiceTime.exponential(random.nextInt(10, 60));
     boolean pushed = random.nextInt(3) == 0;
-    boolean turnAway = random.nextInt(4) > 0;
-    long graceMillis = turnAway ? random.nextLong(600, 2500) : random.nextLong(1500, 2500);
-    long mustAskMillis = turnAway ? random.nextLong(1500, 10_000) : random.nextLong(8000, 10_000);
-    Terms terms = new Terms(deadlineMillis, graceMillis, SOCKETS, pushed, mustAskMillis);
+    boolean setRejecting = random.nextInt(4) > 0;
+    long graceMillis = setRejecting ? random.nextLong(600, 2500) : random.nextLong(1500, 2500);
+    long mustAskMillis =
+        setRejecting ? random.nextLong(1500, 10_000) : random.nextLong(8000, 10_000);
+    PlatformSettings settings =
+        new PlatformSettings(deadlineMillis, graceMillis, SOCKETS, pushed, mustAskMillis);
     int servers = random.nextInt(4, 8);
-    return new SoakSettings(
+    return new SoakScenario(
         balancers,
         servers,
         perSecond,
-        terms,
+        settings,
         Shape.warm(8, 32, time),
-        turnAway,
+        setRejecting,
         Arrays.stream(SoakFault.values())
-            .filter(fault -> turnAway || !CUT_OFF_ALONE.contains(fault))
+            .filter(fault -> setRejecting || !CUT_OFF_ALONE.contains(fault))
             .toList());
   }
 
@@ -57,10 +59,10 @@
   public String toString() {
     return String.format(
         "lists are %s, deadline %d, grace %d, asked within %d, servers that drain %s",
-        terms.pushed() ? "pushed" : "asked for",
-        terms.deadlineMillis(),
-        terms.graceMillis(),
-        terms.mustAskMillis(),
-        drainsTurnAway ? "turn away" : "serve on");
+        settings.pushed() ? "pushed" : "asked for",
+        settings.deadlineMillis(),
+        settings.graceMillis(),
+        settings.mustAskMillis(),
+        drainingServersReject ? "turn away" : "serve on");
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/SystemFaults.java
+++ b/src/main/java/heathswitch/testbed/platform/SystemFaultInjector.java
@@ -16,9 +16,9 @@
  * compiler and loaded into the process before all others; it reads what is to go wrong from a file
  * that both have mapped.
  */
-public final class SystemFaults implements AutoCloseable {
-  /** A kind of call that can fail, by the place of its count in the file. */
-  public enum Call {
+public final class SystemFaultInjector implements AutoCloseable {
+  /** A kind of call that can fail, by the index of its count in the file. */
+  public enum SystemCall {
     ACCEPT(1),
     SOCKET(3),
     CONNECT(5),
@@ -26,10 +26,10 @@
     /** A read of the file of the configuration. */
     READ_CONFIGURATION(9);
 
-    private final int place;
+    private final int index;
 
-    Call(int place) {
-      this.place = place;
+    SystemCall(int index) {
+      this.index = index;
     }
   }
 
@@ -51,9 +51,9 @@
     }
   }
 
-  private static final int WALL_CLOCK = 0;
-  private static final int HELD_CONFIG_READS = 11;
-  private static final int HOLD_NANOS = 12;
+  private static final int WALL_CLOCK_OFFSET = 0;
+  private static final int DELAYED_CONFIG_READS = 11;
+  private static final int DELAY_NANOS = 12;
   private static final int FIELDS = 13;
   private static final long BUILD_SECONDS = 60;
   private static Path library;
@@ -61,7 +61,7 @@
   private final Path file;
   private final LongBuffer control;
 
-  public SystemFaults() throws IOException, InterruptedException {
+  public SystemFaultInjector() throws IOException, InterruptedException {
     build();
     file = Files.createTempFile("heathswitch-faults-", "");
     Files.write(file, new byte[FIELDS * Long.BYTES]);
@@ -108,25 +108,25 @@
   }
 
   /** Sets the wall clock off by so many milliseconds from the true time. */
-  public void setWallClock(long offMillis) {
-    control.put(WALL_CLOCK, offMillis * 1_000_000);
+  public void setWallClockOffset(long offMillis) {
+    control.put(WALL_CLOCK_OFFSET, offMillis * 1_000_000);
   }
 
   /** Has the next so many calls fail. */
-  public void fail(Call call, Errno errno, int times) {
-    control.put(call.place + 1, errno.number);
-    control.put(call.place, times);
+  public void fail(SystemCall call, Errno errno, int times) {
+    control.put(call.index + 1, errno.number);
+    control.put(call.index, times);
   }
 
   /** Has the next read of the file of the configuration return so late with what it has read. */
-  public void holdConfigurationRead(long millis) {
-    control.put(HOLD_NANOS, millis * 1_000_000);
-    control.put(HELD_CONFIG_READS, 1);
+  public void delayConfigurationRead(long millis) {
+    control.put(DELAY_NANOS, millis * 1_000_000);
+    control.put(DELAYED_CONFIG_READS, 1);
   }
 
   /** How many of the calls that are to fail have not been made yet. */
-  public long left(Call call) {
-    return Math.max(0, control.get(call.place));
+  public long remaining(SystemCall call) {
+    return Math.max(0, control.get(call.index));
   }
 
   /** After the end of its process. */
--- a/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
@@ -21,7 +21,7 @@
 @Timeout(120)
 class CrowdedDiscoveryTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(20));
-  private static final Terms TERMS = new Terms(4000, 2000, 512, false);
+  private static final PlatformSettings SETTINGS = new PlatformSettings(4000, 2000, 512, false);
   private static final int BALANCERS = 3;
   private static final double PER_SECOND = 40;
 
@@ -29,16 +29,16 @@
   private static final long PAST_GRACE_MILLIS = 10_500;
 
   private static PlatformFleet fleet(int seed) throws Exception {
-    PlatformFleet fleet = new PlatformFleet(seed, TERMS, SHAPE);
+    PlatformFleet fleet = new PlatformFleet(seed, SETTINGS, SHAPE);
     for (int i = 0; i < 4; i++) {
       fleet.addServer(false);
     }
-    return fleet.start(BALANCERS);
+    return fleet.startBalancers(BALANCERS);
   }
 
   private static List<OpenLoop> loads(PlatformFleet fleet) {
     List<OpenLoop> loads = new ArrayList<>();
-    fleet.balancers().forEach(balancer -> loads.add(fleet.load(balancer, PER_SECOND)));
+    fleet.balancers().forEach(balancer -> loads.add(fleet.startLoad(balancer, PER_SECOND)));
     return loads;
   }
 
@@ -47,14 +47,14 @@
   }
 
   private static void awaitAllAsked(PlatformFleet fleet) throws Exception {
-    Await.until("a watch of each", () -> fleet.discovery().watching() == BALANCERS);
+    Await.until("a watch of each", () -> fleet.discovery().watchingBalancers() == BALANCERS);
   }
 
   private static void end(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
     for (OpenLoop load : loads) {
       load.stop();
     }
-    List<RoutingRecord.LateSend> late = fleet.lateSends();
+    List<RoutingHistory.LateRequest> late = fleet.lateRequests();
     assertEquals(0, late.size(), () -> "sent to a server that drains, first " + late.get(0));
     assertEquals(0, fleet.ledger().lost(), "without an answer");
     assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
@@ -66,13 +66,13 @@
     try (PlatformFleet fleet = fleet(71)) {
       List<OpenLoop> loads = loads(fleet);
       awaitAllAsked(fleet);
-      fleet.discovery().turnAway(true);
-      for (PlatformProcess balancer : fleet.balancers()) {
+      fleet.discovery().setRejecting(true);
+      for (PlatformBalancer balancer : fleet.balancers()) {
         fleet.reconfigure(balancer);
       }
       fleet.drain("s-1");
       Thread.sleep(PAST_GRACE_MILLIS);
-      fleet.discovery().turnAway(false);
+      fleet.discovery().setRejecting(false);
       awaitAllAsked(fleet);
       long before = served(loads);
       Await.until("requests served again", () -> served(loads) > before + 60);
@@ -86,11 +86,11 @@
     try (PlatformFleet fleet = fleet(72)) {
       List<OpenLoop> loads = loads(fleet);
       awaitAllAsked(fleet);
-      fleet.discovery().turnAway(true);
+      fleet.discovery().setRejecting(true);
       fleet.discovery().resetWatches();
       fleet.drain("s-2");
       Thread.sleep(PAST_GRACE_MILLIS);
-      fleet.discovery().turnAway(false);
+      fleet.discovery().setRejecting(false);
       end(fleet, loads);
     }
   }
@@ -101,11 +101,11 @@
     try (PlatformFleet fleet = fleet(73)) {
       List<OpenLoop> loads = loads(fleet);
       awaitAllAsked(fleet);
-      fleet.discovery().down(true);
+      fleet.discovery().setDown(true);
       Thread.sleep(PAST_GRACE_MILLIS);
       long before = served(loads);
       Await.until("requests served", () -> served(loads) > before + 60);
-      fleet.discovery().down(false);
+      fleet.discovery().setDown(false);
       fleet.drain("s-3");
       awaitAllAsked(fleet);
       end(fleet, loads);
--- a/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
+++ b/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
@@ -16,39 +16,39 @@
 @Timeout(90)
 class ReloadSeriesTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
-  private static final Terms TERMS = new Terms(1000, 2000, 512, false);
+  private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final long HELD_UP_MILLIS = 400;
   private static final long BETWEEN_MILLIS = 50;
 
-  private final SystemFaults system = new SystemFaults();
+  private final SystemFaultInjector injector = new SystemFaultInjector();
 
   ReloadSeriesTest() throws Exception {}
 
   @AfterEach
   void close() throws Exception {
-    system.close();
+    injector.close();
   }
 
-  private PlatformProcess start(PlatformFleet fleet) throws Exception {
+  private PlatformBalancer start(PlatformFleet fleet) throws Exception {
     fleet.addServer(false);
-    PlatformProcess balancer = fleet.add();
-    balancer.environment(system.environment());
-    fleet.restart(balancer);
-    Await.until("a watch", () -> fleet.discovery().watching() == 1);
+    PlatformBalancer balancer = fleet.addBalancer();
+    balancer.environment(injector.environment());
+    fleet.start(balancer);
+    Await.until("a watch", () -> fleet.discovery().watchingBalancers() == 1);
     return balancer;
   }
 
   /** Only at the newest address somebody listens: a watch tells that it is in force. */
   private static void awaitNewest(PlatformFleet fleet) throws Exception {
     Thread.sleep(2 * HELD_UP_MILLIS);
-    Await.until("a watch at the newest address", () -> fleet.discovery().watching() == 1);
+    Await.until("a watch at the newest address", () -> fleet.discovery().watchingBalancers() == 1);
   }
 
   @Test
   void aReloadThatIsHeldUpDoesNotUndoTheNextOne() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(95, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      system.holdConfigurationRead(HELD_UP_MILLIS);
+    try (PlatformFleet fleet = new PlatformFleet(95, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      injector.delayConfigurationRead(HELD_UP_MILLIS);
       fleet.reconfigure(balancer);
       Thread.sleep(BETWEEN_MILLIS);
       fleet.reconfigure(balancer);
@@ -59,21 +59,29 @@
   /** A process that is started anew has no configuration of before to go on with. */
   @Test
   void aProcessStartsThoughItsFileCannotBeReadAtFirst() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(97, TERMS, SHAPE)) {
-      system.fail(SystemFaults.Call.READ_CONFIGURATION, SystemFaults.Errno.EIO, 3);
+    try (PlatformFleet fleet = new PlatformFleet(97, SETTINGS, SHAPE)) {
+      injector.fail(
+          SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
       start(fleet);
-      assertEquals(0, system.left(SystemFaults.Call.READ_CONFIGURATION), "all have failed");
+      assertEquals(
+          0,
+          injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
+          "all have failed");
     }
   }
 
   @Test
   void aFileThatCouldNotBeReadIsReadAgain() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(96, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      system.fail(SystemFaults.Call.READ_CONFIGURATION, SystemFaults.Errno.EIO, 3);
+    try (PlatformFleet fleet = new PlatformFleet(96, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      injector.fail(
+          SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
       fleet.reconfigure(balancer);
       awaitNewest(fleet);
-      assertEquals(0, system.left(SystemFaults.Call.READ_CONFIGURATION), "all have failed");
+      assertEquals(
+          0,
+          injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
+          "all have failed");
     }
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/SoakTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SoakTest.java
@@ -17,9 +17,9 @@
   private static final int ROUNDS = 2;
   private static final int SIDE_BY_SIDE = 2;
 
-  private static Soak.Result play(long seed) {
+  private static SoakRun.Result run(long seed) {
     try {
-      return Soak.play(seed);
+      return SoakRun.run(seed);
     } catch (Exception e) {
       throw new AssertionError("seed " + seed, e);
     }
@@ -29,13 +29,13 @@
   void noRuleIsBrokenUnderDrawnFaults() throws Exception {
     for (int round = 0; round < ROUNDS; round++) {
       long first = FIRST_SEED + (long) round * SIDE_BY_SIDE;
-      List<CompletableFuture<Soak.Result>> side =
+      List<CompletableFuture<SoakRun.Result>> side =
           LongStream.range(first, first + SIDE_BY_SIDE)
-              .mapToObj(seed -> CompletableFuture.supplyAsync(() -> play(seed)))
+              .mapToObj(seed -> CompletableFuture.supplyAsync(() -> run(seed)))
               .toList();
-      for (CompletableFuture<Soak.Result> each : side) {
-        Soak.Result result = each.get(120, TimeUnit.SECONDS);
-        assertEquals(List.of(), result.breaks(), () -> result.seed() + ": " + result.faults());
+      for (CompletableFuture<SoakRun.Result> each : side) {
+        SoakRun.Result result = each.get(120, TimeUnit.SECONDS);
+        assertEquals(List.of(), result.violations(), () -> result.seed() + ": " + result.faults());
         assertTrue(result.counts().served() > 0, "some were served");
       }
     }
--- a/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
@@ -24,30 +24,30 @@
 @Timeout(120)
 class SystemFaultsTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
-  private static final Terms TERMS = new Terms(1000, 2000, 512, false);
+  private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final int FAILURES = 4;
 
-  private final SystemFaults system = new SystemFaults();
+  private final SystemFaultInjector injector = new SystemFaultInjector();
 
   SystemFaultsTest() throws Exception {}
 
   @AfterEach
   void close() throws IOException {
-    system.close();
+    injector.close();
   }
 
-  private PlatformProcess start(PlatformFleet fleet) throws Exception {
+  private PlatformBalancer start(PlatformFleet fleet) throws Exception {
     for (int i = 0; i < 3; i++) {
       fleet.addServer(false);
     }
-    PlatformProcess balancer = fleet.add();
-    balancer.environment(system.environment());
-    fleet.restart(balancer);
+    PlatformBalancer balancer = fleet.addBalancer();
+    balancer.environment(injector.environment());
+    fleet.start(balancer);
     return balancer;
   }
 
   /** One request on a connection of its own: the status line, and how long it took. */
-  private static long ask(PlatformProcess balancer, int number) throws IOException {
+  private static long ask(PlatformBalancer balancer, int number) throws IOException {
     long began = System.nanoTime();
     try (Socket socket = new Socket()) {
       socket.connect(balancer.listen(), 1000);
@@ -67,16 +67,16 @@
   /** A listener that leaves off for a second answers nobody in time whose deadline is short. */
   @ParameterizedTest
   @EnumSource(names = {"ENFILE", "ENOBUFS", "ECONNABORTED"})
-  void acceptsThatFailHoldNobodyUp(SystemFaults.Errno errno) throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(81, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
+  void acceptsThatFailHoldNobodyUp(SystemFaultInjector.Errno errno) throws Exception {
+    try (PlatformFleet fleet = new PlatformFleet(81, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
       ask(balancer, 0);
-      system.fail(SystemFaults.Call.ACCEPT, errno, FAILURES);
+      injector.fail(SystemFaultInjector.SystemCall.ACCEPT, errno, FAILURES);
       long slowest = 0;
       for (int i = 1; i <= 20; i++) {
         slowest = Math.max(slowest, ask(balancer, i));
       }
-      assertEquals(0, system.left(SystemFaults.Call.ACCEPT), "all have failed");
+      assertEquals(0, injector.remaining(SystemFaultInjector.SystemCall.ACCEPT), "all have failed");
       assertTrue(slowest < 500, "slowest " + slowest + " ms");
     }
   }
@@ -84,12 +84,12 @@
   /** The next attempt goes to a server to which a connection can be made. */
   @ParameterizedTest
   @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH"})
-  void aConnectThatFailsIsTriedElsewhere(SystemFaults.Errno errno) throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(82, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      system.fail(SystemFaults.Call.CONNECT, errno, 1);
+  void aConnectThatFailsIsTriedElsewhere(SystemFaultInjector.Errno errno) throws Exception {
+    try (PlatformFleet fleet = new PlatformFleet(82, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      injector.fail(SystemFaultInjector.SystemCall.CONNECT, errno, 1);
       ask(balancer, 0);
-      system.fail(SystemFaults.Call.SOCKET, SystemFaults.Errno.ENFILE, 1);
+      injector.fail(SystemFaultInjector.SystemCall.SOCKET, SystemFaultInjector.Errno.ENFILE, 1);
       for (int i = 1; i <= 5; i++) {
         ask(balancer, i);
       }
@@ -100,14 +100,15 @@
   /** What fails may be the call for the list: another one follows. */
   @Test
   void aCallForTheListWhoseSocketCannotBeMadeIsRepeated() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(85, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      Await.until("a watch", () -> fleet.discovery().watching() == 1);
-      system.fail(SystemFaults.Call.SOCKET, SystemFaults.Errno.ENOBUFS, 2);
+    try (PlatformFleet fleet = new PlatformFleet(85, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      Await.until("a watch", () -> fleet.discovery().watchingBalancers() == 1);
+      injector.fail(SystemFaultInjector.SystemCall.SOCKET, SystemFaultInjector.Errno.ENOBUFS, 2);
       fleet.discovery().resetWatches();
-      Await.until("two failures", () -> system.left(SystemFaults.Call.SOCKET) == 0);
+      Await.until(
+          "two failures", () -> injector.remaining(SystemFaultInjector.SystemCall.SOCKET) == 0);
       long failed = System.nanoTime();
-      Await.until("a new watch", () -> fleet.discovery().watching() == 1);
+      Await.until("a new watch", () -> fleet.discovery().watchingBalancers() == 1);
       long tookMillis = (System.nanoTime() - failed) / 1_000_000;
       assertTrue(balancer.alive() && tookMillis < 3500, "after " + tookMillis + " ms");
     }
@@ -117,20 +118,20 @@
   @ParameterizedTest
   @ValueSource(longs = {-3_600_000, 3_600_000})
   void aWallClockThatIsSteppedChangesNothing(long offMillis) throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(83, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      SteadyLoad load = fleet.steadyLoad(balancer, 40);
-      Await.until("a watch", () -> fleet.discovery().watching() == 1);
-      system.setWallClock(offMillis);
+    try (PlatformFleet fleet = new PlatformFleet(83, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      KeepAliveLoad load = fleet.startKeepAliveLoad(balancer, 40);
+      Await.until("a watch", () -> fleet.discovery().watchingBalancers() == 1);
+      injector.setWallClockOffset(offMillis);
       fleet.drain("s-1");
       fleet.discovery().resetWatches();
-      Await.until("a new watch", () -> fleet.discovery().watching() == 1);
+      Await.until("a new watch", () -> fleet.discovery().watchingBalancers() == 1);
       fleet.drain("s-2");
       Await.until("requests", () -> load.counts().served() > 200);
       load.stop();
       Await.until("all ended", load::settled);
       assertEquals(0, load.lost().size());
-      assertEquals(0, fleet.lateSends().size());
+      assertEquals(0, fleet.lateRequests().size());
       assertEquals(0, load.counts().failed() + load.counts().refused());
       balancer.signal("TERM");
       assertEquals(0, balancer.awaitEnd(5000));
@@ -139,7 +140,7 @@
   }
 
   /** Whether the log shows that the process saw the step. */
-  private static boolean steppedIn(PlatformProcess balancer, long offMillis) throws IOException {
+  private static boolean steppedIn(PlatformBalancer balancer, long offMillis) throws IOException {
     List<String> lines = Files.readAllLines(balancer.log());
     String last = lines.get(lines.size() - 1);
     long seen = Instant.parse(last.substring(0, last.indexOf(' '))).toEpochMilli();
@@ -149,16 +150,16 @@
   /** A process that starts while its clock is off takes a server that is just starting for cold. */
   @Test
   void aColdServerIsSparedByOneWhoseClockIsAnHourAhead() throws Exception {
-    system.setWallClock(3_600_000);
-    try (PlatformFleet fleet = new PlatformFleet(84, TERMS, SHAPE)) {
+    injector.setWallClockOffset(3_600_000);
+    try (PlatformFleet fleet = new PlatformFleet(84, SETTINGS, SHAPE)) {
       for (int i = 0; i < 5; i++) {
         fleet.addServer(false);
       }
       String cold = fleet.addServer(true);
-      PlatformProcess balancer = fleet.add();
-      balancer.environment(system.environment());
-      fleet.restart(balancer);
-      SteadyLoad load = fleet.steadyLoad(balancer, 60);
+      PlatformBalancer balancer = fleet.addBalancer();
+      balancer.environment(injector.environment());
+      fleet.start(balancer);
+      KeepAliveLoad load = fleet.startKeepAliveLoad(balancer, 60);
       Await.until("requests", () -> load.counts().served() > 150);
       load.stop();
       long sent = fleet.server(cold).received();
--- a/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
@@ -20,7 +20,7 @@
 @Timeout(120)
 class UnreachableDiscoveryTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(20));
-  private static final Terms TERMS = new Terms(1000, 2000, 512, false);
+  private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final int BALANCERS = 3;
   private static final int SERVERS = 6;
   private static final double PER_SECOND = 30;
@@ -29,16 +29,16 @@
   private static final long UNREACHABLE_MILLIS = 14_000;
 
   private static PlatformFleet fleet(int seed) throws Exception {
-    PlatformFleet fleet = new PlatformFleet(seed, TERMS, SHAPE);
+    PlatformFleet fleet = new PlatformFleet(seed, SETTINGS, SHAPE);
     for (int i = 0; i < SERVERS; i++) {
       fleet.addServer(false);
     }
-    return fleet.start(BALANCERS);
+    return fleet.startBalancers(BALANCERS);
   }
 
   private static List<OpenLoop> loads(PlatformFleet fleet) {
     List<OpenLoop> loads = new ArrayList<>();
-    fleet.balancers().forEach(balancer -> loads.add(fleet.load(balancer, PER_SECOND)));
+    fleet.balancers().forEach(balancer -> loads.add(fleet.startLoad(balancer, PER_SECOND)));
     return loads;
   }
 
@@ -50,16 +50,16 @@
     for (OpenLoop load : loads) {
       load.stop();
     }
-    List<RoutingRecord.LateSend> late = fleet.lateSends();
+    List<RoutingHistory.LateRequest> late = fleet.lateRequests();
     assertEquals(0, late.size(), () -> "sent to a server that drains, first " + late.get(0));
     assertEquals(0, fleet.ledger().lost(), "without an answer");
     assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
   }
 
   private static void drainTwo(PlatformFleet fleet) throws Exception {
-    fleet.drainAndTurnAway("s-1");
+    fleet.drainAndReject("s-1");
     Thread.sleep(500);
-    fleet.drainAndTurnAway("s-2");
+    fleet.drainAndReject("s-2");
   }
 
   /** As n0 of the evidence: two configurations, then all calls are refused, then servers drain. */
@@ -67,20 +67,21 @@
   void nothingIsSentToDrainingServersWhereEachCallIsRefusedAfterAMove() throws Exception {
     try (PlatformFleet fleet = fleet(91)) {
       List<OpenLoop> loads = loads(fleet);
-      Await.until("a watch of each", () -> fleet.discovery().watching() == BALANCERS);
-      PlatformProcess cutOff = fleet.balancers().get(0);
+      Await.until("a watch of each", () -> fleet.discovery().watchingBalancers() == BALANCERS);
+      PlatformBalancer cutOff = fleet.balancers().get(0);
       fleet.reconfigure(cutOff);
       Thread.sleep(100);
       fleet.reconfigure(cutOff);
-      fleet.discovery().refuse(cutOff.name(), true);
+      fleet.discovery().setRefusing(cutOff.name(), true);
       drainTwo(fleet);
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long before = served(loads.get(0));
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long later = served(loads.get(0)) - before;
       assertTrue(later > PER_SECOND * UNREACHABLE_MILLIS / 2000 / 2, "served on: " + later);
-      fleet.discovery().refuse(cutOff.name(), false);
-      Await.until("a watch of each again", () -> fleet.discovery().watching() == BALANCERS);
+      fleet.discovery().setRefusing(cutOff.name(), false);
+      Await.until(
+          "a watch of each again", () -> fleet.discovery().watchingBalancers() == BALANCERS);
       end(fleet, loads);
     }
   }
