--- a/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
@@ -287,7 +287,8 @@
    */
   private void onNonGrpcAnswer(Http2Headers head, String why) {
     CharSequence code = head.status();
-    Status status = Status.fromHttpStatus(code == null || code.length() != 3 ? 0 : parseStatusCode(code));
+    Status status =
+        Status.fromHttpStatus(code == null || code.length() != 3 ? 0 : parseStatusCode(code));
     boolean notRun = headers == null && head.contains(GrpcHeaders.NOT_RUN);
     String server = upstream().name;
     Log.warn("foreign gRPC answer", server + ": " + why, "server", server, "reason", why);
