--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -30,236 +30,255 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Instances of the program before stand-in servers, with every way between instances a relay. */
+/**
+ * Several balancer processes in front of stand-in servers. All traffic between the balancers passes
+ * through fault-injecting proxies.
+ */
 public final class Fleet implements AutoCloseable {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-  private static final List<String> FLAGS =
+  private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress("127.0.0.1", 0);
+  private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx160m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
-  private static final List<Kind> KINDS =
+  private static final List<Kind> REQUEST_KINDS =
       List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
 
-  private final NioEventLoopGroup servers = new NioEventLoopGroup(2);
-  private final NioEventLoopGroup between = new NioEventLoopGroup(2);
-  private final NioEventLoopGroup clients = new NioEventLoopGroup(2);
+  private final NioEventLoopGroup serverLoops = new NioEventLoopGroup(2);
+  private final NioEventLoopGroup proxyLoops = new NioEventLoopGroup(2);
+  private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(2);
   private final History history = new History();
   private final Ledger ledger = new Ledger();
-  private final List<StandIn> standIns = new ArrayList<>();
+  private final List<StandIn> servers = new ArrayList<>();
   private final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final Map<String, Integer> cells = new HashMap<>();
+  private final Map<String, Integer> cellByServer = new HashMap<>();
   private long seed;
-  private boolean relayed;
-  private String keys;
-  private String subset;
-  private int first = Integer.MAX_VALUE;
-  private Deed beforeStart = node -> {};
+  private boolean proxiesServers;
+  private String gossipKeys;
+  private String subsetConfig;
+  private int initialCount = Integer.MAX_VALUE;
+  private NodeAction firstStartAction = node -> {};
 
-  /** An empty one; the seed draws delays and loads. */
+  /**
+   * Creates a fleet without servers and instances.
+   *
+   * @param seed seed of the random delays and loads
+   */
   public Fleet(long seed) {
     this.seed = seed;
   }
 
-  /** Has something done to each instance before its first start. */
-  public Fleet before(Deed deed) {
-    beforeStart = deed;
+  /** Sets an action that is run on each instance before its first start. */
+  public Fleet beforeFirstStart(NodeAction action) {
+    firstStartAction = action;
     return this;
   }
 
-  /** Adds servers of a kind, each in a cell of its own. */
+  /** Starts stand-in servers of one kind, each in a cell of its own. */
   public Fleet servers(int count, String kind, Shape shape) throws InterruptedException {
     for (int i = 0; i < count; i++) {
       String name = kind + '-' + (i + 1);
-      StandIn server = new StandIn(servers.next(), name, shape, seed++, history);
-      standIns.add(server.onRun(ledger::ran).start(ANY));
-      cells.put(name, standIns.size());
+      StandIn server = new StandIn(serverLoops.next(), name, shape, seed++, history);
+      servers.add(server.onRun(ledger::ran).start(ANY_LOOPBACK_PORT));
+      cellByServer.put(name, servers.size());
     }
     return this;
   }
 
   /**
-   * Leads the ways between instances and servers through relays, too: each instance knows a server
-   * by an address of its own.
+   * Also puts a proxy between each instance and each server, so that each instance has its own
+   * address for a server.
    */
-  public Fleet relayed() {
-    relayed = true;
+  public Fleet withServerProxies() {
+    proxiesServers = true;
     return this;
   }
 
   /**
-   * Has the instances know each other by gossip, each way between two of them a relay for
-   * datagrams; the first two are the seeds.
+   * Enables gossip between the instances, with a datagram proxy for each direction between two of
+   * them. The first two instances are the seeds.
    *
-   * @param text of the file of keys that each of them has
+   * @param keyFileText contents of the key file of each instance
    */
-  public Fleet gossiping(String text) {
-    keys = text;
+  public Fleet withGossip(String keyFileText) {
+    gossipKeys = keyFileText;
     return this;
   }
 
   /**
-   * Has the instances use a part of the servers each.
+   * Makes each instance use a subset of the servers.
    *
-   * @param lines of the table [subset]
+   * @param configLines lines of the configuration table {@code [subset]}
    */
-  public Fleet subsetting(String lines) {
-    subset = lines;
+  public Fleet withSubsetting(String configLines) {
+    subsetConfig = configLines;
     return this;
   }
 
-  /** Has only so many instances started at first; the others when {@link #rise} is called. */
-  public Fleet first(int count) {
-    first = count;
+  /**
+   * Limits how many instances {@link #start} starts; the others are started by {@link #startNodes}.
+   */
+  public Fleet startInitially(int count) {
+    initialCount = count;
     return this;
   }
 
-  /** Starts instances that settle no orders and returns when all of them serve. */
+  /** Starts instances without maintenance orders and returns when all accept connections. */
   public Fleet start(int count) throws Exception {
     return start(count, 0, null);
   }
 
   /**
-   * Starts instances and returns when all of them serve.
+   * Starts instances and returns when all accept connections.
    *
-   * @param voters how many of them vote, from the first on
-   * @param terms null for instances that settle no orders
+   * @param voters number of instances that vote, counted from the first
+   * @param maintenance null for instances without maintenance orders
    */
-  public Fleet start(int count, int voters, Terms terms) throws Exception {
-    List<InetSocketAddress> agreements = new ArrayList<>();
+  public Fleet start(int count, int voters, MaintenanceSettings maintenance) throws Exception {
+    List<InetSocketAddress> consensusAddresses = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      agreements.add(BalancerProcess.freeAddress());
+      consensusAddresses.add(BalancerProcess.freeAddress());
     }
     for (int i = 0; i < count; i++) {
-      Map<String, DelayLine> ways = new LinkedHashMap<>();
+      Map<String, DelayLine> peerProxies = new LinkedHashMap<>();
       for (int j = 0; j < count; j++) {
         if (j != i) {
-          ways.put(name(j), new DelayLine(between.next(), agreements.get(j), 0, 0, seed++).start());
+          peerProxies.put(
+              instanceName(j),
+              new DelayLine(proxyLoops.next(), consensusAddresses.get(j), 0, 0, seed++).start());
         }
       }
       Node node =
           new Node(
-              name(i),
+              instanceName(i),
               BalancerProcess.freeAddress(),
               BalancerProcess.freeAddress(),
-              agreements.get(i),
+              consensusAddresses.get(i),
               new Workplace("fleet"),
-              ways,
-              FLAGS);
+              peerProxies,
+              JVM_FLAGS);
       nodes.put(node.name, node);
-      for (StandIn server : relayed ? standIns : List.<StandIn>of()) {
-        DelayLine way = new DelayLine(between.next(), server.address(), 0, 0, seed++).start();
-        node.toServers.put(server.name(), way);
+      for (StandIn server : proxiesServers ? servers : List.<StandIn>of()) {
+        DelayLine proxy = new DelayLine(proxyLoops.next(), server.address(), 0, 0, seed++).start();
+        node.serverProxies.put(server.name(), proxy);
       }
-      list(node, standIns);
-      node.gossip = keys == null ? null : BalancerProcess.freeAddress();
+      writeServerList(node, servers);
+      node.gossipAddress = gossipKeys == null ? null : BalancerProcess.freeAddress();
     }
     for (Node node : nodes.values()) {
-      if (keys != null) {
+      if (gossipKeys != null) {
         for (Node other : nodes.values()) {
           if (other != node) {
-            node.datagrams.put(
-                other.name, new DatagramLine(between.next(), other.gossip, seed++).start());
+            node.datagramProxies.put(
+                other.name,
+                new DatagramLine(proxyLoops.next(), other.gossipAddress, seed++).start());
           }
         }
-        Files.writeString(node.keys(), keys);
+        Files.writeString(node.gossipKeyFile(), gossipKeys);
       }
-      configure(node, voters, terms);
-      if (terms != null) {
+      configure(node, voters, maintenance);
+      if (maintenance != null) {
         VoterFolder.create(StandaloneConfig.read(node.config).config().maintenance());
       }
     }
     for (Node node : nodes.values()) {
-      beforeStart.to(node);
+      firstStartAction.apply(node);
     }
-    rise(nodes().subList(0, Math.min(first, count)));
+    startNodes(nodes().subList(0, Math.min(initialCount, count)));
     return this;
   }
 
-  /** Starts some of them and returns when all of these serve. */
-  public void rise(List<Node> some) throws Exception {
-    each(some, Node::start);
-    for (Node node : some) {
-      while (!node.serves()) {
-        if (!node.alive()) {
-          throw new IOException(node.name + " has ended:\n" + Files.readString(node.log()));
+  /** Starts the given instances and returns when all of them accept connections. */
+  public void startNodes(List<Node> selected) throws Exception {
+    forEachNode(selected, Node::start);
+    for (Node node : selected) {
+      while (!node.acceptsConnections()) {
+        if (!node.isAlive()) {
+          throw new IOException(node.name + " exited:\n" + Files.readString(node.logFile()));
         }
         Thread.sleep(20);
       }
     }
   }
 
-  private static String name(int index) {
+  private static String instanceName(int index) {
     return "edge-" + (index + 1);
   }
 
-  /** A server as an instance's list names it. */
-  public ListedServer line(Node node, StandIn server) {
+  /** Returns the entry of a server in an instance's server list. */
+  public ListedServer listEntry(Node node, StandIn server) {
     String kind = server.name().substring(0, server.name().lastIndexOf('-'));
-    ListedServer line = Workplace.listed(server, "a", kind, 1);
-    DelayLine way = node.way(server);
-    String address = way == null ? line.endpoint() : "127.0.0.1:" + way.address().getPort();
-    long cell = cells.get(server.name());
-    return new ListedServer(line.id(), address, line.zone(), kind, cell, 1, true);
+    ListedServer entry = Workplace.listed(server, "a", kind, 1);
+    DelayLine proxy = node.serverProxy(server);
+    String address = proxy == null ? entry.endpoint() : "127.0.0.1:" + proxy.address().getPort();
+    long cell = cellByServer.get(server.name());
+    return new ListedServer(entry.id(), address, entry.zone(), kind, cell, 1, true);
   }
 
-  /** Writes an instance's list of servers, as a whole. */
-  public void list(Node node, List<StandIn> listed) throws IOException {
-    listLines(node, listed.stream().map(server -> line(node, server)).toList());
+  /** Replaces an instance's server list atomically. */
+  public void writeServerList(Node node, List<StandIn> listedServers) throws IOException {
+    writeListEntries(node, listedServers.stream().map(server -> listEntry(node, server)).toList());
   }
 
-  /** Likewise of lines that need not stand for servers of the rig. */
-  public void listLines(Node node, List<ListedServer> lines) throws IOException {
+  /**
+   * Replaces an instance's server list atomically with entries that need not belong to stand-in
+   * servers.
+   */
+  public void writeListEntries(Node node, List<ListedServer> entries) throws IOException {
     Path next = node.workplace.folder().resolve("next");
-    Files.writeString(next, Workplace.text(lines));
+    Files.writeString(next, Workplace.text(entries));
     Files.move(next, node.workplace.members(), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Writes an instance's configuration; it is read at its next start. */
-  public void configure(Node node, int voters, Terms terms) throws IOException {
+  /** Writes an instance's configuration, which it reads at its next start. */
+  public void configure(Node node, int voters, MaintenanceSettings maintenance) throws IOException {
     String members = "most_removed = 1.0\ndrain = \"2s\"";
     node.config = node.workplace.configure(node.listen, node.admin, 1024, members);
     StringBuilder table = new StringBuilder();
     table.append("[log]\nformat = \"json\"\n");
-    if (keys != null) {
-      peers(node, table);
+    if (gossipKeys != null) {
+      appendPeersTable(node, table);
     }
-    if (subset != null) {
-      table.append("[subset]\n").append(subset).append('\n');
+    if (subsetConfig != null) {
+      table.append("[subset]\n").append(subsetConfig).append('\n');
     }
-    if (terms != null) {
-      work(node, voters, terms, table);
+    if (maintenance != null) {
+      appendWorkTable(node, voters, maintenance, table);
     }
     Files.writeString(node.config, table, StandardOpenOption.APPEND);
   }
 
-  private void peers(Node node, StringBuilder table) {
-    List<String> seeds = nodes.values().stream().limit(2).map(each -> quoted(each.gossip)).toList();
+  private void appendPeersTable(Node node, StringBuilder table) {
+    List<String> seeds =
+        nodes.values().stream().limit(2).map(peer -> quoted(peer.gossipAddress)).toList();
     table.append("[peers]\ninstance = \"").append(node.name).append("\"\nlisten = ");
-    table.append(quoted(node.gossip)).append("\nseeds = ").append(seeds);
+    table.append(quoted(node.gossipAddress)).append("\nseeds = ").append(seeds);
     table.append("\nkeys = \"peers.keys\"\nperiod = \"300ms\"\nanswer = \"100ms\"\n");
     for (Node other : nodes.values()) {
       if (other != node) {
-        table.append("[[peers.way]]\nto = ").append(quoted(other.gossip));
-        table.append("\nby = ").append(quoted(node.datagrams.get(other.name).address()));
+        table.append("[[peers.way]]\nto = ").append(quoted(other.gossipAddress));
+        table.append("\nby = ").append(quoted(node.datagramProxies.get(other.name).address()));
         table.append('\n');
       }
     }
   }
 
-  private void work(Node node, int voters, Terms terms, StringBuilder table) {
+  private void appendWorkTable(
+      Node node, int voters, MaintenanceSettings maintenance, StringBuilder table) {
     table.append("[work]\ninstance = \"").append(node.name).append("\"\nfolder = \"work\"\n");
-    table.append("listen = ").append(quoted(node.agreement));
-    table.append("\nwhen_cut_off = \"").append(terms.stops() ? "stop" : "serve");
+    table.append("listen = ").append(quoted(node.consensusAddress));
+    table.append("\nwhen_cut_off = \"").append(maintenance.stopsWhenCutOff() ? "stop" : "serve");
     table.append("\"\nstopping = \"300ms\"\n[work.rules]\n");
-    table.append("version = ").append(terms.version());
-    table.append("\nlease = \"").append(terms.leaseMillis()).append("ms\"\n");
-    table.append("margin = \"").append(terms.marginMillis()).append("ms\"\n");
-    table.append("most_out = ").append(terms.mostOut()).append("\nmost_out_in_cell = 1\n");
-    table.append(terms.text());
-    int at = 0;
-    for (int i = 0; i <= node.ways.size(); i++) {
+    table.append("version = ").append(maintenance.version());
+    table.append("\nlease = \"").append(maintenance.leaseMillis()).append("ms\"\n");
+    table.append("margin = \"").append(maintenance.marginMillis()).append("ms\"\n");
+    table.append("most_out = ").append(maintenance.mostOut()).append("\nmost_out_in_cell = 1\n");
+    table.append(maintenance.extraLines());
+    int index = 0;
+    for (int i = 0; i <= node.peerProxies.size(); i++) {
       InetSocketAddress address =
-          name(i).equals(node.name) ? node.agreement : node.ways.get(name(i)).address();
-      table.append("[[work.peer]]\nname = \"").append(name(i)).append("\"\naddress = ");
-      table.append(quoted(address)).append("\nvotes = ").append(at++ < voters).append('\n');
+          instanceName(i).equals(node.name)
+              ? node.consensusAddress
+              : node.peerProxies.get(instanceName(i)).address();
+      table.append("[[work.peer]]\nname = \"").append(instanceName(i)).append("\"\naddress = ");
+      table.append(quoted(address)).append("\nvotes = ").append(index++ < voters).append('\n');
     }
   }
 
@@ -267,38 +286,38 @@
     return "\"127.0.0.1:" + address.getPort() + '"';
   }
 
-  /** What is done to a node. */
-  public interface Deed {
-    void to(Node node) throws Exception;
+  /** An action on one instance. */
+  public interface NodeAction {
+    void apply(Node node) throws Exception;
   }
 
-  /** Does the same to all at once. */
-  public void all(Deed deed) throws Exception {
-    each(nodes(), deed);
+  /** Runs an action on all instances in parallel. */
+  public void forAllNodes(NodeAction action) throws Exception {
+    forEachNode(nodes(), action);
   }
 
-  /** Does the same to some of them at once. */
-  public void each(List<Node> some, Deed deed) throws Exception {
-    ExecutorService each = Executors.newFixedThreadPool(Math.max(1, some.size()));
+  /** Runs an action on the given instances in parallel. */
+  public void forEachNode(List<Node> selected, NodeAction action) throws Exception {
+    ExecutorService executor = Executors.newFixedThreadPool(Math.max(1, selected.size()));
     try {
-      List<Callable<Void>> deeds = new ArrayList<>();
-      for (Node node : some) {
-        deeds.add(
+      List<Callable<Void>> tasks = new ArrayList<>();
+      for (Node node : selected) {
+        tasks.add(
             () -> {
-              deed.to(node);
+              action.apply(node);
               return null;
             });
       }
-      for (Future<Void> done : each.invokeAll(deeds)) {
-        done.get();
+      for (Future<Void> result : executor.invokeAll(tasks)) {
+        result.get();
       }
     } finally {
-      each.shutdown();
+      executor.shutdown();
     }
   }
 
   public Node node(int number) {
-    return nodes.get(name(number - 1));
+    return nodes.get(instanceName(number - 1));
   }
 
   public List<Node> nodes() {
@@ -306,7 +325,7 @@
   }
 
   public List<StandIn> servers() {
-    return List.copyOf(standIns);
+    return List.copyOf(servers);
   }
 
   public History history() {
@@ -317,35 +336,40 @@
     return ledger;
   }
 
-  /** Breaks every way between two sides, both ways, until they are mended. */
-  public void split(List<Node> one, List<Node> other, boolean broken) {
+  /** Breaks all connections between two groups in both directions, or allows them again. */
+  public void setPartitioned(List<Node> one, List<Node> other, boolean partitioned) {
     for (Node from : one) {
       for (Node to : other) {
-        from.ways.get(to.name).cut(broken);
-        to.ways.get(from.name).cut(broken);
-        if (keys != null) {
-          from.datagrams.get(to.name).mute(broken, broken);
-          to.datagrams.get(from.name).mute(broken, broken);
+        from.peerProxies.get(to.name).cut(partitioned);
+        to.peerProxies.get(from.name).cut(partitioned);
+        if (gossipKeys != null) {
+          from.datagramProxies.get(to.name).mute(partitioned, partitioned);
+          to.datagramProxies.get(from.name).mute(partitioned, partitioned);
         }
       }
     }
   }
 
-  /** Connections stay open and nothing comes through: of what a node says, of what it hears. */
-  public void mute(Node node, boolean says, boolean hears) {
-    node.ways.values().forEach(way -> way.mute(says, hears));
-    node.datagrams.values().forEach(way -> way.mute(says, hears));
+  /**
+   * Discards traffic of an instance while its connections stay open.
+   *
+   * @param outbound whether traffic that the instance sends is discarded
+   * @param inbound whether traffic to the instance is discarded
+   */
+  public void setMuted(Node node, boolean outbound, boolean inbound) {
+    node.peerProxies.values().forEach(proxy -> proxy.mute(outbound, inbound));
+    node.datagramProxies.values().forEach(proxy -> proxy.mute(outbound, inbound));
     for (Node other : nodes.values()) {
       if (other != node) {
-        other.ways.get(node.name).mute(hears, says);
-        if (keys != null) {
-          other.datagrams.get(node.name).mute(hears, says);
+        other.peerProxies.get(node.name).mute(inbound, outbound);
+        if (gossipKeys != null) {
+          other.datagramProxies.get(node.name).mute(inbound, outbound);
         }
       }
     }
   }
 
-  /** Whoever leads, as the first says that answers, or null. */
+  /** Returns the leader that the first responding instance reports, or null if there is none. */
   public Node leader() {
     for (Node node : nodes.values()) {
       try {
@@ -354,15 +378,16 @@
           return leader;
         }
       } catch (IOException e) {
-        // It does not answer; the next may.
+        // This instance does not answer; the next one may.
       }
     }
     return null;
   }
 
-  /** A load on one instance. */
-  public OpenLoop load(Node node, double perSecond) {
-    return new OpenLoop(clients.next(), node.listen, KINDS, perSecond, 3000, 200, seed++, ledger)
+  /** Starts an open-loop load on one instance. */
+  public OpenLoop startLoad(Node node, double perSecond) {
+    return new OpenLoop(
+            clientLoops.next(), node.listen, REQUEST_KINDS, perSecond, 3000, 200, seed++, ledger)
         .start();
   }
 
@@ -371,8 +396,8 @@
     for (Node node : nodes.values()) {
       node.close();
     }
-    standIns.forEach(StandIn::close);
-    for (NioEventLoopGroup group : List.of(servers, between, clients)) {
+    servers.forEach(StandIn::close);
+    for (NioEventLoopGroup group : List.of(serverLoops, proxyLoops, clientLoops)) {
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
   }
--- a/src/main/java/heathswitch/testbed/fleet/History.java
+++ b/src/main/java/heathswitch/testbed/fleet/History.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * What was seen, by one clock: calls as they began at servers, and for how long operators were told
- * that a machine is out. From any thread.
+ * A history on one clock of the calls that arrived at servers and of the periods in which operators
+ * were told that a machine is out. Thread-safe.
  */
 public final class History implements StandIn.Observer {
   private record Call(String server, String path, long nanos) {}
 
-  /** From when somebody was told that a machine is out until somebody said that it is done. */
-  private record Out(String server, long fromNanos, long[] untilNanos) {}
+  /** Time from the first report that a machine is out until its order was reported as done. */
+  private record OutPeriod(String server, long startNanos, long[] endNanos) {}
 
-  /** A call that began at a machine that was out. */
+  /** A call that arrived at a machine that was out. */
   public record Breach(String server, String path, double millisAfter) {}
 
   private final List<Call> calls = new ArrayList<>();
-  private final List<Out> outs = new ArrayList<>();
-  private final Map<String, Out> open = new HashMap<>();
+  private final List<OutPeriod> outPeriods = new ArrayList<>();
+  private final Map<String, OutPeriod> openPeriods = new HashMap<>();
   private final List<String> notes = new ArrayList<>();
-  private final long began = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   @Override
   public void arrived(StandIn server, String path, long unixMillis) {
@@ -34,67 +34,73 @@
     calls.add(new Call(server, path, nanos));
   }
 
-  /** Somebody has been told that a machine is out; told twice is told once. */
-  public synchronized void out(String server) {
-    open.computeIfAbsent(
+  /** Records that an operator was told that a machine is out. Repeated reports have no effect. */
+  public synchronized void recordOut(String server) {
+    openPeriods.computeIfAbsent(
         server,
-        any -> {
-          Out out = new Out(server, System.nanoTime(), new long[] {Long.MAX_VALUE});
-          outs.add(out);
-          return out;
+        key -> {
+          OutPeriod period = new OutPeriod(server, System.nanoTime(), new long[] {Long.MAX_VALUE});
+          outPeriods.add(period);
+          return period;
         });
   }
 
-  /** To be told before "done" is said: from then on calls may come. */
-  public synchronized void back(String server) {
-    Out out = open.remove(server);
-    if (out != null) {
-      out.untilNanos()[0] = System.nanoTime();
+  /**
+   * Ends the period in which a machine is out. Must be called before its order is reported as done,
+   * as calls may arrive from then on.
+   */
+  public synchronized void recordBack(String server) {
+    OutPeriod period = openPeriods.remove(server);
+    if (period != null) {
+      period.endNanos()[0] = System.nanoTime();
     }
   }
 
-  /** A fault or a step of the schedule. */
-  public synchronized void note(String text) {
-    notes.add(String.format("%8.3f s %s", (System.nanoTime() - began) / 1e9, text));
+  /** Adds a timestamped note about a fault or a step of the schedule. */
+  public synchronized void addNote(String text) {
+    notes.add(String.format("%8.3f s %s", (System.nanoTime() - startNanos) / 1e9, text));
   }
 
   public synchronized List<String> notes() {
     return List.copyOf(notes);
   }
 
-  /** How often machines went out. */
-  public synchronized int outs() {
-    return outs.size();
+  /** Returns the number of periods in which a machine was out. */
+  public synchronized int outCount() {
+    return outPeriods.size();
   }
 
-  /** How many machines were out at once at most, as operators were told. */
-  public synchronized int mostOut() {
+  /** Returns the highest number of machines that were reported out at the same time. */
+  public synchronized int maxConcurrentOut() {
     int most = 0;
-    for (Out out : outs) {
-      int at = 0;
-      for (Out other : outs) {
-        at +=
-            other.fromNanos() <= out.fromNanos() && out.fromNanos() < other.untilNanos()[0] ? 1 : 0;
+    for (OutPeriod period : outPeriods) {
+      int concurrent = 0;
+      for (OutPeriod other : outPeriods) {
+        concurrent +=
+            other.startNanos() <= period.startNanos() && period.startNanos() < other.endNanos()[0]
+                ? 1
+                : 0;
       }
-      most = Math.max(most, at);
+      most = Math.max(most, concurrent);
     }
     return most;
   }
 
-  public synchronized int calls() {
+  public synchronized int callCount() {
     return calls.size();
   }
 
-  /** All calls that began at a machine while it was out, by their ids. */
+  /** Returns all calls that arrived at a machine while it was out. */
   public synchronized List<Breach> breaches() {
-    Map<String, List<Out>> byServer = new HashMap<>();
-    outs.forEach(out -> byServer.computeIfAbsent(out.server(), any -> new ArrayList<>()).add(out));
+    Map<String, List<OutPeriod>> byServer = new HashMap<>();
+    outPeriods.forEach(
+        period -> byServer.computeIfAbsent(period.server(), key -> new ArrayList<>()).add(period));
     List<Breach> breaches = new ArrayList<>();
     for (Call call : calls) {
-      for (Out out : byServer.getOrDefault(call.server(), List.of())) {
-        if (call.nanos() > out.fromNanos() && call.nanos() < out.untilNanos()[0]) {
-          double after = (call.nanos() - out.fromNanos()) / 1e6;
-          breaches.add(new Breach(call.server(), call.path(), after));
+      for (OutPeriod period : byServer.getOrDefault(call.server(), List.of())) {
+        if (call.nanos() > period.startNanos() && call.nanos() < period.endNanos()[0]) {
+          double millisAfter = (call.nanos() - period.startNanos()) / 1e6;
+          breaches.add(new Breach(call.server(), call.path(), millisAfter));
         }
       }
     }
--- a/src/main/java/heathswitch/testbed/fleet/Node.java
+++ b/src/main/java/heathswitch/testbed/fleet/Node.java
@@ -18,51 +18,54 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** One instance of a fleet: a process that may be stopped, killed and started again. */
+/** One balancer instance of a fleet; its process can be paused, killed and restarted. */
 public final class Node {
   private static final int CONNECT_MILLIS = 1000;
 
-  /** Entries of the log's files begin here: a length of seven bits a byte, content, checksum. */
-  private static final int FIRST_ENTRY = 8;
+  /**
+   * Size of the header of a log segment. Each entry after it consists of a length in base-128
+   * encoding, the content and a checksum.
+   */
+  private static final int LOG_HEADER_BYTES = 8;
 
-  private static final int CHECKSUM = 4;
+  private static final int CHECKSUM_BYTES = 4;
 
-  /** For the lines of its log on a disk that is full for all else. */
-  private static final long ROOM = 32_768;
+  /** Space left for the lines of the process log when the disk is full for all other writes. */
+  private static final long PROCESS_LOG_HEADROOM_BYTES = 32_768;
 
-  /** An entry of 200 bytes, of which 38 were written. */
-  private static final byte[] TORN = new byte[40];
+  /** The beginning of a torn log entry: of its 200 bytes, 38 were written. */
+  private static final byte[] TORN_ENTRY = new byte[40];
 
   static {
-    Arrays.fill(TORN, (byte) 0x5a);
-    TORN[0] = (byte) 0xc8;
-    TORN[1] = 1;
+    Arrays.fill(TORN_ENTRY, (byte) 0x5a);
+    TORN_ENTRY[0] = (byte) 0xc8;
+    TORN_ENTRY[1] = 1;
   }
 
   final String name;
   final InetSocketAddress listen;
   final InetSocketAddress admin;
-  final InetSocketAddress agreement;
+  final InetSocketAddress consensusAddress;
   final Workplace workplace;
 
-  /** Its ways to the other instances, by their names. */
-  final Map<String, DelayLine> ways;
+  /** Proxies to the other instances, by instance name. */
+  final Map<String, DelayLine> peerProxies;
 
-  private final List<String> flags;
+  private final List<String> jvmFlags;
 
-  /** Its ways to servers, by their names; empty where it reaches them without a relay. */
-  final Map<String, DelayLine> toServers = new HashMap<>();
+  /** Proxies to servers, by server name; empty if the instance connects to them directly. */
+  final Map<String, DelayLine> serverProxies = new HashMap<>();
 
-  /** Where it takes the datagrams of peers; null where there is no gossip. */
-  InetSocketAddress gossip;
+  /** Address on which it receives gossip datagrams; null without gossip. */
+  InetSocketAddress gossipAddress;
 
-  /** Its ways for datagrams to the other instances, by their names. */
-  final Map<String, DatagramLine> datagrams = new HashMap<>();
+  /** Datagram proxies to the other instances, by instance name. */
+  final Map<String, DatagramLine> datagramProxies = new HashMap<>();
 
-  /** Of this instance's program alone. */
-  private List<String> ownFlags = List.of();
+  /** JVM flags of this instance only. */
+  private List<String> extraJvmFlags = List.of();
 
-  private String program = System.getProperty("java.class.path");
+  private String classPath = System.getProperty("java.class.path");
   Path config;
   private volatile BalancerProcess process;
   private volatile boolean paused;
@@ -71,24 +74,24 @@
       String name,
       InetSocketAddress listen,
       InetSocketAddress admin,
-      InetSocketAddress agreement,
+      InetSocketAddress consensusAddress,
       Workplace workplace,
-      Map<String, DelayLine> ways,
-      List<String> flags) {
+      Map<String, DelayLine> peerProxies,
+      List<String> jvmFlags) {
     this.name = name;
     this.listen = listen;
     this.admin = admin;
-    this.agreement = agreement;
+    this.consensusAddress = consensusAddress;
     this.workplace = workplace;
-    this.ways = ways;
-    this.flags = flags;
+    this.peerProxies = peerProxies;
+    this.jvmFlags = jvmFlags;
   }
 
   public String name() {
     return name;
   }
 
-  /** Where clients connect, whichever process it is. */
+  /** Returns the address for clients, which stays the same across restarts. */
   public InetSocketAddress listen() {
     return listen;
   }
@@ -97,54 +100,54 @@
     return config;
   }
 
-  /** Its list of servers. */
-  public Path members() {
+  /** Returns the path of its server list. */
+  public Path serverListFile() {
     return workplace.members();
   }
 
-  public Path log() {
+  public Path logFile() {
     return workplace.folder().resolve("log");
   }
 
-  /** Flags of its next process beside those that all have. */
-  public void flags(String... only) {
-    ownFlags = List.of(only);
+  /** Sets JVM flags of its next process in addition to those of all instances. */
+  public void setExtraJvmFlags(String... flags) {
+    extraJvmFlags = List.of(flags);
   }
 
-  /** The class path of its next process, that of another release for one. */
-  public void program(String classPath) {
-    program = classPath;
+  /** Sets the class path of its next process, for example that of another release. */
+  public void setClassPath(String classPath) {
+    this.classPath = classPath;
   }
 
-  /** Its way to a server, where there are relays between them. */
-  public DelayLine way(StandIn server) {
-    return toServers.get(server.name());
+  /** Returns its proxy to a server, or null if it connects to the server directly. */
+  public DelayLine serverProxy(StandIn server) {
+    return serverProxies.get(server.name());
   }
 
-  /** Its way for datagrams to another instance. */
-  public DatagramLine datagrams(Node to) {
-    return datagrams.get(to.name);
+  /** Returns its datagram proxy to another instance. */
+  public DatagramLine datagramProxy(Node to) {
+    return datagramProxies.get(to.name);
   }
 
-  /** Where it takes the datagrams of peers. */
-  public InetSocketAddress gossip() {
-    return gossip;
+  /** Returns the address on which it receives gossip datagrams. */
+  public InetSocketAddress gossipAddress() {
+    return gossipAddress;
   }
 
-  /** The file of keys that its datagrams are sealed by. */
-  public Path keys() {
+  /** Returns the path of the file with the keys that authenticate its datagrams. */
+  public Path gossipKeyFile() {
     return workplace.folder().resolve("peers.keys");
   }
 
-  /** Starts its process; it may not have joined yet. */
+  /** Starts its process, which may not have joined the others yet when this returns. */
   public void start() throws IOException, InterruptedException {
-    List<String> all = new ArrayList<>(flags);
-    all.addAll(ownFlags);
-    process = BalancerProcess.start(config, log(), listen, admin, all, program);
+    List<String> all = new ArrayList<>(jvmFlags);
+    all.addAll(extraJvmFlags);
+    process = BalancerProcess.start(config, logFile(), listen, admin, all, classPath);
   }
 
-  /** Whether it takes clients. */
-  public boolean serves() {
+  /** Returns whether it accepts connections from clients. */
+  public boolean acceptsConnections() {
     try (Socket socket = new Socket()) {
       socket.connect(listen, CONNECT_MILLIS);
       return true;
@@ -153,99 +156,101 @@
     }
   }
 
-  /** Whether it can be asked at all: it runs, and is not stopped. */
-  public boolean answers() {
-    return alive() && !paused;
+  /** Returns whether its process is running and not paused. */
+  public boolean isResponsive() {
+    return isAlive() && !paused;
   }
 
-  public boolean alive() {
+  public boolean isAlive() {
     return process != null && process.alive();
   }
 
-  /** SIGSTOP: it does nothing, and its connections stay open. */
+  /** Pauses the process with SIGSTOP; its connections stay open. */
   public void pause() throws IOException, InterruptedException {
     process.signal("STOP");
     paused = true;
   }
 
-  /** SIGCONT. */
+  /** Resumes the paused process with SIGCONT. */
   public void resume() throws IOException, InterruptedException {
     process.signal("CONT");
     paused = false;
   }
 
-  /** SIGKILL. */
+  /** Kills the process with SIGKILL. */
   public void kill() {
     process.kill();
     process.close();
   }
 
-  /** SIGTERM, and waits for its end. */
-  public void end() {
+  /** Terminates the process with SIGTERM and waits for its exit. */
+  public void terminate() {
     process.close();
   }
 
   /**
-   * No file of its process can grow beyond a size from now on: a write that would make it longer
-   * fails, as on a disk that is full. The next process is free of it.
+   * Simulates a full disk by limiting the file size of its process: a write beyond the limit fails.
+   * The limit does not apply to the next process.
    */
   public void fillDisk(long bytes) throws IOException, InterruptedException {
     process.limitFiles(bytes);
   }
 
-  /** Likewise at about the size that its log has now. */
+  /** Simulates a full disk with a limit near the current size of the maintenance log. */
   public void fillDisk() throws IOException, InterruptedException {
-    long end = entries(Files.readAllBytes(written())).end();
-    // What it says itself goes to a file, too, and is not to be lost.
-    fillDisk(Math.max(end, Files.size(log()) + ROOM));
+    long end = parseLogEntries(Files.readAllBytes(openLogSegment())).end();
+    // The process also writes its own log lines to a file; these must not be lost.
+    fillDisk(Math.max(end, Files.size(logFile()) + PROCESS_LOG_HEADROOM_BYTES));
   }
 
-  /** The file of the log that is being written, of one that does not run. */
-  private Path written() throws IOException {
+  /** Returns the segment of the maintenance log that is being written. */
+  private Path openLogSegment() throws IOException {
     try (Stream<Path> all = Files.walk(workplace.folder().resolve("work"))) {
       return all.filter(path -> path.getFileName().toString().startsWith("log_inprogress"))
           .findFirst()
-          .orElseThrow(() -> new IOException(name + " has no open log"));
+          .orElseThrow(() -> new IOException(name + " has no open log segment"));
     }
   }
 
   /**
-   * Leaves the beginning of an entry behind the last whole one, as a process does whose machine
-   * loses power while it writes; how many whole ones there are.
+   * Appends an incomplete entry after the last complete one, as left by a power loss during a
+   * write.
+   *
+   * @return the number of complete entries
    */
-  public int tearLog() throws IOException {
-    Path path = written();
+  public int appendTornLogEntry() throws IOException {
+    Path path = openLogSegment();
     byte[] bytes = Files.readAllBytes(path);
-    Entries whole = entries(bytes);
-    byte[] torn = Arrays.copyOf(bytes, Math.max(bytes.length, whole.end() + TORN.length));
-    System.arraycopy(TORN, 0, torn, whole.end(), TORN.length);
+    LogEntries complete = parseLogEntries(bytes);
+    byte[] torn = Arrays.copyOf(bytes, Math.max(bytes.length, complete.end() + TORN_ENTRY.length));
+    System.arraycopy(TORN_ENTRY, 0, torn, complete.end(), TORN_ENTRY.length);
     Files.write(path, torn);
-    return whole.count();
+    return complete.count();
   }
 
-  /** Whole entries in a file of the log, and where the last one ends. */
-  private record Entries(int count, int end) {}
+  /** Number of complete entries in a log segment, and the offset at which the last one ends. */
+  private record LogEntries(int count, int end) {}
 
-  private static Entries entries(byte[] file) {
-    int at = FIRST_ENTRY;
+  private static LogEntries parseLogEntries(byte[] file) {
+    int offset = LOG_HEADER_BYTES;
     for (int count = 0; ; count++) {
-      int from = at;
+      int position = offset;
       int length = 0;
-      for (int shift = 0; from < file.length; shift += 7) {
-        length |= (file[from] & 0x7f) << shift;
-        if ((file[from++] & 0x80) == 0) {
+      for (int shift = 0; position < file.length; shift += 7) {
+        length |= (file[position] & 0x7f) << shift;
+        if ((file[position++] & 0x80) == 0) {
           break;
         }
       }
-      if (length <= 0 || from + length + CHECKSUM > file.length) {
-        return new Entries(count, at);
+      if (length <= 0 || position + length + CHECKSUM_BYTES > file.length) {
+        return new LogEntries(count, offset);
       }
-      at = from + length + CHECKSUM;
+      offset = position + length + CHECKSUM_BYTES;
     }
   }
 
-  /** Takes away all that it has written of the log. */
-  public void loseDisk() throws IOException {
+  /** Deletes the folder of the maintenance log, as after the loss of a disk. */
+  public void deleteWorkFolder() throws IOException {
     Folders.delete(workplace.folder().resolve("work"));
   }
 
@@ -262,9 +267,9 @@
       process.kill();
       process.close();
     }
-    ways.values().forEach(DelayLine::close);
-    toServers.values().forEach(DelayLine::close);
-    datagrams.values().forEach(DatagramLine::close);
+    peerProxies.values().forEach(DelayLine::close);
+    serverProxies.values().forEach(DelayLine::close);
+    datagramProxies.values().forEach(DatagramLine::close);
     workplace.close();
   }
 }
--- a/src/main/java/heathswitch/testbed/fleet/package-info.java
+++ b/src/main/java/heathswitch/testbed/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Several processes of the program with every way between them in the rig's hand, and a history of
- * what servers, callers and operators saw.
+ * Fleets of several balancer processes that communicate through fault-injecting proxies, and a
+ * history of what servers, callers and operators observed.
  */
 package heathswitch.testbed.fleet;
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -3,8 +3,8 @@
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.client.Tally;
 import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
-import heathswitch.testbed.fleet.Terms;
 import heathswitch.testbed.measure.Figures;
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
@@ -204,7 +204,7 @@
         fleet.start(
             size.instances(),
             size.voters(),
-            Terms.stopping(size.leaseMillis(), MOST_OUT).with(floor));
+            MaintenanceSettings.stopWhenCutOff(size.leaseMillis(), MOST_OUT).withLines(floor));
         for (Node node : fleet.nodes()) {
           loads.put(node, load(node, true));
         }
@@ -231,7 +231,7 @@
     }
 
     private OpenLoop load(Node node, boolean well) {
-      OpenLoop load = fleet.load(node, size.perSecond() / size.instances());
+      OpenLoop load = fleet.startLoad(node, size.perSecond() / size.instances());
       if (well) {
         calm.add(load);
         spans.put(load, node.name() + " from " + seconds());
@@ -308,10 +308,10 @@
       int done = 0;
       while (done < size.machines() && System.nanoTime() - began < 2 * WAIT_NANOS) {
         List<String> out = machines(at, page, "out");
-        out.forEach(fleet.history()::out);
+        out.forEach(fleet.history()::recordOut);
         sleep(100);
         for (String machine : out) {
-          fleet.history().back(machine);
+          fleet.history().recordBack(machine);
           at.post("work/done/" + answer.get("order") + '/' + machine);
         }
         done = machines(at, page, "done").size();
@@ -343,7 +343,7 @@
       }
       for (Node node : nodes) {
         try {
-          if (node.answers()) {
+          if (node.isResponsive()) {
             return post ? node.post(page) : node.get(page);
           }
         } catch (IOException e) {
@@ -386,12 +386,12 @@
           }
         }
         if (phase.equals("out")) {
-          fleet.history().out(machine);
+          fleet.history().recordOut(machine);
           if (out != null) {
             out.complete((System.nanoTime() - began) / 1e6);
           }
           sleep(holdMillis);
-          fleet.history().back(machine);
+          fleet.history().recordBack(machine);
           while (any(at, "work/done/" + order, true) == null
               && !phase(at, order).matches("returning|done")) {
             sleep(LOOK_MILLIS);
@@ -485,23 +485,23 @@
           run.splits++;
           List<Node> rest = new ArrayList<>(fleet.nodes());
           rest.remove(victim);
-          down(victim, "cut off", node -> fleet.split(List.of(node), rest, true));
+          down(victim, "cut off", node -> fleet.setPartitioned(List.of(node), rest, true));
           Future<Double> out = probe(witness, true);
           hold(began, size.holdMillis() + span);
           run.holdWorst = Math.max(run.holdWorst, out.get());
-          fleet.split(List.of(victim), rest, false);
+          fleet.setPartitioned(List.of(victim), rest, false);
           rise(victim);
         }
         case 3 -> {
           run.splits++;
-          down(victim, "nothing it says comes through", node -> fleet.mute(node, true, false));
+          down(victim, "nothing it says comes through", node -> fleet.setMuted(node, true, false));
           hold(began, 700 + span);
-          fleet.mute(victim, false, false);
+          fleet.setMuted(victim, false, false);
           rise(victim);
         }
         case 4 -> {
           run.restarts++;
-          down(victim, "restart", Node::end);
+          down(victim, "restart", Node::terminate);
           rise(victim);
         }
         case 5 -> {
@@ -511,7 +511,7 @@
               "kill, and a torn end of its log",
               node -> {
                 node.kill();
-                node.tearLog();
+                node.appendTornLogEntry();
               });
           rise(victim);
         }
@@ -532,7 +532,7 @@
               "restart without its disk",
               node -> {
                 node.kill();
-                node.loseDisk();
+                node.deleteWorkFolder();
               });
           rise(plain);
         }
@@ -583,11 +583,11 @@
     }
 
     /** Clients that mind go first; then it is done. */
-    private void down(Node node, String what, Fleet.Deed deed) throws Exception {
+    private void down(Node node, String what, Fleet.NodeAction deed) throws Exception {
       move(node, false);
-      fleet.history().note(what + ": " + node.name());
+      fleet.history().addNote(what + ": " + node.name());
       Figures.progress("  " + seconds() + " " + what + ": " + node.name());
-      deed.to(node);
+      deed.apply(node);
     }
 
     /** Has it come back while other things go on. */
@@ -617,7 +617,7 @@
     }
 
     private void up(Node node) throws Exception {
-      if (!node.alive()) {
+      if (!node.isAlive()) {
         node.start();
       }
       long until = System.nanoTime() + WAIT_NANOS;
@@ -628,14 +628,14 @@
         }
         sleep(20);
       }
-      fleet.history().note("well: " + node.name());
+      fleet.history().addNote("well: " + node.name());
       move(node, true);
     }
 
     private boolean inside(Node node) {
       try {
         Map<String, Object> page = node.get("work");
-        return node.serves() && ((Number) page.get("lease_left_ms")).longValue() > 1000;
+        return node.acceptsConnections() && ((Number) page.get("lease_left_ms")).longValue() > 1000;
       } catch (IOException e) {
         return false;
       }
@@ -667,7 +667,7 @@
       }
       run.breaches = fleet.history().breaches().size();
       fleet.history().breaches().forEach(each -> Figures.progress("  breach " + each));
-      run.floors = fleet.history().mostOut() > Math.min(MOST_OUT, SPARED) ? 1 : 0;
+      run.floors = fleet.history().maxConcurrentOut() > Math.min(MOST_OUT, SPARED) ? 1 : 0;
       run.stuck = run.orders.get() - run.done.get();
       for (OpenLoop load : calm) {
         long lost = load.tally().count(Tally.Result.LOST);
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -164,9 +164,9 @@
       try (Fleet started = new Fleet(SEED)) {
         fleet = started;
         fleet.servers(size.servers(), "front", Shape.warm(4, 64, ServiceTime.exponential(5)));
-        fleet.gossiping("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").first(size.first());
+        fleet.withGossip("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").startInitially(size.first());
         if (subsetting) {
-          fleet.subsetting(
+          fleet.withSubsetting(
               "width = "
                   + size.width()
                   + "\nstep = \"200ms\"\nsettle = \"1s\"\nmost_moved = 0.1\nalone_steps = 20");
@@ -179,7 +179,7 @@
         awaitSettled(first, first.size());
         measureSpread("first");
         progress("growth to " + nodes.size() + " instances");
-        fleet.rise(others);
+        fleet.startNodes(others);
         load(nodes);
         awaitSettled(nodes, nodes.size());
         measureSpread("grown");
@@ -211,7 +211,7 @@
         if (previous != null) {
           previous.stop();
         }
-        OpenLoop load = fleet.load(node, size.perSecond() * relativeLoad(node) / sum);
+        OpenLoop load = fleet.startLoad(node, size.perSecond() * relativeLoad(node) / sum);
         loads.put(node, load);
         allLoads.add(load);
       }
@@ -327,7 +327,7 @@
         }
       }
       unload(List.of(leaving));
-      leaving.end();
+      leaving.terminate();
       awaitSettled(rest, rest.size());
       double sum = 0;
       for (Node node : rest) {
@@ -337,7 +337,7 @@
       result.moved = sum;
       result.minMoved = minMoved;
       progress("one instance has left: moved " + round(sum) + ", minimum " + round(minMoved));
-      fleet.rise(List.of(leaving));
+      fleet.startNodes(List.of(leaving));
       load(nodes);
       awaitSettled(nodes, nodes.size());
     }
@@ -348,7 +348,7 @@
       unload(killed);
       load(remaining);
       long killedNanos = System.nanoTime();
-      fleet.each(killed, Node::kill);
+      fleet.forEachNode(killed, Node::kill);
       List<Thread> watchers = new ArrayList<>();
       for (Node node : remaining) {
         Thread watcher = new Thread(() -> recordDetectionTimes(node, killed, killedNanos), "watch");
@@ -361,7 +361,7 @@
       awaitSettled(remaining, remaining.size());
       measureSpread("shrunk");
       progress("restart of the killed instances");
-      fleet.rise(killed);
+      fleet.startNodes(killed);
       load(fleet.nodes());
       awaitSettled(fleet.nodes(), fleet.nodes().size());
     }
@@ -397,11 +397,11 @@
       int half = nodes.size() / 2;
       List<Node> one = nodes.subList(0, half);
       List<Node> other = nodes.subList(half, nodes.size());
-      fleet.split(one, other, true);
+      fleet.setPartitioned(one, other, true);
       awaitSettled(one, one.size());
       awaitSettled(other, other.size());
       measureSpread("split");
-      fleet.split(one, other, false);
+      fleet.setPartitioned(one, other, false);
       awaitSettled(nodes, nodes.size());
       measureSpread("healed");
     }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -35,8 +35,8 @@
   private final List<OpenLoop> loads = new ArrayList<>();
 
   private Fleet fleet(int seed, int count) throws Exception {
-    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).gossiping(OLD_KEY).start(count);
-    fleet.nodes().forEach(node -> loads.add(fleet.load(node, 20)));
+    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).withGossip(OLD_KEY).start(count);
+    fleet.nodes().forEach(node -> loads.add(fleet.startLoad(node, 20)));
     return fleet;
   }
 
@@ -113,7 +113,7 @@
       awaitFullView(nodes);
       Node leaving = nodes.get(4);
       loads.get(4).stop();
-      leaving.end();
+      leaving.terminate();
       for (Node node : nodes.subList(0, 4)) {
         Await.until("seen as left", () -> status(node, leaving).equals("left"));
       }
@@ -132,20 +132,20 @@
       awaitFullView(nodes);
       List<Node> one = nodes.subList(0, 2); // Both seeds.
       List<Node> other = nodes.subList(2, 5);
-      fleet.split(one, other, true);
+      fleet.setPartitioned(one, other, true);
       awaitFullView(one);
       awaitFullView(other);
-      fleet.split(one, other, false);
+      fleet.setPartitioned(one, other, false);
       awaitFullView(nodes);
       // A node that receives datagrams but whose own are all lost is absent for all others.
       Node mute = nodes.get(3);
-      fleet.mute(mute, true, false);
+      fleet.setMuted(mute, true, false);
       for (Node node : nodes) {
         if (node != mute) {
           Await.until("gone", () -> !present(node).contains(mute.name()));
         }
       }
-      fleet.mute(mute, false, false);
+      fleet.setMuted(mute, false, false);
       awaitFullView(nodes);
       assertNoCallAffected(fleet);
     }
@@ -184,7 +184,7 @@
       List<Node> nodes = fleet.nodes();
       awaitFullView(nodes);
       Weather degraded = new Weather(0.2, 0.1, 0, 60);
-      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(degraded));
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).weather(degraded));
       for (int i = 0; i < 50; i++) {
         Thread.sleep(100);
         for (Node node : nodes) {
@@ -193,7 +193,7 @@
           }
         }
       }
-      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(Weather.FAIR));
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).weather(Weather.FAIR));
       awaitFullView(nodes);
       for (Node node : nodes) {
         assertTrue(count(node, "refused_replay") > 0, "duplicates were accepted");
@@ -218,9 +218,9 @@
   }
 
   private static void replaceKeys(Node node, String text) throws IOException {
-    var next = node.keys().resolveSibling("next.keys");
+    var next = node.gossipKeyFile().resolveSibling("next.keys");
     Files.writeString(next, text);
-    Files.move(next, node.keys(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(next, node.gossipKeyFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Test
@@ -259,7 +259,7 @@
 
   private static boolean logged(Node node, String text) {
     try {
-      return Files.readString(node.log()).contains(text);
+      return Files.readString(node.logFile()).contains(text);
     } catch (IOException e) {
       return false;
     }
@@ -274,7 +274,7 @@
       awaitFullView(nodes);
       Node victim = nodes.get(1);
       List<byte[]> recorded = Collections.synchronizedList(new ArrayList<>());
-      nodes.get(0).datagrams(victim).tap(recorded::add);
+      nodes.get(0).datagramProxy(victim).tap(recorded::add);
       // The restarted sender has to learn the session id first, so both kinds are recorded.
       loads.get(0).stop();
       nodes.get(0).kill();
@@ -359,7 +359,7 @@
 
   private static void send(DatagramSocket socket, Node to, byte[] bytes) {
     try {
-      socket.send(new DatagramPacket(bytes, bytes.length, to.gossip()));
+      socket.send(new DatagramPacket(bytes, bytes.length, to.gossipAddress()));
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -368,8 +368,8 @@
   /** Of two processes with one name, one is silent until the other is gone, and logs that. */
   @Test
   void oneOfTwoNodesWithTheSameNameIsSilent() throws Exception {
-    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).gossiping(OLD_KEY)) {
-      fleet.before(
+    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).withGossip(OLD_KEY)) {
+      fleet.beforeFirstStart(
           node -> {
             String text = Files.readString(node.config());
             Files.writeString(
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -20,8 +20,8 @@
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.client.Tally;
 import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
-import heathswitch.testbed.fleet.Terms;
 import heathswitch.testbed.server.StandIn;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -48,7 +48,9 @@
   @Test
   void grantHoldsWhenTheLeaderIsKilledBeforeOthersApplyIt() throws Exception {
     try (Fleet fleet = new Fleet(11)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(3, 3, MaintenanceSettings.stopWhenCutOff(1500, 1));
       fixture.load(fleet);
       for (int round = 1; round <= 3; round++) {
         Node leader = fleet.leader();
@@ -66,15 +68,16 @@
         int before = ((List<?>) workField(leader, "orders")).size();
         Await.until("granted", () -> workField(leader, "orders").toString().contains("emptying=1"));
         leader.kill();
-        fleet.history().note("killed " + leader.name() + " after " + before + " orders");
+        fleet.history().addNote("killed " + leader.name() + " after " + before + " orders");
         asked.get(60, TimeUnit.SECONDS);
         long order = round;
         Await.until("it is out", () -> phase(other, order).equals("out"));
         assertEquals(
             order, ask(other, key, "machine=front-1"), "the same request is the same order");
-        fleet.history().out("front-1");
+        fleet.history().recordOut("front-1");
         leader.start();
-        Await.until("it is back", () -> leader.serves() && phase(leader, order).equals("out"));
+        Await.until(
+            "it is back", () -> leader.acceptsConnections() && phase(leader, order).equals("out"));
         done(fleet, other, order, "front-1");
         Await.until("done", () -> phase(other, order).equals("done"));
       }
@@ -86,16 +89,16 @@
   @Test
   void tornLogIsTruncatedAndReported() throws Exception {
     try (Fleet fleet = new Fleet(12)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       Node leader = fleet.leader();
       Node torn = other(fleet, leader);
       long order = ask(torn, "front-1");
       awaitOut(fleet, torn, order, "front-1");
       torn.kill();
-      assertTrue(torn.tearLog() > 5);
+      assertTrue(torn.appendTornLogEntry() > 5);
       torn.start();
-      Await.until("it serves", torn::serves);
+      Await.until("it serves", torn::acceptsConnections);
       assertEquals("out", phase(torn, order));
       assertTrue(
           lines(torn).stream()
@@ -117,10 +120,14 @@
   @Test
   void othersGoOnWhenTheDiskOfOneInstanceIsFull() throws Exception {
     try (Fleet fleet = new Fleet(13)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(3, 3, MaintenanceSettings.stopWhenCutOff(1500, 1));
       Node full = fleet.leader();
       Node other = other(fleet, full);
-      fleet.nodes().stream().filter(node -> node != full).forEach(node -> fleet.load(node, 60));
+      fleet.nodes().stream()
+          .filter(node -> node != full)
+          .forEach(node -> fleet.startLoad(node, 60));
       full.fillDisk(1 << 16);
       List<Long> orders = new ArrayList<>();
       for (int i = 0; !String.valueOf(workField(full, "trouble")).contains("written"); i++) {
@@ -130,13 +137,13 @@
       Await.until("fenced", () -> fenced(other, full));
       assertEquals(0, workField(full, "lease_left_ms"));
       awaitOut(fleet, other, orders.get(0), "front-1");
-      fleet.history().note("now leads: " + fleet.leader().name());
+      fleet.history().addNote("now leads: " + fleet.leader().name());
       // The Raft library reports the same fault again and again; its log lines are rate-limited,
       // too.
       assertTrue(lines(full).size() < 300, "lines " + lines(full).size());
-      full.end();
+      full.terminate();
       full.start();
-      Await.until("it serves", full::serves);
+      Await.until("it serves", full::acceptsConnections);
       assertEquals("out", phase(full, orders.get(0)));
       fixture.verify(fleet);
     }
@@ -147,9 +154,10 @@
   void instanceOfAnOlderReleaseTakesPartUntilAllAreUpgraded() throws Exception {
     try (Fleet fleet = new Fleet(14)) {
       fleet.servers(3, "front", SERVER_SHAPE);
-      fleet.before(
-          node -> node.flags(node == fleet.node(3) ? "-Dheathswitch.work.knows=1" : "-ea"));
-      fleet.start(3, 3, Terms.serving(1));
+      fleet.beforeFirstStart(
+          node ->
+              node.setExtraJvmFlags(node == fleet.node(3) ? "-Dheathswitch.work.knows=1" : "-ea"));
+      fleet.start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       Node older = fleet.node(3);
       assertEquals(1, workField(fleet.node(1), "form"));
@@ -158,22 +166,22 @@
       done(fleet, older, order, "front-1");
       Await.until("done", () -> phase(older, order).equals("done"));
       assertEquals(1, workField(older, "form"));
-      older.end();
-      older.flags();
+      older.terminate();
+      older.setExtraJvmFlags();
       older.start();
-      Await.until("it serves", older::serves);
+      Await.until("it serves", older::acceptsConnections);
       for (Node node : fleet.nodes()) {
         Await.until("all are upgraded", () -> workField(node, "form").equals(2));
       }
       long next = ask(older, "front-2");
       awaitOut(fleet, older, next, "front-2");
       // Back to the older release: it cannot read the entries written now and must not guess.
-      older.end();
-      older.flags("-Dheathswitch.work.knows=1");
+      older.terminate();
+      older.setExtraJvmFlags("-Dheathswitch.work.knows=1");
       older.start();
       Await.until(
           "the fault is shown", () -> workField(older, "trouble").toString().contains("beyond 1"));
-      assertFalse(older.serves());
+      assertFalse(older.acceptsConnections());
       fixture.verify(fleet);
     }
   }
@@ -183,7 +191,7 @@
   void machineIsWantedBackWhenOthersOfItsGroupDie() throws Exception {
     try (Fleet fleet = new Fleet(15)) {
       fleet.servers(5, "front", SERVER_SHAPE);
-      fleet.start(3, 3, Terms.serving(3).with(FLOOR.formatted("0.5")));
+      fleet.start(3, 3, MaintenanceSettings.serveWhenCutOff(3).withLines(FLOOR.formatted("0.5")));
       fixture.load(fleet);
       Node node = fleet.node(2);
       long out = ask(node, "front-1");
@@ -229,12 +237,12 @@
   @Test
   void lowestReportedCapacityCounts() throws Exception {
     try (Fleet fleet = new Fleet(16)) {
-      fleet.servers(4, "front", SERVER_SHAPE).relayed();
-      fleet.start(3, 3, Terms.serving(2).with(FLOOR.formatted("0.75")));
+      fleet.servers(4, "front", SERVER_SHAPE).withServerProxies();
+      fleet.start(3, 3, MaintenanceSettings.serveWhenCutOff(2).withLines(FLOOR.formatted("0.75")));
       fixture.load(fleet);
       Node apart = fleet.node(3);
       StandIn lost = fleet.servers().get(3);
-      apart.way(lost).cut(true);
+      apart.serverProxy(lost).cut(true);
       Await.until(
           "one instance sees the server fail", () -> reportedCapacity(fleet.node(1), apart) == 3);
       Await.until("the others do not", () -> reportedCapacity(fleet.node(1), fleet.node(2)) == 4);
@@ -242,7 +250,7 @@
       assertEquals("waiting", phase(fleet.node(1), order));
       String waits = String.valueOf(machineStatus(fleet.node(1), order).get("waits_for"));
       assertTrue(waits.contains("edge-3 sees 3.00 in service, 3.00 must be left"), waits);
-      apart.way(lost).cut(false);
+      apart.serverProxy(lost).cut(false);
       awaitOut(fleet, fleet.node(1), order, "front-1");
       done(fleet, apart, order, "front-1");
       Await.until("done", () -> phase(apart, order).equals("done"));
@@ -270,7 +278,7 @@
   @Test
   void machineThatIsOutStaysOutWhenListedAgain() throws Exception {
     try (Fleet fleet = new Fleet(17)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       long order = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
@@ -278,7 +286,7 @@
           List.of(fleet.servers().subList(1, 3), fleet.servers(), fleet.servers().subList(1, 3))) {
         for (Node node : fleet.nodes()) {
           String version = listVersion(node);
-          fleet.list(node, listed);
+          fleet.writeServerList(node, listed);
           Await.until("the list is in force", () -> !listVersion(node).equals(version));
         }
         long before = fleet.servers().get(1).received();
@@ -288,10 +296,10 @@
       // yet.
       fleet.node(2).post("work/done/" + order);
       Await.until("done", () -> phase(fleet.node(2), order).equals("done"));
-      fleet.history().back("front-1");
+      fleet.history().recordBack("front-1");
       long received = fleet.servers().get(0).received();
       for (Node node : fleet.nodes()) {
-        fleet.list(node, fleet.servers());
+        fleet.writeServerList(node, fleet.servers());
       }
       Await.until("it serves", () -> fleet.servers().get(0).received() > received);
       fixture.verify(fleet);
@@ -302,8 +310,8 @@
   @Test
   void ordersCompleteWhenInstancesHaveDifferentLists() throws Exception {
     try (Fleet fleet = new Fleet(18)) {
-      fleet.servers(4, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
-      fleet.list(fleet.node(3), fleet.servers().subList(0, 3));
+      fleet.servers(4, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
+      fleet.writeServerList(fleet.node(3), fleet.servers().subList(0, 3));
       Await.until("the list is in force", () -> "2".equals(listVersion(fleet.node(3))));
       fixture.load(fleet);
       // Once its calls there have ended, it does not know the machine any more.
@@ -320,7 +328,7 @@
       long order = ask(fleet.node(1), "front-4");
       awaitOut(fleet, fleet.node(3), order, "front-4");
       // Listed there again while it is out: it gets no calls from the first moment.
-      fleet.list(fleet.node(3), fleet.servers());
+      fleet.writeServerList(fleet.node(3), fleet.servers());
       Await.until("the list is in force", () -> "3".equals(listVersion(fleet.node(3))));
       long before = fleet.servers().get(0).received();
       Await.until("calls", () -> fleet.servers().get(0).received() > before + 60);
@@ -335,17 +343,18 @@
   void raisedFloorAppliesToRunningOrdersAtOnce() throws Exception {
     try (Fleet fleet = new Fleet(19)) {
       fleet.servers(4, "front", SERVER_SHAPE);
-      fleet.start(3, 3, Terms.serving(2).with(FLOOR.formatted("0.25")));
+      fleet.start(3, 3, MaintenanceSettings.serveWhenCutOff(2).withLines(FLOOR.formatted("0.25")));
       fixture.load(fleet);
       Node node = fleet.node(1);
       long first = ask(node, "front-1");
       awaitOut(fleet, node, first, "front-1");
       Node changed = fleet.node(3);
-      Terms raised = new Terms(false, 2000, 500, 2, 2, FLOOR.formatted("0.9"));
+      MaintenanceSettings raised =
+          new MaintenanceSettings(false, 2000, 500, 2, 2, FLOOR.formatted("0.9"));
       fleet.configure(changed, 3, raised);
-      changed.end();
+      changed.terminate();
       changed.start();
-      Await.until("it serves", changed::serves);
+      Await.until("it serves", changed::acceptsConnections);
       Await.until(
           "wanted", () -> Boolean.TRUE.equals(statusOrEmpty(node, first).get("wanted_back")));
       IOException refused = assertThrows(IOException.class, () -> ask(node, "front-2"));
@@ -363,16 +372,18 @@
   @Test
   void instanceThatNobodyHearsStopsInTime() throws Exception {
     try (Fleet fleet = new Fleet(20)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.stopping(1500, 1));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(4, 3, MaintenanceSettings.stopWhenCutOff(1500, 1));
       fixture.load(fleet);
       Node mute = fleet.node(4);
-      fleet.history().note("no message from " + mute.name() + " arrives");
-      fleet.mute(mute, true, false);
+      fleet.history().addNote("no message from " + mute.name() + " arrives");
+      fleet.setMuted(mute, true, false);
       long order = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
       assertTrue(fenced(fleet.node(1), mute));
       assertEquals(0, workField(mute, "lease_left_ms"));
-      fleet.mute(mute, false, false);
+      fleet.setMuted(mute, false, false);
       Await.until("it is back", () -> !fenced(fleet.node(1), mute));
       done(fleet, mute, order, "front-1");
       Await.until("done", () -> phase(mute, order).equals("done"));
@@ -384,19 +395,19 @@
   @Test
   void largeOrderAndManyOrdersDoNotDelayCalls() throws Exception {
     try (Fleet fleet = new Fleet(21)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(50));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(50));
       Node node = fleet.node(1);
       for (Node each : fleet.nodes()) {
         List<ListedServer> lines = new ArrayList<>();
-        fleet.servers().forEach(server -> lines.add(fleet.line(each, server)));
+        fleet.servers().forEach(server -> lines.add(fleet.listEntry(each, server)));
         for (int i = 0; i < 9_990; i++) { // Listed out of service, so nothing is sent there.
           String address = "127.1." + (i >> 8) + '.' + (i & 255) + ":9";
           lines.add(new ListedServer("bulk-" + i, address, "a", "bulk", 100 + i, 1, false));
         }
-        fleet.listLines(each, lines);
+        fleet.writeListEntries(each, lines);
         Await.until("the list is in force", () -> "2".equals(listVersion(each)));
       }
-      OpenLoop load = fleet.load(node, 100);
+      OpenLoop load = fleet.startLoad(node, 100);
       Await.until("calls", () -> load.tally().total() > 20);
       long large = ask(node, "large", "kind=bulk&at_once=20");
       Await.until("out", () -> String.valueOf(phases(node, large).get("out")).equals("20"));
@@ -426,18 +437,18 @@
   @Test
   void instanceReopensItsLogAfterLongSilence() throws Exception {
     try (Fleet fleet = new Fleet(27)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.serving(2));
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, MaintenanceSettings.serveWhenCutOff(2));
       fixture.load(fleet);
       Node apart = fleet.node(4);
       long order = ask(apart, "front-1");
       awaitOut(fleet, apart, order, "front-1");
       List<Node> rest = fleet.nodes().subList(0, 3);
-      fleet.split(rest, List.of(apart), true);
+      fleet.setPartitioned(rest, List.of(apart), true);
       Await.until(
           "the log is reopened",
           () -> hasLogged(apart, "reopened: no entry received for too long"));
       assertEquals("out", phase(apart, order), "its applied state is kept");
-      fleet.split(rest, List.of(apart), false);
+      fleet.setPartitioned(rest, List.of(apart), false);
       long next = ask(rest.get(0), "front-2");
       awaitOut(fleet, rest.get(0), next, "front-2");
       Await.until("it has applied the grant", () -> phase(apart, next).equals("out"));
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -32,7 +32,7 @@
   }
 
   void load(Fleet fleet, Node node) {
-    OpenLoop load = fleet.load(node, REQUESTS_PER_SECOND);
+    OpenLoop load = fleet.startLoad(node, REQUESTS_PER_SECOND);
     loads.add(load);
     latest.put(node, load);
   }
@@ -78,12 +78,12 @@
   static void awaitOut(Fleet fleet, Node node, long order, String machine)
       throws InterruptedException {
     Await.until(machine + " is out", () -> phase(node, order).equals("out"));
-    fleet.history().out(machine);
+    fleet.history().recordOut(machine);
   }
 
   /** Ends an order and notes that its machine may get calls again. */
   static void done(Fleet fleet, Node node, long order, String machine) throws IOException {
-    fleet.history().back(machine);
+    fleet.history().recordBack(machine);
     node.post("work/done/" + order);
   }
 
@@ -135,7 +135,7 @@
   /** The lines of a node's log, each of which must be a JSON object. */
   static List<Map<String, Object>> lines(Node node) throws IOException {
     List<Map<String, Object>> lines = new ArrayList<>();
-    for (String line : Files.readAllLines(node.log())) {
+    for (String line : Files.readAllLines(node.logFile())) {
       try {
         lines.add(JSON.std.mapFrom(line));
       } catch (IOException e) {
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
@@ -17,8 +17,8 @@
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.fleet.Fleet;
+import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
-import heathswitch.testbed.fleet.Terms;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -37,7 +37,9 @@
   @Test
   void anotherMachineGoesOutAfterTheLeaderDied() throws Exception {
     try (Fleet fleet = new Fleet(1)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(2000, 2));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(3, 3, MaintenanceSettings.stopWhenCutOff(2000, 2));
       fixture.load(fleet);
       Await.until("calls", () -> fleet.servers().get(0).received() > 50);
       Node leader = fleet.leader();
@@ -48,7 +50,7 @@
           first, ask(leader, "front-1"), "the same request at another instance is the same order");
       awaitOut(fleet, asked, first, "front-1");
       long received = fleet.servers().get(0).received();
-      fleet.history().note("kill " + leader.name());
+      fleet.history().addNote("kill " + leader.name());
       leader.kill();
       long second = ask(asked, "front-2");
       awaitOut(fleet, asked, second, "front-2");
@@ -56,7 +58,7 @@
       done(fleet, asked, first, "front-1");
       Await.until("back", () -> fleet.servers().get(0).received() > received);
       leader.start();
-      Await.until("the killed leader serves again", leader::serves);
+      Await.until("the killed leader serves again", leader::acceptsConnections);
       Await.until("it has applied the grant", () -> phase(leader, second).equals("out"));
       done(fleet, leader, second, "front-2");
       Await.until("done", () -> phase(asked, second).equals("done"));
@@ -89,7 +91,9 @@
    */
   private void pauseDuringGrant(int seed, boolean atRest, int maxCalls) throws Exception {
     try (Fleet fleet = new Fleet(seed)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(3, 3, MaintenanceSettings.stopWhenCutOff(1500, 1));
       fixture.load(fleet);
       Node leader = fleet.leader();
       Node paused = fleet.nodes().stream().filter(node -> node != leader).findFirst().get();
@@ -97,7 +101,7 @@
       if (atRest) {
         fixture.stopLoad(paused);
       }
-      fleet.history().note("pause " + paused.name());
+      fleet.history().addNote("pause " + paused.name());
       paused.pause();
       if (atRest) {
         fixture.load(fleet, paused);
@@ -106,9 +110,10 @@
       awaitOut(fleet, leader, order, "front-1");
       Thread.sleep(500); // Lets calls pile up.
       long received = fleet.servers().get(0).received();
-      fleet.history().note("resume " + paused.name());
+      fleet.history().addNote("resume " + paused.name());
       paused.resume();
-      Await.until("it has joined again", () -> !fenced(leader, paused) && paused.serves());
+      Await.until(
+          "it has joined again", () -> !fenced(leader, paused) && paused.acceptsConnections());
       long others = fleet.servers().get(1).received();
       Await.until("it serves", () -> fleet.servers().get(1).received() > others + 100);
       long more = fleet.servers().get(0).received() - received;
@@ -129,11 +134,11 @@
   @Test
   void orderWaitsForInstanceThatServesWhileCutOff() throws Exception {
     try (Fleet fleet = new Fleet(3)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       Node cutOff = fleet.node(4);
       List<Node> rest = fleet.nodes().subList(0, 3);
-      fleet.split(rest, List.of(cutOff), true);
+      fleet.setPartitioned(rest, List.of(cutOff), true);
       long order = ask(rest.get(0), "front-1");
       Await.until("emptying", () -> phase(rest.get(0), order).equals("emptying"));
       Thread.sleep(1500);
@@ -142,7 +147,7 @@
       assertTrue(waits.contains("edge-4") && !waits.contains("edge-1"), waits);
       long before = fleet.servers().get(0).received();
       Await.until("it serves", () -> fleet.servers().get(0).received() > before + 5);
-      fleet.split(rest, List.of(cutOff), false);
+      fleet.setPartitioned(rest, List.of(cutOff), false);
       awaitOut(fleet, rest.get(0), order, "front-1");
       Await.until("it has applied the grant", () -> phase(cutOff, order).equals("out"));
       done(fleet, cutOff, order, "front-1");
@@ -154,17 +159,18 @@
   @Test
   void voterThatLostItsFolderDoesNotStart() throws Exception {
     try (Fleet fleet = new Fleet(4)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, MaintenanceSettings.serveWhenCutOff(1));
       Node voter = fleet.node(3);
       Node other = fleet.node(4);
       for (Node node : List.of(voter, other)) {
         node.kill();
-        node.loseDisk();
+        node.deleteWorkFolder();
       }
       IOException refused = assertThrows(IOException.class, voter::start);
       assertTrue(refused.getMessage().contains("must not vote"), refused.getMessage());
       other.start();
-      Await.until("an instance that is not a voter fetches the log again", other::serves);
+      Await.until(
+          "an instance that is not a voter fetches the log again", other::acceptsConnections);
       // Another votes in its place, one change at a time; then it gets a new folder and votes
       // again.
       fleet.node(1).post("work/unvote/" + voter.name());
@@ -194,25 +200,27 @@
   @Test
   void machinesRequestedOnBothSidesOfASplitGoOutOneAfterTheOther() throws Exception {
     try (Fleet fleet = new Fleet(5)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.stopping(1500, 1));
+      fleet
+          .servers(3, "front", SERVER_SHAPE)
+          .start(3, 3, MaintenanceSettings.stopWhenCutOff(1500, 1));
       fixture.load(fleet);
       Node leader = fleet.leader();
       List<Node> rest = new ArrayList<>(fleet.nodes());
       rest.remove(leader);
-      fleet.split(List.of(leader), rest, true);
+      fleet.setPartitioned(List.of(leader), rest, true);
       CompletableFuture<Long> minority =
           CompletableFuture.supplyAsync(
               () -> askUntilAccepted(leader, "front-1", "machine=front-1"));
       long first = askUntilAccepted(rest.get(0), "front-2", "machine=front-2");
       awaitOut(fleet, rest.get(0), first, "front-2");
       assertFalse(minority.isDone(), "accepted without a majority");
-      fleet.split(List.of(leader), rest, false);
+      fleet.setPartitioned(List.of(leader), rest, false);
       long second = minority.get(60, TimeUnit.SECONDS);
       Await.until("it serves again", () -> !fenced(rest.get(0), leader));
       assertEquals("waiting", phase(rest.get(0), second));
       done(fleet, leader, first, "front-2");
       awaitOut(fleet, leader, second, "front-1");
-      assertEquals(1, fleet.history().mostOut());
+      assertEquals(1, fleet.history().maxConcurrentOut());
       done(fleet, rest.get(0), second, "front-1");
       fixture.verify(fleet);
     }
@@ -222,15 +230,15 @@
   @Test
   void restartOfAllInstancesLosesNothing() throws Exception {
     try (Fleet fleet = new Fleet(6)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(4, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       long out = ask(fleet.node(1), "front-1");
       long next = ask(fleet.node(4), "front-2");
       awaitOut(fleet, fleet.node(4), out, "front-1");
-      fleet.all(Node::kill);
-      fleet.all(Node::start);
+      fleet.forAllNodes(Node::kill);
+      fleet.forAllNodes(Node::start);
       for (Node node : fleet.nodes()) {
-        Await.until(node.name() + " serves", node::serves);
+        Await.until(node.name() + " serves", node::acceptsConnections);
         assertEquals("out", phase(node, out));
         assertEquals("waiting", phase(node, next));
       }
@@ -247,27 +255,27 @@
   @Test
   void balancersAreTakenOutOneAfterTheOther() throws Exception {
     try (Fleet fleet = new Fleet(7)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       Node leader = fleet.leader();
       Node other = fleet.nodes().stream().filter(node -> node != leader).findFirst().get();
       Node third = fleet.node(6 - number(leader) - number(other));
-      OpenLoop load = fleet.load(third, 100);
+      OpenLoop load = fleet.startLoad(third, 100);
       long first = askForBalancer(third, leader);
       long second = askForBalancer(third, other);
       Await.until("the leader is out", () -> phase(third, first).equals("out"));
       assertEquals("waiting", phase(third, second));
       assertFalse(fleet.leader() == leader, "leadership was transferred");
-      leader.end();
+      leader.terminate();
       leader.start();
       Thread.sleep(1000);
-      assertFalse(leader.serves(), "it stays away until the order is done");
+      assertFalse(leader.acceptsConnections(), "it stays away until the order is done");
       assertEquals("waiting", phase(third, second));
       third.post("work/done/" + first);
-      Await.until("it serves", leader::serves);
+      Await.until("it serves", leader::acceptsConnections);
       Await.until("it has joined again", () -> phase(third, first).equals("done"));
       Await.until("the next balancer is out", () -> phase(third, second).equals("out"));
       third.post("work/done/" + second);
-      Await.until("the next balancer is back without a new process", other::serves);
+      Await.until("the next balancer is back without a new process", other::acceptsConnections);
       Await.until("done", () -> phase(third, second).equals("done"));
       load.stop();
       assertEquals(0, fleet.ledger().lost());
@@ -288,14 +296,14 @@
   @Test
   void ordersWaitWhileTheMajorityIsLost() throws Exception {
     try (Fleet fleet = new Fleet(8)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       Node left = fleet.node(1);
       long out = ask(left, "front-1");
       awaitOut(fleet, left, out, "front-1");
       for (Node node : List.of(fleet.node(2), fleet.node(3))) {
         node.kill();
       }
-      OpenLoop load = fleet.load(left, 100);
+      OpenLoop load = fleet.startLoad(left, 100);
       assertThrows(IOException.class, () -> ask(left, "front-2"));
       Await.until("it serves", () -> load.tally().total() > 300);
       assertEquals(-1, left.get("work").get("lease_left_ms"), "it serves without a lease");
@@ -316,14 +324,14 @@
   @Test
   void machineThatIsOutGetsNoCallsUnderAnotherId() throws Exception {
     try (Fleet fleet = new Fleet(9)) {
-      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, Terms.serving(1));
+      fleet.servers(3, "front", SERVER_SHAPE).start(3, 3, MaintenanceSettings.serveWhenCutOff(1));
       fixture.load(fleet);
       long out = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), out, "front-1");
       for (Node node : fleet.nodes()) {
-        String list = Files.readString(node.members()).replace("front-1 ", "renamed ");
+        String list = Files.readString(node.serverListFile()).replace("front-1 ", "renamed ");
         assertTrue(list.contains("renamed "), list);
-        Files.writeString(node.members(), list);
+        Files.writeString(node.serverListFile(), list);
         Await.until("the list is in force", () -> listVersion(node).equals("2"));
       }
       long before = fleet.servers().get(1).received();
--- a/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
@@ -39,23 +39,24 @@
 
   /** Stops and starts each process under load, with a fault on one of its links meanwhile. */
   private static void restartAll(int seed, Fault fault, Fault repair) throws Exception {
-    try (Fleet fleet = new Fleet(seed).servers(3, "front", SHAPE).relayed().start(PROCESSES)) {
+    try (Fleet fleet =
+        new Fleet(seed).servers(3, "front", SHAPE).withServerProxies().start(PROCESSES)) {
       StandIn server = fleet.servers().get(0);
       List<OpenLoop> loads = new ArrayList<>();
       for (Node node : fleet.nodes()) {
-        OpenLoop load = fleet.load(node, CALLS_PER_SECOND);
+        OpenLoop load = fleet.startLoad(node, CALLS_PER_SECOND);
         loads.add(load);
         long before = received(fleet);
         Await.until("calls", () -> received(fleet) >= before + CALLS_BEFORE);
         fault.apply(node, server);
-        CompletableFuture<Void> end = CompletableFuture.runAsync(node::end);
+        CompletableFuture<Void> end = CompletableFuture.runAsync(node::terminate);
         // The load continues; its requests are still accepted.
         Thread.sleep(STILL_ACCEPTING_MILLIS);
         load.stop();
         end.get(30, TimeUnit.SECONDS);
         repair.apply(node, server);
         node.start();
-        loads.add(fleet.load(node, CALLS_PER_SECOND));
+        loads.add(fleet.startLoad(node, CALLS_PER_SECOND));
       }
       long before = received(fleet);
       Await.until("calls", () -> received(fleet) >= before + CALLS_BEFORE);
@@ -83,8 +84,8 @@
   void noRequestIsLostWhenLinkBreaks() throws Exception {
     restartAll(
         52,
-        (node, server) -> node.way(server).cut(true),
-        (node, server) -> node.way(server).cut(false));
+        (node, server) -> node.serverProxy(server).cut(true),
+        (node, server) -> node.serverProxy(server).cut(false));
   }
 
   /** Open calls are never answered; the balancer has to give them up in time. */
@@ -92,7 +93,7 @@
   void noRequestIsLostWhenLinkFallsSilent() throws Exception {
     restartAll(
         53,
-        (node, server) -> node.way(server).mute(false, true),
-        (node, server) -> node.way(server).mute(false, false));
+        (node, server) -> node.serverProxy(server).mute(false, true),
+        (node, server) -> node.serverProxy(server).mute(false, false));
   }
 }
--- a/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
@@ -48,7 +48,7 @@
     Fleet fleet = new Fleet(61).servers(SERVERS, "front", SHAPE);
     List<StandIn> warm = fleet.servers().subList(0, SERVERS - 1);
     try (fleet) {
-      fleet.before(node -> prepare(fleet, node, warm)).start(PROCESSES);
+      fleet.beforeFirstStart(node -> prepare(fleet, node, warm)).start(PROCESSES);
       StandIn cold = fleet.servers().get(SERVERS - 1);
       fleet.nodes().forEach(node -> startLoad(fleet, node));
       Await.until("calls", () -> received(fleet) > CALLS_BEFORE_CHANGE);
@@ -59,7 +59,7 @@
       loads.get(paused).stop();
       paused.pause();
       for (Node node : fleet.nodes()) {
-        fleet.list(node, fleet.servers());
+        fleet.writeServerList(node, fleet.servers());
       }
       Await.until("cold server receives calls", () -> cold.received() > 0);
       long before = received(fleet);
@@ -67,7 +67,7 @@
       paused.resume();
       startLoad(fleet, paused);
       loads.get(restarted).stop();
-      restarted.end();
+      restarted.terminate();
       restarted.start();
       startLoad(fleet, restarted);
       Await.until("end of the observed time", () -> System.nanoTime() > end);
@@ -93,7 +93,7 @@
   }
 
   private static void prepare(Fleet fleet, Node node, List<StandIn> listed) throws IOException {
-    fleet.list(node, listed);
+    fleet.writeServerList(node, listed);
     String text = Files.readString(node.config());
     String replacement = "warm_up = \"" + WARM_UP_SECONDS + "s\"";
     assertTrue(text.contains("warm_up = \"1s\""), text);
@@ -101,7 +101,7 @@
   }
 
   private void startLoad(Fleet fleet, Node node) {
-    loads.put(node, fleet.load(node, CALLS_PER_SECOND));
+    loads.put(node, fleet.startLoad(node, CALLS_PER_SECOND));
   }
 
   private static long received(Fleet fleet) {
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -34,9 +34,9 @@
     Fleet fleet =
         new Fleet(seed)
             .servers(SERVERS, "front", SHAPE)
-            .gossiping("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n")
-            .subsetting(TABLE)
-            .first(first)
+            .withGossip("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n")
+            .withSubsetting(TABLE)
+            .startInitially(first)
             .start(count);
     load(fleet, fleet.nodes().subList(0, first));
     return fleet;
@@ -45,7 +45,7 @@
   private void load(Fleet fleet, List<Node> nodes) {
     // Unequal loads: the second balancer gets three times as many calls as each of the others.
     nodes.forEach(
-        node -> loads.put(node, fleet.load(node, node == fleet.nodes().get(1) ? 90 : 30)));
+        node -> loads.put(node, fleet.startLoad(node, node == fleet.nodes().get(1) ? 90 : 30)));
   }
 
   private void stopLoadsAndCheckLedger(Fleet fleet) throws InterruptedException {
@@ -139,7 +139,7 @@
     try (Fleet fleet = fleet(61, 4, 2)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes.subList(0, 2), 2);
-      fleet.rise(nodes.subList(2, 4));
+      fleet.startNodes(nodes.subList(2, 4));
       load(fleet, nodes.subList(2, 4));
       awaitSettled(nodes, 4);
       Await.until("servers are evenly loaded by four balancers", () -> spread(fleet) < 1.25);
@@ -166,11 +166,11 @@
     try (Fleet fleet = fleet(62, 4, 4)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes, 4);
-      fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), true);
+      fleet.setPartitioned(nodes.subList(0, 2), nodes.subList(2, 4), true);
       awaitSettled(nodes.subList(0, 2), 2);
       awaitSettled(nodes.subList(2, 4), 2);
       Await.until("servers are evenly loaded by both halves", () -> spread(fleet) < 1.3);
-      fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), false);
+      fleet.setPartitioned(nodes.subList(0, 2), nodes.subList(2, 4), false);
       awaitSettled(nodes, 4);
       stopLoadsAndCheckLedger(fleet);
     }
@@ -186,13 +186,13 @@
       Node isolated = nodes.get(2);
       awaitSettled(nodes, 3);
       awaitSubset(isolated);
-      fleet.split(List.of(isolated), nodes.subList(0, 2), true);
+      fleet.setPartitioned(List.of(isolated), nodes.subList(0, 2), true);
       Await.until(
           "the isolated balancer uses all servers",
           () -> subsetOf(isolated).size() == SERVERS && number(page(isolated), "unseen") == 2);
       awaitSettled(nodes.subList(0, 2), 2);
       // After it is paused and resumed, it takes part again.
-      fleet.split(List.of(isolated), nodes.subList(0, 2), false);
+      fleet.setPartitioned(List.of(isolated), nodes.subList(0, 2), false);
       awaitSettled(nodes, 3);
       loads.remove(isolated).stop();
       isolated.pause();
@@ -212,7 +212,7 @@
       List<StandIn> rest = new ArrayList<>(fleet.servers());
       StandIn removed = rest.remove(4);
       for (Node node : nodes) {
-        fleet.list(node, rest);
+        fleet.writeServerList(node, rest);
       }
       for (Node node : nodes) {
         Await.until(
--- a/src/test/java/heathswitch/testbed/fleet/HistoryTest.java
+++ b/src/test/java/heathswitch/testbed/fleet/HistoryTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The judge of what several processes did, with faults put in. */
+/** Checks that the history of a fleet detects calls at machines that are out. */
 class HistoryTest {
   private final History history = new History();
 
@@ -13,30 +13,30 @@
   }
 
   @Test
-  void callsBeforeAndAfterAreNone() {
+  void callsBeforeAndAfterAnOutPeriodAreNoBreaches() {
     call("a");
-    history.out("a");
+    history.recordOut("a");
     call("b");
-    history.back("a");
+    history.recordBack("a");
     call("a");
     assertEquals(0, history.breaches().size());
   }
 
   @Test
-  void aCallAtAMachineThatIsOutIsOne() {
-    history.out("a");
-    history.out("a");
+  void aCallAtAMachineThatIsOutIsOneBreach() {
+    history.recordOut("a");
+    history.recordOut("a");
     call("a");
     assertEquals(1, history.breaches().size());
-    assertEquals(1, history.outs());
+    assertEquals(1, history.outCount());
   }
 
   @Test
-  void machinesThatAreOutAtOnceAreCounted() {
-    history.out("a");
-    history.out("b");
-    history.back("a");
-    history.out("c");
-    assertEquals(2, history.mostOut());
+  void countsTheMachinesThatAreOutAtTheSameTime() {
+    history.recordOut("a");
+    history.recordOut("b");
+    history.recordBack("a");
+    history.recordOut("c");
+    assertEquals(2, history.maxConcurrentOut());
   }
 }
