--- a/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
+++ b/src/main/java/heathswitch/proxy/gateway/GatewayTable.java
@@ -17,6 +17,7 @@
  * @param site this site's name, which its certificate must contain
  * @param listen the address to which gateways of peer sites connect
  * @param keys null for plain text, which the configuration must request explicitly
+ * @param sites the peer sites
  * @param silenceTimeoutNanos the time without any frame, even an answer to PING, after which a link
  *     is closed as broken
  * @param stallTimeoutNanos the time after which a call is aborted whose peer neither sends nor
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table [gateway] and the files that it names. */
+/** The configuration table [gateway] and the files that it names. */
 class GatewayTableTest {
-  private static final String PLAIN =
+  private static final String INSECURE =
       """
       [gateway]
       site = "hat-yai"
@@ -32,8 +32,8 @@
   }
 
   private List<String> faults(String from, String to) throws Exception {
-    assertTrue(PLAIN.contains(from), from);
-    Document document = read(PLAIN.replace(from, to));
+    assertTrue(INSECURE.contains(from), from);
+    Document document = read(INSECURE.replace(from, to));
     GatewayTable.read(document);
     document.root().end();
     return document.faults().stream()
@@ -42,8 +42,8 @@
   }
 
   @Test
-  void theShortestOneIsRead() throws Exception {
-    Document document = read(PLAIN);
+  void minimalTableIsReadWithDefaults() throws Exception {
+    Document document = read(INSECURE);
     GatewayTable table = GatewayTable.read(document);
     assertEquals(List.of(), document.faults());
     assertEquals("hat-yai", table.site());
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void faultsAreNamedWithTheirPlace() throws Exception {
+  void faultsAreReportedWithTheirPosition() throws Exception {
     assertEquals(
         List.of(
             "2:1: gateway.site: is \"Hat Yai\"; 1 to 32 of the characters a-z, 0-9 and - expected"),
@@ -89,7 +89,7 @@
             .count());
   }
 
-  private String unusable(String certificate, String key, String authority, String site) {
+  private String problem(String certificate, String key, String authority, String site) {
     GatewayTable.Keys keys =
         new GatewayTable.Keys(
             folder.resolve(certificate), folder.resolve(key), folder.resolve(authority));
@@ -102,24 +102,22 @@
   }
 
   @Test
-  void filesThatCannotBeUsedAreNamed() throws Exception {
+  void unusableFilesAreReported() throws Exception {
     Authority authority = new Authority(folder, "ca");
     authority.sign("a", "hat-yai");
     authority.sign("b", "bangkok");
     authority.signExpired("old", "hat-yai");
     Files.writeString(folder.resolve("none.pem"), "nothing\n");
-    assertNull(unusable("a.pem", "a.key", "ca.pem", "hat-yai"));
+    assertNull(problem("a.pem", "a.key", "ca.pem", "hat-yai"));
     assertEquals(
         "a.pem: names [hat-yai] and not the site \"udon\"",
-        unusable("a.pem", "a.key", "ca.pem", "udon"));
+        problem("a.pem", "a.key", "ca.pem", "udon"));
     assertEquals(
-        "b.key: is not the key of the certificate",
-        unusable("a.pem", "b.key", "ca.pem", "hat-yai"));
+        "b.key: is not the key of the certificate", problem("a.pem", "b.key", "ca.pem", "hat-yai"));
     assertTrue(
-        unusable("old.pem", "old.key", "ca.pem", "hat-yai")
-            .startsWith("old.pem: is not valid now"));
-    assertTrue(unusable("none.pem", "a.key", "ca.pem", "hat-yai").startsWith("none.pem: "));
-    assertTrue(unusable("a.pem", "none.pem", "ca.pem", "hat-yai").startsWith("none.pem: "));
-    assertTrue(unusable("a.pem", "a.key", "gone.pem", "hat-yai").startsWith("gone.pem: "));
+        problem("old.pem", "old.key", "ca.pem", "hat-yai").startsWith("old.pem: is not valid now"));
+    assertTrue(problem("none.pem", "a.key", "ca.pem", "hat-yai").startsWith("none.pem: "));
+    assertTrue(problem("a.pem", "none.pem", "ca.pem", "hat-yai").startsWith("none.pem: "));
+    assertTrue(problem("a.pem", "a.key", "gone.pem", "hat-yai").startsWith("gone.pem: "));
   }
 }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import testing.Await;
 
-/** Sites on loopback with ways of 5.6 to 10 ms between them. */
+/** Calls between sites on loopback, with delays of 5.6 to 10 ms on the paths between them. */
 @Timeout(120)
 class GatewayTest {
   private static final Kind VIEW = Kind.safe("view", "school", 1);
@@ -24,12 +24,12 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatHasNoRoomAtHomeIsServedElsewhere(boolean tls) throws Exception {
+  void callsWithoutRoomAtTheirSiteAreServedByAPeerSite(boolean tls) throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 1, 2, 40).site("bangkok", 4, 8, 40).linked(tls)) {
+        new SitesFixture().site("hat-yai", 1, 2, 40).site("bangkok", 4, 8, 40).startLinked(tls)) {
       SitesFixture.Site home = sites.site("hat-yai");
       OpenLoop load = home.load(150, 3000, VIEW, PUBLISH);
-      Await.until("calls went across", () -> home.sum("bangkok", "served") > 100);
+      Await.until("calls were forwarded", () -> home.sum("bangkok", "served") > 100);
       load.stop();
       long served = load.tally().count(Tally.Result.SERVED);
       assertEquals(0, load.tally().count(Tally.Result.LOST));
@@ -38,64 +38,67 @@
       assertTrue(home.received() > 0, "the local site works too");
       assertTrue(served > 100, "served " + served);
       assertEquals(home.sum("bangkok", "calls"), home.links().get(0).get("calls"));
-      Await.until("nothing is left over", () -> left(home) + left(sites.site("bangkok")) == 0);
+      Await.until(
+          "no request is left open",
+          () -> openRequests(home) + openRequests(sites.site("bangkok")) == 0);
     }
   }
 
-  private static int left(SitesFixture.Site site) {
+  private static int openRequests(SitesFixture.Site site) {
     try {
-      return site.live();
+      return site.openRequests();
     } catch (Exception e) {
       throw new AssertionError(e);
     }
   }
 
   @Test
-  void aSiteWithRoomSendsNothing() throws Exception {
+  void siteWithRoomForwardsNothing() throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 4, 8, 10).site("bangkok", 4, 8, 10).linked(false)) {
+        new SitesFixture().site("hat-yai", 4, 8, 10).site("bangkok", 4, 8, 10).startLinked(false)) {
       SitesFixture.Site home = sites.site("hat-yai");
       OpenLoop load = home.load(200, 3000, VIEW);
-      Await.until("calls", () -> load.tally().total() > 300);
+      Await.until("calls were made", () -> load.tally().total() > 300);
       load.stop();
       assertEquals(load.tally().total(), load.tally().count(Tally.Result.SERVED));
       assertEquals(0, home.sum("bangkok", "calls"));
     }
   }
 
-  /** Its only server cannot be reached: every attempt that a request has is made in no time. */
+  /** The only server is unreachable, so all attempts of a request fail immediately. */
   @Test
-  void aSiteThatIsLostIsServedByItsNeighbour() throws Exception {
+  void requestsOfASiteWithoutReachableServersAreServedByAPeerSite() throws Exception {
     try (SitesFixture sites = new SitesFixture().site("hat-yai", 0, 1, 1)) {
-      // Port 1 is nobody's on a machine for tests.
-      sites.site("hat-yai").line("gone-1 127.0.0.1:1 a front 0 1 in_service");
-      sites.site("bangkok", 4, 8, 5).linked(false);
+      // Nothing listens on port 1 of a test machine.
+      sites.site("hat-yai").addMemberLine("gone-1 127.0.0.1:1 a front 0 1 in_service");
+      sites.site("bangkok", 4, 8, 5).startLinked(false);
       OpenLoop load = sites.site("hat-yai").load(50, 3000, VIEW, PUBLISH);
-      Await.until("served", () -> load.tally().count(Tally.Result.SERVED) > 50);
+      Await.until("calls were served", () -> load.tally().count(Tally.Result.SERVED) > 50);
       load.stop();
       assertEquals(0, load.tally().count(Tally.Result.LOST));
-      assertEquals(0, load.tally().count(Tally.Result.FAILED)); // A new link may still refuse some.
+      // Refusals are permitted, as a new link may refuse some calls.
+      assertEquals(0, load.tally().count(Tally.Result.FAILED));
     }
   }
 
-  // ---- a link that fails under a call ----
+  // ---- a link that fails during a call ----
 
-  /** One call whose server here is busy for good, so that it has to go across. */
-  private static OpenLoop oneAway(SitesFixture sites, Kind kind, long deadlineMillis)
+  /** Starts load on a site whose only server is busy, and waits until a call is forwarded. */
+  private static OpenLoop loadUntilForwarded(SitesFixture sites, Kind kind, long deadlineMillis)
       throws Exception {
     SitesFixture.Site home = sites.site("hat-yai");
     OpenLoop load = home.load(50, deadlineMillis, kind);
-    Await.until("a call is across", () -> home.sum("bangkok", "in_flight") > 0);
+    Await.until("a forwarded call is in flight", () -> home.sum("bangkok", "in_flight") > 0);
     return load;
   }
 
-  /** Two gateways of the far site, each with servers that take long. */
-  private static SitesFixture twoFarGateways() throws Exception {
+  /** Starts a site and a peer site with two gateways, each with slow servers. */
+  private static SitesFixture peerSiteWithTwoGateways() throws Exception {
     return new SitesFixture()
         .site("hat-yai", 1, 1, 3000)
         .gateway("bangkok-1", "bangkok", 4, 16, 400)
         .gateway("bangkok-2", "bangkok", 4, 16, 400)
-        .linked(false);
+        .startLinked(false);
   }
 
   private static final Kind KEYED = new Kind("keyed", "school", true, true, 1);
@@ -110,28 +113,28 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aSafeCallGoesOnOverAnotherLink(boolean reset) throws Exception {
-    try (SitesFixture sites = twoFarGateways()) {
+  void safeCallsAreRetriedOverAnotherLink(boolean reset) throws Exception {
+    try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = oneAway(sites, VIEW, 5000);
-      DelayLine way = home.ways.get("bangkok-1");
-      Await.until("on both links", () -> onBoth(home));
+      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      DelayLine path = home.paths.get("bangkok-1");
+      Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       if (reset) {
-        way.breakAll();
+        path.breakAll();
       } else {
-        way.mute(true, true);
+        path.mute(true, true);
       }
-      Await.until("seen", () -> home.links().get(0).get("state") != "up");
+      Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long refusedBefore = load.tally().count(Tally.Result.FAILED);
       load.stop();
       assertEquals(0, load.tally().count(Tally.Result.FAILED) - refusedBefore);
       assertEquals(0, load.tally().count(Tally.Result.LOST));
       assertTrue(load.tally().count(Tally.Result.SERVED) > 0);
-      assertTrue(count(home, 0, "failed") > 0, "calls were under way on the link");
+      assertTrue(count(home, 0, "failed") > 0, "calls were in flight on the link");
     }
   }
 
-  private static boolean onBoth(SitesFixture.Site home) {
+  private static boolean inFlightOnBothLinks(SitesFixture.Site home) {
     return count(home, 0, "in_flight") > 0 && count(home, 1, "in_flight") > 0;
   }
 
@@ -139,73 +142,74 @@
     return ((Number) site.links().get(link).get(figure)).longValue();
   }
 
-  /** It may have run, so its caller hears of a failure, soon and not at its deadline. */
+  /** The call may have run, so the caller gets a failure, well before the deadline. */
   @ParameterizedTest
   @CsvSource({"publish, true", "publish, false", "keyed, true", "keyed, false"})
-  void whatMustNotRunTwiceFails(String type, boolean reset) throws Exception {
-    try (SitesFixture sites = twoFarGateways()) {
+  void callsThatMustNotRunTwiceFail(String type, boolean reset) throws Exception {
+    try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = oneAway(sites, type.equals("keyed") ? KEYED : PUBLISH, 5000);
-      Await.until("on both links", () -> onBoth(home));
-      DelayLine way = home.ways.get("bangkok-1");
+      OpenLoop load = loadUntilForwarded(sites, type.equals("keyed") ? KEYED : PUBLISH, 5000);
+      Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
+      DelayLine path = home.paths.get("bangkok-1");
       long since = System.nanoTime();
       if (reset) {
-        way.breakAll();
+        path.breakAll();
       } else {
-        way.mute(true, true);
+        path.mute(true, true);
       }
-      Await.until("told", () -> load.tally().count(Tally.Result.FAILED) > 0);
+      Await.until("failure reported", () -> load.tally().count(Tally.Result.FAILED) > 0);
       long millis = (System.nanoTime() - since) / 1_000_000;
       load.stop();
       long[] faults = faults(sites, "/api/" + type);
       assertEquals(0, faults[0], "lost");
       assertEquals(0, faults[1], "run twice");
-      assertEquals(0, faults[2], "told what is not true");
-      assertTrue(millis < 4000, "told after " + millis + " ms");
+      assertEquals(0, faults[2], "outcome reported that is not true");
+      assertTrue(millis < 4000, "failure reported after " + millis + " ms");
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aLinkThatLosesOneDirectionIsLeft(boolean there) throws Exception {
-    try (SitesFixture sites = twoFarGateways()) {
+  void linkThatLosesOneDirectionIsNotUsed(boolean outbound) throws Exception {
+    try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = oneAway(sites, VIEW, 5000);
-      Await.until("on both links", () -> onBoth(home));
-      home.ways.get("bangkok-1").mute(there, !there);
-      Await.until("seen", () -> home.links().get(0).get("state") != "up");
+      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
+      home.paths.get("bangkok-1").mute(outbound, !outbound);
+      Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long before = home.sum("bangkok", "served");
-      Await.until("the other one serves", () -> home.sum("bangkok", "served") > before + 10);
-      home.ways.get("bangkok-1").mute(false, false);
-      Await.until("it is back", () -> home.links().get(0).get("state").equals("up"));
+      Await.until("the other link serves calls", () -> home.sum("bangkok", "served") > before + 10);
+      home.paths.get("bangkok-1").mute(false, false);
+      Await.until("the link is up again", () -> home.links().get(0).get("state").equals("up"));
       load.stop();
       assertEquals(0, load.tally().count(Tally.Result.LOST));
     }
   }
 
   @Test
-  void oneOfTwoFarGatewaysDies() throws Exception {
-    try (SitesFixture sites = twoFarGateways()) {
+  void callsContinueAfterOneOfTwoPeerGatewaysStops() throws Exception {
+    try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = oneAway(sites, VIEW, 5000);
-      Await.until("on both links", () -> onBoth(home));
+      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       sites.site("bangkok-1").node.stop();
-      Await.until("seen", () -> home.links().get(0).get("state") != "up");
+      Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long before = home.sum("bangkok", "served");
-      Await.until("the other one serves", () -> home.sum("bangkok", "served") > before + 10);
+      Await.until("the other link serves calls", () -> home.sum("bangkok", "served") > before + 10);
       load.stop();
       assertEquals(0, load.tally().count(Tally.Result.LOST));
       assertEquals(0, load.tally().count(Tally.Result.FAILED));
     }
   }
 
-  /** A process that was held up finds no fault in its peers. */
+  /** After a stall of its own event loop, a gateway must not take its peers for broken. */
   @Test
-  void aStallOfThisProcessBreaksNoLink() throws Exception {
+  void stallOfTheEventLoopBreaksNoLink() throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10).linked(false)) {
+        new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10).startLinked(false)) {
       SitesFixture.Site home = sites.site("hat-yai");
-      Object breaks = home.links().get(0).get("breaks"); // Dialled before the other one listened.
+      // Not necessarily 0: attempts to connect before the peer listened count as breaks.
+      Object breaks = home.links().get(0).get("breaks");
       for (int i = 0; i < 3; i++) {
         home.node
             .node()
@@ -224,24 +228,25 @@
 
   // ---- full sites ----
 
-  /** All of them have less than is asked of them: each keeps to its own and nothing goes round. */
+  /** All sites are overloaded; none of them forwards a call that came from another site. */
   @ParameterizedTest
   @ValueSource(ints = {2, 3})
-  void fullNeighboursSendNothingRound(int count) throws Exception {
+  void overloadedSitesForwardNoCallsInACircle(int count) throws Exception {
     try (SitesFixture sites = new SitesFixture()) {
       for (int i = 0; i < count; i++) {
         sites.site("site-" + i, 2, 2, 50);
       }
-      sites.linked(false);
+      sites.startLinked(false);
       List<OpenLoop> loads = new ArrayList<>();
       for (SitesFixture.Site site : sites.sites.values()) {
         loads.add(site.load(150, 2000, VIEW, PUBLISH));
       }
       Await.until(
-          "calls were refused across",
+          "calls were refused by peer sites",
           () ->
               sites.sites.values().stream()
-                  .allMatch(site -> loads.get(0).tally().total() > 600 && tried(site) > 0));
+                  .allMatch(
+                      site -> loads.get(0).tally().total() > 600 && forwardedCalls(site) > 0));
       for (OpenLoop load : loads) {
         load.stop();
         assertEquals(0, load.tally().count(Tally.Result.LOST));
@@ -253,49 +258,56 @@
             assertEquals(0L, site.from(other.name).get("bounced"));
           }
         }
-        Await.until("nothing is left over", () -> left(site) == 0);
+        Await.until("no request is left open", () -> openRequests(site) == 0);
       }
     }
   }
 
-  private static long tried(SitesFixture.Site site) {
+  private static long forwardedCalls(SitesFixture.Site site) {
     return site.links().stream().mapToLong(link -> ((Number) link.get("calls")).longValue()).sum();
   }
 
-  // ---- long messages ----
+  // ---- long answers ----
 
   @Test
-  void aLongAnswerGoesOnAsItComes() throws Exception {
+  void longAnswerIsStreamed() throws Exception {
     try (SitesFixture sites = new SitesFixture().site("hat-yai", 1, 1, 3000);
-        LongResponseServer far = new LongResponseServer(3 << 20)) {
+        LongResponseServer server = new LongResponseServer(3 << 20)) {
       sites.site("bangkok", 0, 1, 1);
-      sites.site("bangkok").line(far.line("long-1"));
-      sites.linked(false);
+      sites.site("bangkok").addMemberLine(server.memberLine("long-1"));
+      sites.startLinked(false);
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop busy = home.load(20, 5000, PUBLISH);
-      Await.until("home is full", () -> home.sum("bangkok", "calls") > 0);
-      assertEquals(3 << 20, LongResponseServer.ask(home.node.node().address(), "view", "GET"));
-      busy.stop();
+      OpenLoop load = home.load(20, 5000, PUBLISH);
+      Await.until("the site is full", () -> home.sum("bangkok", "calls") > 0);
+      assertEquals(
+          3 << 20,
+          LongResponseServer.requestUntilServed(home.node.node().address(), "view", "GET"));
+      load.stop();
     }
   }
 
   // ---- operators ----
 
   @Test
-  void aDrainedLinkGetsNothing() throws Exception {
+  void drainedLinkGetsNoCalls() throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 1, 1, 200).site("bangkok", 4, 8, 20).linked(false)) {
+        new SitesFixture()
+            .site("hat-yai", 1, 1, 200)
+            .site("bangkok", 4, 8, 20)
+            .startLinked(false)) {
       SitesFixture.Site home = sites.site("hat-yai");
       OpenLoop load = home.load(50, 3000, VIEW);
-      Await.until("calls go across", () -> home.sum("bangkok", "served") > 5);
+      Await.until("calls are forwarded", () -> home.sum("bangkok", "served") > 5);
       home.drain("bangkok", true);
       assertEquals("drained", home.links().get(0).get("state"));
       long before = home.sum("bangkok", "calls") + home.sum("bangkok", "in_flight");
       long refused = load.tally().count(Tally.Result.REFUSED);
-      Await.until("refused here", () -> load.tally().count(Tally.Result.REFUSED) > refused + 10);
+      Await.until(
+          "calls are refused by this site",
+          () -> load.tally().count(Tally.Result.REFUSED) > refused + 10);
       assertEquals(before, home.sum("bangkok", "calls"));
-      home.drain("bangkok/127.0.0.1:" + home.ways.get("bangkok").address().getPort(), false);
-      Await.until("again", () -> home.sum("bangkok", "calls") > before + 5);
+      home.drain("bangkok/127.0.0.1:" + home.paths.get("bangkok").address().getPort(), false);
+      Await.until("calls are forwarded again", () -> home.sum("bangkok", "calls") > before + 5);
       load.stop();
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/InboundCallTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/InboundCallTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import testing.Await;
 
-/** What a gateway makes of what a peer says, and of a client that speaks as if it were one. */
+/** Handling of calls from a peer, valid and invalid, and of clients that pretend to be a peer. */
 @Timeout(60)
 class InboundCallTest {
   private SitesFixture sites;
@@ -37,7 +37,7 @@
   @BeforeEach
   void start() throws Exception {
     sites = new SitesFixture().site("hat-yai", 1, 4, 5).site("bangkok", 1, 4, 5);
-    sites.with("patience = \"500ms\"").linked(false);
+    sites.withGatewaySetting("patience = \"500ms\"").startLinked(false);
   }
 
   @AfterEach
@@ -45,8 +45,9 @@
     sites.close();
   }
 
-  private static final class Raw extends MultiplexedConnection {
-    Raw(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
+  private static final class TestConnection extends MultiplexedConnection {
+    TestConnection(
+        Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
       super(decoder, encoder, settings);
     }
   }
@@ -55,7 +56,7 @@
     final CompletableFuture<Http2Headers> answer = new CompletableFuture<>();
     final CompletableFuture<Long> reset = new CompletableFuture<>();
 
-    /** Whether what comes is used up, so that more may come. */
+    /** Whether received data is consumed, which returns the flow control window. */
     boolean reads = true;
 
     @Override
@@ -80,7 +81,7 @@
     }
   }
 
-  private static Http2Headers good() {
+  private static Http2Headers validHeaders() {
     return new DefaultHttp2Headers()
         .method("GET")
         .scheme("https")
@@ -93,48 +94,53 @@
         .set("x-site-left", "2000000");
   }
 
-  private static Raw connect(SitesFixture sites) throws Exception {
-    Raw raw = MultiplexedConnection.build(false, 0, 16384, Set.of(), Raw::new);
+  private static TestConnection connect(SitesFixture sites) throws Exception {
+    TestConnection connection =
+        MultiplexedConnection.build(false, 0, 16384, Set.of(), TestConnection::new);
     new Bootstrap()
         .group(sites.group)
         .channel(NioSocketChannel.class)
-        .handler(raw)
+        .handler(connection)
         .connect(sites.site("bangkok").listen())
         .sync();
-    return raw;
+    return connection;
   }
 
-  /** Begins a call, with a first piece of its body unless that is null. */
-  private static Call begin(Raw raw, Http2Headers headers, byte[] body, boolean reads) {
+  /** Starts a call, with the first part of its body unless that is null. */
+  private static Call startCall(
+      TestConnection connection, Http2Headers headers, byte[] body, boolean reads) {
     Call call = new Call();
     call.reads = reads;
-    raw.context()
+    connection
+        .context()
         .executor()
         .execute(
             () -> {
-              int id = raw.openStream(call, headers, body == null);
+              int id = connection.openStream(call, headers, body == null);
               if (body != null) {
-                raw.writeData(id, Unpooled.wrappedBuffer(body), false);
+                connection.writeData(id, Unpooled.wrappedBuffer(body), false);
               }
             });
     return call;
   }
 
-  private Http2Headers ask(Http2Headers headers) throws Exception {
-    Raw raw = connect(sites);
-    Http2Headers answer = begin(raw, headers, null, true).answer.get(30, TimeUnit.SECONDS);
-    raw.close();
+  private Http2Headers send(Http2Headers headers) throws Exception {
+    TestConnection connection = connect(sites);
+    Http2Headers answer =
+        startCall(connection, headers, null, true).answer.get(30, TimeUnit.SECONDS);
+    connection.close();
     return answer;
   }
 
   @Test
-  void aGoodCallIsServedWithWhatThisSiteTakes() throws Exception {
-    Http2Headers answer = ask(good());
+  void validCallIsServedAndTheAnswerReportsTimeAndRoom() throws Exception {
+    Http2Headers answer = send(validHeaders());
     assertEquals("200", answer.status().toString());
     assertEquals("served", answer.get("x-site-result").toString());
     assertTrue(Long.parseLong(answer.get("x-site-took").toString()) >= 4000);
     assertTrue(Long.parseLong(answer.get("x-site-room").toString()) > 0);
-    assertEquals("200", ask(good().set("x-site-trail", "2;hat-yai;later=1")).status().toString());
+    assertEquals(
+        "200", send(validHeaders().set("x-site-trail", "2;hat-yai;later=1")).status().toString());
   }
 
   @ParameterizedTest
@@ -153,20 +159,20 @@
     "x-class, other",
     "x-request-id, ''"
   })
-  void aCallThatIsWrongIsRefusedAndNeverRuns(String header, String value) throws Exception {
-    Http2Headers headers = good();
+  void invalidCallIsRefusedAndNeverRuns(String header, String value) throws Exception {
+    Http2Headers headers = validHeaders();
     if (value.isEmpty()) {
       headers.remove(header);
     } else {
       headers.set(header, value);
     }
-    Http2Headers answer = ask(headers);
+    Http2Headers answer = send(headers);
     assertEquals("503", answer.status().toString());
     assertEquals("refused", answer.get("x-site-result").toString());
     assertEquals(0, sites.site("bangkok").received());
   }
 
-  /** What would be a second request to a server over HTTP/1.1. */
+  /** Request smuggling: headers that would form a second request over HTTP/1.1. */
   @ParameterizedTest
   @CsvSource({
     ":path, '/next HTTP/1.1|Evil: 1|'",
@@ -175,58 +181,60 @@
     "x-evil, 'a|b: c'",
     ":authority, 'b|x: y'"
   })
-  void aCallThatHidesAnotherIsRefused(String header, String value) throws Exception {
+  void callThatSmugglesARequestIsRefused(String header, String value) throws Exception {
     Http2Headers headers = new DefaultHttp2Headers(false, 16);
-    good().forEach(each -> headers.add(each.getKey(), each.getValue()));
+    validHeaders().forEach(each -> headers.add(each.getKey(), each.getValue()));
     headers.set(header, value.replace("|", "\r\n"));
-    assertNotEquals("200", String.valueOf(ask(headers).status()));
+    assertNotEquals("200", String.valueOf(send(headers).status()));
     assertEquals(0, sites.site("bangkok").received());
   }
 
   private static Http2Headers publish() {
-    return good().method("POST").set("x-class", "publish").set("x-site-effect", "unsafe");
+    return validHeaders().method("POST").set("x-class", "publish").set("x-site-effect", "unsafe");
   }
 
-  /** Its PINGs and other calls may go on all the while. */
+  /** PINGs and other calls of the link may continue meanwhile. */
   @Test
-  void aBodyThatStopsIsRefusedAndItsLinkStays() throws Exception {
-    Raw raw = connect(sites);
-    Call call = begin(raw, publish(), new byte[10], true);
+  void callWithAStalledBodyIsRefusedAndTheLinkStaysUp() throws Exception {
+    TestConnection connection = connect(sites);
+    Call call = startCall(connection, publish(), new byte[10], true);
     assertEquals("refused", call.answer.get(30, TimeUnit.SECONDS).get("x-site-result").toString());
     assertEquals(0, sites.site("bangkok").received());
-    Http2Headers next = good().set("x-request-id", "r-2");
-    Http2Headers answer = begin(raw, next, null, true).answer.get(30, TimeUnit.SECONDS);
+    Http2Headers next = validHeaders().set("x-request-id", "r-2");
+    Http2Headers answer = startCall(connection, next, null, true).answer.get(30, TimeUnit.SECONDS);
     assertEquals("200", answer.status().toString());
-    raw.close();
+    connection.close();
   }
 
   @Test
-  void anAnswerThatIsNotTakenIsGivenUpAndItsLinkStays() throws Exception {
+  void callWhoseAnswerIsNotReadIsAbortedAndTheLinkStaysUp() throws Exception {
     try (LongResponseServer server = new LongResponseServer(4 << 20);
-        SitesFixture own = new SitesFixture().site("hat-yai", 1, 4, 5).site("bangkok", 0, 4, 5)) {
-      own.site("bangkok").line(server.line("long"));
-      own.with("patience = \"500ms\"").linked(false);
-      Raw raw = connect(own);
-      Call stuck = begin(raw, good(), null, false);
+        SitesFixture streamingSites =
+            new SitesFixture().site("hat-yai", 1, 4, 5).site("bangkok", 0, 4, 5)) {
+      streamingSites.site("bangkok").addMemberLine(server.memberLine("long"));
+      streamingSites.withGatewaySetting("patience = \"500ms\"").startLinked(false);
+      TestConnection connection = connect(streamingSites);
+      Call stuck = startCall(connection, validHeaders(), null, false);
       assertEquals("200", stuck.answer.get(30, TimeUnit.SECONDS).status().toString());
       assertEquals(Http2Error.CANCEL.code(), stuck.reset.get(30, TimeUnit.SECONDS));
-      Await.until("nothing is held", () -> own.site("bangkok").live() == 0);
-      Http2Headers next = good().set("x-request-id", "r-2");
-      Http2Headers answer = begin(raw, next, null, true).answer.get(30, TimeUnit.SECONDS);
+      Await.until("no request is open", () -> streamingSites.site("bangkok").openRequests() == 0);
+      Http2Headers next = validHeaders().set("x-request-id", "r-2");
+      Http2Headers answer =
+          startCall(connection, next, null, true).answer.get(30, TimeUnit.SECONDS);
       assertEquals("200", answer.status().toString());
-      raw.close();
+      connection.close();
     }
   }
 
   @Test
-  void twoTrailsAreNone() throws Exception {
-    assertEquals("503", ask(good().add("x-site-trail", "1;hat-yai")).status().toString());
+  void callWithTwoTrailHeadersIsRefused() throws Exception {
+    assertEquals("503", send(validHeaders().add("x-site-trail", "1;hat-yai")).status().toString());
     assertEquals(1L, sites.site("bangkok").from("hat-yai").get("garbled"));
   }
 
-  /** Only a peer brings a trail; a client that sends one is told so. */
+  /** Only peers may send a trail. */
   @Test
-  void aClientCannotForgeATrail() throws Exception {
+  void clientRequestWithATrailIsRejected() throws Exception {
     var address = sites.site("bangkok").node.node().address();
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       String text =
--- a/src/test/java/heathswitch/proxy/gateway/LongResponseServer.java
+++ b/src/test/java/heathswitch/proxy/gateway/LongResponseServer.java
@@ -8,9 +8,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A server of one long answer, over HTTP/1.1, each time on a connection of its own. */
+/** An HTTP/1.1 server that sends a long answer and closes the connection after each request. */
 final class LongResponseServer implements AutoCloseable {
-  private static final int PIECE = 16 << 10;
+  private static final int CHUNK_BYTES = 16 << 10;
 
   private final ServerSocket listener;
   private final int bytes;
@@ -23,7 +23,8 @@
     thread.start();
   }
 
-  String line(String name) {
+  /** Returns the line of this server for the members file. */
+  String memberLine(String name) {
     return name + " 127.0.0.1:" + listener.getLocalPort() + " a front 0 1 in_service";
   }
 
@@ -34,12 +35,12 @@
         OutputStream out = socket.getOutputStream();
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\nX-Long: yes\r\n\r\n";
         out.write(head.getBytes(StandardCharsets.US_ASCII));
-        for (int left = bytes; left > 0; left -= PIECE) {
-          out.write(new byte[Math.min(left, PIECE)]);
+        for (int left = bytes; left > 0; left -= CHUNK_BYTES) {
+          out.write(new byte[Math.min(left, CHUNK_BYTES)]);
         }
         out.flush();
       } catch (Exception e) {
-        // The next connection does better.
+        // The client retries on another connection.
       }
     }
   }
@@ -56,8 +57,12 @@
     return head.toString();
   }
 
-  /** Asks a balancer until it is not refused; bytes of the answer's body. */
-  static int ask(InetSocketAddress balancer, String type, String method) throws Exception {
+  /**
+   * Sends requests to a balancer until one is served. Returns the bytes of the answer's body, or -1
+   * if none is served.
+   */
+  static int requestUntilServed(InetSocketAddress balancer, String requestClass, String method)
+      throws Exception {
     for (int i = 0; i < 200; i++) {
       try (Socket socket = new Socket(balancer.getAddress(), balancer.getPort())) {
         socket.setSoTimeout(30_000);
@@ -66,7 +71,7 @@
                 + " /long HTTP/1.1\r\nHost: b\r\nX-Request-Id: long-"
                 + i
                 + "\r\nX-Class: "
-                + type
+                + requestClass
                 + "\r\nConnection: close\r\n\r\n";
         socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
         String answer = readHead(socket.getInputStream());
--- a/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
@@ -24,10 +24,11 @@
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
 
-/** Who is let in, and what becomes of links when certificates are replaced. */
+/** Which peers are accepted, and what happens to links when certificates are replaced. */
 @Timeout(120)
 class MutualTlsTest {
-  private static SSLContext client(Path folder, String file, Path authority) throws Exception {
+  private static SSLContext clientContext(Path folder, String file, Path authority)
+      throws Exception {
     return ((JdkSslContext)
             SslContextBuilder.forClient()
                 .sslProvider(SslProvider.JDK)
@@ -38,12 +39,13 @@
         .context();
   }
 
-  /** Whether a gateway speaks HTTP/2 with whoever shows this: it begins with its SETTINGS. */
-  private static boolean letIn(SitesFixture.Site site, SSLContext as, String... protocols)
+  /** Whether a gateway accepts a client: it then sends its SETTINGS. */
+  private static boolean accepts(SitesFixture.Site site, SSLContext client, String... protocols)
       throws IOException {
     try (SSLSocket socket =
         (SSLSocket)
-            as.getSocketFactory()
+            client
+                .getSocketFactory()
                 .createSocket(InetAddress.getLoopbackAddress(), site.listen().getPort())) {
       socket.setSoTimeout(20_000);
       if (protocols.length > 0) {
@@ -56,37 +58,43 @@
   }
 
   @Test
-  void onlyAPeerOfTheAuthorityIsLetIn() throws Exception {
+  void acceptsOnlyPeerSitesWithAValidCertificateOfTheAuthority() throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10).linked(true)) {
+        new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10).startLinked(true)) {
       SitesFixture.Site home = sites.site("hat-yai");
       Path folder = sites.folder();
       Authority authority = sites.authority();
-      Authority other = new Authority(folder, "other");
+      Authority otherAuthority = new Authority(folder, "other");
       authority.sign("good", "bangkok");
       authority.sign("stranger", "udon");
       authority.signExpired("expired", "bangkok");
-      other.sign("foreign", "bangkok");
-      assertTrue(letIn(home, client(folder, "good", authority.certificate())));
-      assertFalse(letIn(home, client(folder, "stranger", authority.certificate())), "no peer");
-      assertFalse(letIn(home, client(folder, "expired", authority.certificate())), "expired");
-      assertFalse(letIn(home, client(folder, "foreign", authority.certificate())), "foreign");
+      otherAuthority.sign("foreign", "bangkok");
+      assertTrue(accepts(home, clientContext(folder, "good", authority.certificate())));
       assertFalse(
-          letIn(home, client(folder, "good", authority.certificate()), "TLSv1.2"), "TLS 1.2");
-      SSLContext nobody =
+          accepts(home, clientContext(folder, "stranger", authority.certificate())),
+          "not a peer site");
+      assertFalse(
+          accepts(home, clientContext(folder, "expired", authority.certificate())), "expired");
+      assertFalse(
+          accepts(home, clientContext(folder, "foreign", authority.certificate())),
+          "other authority");
+      assertFalse(
+          accepts(home, clientContext(folder, "good", authority.certificate()), "TLSv1.2"),
+          "TLS 1.2");
+      SSLContext anonymous =
           ((JdkSslContext)
                   SslContextBuilder.forClient()
                       .sslProvider(SslProvider.JDK)
                       .trustManager(authority.certificate().toFile())
                       .build())
               .context();
-      assertFalse(letIn(home, nobody), "no certificate");
+      assertFalse(accepts(home, anonymous), "no certificate");
     }
   }
 
-  /** Somebody of the same authority listens where a peer is expected, and is of another site. */
+  /** The listener at the address of a peer has a valid certificate, but of another site. */
   @Test
-  void aPeerOfAnotherSiteIsNotSpokenTo() throws Exception {
+  void linkIsNotEstablishedToAPeerOfAnUnexpectedSite() throws Exception {
     try (SitesFixture sites =
         new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10)) {
       Path folder = sites.folder();
@@ -105,7 +113,7 @@
           (SSLServerSocket)
               udon.getServerSocketFactory()
                   .createServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-        sites.site("bangkok").instead = (InetSocketAddress) listener.getLocalSocketAddress();
+        sites.site("bangkok").replacement = (InetSocketAddress) listener.getLocalSocketAddress();
         Thread thread =
             new Thread(
                 () -> {
@@ -113,7 +121,7 @@
                     try (SSLSocket socket = (SSLSocket) listener.accept()) {
                       socket.getInputStream().read();
                     } catch (IOException e) {
-                      // The next one.
+                      // Accept the next connection.
                     }
                   }
                 });
@@ -121,7 +129,7 @@
         thread.start();
         home.start(true);
         Await.until(
-            "tried several times",
+            "several attempts to connect",
             () -> ((Number) home.links().get(0).get("breaks")).intValue() >= 3);
         assertNotEquals("up", home.links().get(0).get("state"));
       }
@@ -129,22 +137,23 @@
   }
 
   @Test
-  void aCertificateIsReplacedWhileCallsGoOn() throws Exception {
+  void certificateIsReplacedWithoutLosingCalls() throws Exception {
     try (SitesFixture sites =
-        new SitesFixture().site("hat-yai", 1, 1, 200).site("bangkok", 4, 8, 20).linked(true)) {
+        new SitesFixture().site("hat-yai", 1, 1, 200).site("bangkok", 4, 8, 20).startLinked(true)) {
       SitesFixture.Site home = sites.site("hat-yai");
       OpenLoop load = home.load(50, 3000, Kind.safe("view", "school", 1));
-      Await.until("calls go across", () -> home.sum("bangkok", "served") > 5);
+      Await.until("calls are forwarded", () -> home.sum("bangkok", "served") > 5);
       Object before = home.status().get("certificate_until");
       Path pem = sites.folder().resolve("hat-yai.pem");
       String good = Files.readString(pem);
       Files.writeString(pem, good.substring(0, good.length() / 2));
-      Thread.sleep(1500); // For several looks: what must not happen has no event.
+      Thread.sleep(1500); // Several polls; the absence of a change raises no event.
       assertEquals(before, home.status().get("certificate_until"));
       sites.authority().sign("hat-yai", "hat-yai", 2);
-      Await.until("taken", () -> !before.equals(home.status().get("certificate_until")));
+      Await.until(
+          "new certificate is used", () -> !before.equals(home.status().get("certificate_until")));
       long served = home.sum("bangkok", "served");
-      Await.until("calls go on", () -> home.sum("bangkok", "served") > served + 10);
+      Await.until("calls are still forwarded", () -> home.sum("bangkok", "served") > served + 10);
       assertEquals("up", home.links().get(0).get("state"));
       load.stop();
       assertEquals(0, load.tally().count(Tally.Result.LOST));
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -25,7 +25,10 @@
 import java.util.function.Predicate;
 import testing.Await;
 
-/** Several sites in this process, each with stand-in servers, a gateway, and ways to the others. */
+/**
+ * Several sites in this process, each with stand-in servers, a gateway, and delayed paths to the
+ * gateways of the other sites.
+ */
 final class SitesFixture implements AutoCloseable {
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
 
@@ -35,23 +38,24 @@
   private final Path folder = Files.createTempDirectory("heathswitch-sites-");
   private Authority authority;
   private long seed = 1;
-  private String more = "";
+  private String gatewaySetting = "";
 
   /**
-   * One gateway of one site. A second one of a site has a name of its own here, and its servers.
+   * One gateway of a site, with its own servers. Gateways of the same site share a name and differ
+   * in their keys.
    */
   final class Site implements AutoCloseable {
     final String name;
     final String key;
 
-    /** Somebody else who listens in place of the gateway, or null. */
-    volatile InetSocketAddress instead;
+    /** The address of a listener that replaces the gateway, or null. */
+    volatile InetSocketAddress replacement;
 
     final List<StandIn> servers = new ArrayList<>();
-    final Map<String, DelayLine> ways = new LinkedHashMap<>();
+    final Map<String, DelayLine> paths = new LinkedHashMap<>();
     final Workplace workplace;
     String certificate;
-    private final List<String> lines = new ArrayList<>();
+    private final List<String> memberLines = new ArrayList<>();
     volatile StandaloneNode node;
 
     Site(String key, String name, int servers, Shape shape) throws Exception {
@@ -66,22 +70,24 @@
       }
     }
 
-    /** Where other gateways connect, or null while nobody listens. */
+    /** The address to which other gateways connect, or null while there is no listener. */
     InetSocketAddress listen() {
-      StandaloneNode now = node;
-      return instead != null ? instead : now == null ? null : now.gateway().address();
+      StandaloneNode current = node;
+      return replacement != null
+          ? replacement
+          : current == null ? null : current.gateway().address();
     }
 
-    /** A server in words of the list's own. */
-    void line(String words) {
-      lines.add(words);
+    /** Adds a server by its line in the members file. */
+    void addMemberLine(String line) {
+      memberLines.add(line);
     }
 
     long received() {
       return servers.stream().mapToLong(StandIn::received).sum();
     }
 
-    /** A page of the gateway, read on its loop. */
+    /** The status page of the gateway, read on its event loop. */
     Map<String, Object> status() {
       try {
         return node.node().loop().submit(() -> node.gateway().status()).get();
@@ -100,7 +106,7 @@
       return ((Map<String, Map<String, Object>>) status().get("from")).get(site);
     }
 
-    /** A figure summed over the links to a site. */
+    /** Sums a figure over the links to a site. */
     long sum(String site, String figure) {
       return links().stream()
           .filter(link -> String.valueOf(link.get("link")).startsWith(site + ' '))
@@ -112,7 +118,7 @@
       Await.until("links of " + key, () -> links().stream().allMatch(each));
     }
 
-    int live() {
+    int openRequests() {
       try {
         return node.node().loop().submit(() -> node.node().dispatcher().liveRequestCount()).get();
       } catch (Exception e) {
@@ -120,12 +126,12 @@
       }
     }
 
-    OpenLoop load(double perSecond, long deadlineMillis, Kind... kinds) {
+    OpenLoop load(double ratePerSecond, long deadlineMillis, Kind... kinds) {
       return new OpenLoop(
               group.next(),
               node.node().address(),
               List.of(kinds),
-              perSecond,
+              ratePerSecond,
               deadlineMillis,
               200,
               seed++,
@@ -133,11 +139,11 @@
           .start();
     }
 
-    void drain(String link, boolean out) {
+    void drain(String link, boolean drained) {
       try {
         node.node()
             .loop()
-            .submit(() -> node.gateway().drainOrResume((out ? "drain/" : "resume/") + link))
+            .submit(() -> node.gateway().drainOrResume((drained ? "drain/" : "resume/") + link))
             .get(10, TimeUnit.SECONDS);
       } catch (Exception e) {
         throw new AssertionError(e);
@@ -146,8 +152,9 @@
 
     void start(boolean tls) throws Exception {
       servers.forEach(
-          each -> lines.add(MembersFormat.formatLine(Workplace.listed(each, "a", "front", 1))));
-      String members = String.join("\n", lines) + "\nend " + lines.size() + '\n';
+          each ->
+              memberLines.add(MembersFormat.formatLine(Workplace.listed(each, "a", "front", 1))));
+      String members = String.join("\n", memberLines) + "\nend " + memberLines.size() + '\n';
       Files.writeString(workplace.members(), members);
       Path file = workplace.configure(ANY, ANY, 512, "");
       StringBuilder table = new StringBuilder("[[class]]\nname = \"keyed\"\neffect = \"keyed\"\n");
@@ -161,22 +168,22 @@
       } else {
         table.append("insecure = true\n");
       }
-      table.append(more);
+      table.append(gatewaySetting);
       Map<String, List<String>> others = new LinkedHashMap<>();
       for (Site other : sites.values()) {
         if (!other.name.equals(name)) {
-          DelayLine way = new DelayLine(group.next(), other::listen, 5.6, 10, seed++).start();
-          ways.put(other.key, way);
+          DelayLine path = new DelayLine(group.next(), other::listen, 5.6, 10, seed++).start();
+          paths.put(other.key, path);
           others
-              .computeIfAbsent(other.name, any -> new ArrayList<>())
-              .add("\"127.0.0.1:" + way.address().getPort() + '"');
+              .computeIfAbsent(other.name, site -> new ArrayList<>())
+              .add("\"127.0.0.1:" + path.address().getPort() + '"');
         }
       }
       others.forEach(
-          (site, addresses) ->
+          (peerSite, addresses) ->
               table
                   .append("[[gateway.peer]]\nsite = \"")
-                  .append(site)
+                  .append(peerSite)
                   .append("\"\ngateways = ")
                   .append(addresses)
                   .append('\n'));
@@ -195,7 +202,7 @@
       if (node != null) {
         node.stop();
       }
-      ways.values().forEach(DelayLine::close);
+      paths.values().forEach(DelayLine::close);
       servers.forEach(StandIn::close);
       workplace.close();
     }
@@ -203,11 +210,15 @@
 
   SitesFixture() throws Exception {}
 
-  /** A site with servers that work on so many calls at a time, each for so long, and queue none. */
+  /**
+   * Adds a site whose servers process a fixed number of calls at a time, each for a fixed time, and
+   * queue none.
+   */
   SitesFixture site(String name, int servers, int cores, double millis) throws Exception {
     return gateway(name, name, servers, cores, millis);
   }
 
+  /** Adds a gateway of a site, with its own servers. */
   SitesFixture gateway(String key, String name, int servers, int cores, double millis)
       throws Exception {
     Shape shape = Shape.warm(cores, 0, ServiceTime.fixed(millis));
@@ -215,9 +226,9 @@
     return this;
   }
 
-  /** A further line of every site's table [gateway]. */
-  SitesFixture with(String line) {
-    more = line + '\n';
+  /** Sets a line to add to the table [gateway] of every site. */
+  SitesFixture withGatewaySetting(String line) {
+    gatewaySetting = line + '\n';
     return this;
   }
 
@@ -243,8 +254,8 @@
     return this;
   }
 
-  /** Starts all and waits until every link can take calls. */
-  SitesFixture linked(boolean tls) throws Exception {
+  /** Starts all sites and waits until every link can carry calls. */
+  SitesFixture startLinked(boolean tls) throws Exception {
     start(tls);
     for (Site site : sites.values()) {
       site.awaitLinks(
