--- a/src/main/java/heathswitch/proxy/cli/MembersCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/MembersCommand.java
@@ -56,7 +56,7 @@
       description = "Writes the closing line of a file: its number of servers and a digest.")
   int seal(@Parameters(paramLabel = "FILE") Path file) {
     try {
-      String text = BoundedFile.text(BoundedFile.read(file, MAX_FILE_BYTES));
+      String text = BoundedFile.decodeUtf8(BoundedFile.read(file, MAX_FILE_BYTES));
       AtomicFile.write(file.toRealPath(), MembersCheck.seal(text).getBytes(StandardCharsets.UTF_8));
       return 0;
     } catch (IOException e) {
--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -59,16 +59,16 @@
       description = "Creates the folder of a voter: once, for a new installation.")
   int init() {
     StandaloneConfig parsed = AdminRequests.readConfig(spec, config);
-    if (parsed == null || parsed.work() == null) {
+    if (parsed == null || parsed.maintenance() == null) {
       err().println(config + ": no usable table [work]");
       return 1;
     }
     try {
-      boolean created = VoterFolder.create(parsed.work());
-      out().println(parsed.work().folder() + (created ? " created" : " exists already"));
+      boolean created = VoterFolder.create(parsed.maintenance());
+      out().println(parsed.maintenance().folder() + (created ? " created" : " exists already"));
       return 0;
     } catch (IOException e) {
-      err().println(parsed.work().folder() + ": " + e.getMessage());
+      err().println(parsed.maintenance().folder() + ": " + e.getMessage());
       return 1;
     }
   }
@@ -315,7 +315,7 @@
     if (parsed == null) {
       return null;
     }
-    if (parsed.admin() == null || parsed.work() == null) {
+    if (parsed.admin() == null || parsed.maintenance() == null) {
       err().println(config + ": the tables [admin] and [work] are both needed");
       return null;
     }
--- a/src/main/java/heathswitch/proxy/gateway/Identity.java
+++ b/src/main/java/heathswitch/proxy/gateway/Identity.java
@@ -131,7 +131,7 @@
 
   private static String text(Path file) throws UnusableFileException {
     try {
-      return BoundedFile.text(BoundedFile.read(file, MAX_FILE_BYTES));
+      return BoundedFile.decodeUtf8(BoundedFile.read(file, MAX_FILE_BYTES));
     } catch (IOException e) {
       throw new UnusableFileException(file, String.valueOf(e.getMessage()));
     }
