--- a/src/main/java/heathswitch/proxy/cli/WorkCommand.java
+++ b/src/main/java/heathswitch/proxy/cli/WorkCommand.java
@@ -175,10 +175,10 @@
       return printResult(answer);
     }
     Map<String, Object> page = answer.body();
-    out().println("entry " + page.get("entry") + ", leader " + page.get("leader"));
+    out().println("entry " + page.get("entry") + ", " + page.get("leader") + " leads");
     String trouble = String.valueOf(page.getOrDefault("trouble", ""));
     if (!trouble.isEmpty()) {
-      out().println("not following the log: " + trouble);
+      out().println("here: " + trouble);
     }
     for (Object each : (List<?>) page.get("instances")) {
       Map<?, ?> row = (Map<?, ?>) each;
--- a/src/main/java/heathswitch/proxy/consensus/LogClients.java
+++ b/src/main/java/heathswitch/proxy/consensus/LogClients.java
@@ -45,7 +45,7 @@
 
   private synchronized RaftClient borrow() throws IOException {
     if (closed) {
-      throw new IOException("the log clients are closed");
+      throw new IOException("ending");
     }
     RaftClient client = idle.poll();
     if (client == null) {
@@ -66,7 +66,7 @@
       try {
         each.close();
       } catch (IOException e) {
-        Log.warn("agreement", "closing a client failed: " + e);
+        Log.warn("agreement", "end: " + e);
       }
     }
   }
--- a/src/main/java/heathswitch/proxy/consensus/ReplicaStateMachine.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicaStateMachine.java
@@ -217,7 +217,7 @@
 
   @Override
   public void notifyLeaderChanged(RaftGroupMemberId self, RaftPeerId leader) {
-    Log.info("agreement", "leader: " + leader);
+    Log.info("agreement", leader + " leads");
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/consensus/ReplicatedLog.java
+++ b/src/main/java/heathswitch/proxy/consensus/ReplicatedLog.java
@@ -480,7 +480,7 @@
       throw new IOException(e.getCause());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted while waiting", e);
+      throw new IOException("ending", e);
     }
   }
 
@@ -502,7 +502,7 @@
       Thread.sleep(RETRY_DELAY_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted while waiting", e);
+      throw new IOException("ending", e);
     }
   }
 
@@ -555,7 +555,7 @@
           try {
             server.close();
           } catch (IOException e) {
-            Log.warn("agreement", "closing failed: " + e);
+            Log.warn("agreement", "end: " + e);
           }
         });
   }
@@ -586,7 +586,7 @@
       try {
         each.close();
       } catch (Exception e) {
-        Log.warn("agreement", "closing failed: " + e);
+        Log.warn("agreement", "end: " + e);
       }
     }
   }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -27,42 +27,43 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Machines taken out for work by several processes with faults between them, beside the same faults
- * with no orders at all; and the modules under schedules of faults in virtual time.
+ * Measures maintenance orders in a fleet of several processes under fault injection, compared with
+ * the same faults without orders. Also runs the schedules of faults in virtual time and the mutants
+ * of {@link WorkMutants}.
  */
 public final class WorkMeasurement implements Measurement {
   private static final long SEED = 28;
-  private static final int PEOPLE = 2;
+  private static final int OPERATORS = 2;
 
   /**
-   * Machines that the floor leaves room for: as many as people and a probe have out, and as many on
-   * their way back for one that looked last before it died. So a probe waits for nothing but what
-   * it measures.
+   * Machines that the capacity floor allows to be out: as many as the operators and a probe have
+   * out, and as many again that are returning but that an instance has seen last as out before it
+   * died. So a probe waits for nothing but what it measures.
    */
-  private static final int SPARED = 2 * PEOPLE + 1;
+  private static final int MACHINES_ABOVE_FLOOR = 2 * OPERATORS + 1;
 
-  /** One more than the floor allows, so that it is the floor that counts. */
-  private static final int MOST_OUT = SPARED + 1;
+  /** One more than the floor allows, so that the floor is the limit that takes effect. */
+  private static final int MAX_OUT = MACHINES_ABOVE_FLOOR + 1;
 
-  /** Spans for which an instance is stopped, one after the other. */
-  private static final long[] PAUSES = {3000, 1000, 10_000, 60_000};
+  /** Durations in milliseconds for which an instance is paused, used in turn. */
+  private static final long[] PAUSES_MILLIS = {3000, 1000, 10_000, 60_000};
 
-  private static final int KINDS = 8;
-  private static final int FULL_DISK = 6;
+  private static final int FAULT_KINDS = 8;
+  private static final int FULL_DISK_FAULT = 6;
 
-  private static final long WAIT_NANOS = 30_000_000_000L;
-  private static final long LOOK_MILLIS = 3;
+  private static final long TIMEOUT_NANOS = 30_000_000_000L;
+  private static final long POLL_MILLIS = 3;
 
-  /** What a run is like. */
-  private record Size(
+  /** The scale of a run. */
+  private record Scale(
       int instances,
       int voters,
       int machines,
       double perSecond,
       long leaseMillis,
       long millis,
-      long calmMillis) {
-    /** Long enough for an order to go on without one that is cut off. */
+      long undisturbedMillis) {
+    /** Long enough for an order to advance without an instance that is cut off. */
     long holdMillis() {
       return leaseMillis + 1000;
     }
@@ -71,29 +72,29 @@
       return millis == 0;
     }
 
-    /** The floor, as a part of all machines. */
-    double least() {
-      return (double) (machines - SPARED) / machines;
+    /** The capacity floor, as a share of all machines. */
+    double minShare() {
+      return (double) (machines - MACHINES_ABOVE_FLOOR) / machines;
     }
   }
 
-  /** What one run came to. */
-  private static final class Run {
+  /** The results of one run. */
+  private static final class RunResult {
     final AtomicInteger orders = new AtomicInteger();
     final AtomicInteger done = new AtomicInteger();
-    final List<Double> settleMillis = new ArrayList<>();
+    final List<Double> timesToEmptying = new ArrayList<>();
     double takeoverWorst;
     double holdWorst;
-    int kills;
+    int leaderKills;
     int splits;
     int pauses;
     int restarts;
     int breaches;
-    int floors;
+    int floorBreaches;
     int disagreements;
-    int stuck;
-    long lost;
-    long doubles;
+    int stuckOrders;
+    long lostRequests;
+    long doubleRuns;
     long served;
     long calls;
 
@@ -104,21 +105,21 @@
 
   @Override
   public Figures run(boolean brief) throws Exception {
-    Size size =
+    Scale scale =
         brief
-            ? new Size(5, 3, 8, 150, 2000, 0, 1200)
-            : new Size(10, 5, 24, 300, 4000, 570_000, 30_000);
-    Figures.progress("faults with orders, and beside them the same faults with none");
-    // At one time, so that neither has the machine in a better hour.
-    ExecutorService both = Executors.newFixedThreadPool(2);
-    Run without;
-    Run with;
+            ? new Scale(5, 3, 8, 150, 2000, 0, 1200)
+            : new Scale(10, 5, 24, 300, 4000, 570_000, 30_000);
+    Figures.progress("fleet under faults: with orders and, at the same time, without");
+    // Both at the same time, so that other load on the machine affects both alike.
+    ExecutorService executor = Executors.newFixedThreadPool(2);
+    RunResult withoutOrders;
+    RunResult withOrders;
     try {
-      Future<Run> none = both.submit(new Play(size, false)::run);
-      with = new Play(size, true).run();
-      without = none.get();
+      Future<RunResult> baseline = executor.submit(new FleetRun(scale, false)::run);
+      withOrders = new FleetRun(scale, true).run();
+      withoutOrders = baseline.get();
     } finally {
-      both.shutdownNow();
+      executor.shutdownNow();
     }
     Figures.progress("schedules in virtual time");
     WorkExplorer.Result random = WorkExplorer.randomSchedules(1, brief ? 1000 : 100_000, 200);
@@ -131,34 +132,36 @@
       }
     }
     List<Mutant> tried = brief ? WorkMutants.ALL.subList(0, 16) : WorkMutants.ALL;
-    List<Mutant> unseen = WorkMutants.trials().undetected(tried);
-    unseen.forEach(mutant -> Figures.progress("not found: " + mutant));
-    double[] settle = with.settleMillis.stream().mapToDouble(each -> each).sorted().toArray();
+    List<Mutant> undetected = WorkMutants.trials().undetected(tried);
+    undetected.forEach(mutant -> Figures.progress("undetected mutant: " + mutant));
+    double[] timesToEmptying =
+        withOrders.timesToEmptying.stream().mapToDouble(each -> each).sorted().toArray();
     return new Figures()
-        .add("instances", size.instances())
-        .add("voters", size.voters())
-        .add("machines", size.machines())
-        .add("orders", with.orders.get())
-        .add("done", with.done.get())
-        .add("calls_after_out", with.breaches)
-        .add("floor_breaches", with.floors)
-        .add("order_disagreements", with.disagreements)
-        .add("stuck_orders", with.stuck)
-        .add("lost", with.lost)
-        .add("double_runs", with.doubles)
-        .add("goodput_share", Math.round(with.goodput() / without.goodput() * 1e4) / 1e4)
-        .rounded("settle_p50_ms", quantile(settle, 0.5))
-        .rounded("settle_p99_ms", quantile(settle, 0.99))
-        .rounded("takeover_worst_ms", with.takeoverWorst)
-        .rounded("cut_off_hold_worst_ms", with.holdWorst)
-        .add("leader_kills", with.kills)
-        .add("splits", with.splits)
-        .add("pauses", with.pauses)
-        .add("restarts", with.restarts)
+        .add("instances", scale.instances())
+        .add("voters", scale.voters())
+        .add("machines", scale.machines())
+        .add("orders", withOrders.orders.get())
+        .add("done", withOrders.done.get())
+        .add("calls_after_out", withOrders.breaches)
+        .add("floor_breaches", withOrders.floorBreaches)
+        .add("order_disagreements", withOrders.disagreements)
+        .add("stuck_orders", withOrders.stuckOrders)
+        .add("lost", withOrders.lostRequests)
+        .add("double_runs", withOrders.doubleRuns)
+        .add(
+            "goodput_share", Math.round(withOrders.goodput() / withoutOrders.goodput() * 1e4) / 1e4)
+        .rounded("settle_p50_ms", quantile(timesToEmptying, 0.5))
+        .rounded("settle_p99_ms", quantile(timesToEmptying, 0.99))
+        .rounded("takeover_worst_ms", withOrders.takeoverWorst)
+        .rounded("cut_off_hold_worst_ms", withOrders.holdWorst)
+        .add("leader_kills", withOrders.leaderKills)
+        .add("splits", withOrders.splits)
+        .add("pauses", withOrders.pauses)
+        .add("restarts", withOrders.restarts)
         .add("schedules", random.schedules() + orders.schedules())
         .add("violations", violations)
         .add("mutants", tried.size())
-        .add("mutants_found", tried.size() - unseen.size());
+        .add("mutants_found", tried.size() - undetected.size());
   }
 
   private static double quantile(double[] sorted, double share) {
@@ -167,146 +170,155 @@
         : sorted[(int) Math.min(sorted.length - 1, sorted.length * share)];
   }
 
-  /** One run: a fleet, its clients, people who ask for machines, and the faults. */
-  private static final class Play {
-    private final Size size;
-    private final boolean ordering;
-    private final Run run = new Run();
-    private final SplittableRandom faults = new SplittableRandom(SEED);
+  /** One run: a fleet, its clients, operators who request machines, and the faults. */
+  private static final class FleetRun {
+    private final Scale scale;
+    private final boolean withOrders;
+    private final RunResult result = new RunResult();
+    private final SplittableRandom faultRandom = new SplittableRandom(SEED);
     private final Map<Node, OpenLoop> loads = new ConcurrentHashMap<>();
-    private final List<OpenLoop> ended = Collections.synchronizedList(new ArrayList<>());
+    private final List<OpenLoop> endedLoads = Collections.synchronizedList(new ArrayList<>());
 
-    /** Loads at instances that nothing was done to while they ran. */
-    private final List<OpenLoop> calm = Collections.synchronizedList(new ArrayList<>());
+    /** Loads on instances that were not subject to a fault while the load ran. */
+    private final List<OpenLoop> undisturbedLoads = Collections.synchronizedList(new ArrayList<>());
 
     private final List<Thread> probes = new ArrayList<>();
-    private final Map<OpenLoop, String> spans = new ConcurrentHashMap<>();
-    private final long began = System.nanoTime();
-    private final Set<String> busy = new HashSet<>();
+    private final Map<OpenLoop, String> loadTimes = new ConcurrentHashMap<>();
+    private final long startNanos = System.nanoTime();
+    private final Set<String> reserved = new HashSet<>();
 
-    /** Instances that are coming back, by the thread that waits for each. */
-    private final Map<Node, Thread> rising = new ConcurrentHashMap<>();
+    /** Instances that are recovering, each with the thread that waits for it. */
+    private final Map<Node, Thread> recovering = new ConcurrentHashMap<>();
 
-    private volatile boolean over;
+    private volatile boolean faultsEnded;
     private Fleet fleet;
 
-    Play(Size size, boolean ordering) {
-      this.size = size;
-      this.ordering = ordering;
+    FleetRun(Scale scale, boolean withOrders) {
+      this.scale = scale;
+      this.withOrders = withOrders;
     }
 
-    Run run() throws Exception {
+    RunResult run() throws Exception {
       Shape shape = Shape.warm(4, 64, ServiceTime.exponential(5));
-      String floor = "[[work.floor]]\nkind = \"front\"\nleast = " + size.least() + "\n";
-      try (Fleet started = new Fleet(SEED)) {
-        fleet = started;
-        fleet.servers(size.machines(), "front", shape);
+      String floor = "[[work.floor]]\nkind = \"front\"\nleast = " + scale.minShare() + "\n";
+      try (Fleet newFleet = new Fleet(SEED)) {
+        fleet = newFleet;
+        fleet.servers(scale.machines(), "front", shape);
         fleet.start(
-            size.instances(),
-            size.voters(),
-            Terms.stopping(size.leaseMillis(), MOST_OUT).with(floor));
+            scale.instances(),
+            scale.voters(),
+            Terms.stopping(scale.leaseMillis(), MAX_OUT).with(floor));
         for (Node node : fleet.nodes()) {
           loads.put(node, load(node, true));
         }
         Thread.sleep(500);
-        List<Thread> people = new ArrayList<>();
-        for (int i = 0; ordering && i < PEOPLE; i++) {
+        List<Thread> operators = new ArrayList<>();
+        for (int i = 0; withOrders && i < OPERATORS; i++) {
           int number = i;
-          Thread person = new Thread(() -> person(number), "person-" + i);
-          person.start();
-          people.add(person);
+          Thread operator = new Thread(() -> requestOrders(number), "person-" + i);
+          operator.start();
+          operators.add(operator);
         }
         sleep(1000);
-        faults();
-        over = true;
-        people.addAll(probes);
-        for (Thread person : people) {
-          person.join();
+        injectFaults();
+        faultsEnded = true;
+        operators.addAll(probes);
+        for (Thread operator : operators) {
+          operator.join();
         }
-        calm();
-        sweep();
-        judge();
+        measureUndisturbed();
+        takeOutAllMachines();
+        evaluate();
       }
-      return run;
+      return result;
     }
 
-    private OpenLoop load(Node node, boolean well) {
-      OpenLoop load = fleet.load(node, size.perSecond() / size.instances());
-      if (well) {
-        calm.add(load);
-        spans.put(load, node.name() + " from " + seconds());
+    private OpenLoop load(Node node, boolean undisturbed) {
+      OpenLoop load = fleet.load(node, scale.perSecond() / scale.instances());
+      if (undisturbed) {
+        undisturbedLoads.add(load);
+        loadTimes.put(load, node.name() + " from " + seconds());
       }
       return load;
     }
 
-    // ---- people ----
+    // ---- operators ----
 
-    private String take(SplittableRandom random) {
-      synchronized (busy) {
-        String machine = "front-" + (1 + random.nextInt(size.machines()));
-        return busy.add(machine) ? machine : null;
+    private String reserveMachine(SplittableRandom random) {
+      synchronized (reserved) {
+        String machine = "front-" + (1 + random.nextInt(scale.machines()));
+        return reserved.add(machine) ? machine : null;
       }
     }
 
-    private void release(String machine) {
-      synchronized (busy) {
-        busy.remove(machine);
+    private void releaseMachine(String machine) {
+      synchronized (reserved) {
+        reserved.remove(machine);
       }
     }
 
-    private void person(int number) {
+    private void requestOrders(int number) {
       SplittableRandom random = new SplittableRandom(SEED + number);
-      while (!over) {
-        String machine = take(random);
+      while (!faultsEnded) {
+        String machine = reserveMachine(random);
         if (machine != null) {
-          order(machine, null, 50 + random.nextInt(200), null, null);
-          release(machine);
+          runOrder(machine, null, 50 + random.nextInt(200), null, null);
+          releaseMachine(machine);
         }
       }
     }
 
-    /** With nothing else to wait for: how long each instance takes until a machine is emptied. */
-    private void calm() throws IOException {
-      long until = System.nanoTime() + size.calmMillis() * 1_000_000L;
+    /**
+     * Without faults or other orders, measures how long each instance takes until a machine is
+     * being emptied.
+     */
+    private void measureUndisturbed() throws IOException {
+      long until = System.nanoTime() + scale.undisturbedMillis() * 1_000_000L;
       for (int i = 0; System.nanoTime() < until; i++) {
-        if (ordering) {
-          settle(fleet.nodes().get(i % size.instances()), i);
+        if (withOrders) {
+          measureTimeToEmptying(fleet.nodes().get(i % scale.instances()), i);
         }
         sleep(20);
       }
     }
 
-    /** Asks for a machine at an instance and calls it off when it is being emptied there. */
-    private void settle(Node at, int number) throws IOException {
-      String machine = "front-" + (1 + number % size.machines());
-      long began = System.nanoTime();
-      Map<String, Object> answer = at.post(ask("calm-" + number, machine));
+    /**
+     * Requests a machine at an instance and cancels the order once the machine is being emptied
+     * there.
+     */
+    private void measureTimeToEmptying(Node at, int number) throws IOException {
+      String machine = "front-" + (1 + number % scale.machines());
+      long startNanos = System.nanoTime();
+      Map<String, Object> answer = at.post(orderPath("calm-" + number, machine));
       long order = ((Number) answer.get("order")).longValue();
       String phase = phase(at, order);
-      while (!phase.matches("emptying|out") && System.nanoTime() - began < WAIT_NANOS) {
+      while (!phase.matches("emptying|out") && System.nanoTime() - startNanos < TIMEOUT_NANOS) {
         sleep(1);
         phase = phase(at, order);
       }
-      run.settleMillis.add((System.nanoTime() - began) / 1e6);
+      result.timesToEmptying.add((System.nanoTime() - startNanos) / 1e6);
       at.post("work/cancel/" + order);
       if (phase(at, order).equals("out")) {
-        at.post("work/done/" + order); // It went out before it could be called off.
+        at.post("work/done/" + order); // It went out before the order could be cancelled.
       }
     }
 
-    /** All machines in one order, all at once if that were allowed: each goes, within the floor. */
-    private void sweep() throws IOException {
-      if (!ordering) {
+    /**
+     * Requests all machines in one order with no limit of its own at once: each goes out, within
+     * the floor.
+     */
+    private void takeOutAllMachines() throws IOException {
+      if (!withOrders) {
         return;
       }
       Node at = fleet.nodes().get(0);
-      run.orders.incrementAndGet();
-      long began = System.nanoTime();
+      result.orders.incrementAndGet();
+      long startNanos = System.nanoTime();
       Map<String, Object> answer =
           at.post("work/ask?key=sweep&who=rig&why=rig&for_ms=60000&kind=front&at_once=99");
       String page = "work/" + answer.get("order");
       int done = 0;
-      while (done < size.machines() && System.nanoTime() - began < 2 * WAIT_NANOS) {
+      while (done < scale.machines() && System.nanoTime() - startNanos < 2 * TIMEOUT_NANOS) {
         List<String> out = machines(at, page, "out");
         out.forEach(fleet.history()::out);
         sleep(100);
@@ -316,7 +328,7 @@
         }
         done = machines(at, page, "done").size();
       }
-      run.done.addAndGet(done == size.machines() ? 1 : 0);
+      result.done.addAndGet(done == scale.machines() ? 1 : 0);
     }
 
     private static List<String> machines(Node at, String page, String phase) throws IOException {
@@ -330,12 +342,15 @@
       return machines;
     }
 
-    private static String ask(String key, String machine) {
+    private static String orderPath(String key, String machine) {
       return "work/ask?key=" + key + "&who=" + key + "&why=rig&for_ms=60000&machine=" + machine;
     }
 
-    /** Asks at any instance that answers, or at one; null while nobody does. */
-    private Map<String, Object> any(Node first, String page, boolean post) {
+    /**
+     * Sends a request to the first instance that answers, the preferred one first; null if none
+     * does.
+     */
+    private Map<String, Object> sendToAny(Node first, String page, boolean post) {
       List<Node> nodes = new ArrayList<>(fleet.nodes());
       if (first != null) {
         nodes.remove(first);
@@ -347,70 +362,70 @@
             return post ? node.post(page) : node.get(page);
           }
         } catch (IOException e) {
-          // Killed, or cut off from the others; the next may do.
+          // Killed, or cut off from the others; try the next one.
         }
       }
       return null;
     }
 
     /**
-     * One machine out and back.
+     * Takes one machine out and back.
      *
-     * @param emptying told milliseconds until it was being emptied, or null
-     * @param out likewise until it was out
+     * @param emptying completed with the milliseconds until it was being emptied; may be null
+     * @param out completed with the milliseconds until it was out; may be null
      */
-    private void order(
+    private void runOrder(
         String machine,
         Node at,
         long holdMillis,
         CompletableFuture<Double> emptying,
         CompletableFuture<Double> out) {
-      long began = System.nanoTime();
-      String key = machine + '-' + run.orders.incrementAndGet();
-      String ask = ask(key, machine);
+      long startNanos = System.nanoTime();
+      String key = machine + '-' + result.orders.incrementAndGet();
+      String path = orderPath(key, machine);
       Map<String, Object> answer = null;
-      while (answer == null && System.nanoTime() - began < WAIT_NANOS) {
-        answer = any(at, ask, true);
+      while (answer == null && System.nanoTime() - startNanos < TIMEOUT_NANOS) {
+        answer = sendToAny(at, path, true);
       }
       if (answer == null) {
         return;
       }
       long order = ((Number) answer.get("order")).longValue();
-      double settled = -1;
-      while (System.nanoTime() - began < WAIT_NANOS) {
+      double emptyingMillis = -1;
+      while (System.nanoTime() - startNanos < TIMEOUT_NANOS) {
         String phase = phase(at, order);
-        if (settled < 0 && (phase.equals("emptying") || phase.equals("out"))) {
-          settled = (System.nanoTime() - began) / 1e6;
+        if (emptyingMillis < 0 && (phase.equals("emptying") || phase.equals("out"))) {
+          emptyingMillis = (System.nanoTime() - startNanos) / 1e6;
           if (emptying != null) {
-            emptying.complete(settled);
+            emptying.complete(emptyingMillis);
           }
         }
         if (phase.equals("out")) {
           fleet.history().out(machine);
           if (out != null) {
-            out.complete((System.nanoTime() - began) / 1e6);
+            out.complete((System.nanoTime() - startNanos) / 1e6);
           }
           sleep(holdMillis);
           fleet.history().back(machine);
-          while (any(at, "work/done/" + order, true) == null
+          while (sendToAny(at, "work/done/" + order, true) == null
               && !phase(at, order).matches("returning|done")) {
-            sleep(LOOK_MILLIS);
+            sleep(POLL_MILLIS);
           }
           break;
         }
-        sleep(LOOK_MILLIS);
+        sleep(POLL_MILLIS);
       }
-      while (System.nanoTime() - began < 2 * WAIT_NANOS) {
+      while (System.nanoTime() - startNanos < 2 * TIMEOUT_NANOS) {
         if (phase(at, order).equals("done")) {
-          run.done.incrementAndGet();
+          result.done.incrementAndGet();
           return;
         }
-        sleep(LOOK_MILLIS * 5);
+        sleep(POLL_MILLIS * 5);
       }
     }
 
     private String phase(Node at, long order) {
-      Map<String, Object> page = any(at, "work/" + order, false);
+      Map<String, Object> page = sendToAny(at, "work/" + order, false);
       if (page == null) {
         return "unknown";
       }
@@ -427,121 +442,125 @@
 
     // ---- faults ----
 
-    /** Each kind once, then drawn anew until the time is over. */
-    private void faults() throws Exception {
-      long until = System.nanoTime() + size.millis() * 1_000_000L;
-      for (int i = 0; i < KINDS || System.nanoTime() < until; i++) {
-        if (i >= KINDS) {
-          sleep(1000 + faults.nextInt(4000));
+    /** Injects each kind of fault once, then random kinds until the time is over. */
+    private void injectFaults() throws Exception {
+      long until = System.nanoTime() + scale.millis() * 1_000_000L;
+      for (int i = 0; i < FAULT_KINDS || System.nanoTime() < until; i++) {
+        if (i >= FAULT_KINDS) {
+          sleep(1000 + faultRandom.nextInt(4000));
         }
-        fault(i < KINDS ? i : faults.nextInt(KINDS));
-        sleep(i < KINDS ? 100 : 2000);
+        injectFault(i < FAULT_KINDS ? i : faultRandom.nextInt(FAULT_KINDS));
+        sleep(i < FAULT_KINDS ? 100 : 2000);
       }
-      awaitRisen(fleet.nodes());
+      awaitRecovery(fleet.nodes());
       sleep(500);
     }
 
-    private void fault(int kind) throws Exception {
-      if (!size.brief() || kind == 0 || kind == FULL_DISK) {
-        awaitRisen(fleet.nodes()); // A majority has to be left.
+    private void injectFault(int kind) throws Exception {
+      if (!scale.brief() || kind == 0 || kind == FULL_DISK_FAULT) {
+        awaitRecovery(fleet.nodes()); // A majority of the voters must remain.
       }
       Node leader = leader();
-      List<Node> others = new ArrayList<>(fleet.nodes());
-      others.remove(leader);
-      Node victim = others.get(faults.nextInt(others.size()));
-      if (size.brief()) {
-        // Those that do not vote in turn, so that one may come back while the next goes.
-        int plain = size.instances() - size.voters();
+      List<Node> candidates = new ArrayList<>(fleet.nodes());
+      candidates.remove(leader);
+      Node victim = candidates.get(faultRandom.nextInt(candidates.size()));
+      if (scale.brief()) {
+        // The instances that are no voters in turn, so that one may recover while the next has a
+        // fault.
+        int nonVoters = scale.instances() - scale.voters();
         victim =
-            kind == FULL_DISK
+            kind == FULL_DISK_FAULT
                 ? fleet.nodes().get(leader == fleet.nodes().get(0) ? 1 : 0)
-                : fleet.nodes().get(size.voters() + kind % plain);
-        awaitRisen(List.of(victim));
-      }
-      others.remove(victim);
-      others.removeAll(rising.keySet());
-      Node witness = others.get(faults.nextInt(others.size()));
-      long span = size.brief() ? 0 : 1000L * (1 + faults.nextInt(9));
-      long began = System.nanoTime();
+                : fleet.nodes().get(scale.voters() + kind % nonVoters);
+        awaitRecovery(List.of(victim));
+      }
+      candidates.remove(victim);
+      candidates.removeAll(recovering.keySet());
+      Node witness = candidates.get(faultRandom.nextInt(candidates.size()));
+      long span = scale.brief() ? 0 : 1000L * (1 + faultRandom.nextInt(9));
+      long startNanos = System.nanoTime();
       switch (kind) {
         case 0 -> {
-          run.kills++;
-          down(leader, "kill the leader", Node::kill);
-          Future<Double> settled = probe(witness, false);
-          hold(began, 2000);
-          run.takeoverWorst = Math.max(run.takeoverWorst, settled.get());
-          rise(leader);
+          result.leaderKills++;
+          disturb(leader, "kill the leader", Node::kill);
+          Future<Double> millisToEmptying = probe(witness, false);
+          hold(startNanos, 2000);
+          result.takeoverWorst = Math.max(result.takeoverWorst, millisToEmptying.get());
+          recoverInBackground(leader);
         }
         case 1 -> {
-          run.pauses++;
-          down(victim, "stop", Node::pause);
-          Future<Double> out = probe(witness, true);
-          hold(began, PAUSES[(run.pauses - 1) % PAUSES.length]);
-          run.holdWorst = Math.max(run.holdWorst, out.get());
+          result.pauses++;
+          disturb(victim, "stop", Node::pause);
+          Future<Double> millisToOut = probe(witness, true);
+          hold(startNanos, PAUSES_MILLIS[(result.pauses - 1) % PAUSES_MILLIS.length]);
+          result.holdWorst = Math.max(result.holdWorst, millisToOut.get());
           victim.resume();
-          rise(victim);
+          recoverInBackground(victim);
         }
         case 2 -> {
-          run.splits++;
+          result.splits++;
           List<Node> rest = new ArrayList<>(fleet.nodes());
           rest.remove(victim);
-          down(victim, "cut off", node -> fleet.split(List.of(node), rest, true));
-          Future<Double> out = probe(witness, true);
-          hold(began, size.holdMillis() + span);
-          run.holdWorst = Math.max(run.holdWorst, out.get());
+          disturb(victim, "network partition", node -> fleet.split(List.of(node), rest, true));
+          Future<Double> millisToOut = probe(witness, true);
+          hold(startNanos, scale.holdMillis() + span);
+          result.holdWorst = Math.max(result.holdWorst, millisToOut.get());
           fleet.split(List.of(victim), rest, false);
-          rise(victim);
+          recoverInBackground(victim);
         }
         case 3 -> {
-          run.splits++;
-          down(victim, "nothing it says comes through", node -> fleet.mute(node, true, false));
-          hold(began, 700 + span);
+          result.splits++;
+          disturb(victim, "outgoing traffic dropped", node -> fleet.mute(node, true, false));
+          hold(startNanos, 700 + span);
           fleet.mute(victim, false, false);
-          rise(victim);
+          recoverInBackground(victim);
         }
         case 4 -> {
-          run.restarts++;
-          down(victim, "restart", Node::end);
-          rise(victim);
+          result.restarts++;
+          disturb(victim, "restart", Node::end);
+          recoverInBackground(victim);
         }
         case 5 -> {
-          run.restarts++;
-          down(
+          result.restarts++;
+          disturb(
               victim,
-              "kill, and a torn end of its log",
+              "kill with a truncated log",
               node -> {
                 node.kill();
                 node.tearLog();
               });
-          rise(victim);
+          recoverInBackground(victim);
         }
-        case FULL_DISK -> {
-          run.restarts++;
-          down(victim, "its disk is full", Node::fillDisk);
-          Future<Double> out = probe(witness, true);
-          hold(began, size.holdMillis() + span);
-          run.holdWorst = Math.max(run.holdWorst, out.get());
+        case FULL_DISK_FAULT -> {
+          result.restarts++;
+          disturb(victim, "full disk", Node::fillDisk);
+          Future<Double> millisToOut = probe(witness, true);
+          hold(startNanos, scale.holdMillis() + span);
+          result.holdWorst = Math.max(result.holdWorst, millisToOut.get());
           victim.kill();
-          rise(victim);
+          recoverInBackground(victim);
         }
         default -> {
-          run.restarts++;
-          Node plain = size.brief() ? victim : fleet.nodes().get(size.instances() - 1);
-          down(
-              plain,
-              "restart without its disk",
+          result.restarts++;
+          Node nonVoter = scale.brief() ? victim : fleet.nodes().get(scale.instances() - 1);
+          disturb(
+              nonVoter,
+              "restart with an empty disk",
               node -> {
                 node.kill();
                 node.loseDisk();
               });
-          rise(plain);
+          recoverInBackground(nonVoter);
         }
       }
     }
 
-    /** As long in the run without orders as in the other. */
-    private static void hold(long beganNanos, long millis) {
-      sleep(Math.max(0, millis - (System.nanoTime() - beganNanos) / 1_000_000));
+    /**
+     * Waits until the fault has lasted that long, so that it lasts as long in the run without
+     * orders.
+     */
+    private static void hold(long sinceNanos, long millis) {
+      sleep(Math.max(0, millis - (System.nanoTime() - sinceNanos) / 1_000_000));
     }
 
     private Node leader() throws InterruptedException {
@@ -554,85 +573,88 @@
       }
     }
 
-    /** A machine asked for in the middle of a fault: until it is being emptied, or out. */
+    /**
+     * Requests a machine during a fault; completes with the milliseconds until it is being emptied,
+     * or out.
+     */
     private Future<Double> probe(Node at, boolean untilOut) {
       CompletableFuture<Double> millis = new CompletableFuture<>();
-      if (!ordering) {
+      if (!withOrders) {
         millis.complete(0.0);
         return millis;
       }
-      Thread person =
+      Thread operator =
           new Thread(
               () -> {
-                SplittableRandom random = new SplittableRandom(run.orders.get());
+                SplittableRandom random = new SplittableRandom(result.orders.get());
                 String machine = null;
                 while (machine == null) {
-                  machine = take(random);
+                  machine = reserveMachine(random);
                 }
                 try {
-                  order(machine, at, 0, untilOut ? null : millis, untilOut ? millis : null);
+                  runOrder(machine, at, 0, untilOut ? null : millis, untilOut ? millis : null);
                 } finally {
-                  release(machine);
-                  millis.complete(WAIT_NANOS / 1e6); // If it has not been told better.
+                  releaseMachine(machine);
+                  millis.complete(TIMEOUT_NANOS / 1e6); // No effect if it is completed already.
                 }
               },
               "probe");
-      person.start();
-      probes.add(person);
+      operator.start();
+      probes.add(operator);
       return millis;
     }
 
-    /** Clients that mind go first; then it is done. */
-    private void down(Node node, String what, Fleet.Deed deed) throws Exception {
-      move(node, false);
+    /** Marks the clients' load as disturbed, then injects the fault. */
+    private void disturb(Node node, String what, Fleet.Deed deed) throws Exception {
+      replaceLoad(node, false);
       fleet.history().note(what + ": " + node.name());
       Figures.progress("  " + seconds() + " " + what + ": " + node.name());
       deed.to(node);
     }
 
-    /** Has it come back while other things go on. */
-    private void rise(Node node) {
+    /** Lets an instance recover in the background. */
+    private void recoverInBackground(Node node) {
       Thread thread =
           new Thread(
               () -> {
                 try {
-                  up(node);
+                  recover(node);
                 } catch (Exception e) {
-                  Figures.progress(node.name() + " does not come back: " + e);
+                  Figures.progress(node.name() + " does not recover: " + e);
                 }
               },
               "rising");
-      rising.put(node, thread);
+      recovering.put(node, thread);
       thread.start();
     }
 
-    private void awaitRisen(List<Node> nodes) throws InterruptedException {
+    private void awaitRecovery(List<Node> nodes) throws InterruptedException {
       for (Node node : nodes) {
-        Thread thread = rising.get(node);
+        Thread thread = recovering.get(node);
         if (thread != null) {
           thread.join();
-          rising.remove(node);
+          recovering.remove(node);
         }
       }
     }
 
-    private void up(Node node) throws Exception {
+    private void recover(Node node) throws Exception {
       if (!node.alive()) {
         node.start();
       }
-      long until = System.nanoTime() + WAIT_NANOS;
-      while (!inside(node)) {
+      long until = System.nanoTime() + TIMEOUT_NANOS;
+      while (!hasRejoined(node)) {
         if (System.nanoTime() > until) {
-          Figures.progress("  " + seconds() + " does not come back: " + node.name());
-          return; // Its clients go on as those of one that is not well.
+          Figures.progress("  " + seconds() + " does not recover: " + node.name());
+          return; // Its load continues to count as disturbed.
         }
         sleep(20);
       }
       fleet.history().note("well: " + node.name());
-      move(node, true);
+      replaceLoad(node, true);
     }
 
-    private boolean inside(Node node) {
+    private boolean hasRejoined(Node node) {
       try {
         Map<String, Object> page = node.get("work");
         return node.serves() && ((Number) page.get("lease_left_ms")).longValue() > 1000;
@@ -641,71 +663,73 @@
       }
     }
 
-    private void move(Node node, boolean well) throws InterruptedException {
-      OpenLoop before = loads.put(node, load(node, well));
+    private void replaceLoad(Node node, boolean undisturbed) throws InterruptedException {
+      OpenLoop before = loads.put(node, load(node, undisturbed));
       before.stop();
-      spans.computeIfPresent(before, (load, span) -> span + " to " + seconds());
-      ended.add(before);
+      loadTimes.computeIfPresent(before, (load, span) -> span + " to " + seconds());
+      endedLoads.add(before);
     }
 
     private String seconds() {
-      return (System.nanoTime() - began) / 1_000_000_000L + " s";
+      return (System.nanoTime() - startNanos) / 1_000_000_000L + " s";
     }
 
-    // ---- the verdict ----
+    // ---- evaluation ----
 
-    private void judge() throws Exception {
+    private void evaluate() throws Exception {
       sleep(1000);
       for (Node node : fleet.nodes()) {
         OpenLoop load = loads.get(node);
         load.stop();
-        ended.add(load);
+        endedLoads.add(load);
       }
-      for (OpenLoop load : ended) {
-        run.served += load.tally().count(Tally.Result.SERVED);
-        run.calls += load.tally().total();
+      for (OpenLoop load : endedLoads) {
+        result.served += load.tally().count(Tally.Result.SERVED);
+        result.calls += load.tally().total();
       }
-      run.breaches = fleet.history().breaches().size();
+      result.breaches = fleet.history().breaches().size();
       fleet.history().breaches().forEach(each -> Figures.progress("  breach " + each));
-      run.floors = fleet.history().mostOut() > Math.min(MOST_OUT, SPARED) ? 1 : 0;
-      run.stuck = run.orders.get() - run.done.get();
-      for (OpenLoop load : calm) {
+      result.floorBreaches =
+          fleet.history().mostOut() > Math.min(MAX_OUT, MACHINES_ABOVE_FLOOR) ? 1 : 0;
+      result.stuckOrders = result.orders.get() - result.done.get();
+      for (OpenLoop load : undisturbedLoads) {
         long lost = load.tally().count(Tally.Result.LOST);
         if (lost > 0) {
           Figures.progress(
-              (ordering ? "  lost " : "  with no orders lost ")
+              (withOrders ? "  lost " : "  with no orders lost ")
                   + lost
                   + " of "
                   + load.tally().total()
                   + " at "
-                  + spans.get(load));
+                  + loadTimes.get(load));
         }
       }
-      run.lost = fleet.ledger().lost(path -> calm.stream().anyMatch(load -> load.owns(path)));
-      run.doubles = fleet.ledger().doubles(path -> path.contains("publish"));
-      run.disagreements = disagreements();
+      result.lostRequests =
+          fleet.ledger().lost(path -> undisturbedLoads.stream().anyMatch(load -> load.owns(path)));
+      result.doubleRuns = fleet.ledger().doubles(path -> path.contains("publish"));
+      result.disagreements = disagreements();
     }
 
-    /** Instances whose picture after the same entry is not that of the others. */
+    /** Number of instances whose state after the same entry differs from that of the others. */
     private int disagreements() throws Exception {
-      Map<Long, Set<String>> pictures = new TreeMap<>();
-      Map<Long, Integer> seen = new TreeMap<>();
+      Map<Long, Set<String>> statesByIndex = new TreeMap<>();
+      Map<Long, Integer> samplesByIndex = new TreeMap<>();
       int worst = 0;
       for (int i = 0; i < 40; i++) {
         for (Node node : fleet.nodes()) {
           Map<String, Object> page = node.get("work/settled");
           long index = ((Number) page.get("index")).longValue();
-          pictures.computeIfAbsent(index, any -> new HashSet<>()).add(page.toString());
-          seen.merge(index, 1, Integer::sum);
+          statesByIndex.computeIfAbsent(index, any -> new HashSet<>()).add(page.toString());
+          samplesByIndex.merge(index, 1, Integer::sum);
         }
       }
       int compared = 0;
-      for (long index : pictures.keySet()) {
-        worst = Math.max(worst, pictures.get(index).size() - 1);
-        compared += seen.get(index) > 1 ? 1 : 0;
+      for (long index : statesByIndex.keySet()) {
+        worst = Math.max(worst, statesByIndex.get(index).size() - 1);
+        compared += samplesByIndex.get(index) > 1 ? 1 : 0;
       }
       if (compared == 0) {
-        throw new IllegalStateException("no two instances were seen after the same entry");
+        throw new IllegalStateException("no two samples were taken after the same entry");
       }
       return worst;
     }
