--- a/src/main/java/heathswitch/testbed/platform/DiscoveryOutages.java
+++ b/src/main/java/heathswitch/testbed/platform/DiscoveryOutages.java
@@ -3,8 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** When discovery was down. */
+/** The outages of discovery, and time limits that they extend. */
 final class DiscoveryOutages {
+  /** One outage; it has no end while it lasts. */
   private static final class Outage {
     private final long fromNanos;
     private long untilNanos = Long.MAX_VALUE;
@@ -24,17 +25,17 @@
     }
   }
 
-  /** The end of a span that begins at a time, counted anew after each outage that it meets. */
+  /** The end of a time span, which starts over at the end of each outage that overlaps it. */
   long endOfSpan(long fromNanos, long spanNanos) {
-    long from = fromNanos;
+    long start = fromNanos;
     for (Outage outage : outages) {
-      if (outage.untilNanos > from && outage.fromNanos < from + spanNanos) {
-        from = outage.untilNanos;
-        if (from == Long.MAX_VALUE) {
-          return from;
+      if (outage.untilNanos > start && outage.fromNanos < start + spanNanos) {
+        start = outage.untilNanos;
+        if (start == Long.MAX_VALUE) {
+          return start;
         }
       }
     }
-    return from + spanNanos;
+    return start + spanNanos;
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/DiscoveryStub.java
+++ b/src/main/java/heathswitch/testbed/platform/DiscoveryStub.java
@@ -42,25 +42,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for discovery. Where it is asked it is one service for all balancers, which works
- * through calls in turn and turns a call away when its answer would take too long; where lists are
- * pushed it stands for the agents beside the balancers, which answer at once and say nothing while
- * discovery is down. It can be down, busy with other callers, or forget its open watches. Each
- * balancer asks at an address of its own, so that it is known what each has been sentRevision.
- * Everything lives on one event loop; the methods may be called from any other thread.
+ * A stub of the discovery service. If balancers call it for the list, it is a single service for
+ * all of them: it processes calls one after another and rejects a call whose answer would take too
+ * long. If lists are pushed, it stands for the agents beside the balancers, which answer
+ * immediately and send nothing during an outage of discovery. Tests can inject an outage, load by
+ * other callers, and resets of open watches. Each balancer has an endpoint with its own address, so
+ * that the stub knows what each of them was sent. All state belongs to one event loop; the methods
+ * may be called from any other thread.
  */
 public final class DiscoveryStub implements AutoCloseable {
-  /** A call waits for so long at most, and is then failed. */
+  /** The longest time that a call waits for its answer; after that it fails. */
   static final long CALL_TIMEOUT_MILLIS = 3000;
 
   private static final long HEARTBEAT_MILLIS = 2000;
 
   private static final int MAX_REQUEST_BYTES = 4096;
 
-  /** What a call that is turned away costs, as a part of one that is answered. */
+  /** The processing time of a rejected call, as a fraction of that of an answered one. */
   private static final double REJECTED_CALL_COST = 0.2;
 
-  /** A change of the list, and when discovery had it. */
+  /** A change of the list, and the time at which discovery made it. */
   record Change(long revision, ListedMember member, long nanos) {}
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -80,10 +81,11 @@
   private boolean rejecting;
 
   /**
-   * One that lists nothing yet.
+   * Creates a stub with an empty list.
    *
-   * @param pushed whether it stands for agents that have the list, or is asked for it
-   * @param mustAskMillis for which a balancer with no watch is heldCalls to its list
+   * @param seed of the arrival times of other callers
+   * @param pushed whether lists are pushed by agents, instead of being called for
+   * @param mustAskMillis how long a balancer without a watch may use its list after its last call
    */
   public DiscoveryStub(long seed, boolean pushed, long mustAskMillis) {
     random = new SplittableRandom(seed);
@@ -91,9 +93,9 @@
     this.mustAskNanos = MILLISECONDS.toNanos(mustAskMillis);
   }
 
-  // ---- what it lists ----
+  // ---- the list ----
 
-  /** Lists an upstream, or tells of a change of one. */
+  /** Adds an upstream to the list, or changes or removes one, and sends this to open watches. */
   void publish(ListedMember member) {
     run(
         () -> {
@@ -113,7 +115,7 @@
     return run(() -> members.get(id));
   }
 
-  /** The complete list in discovery's form, as a balancer knows it at its start. */
+  /** The complete list in discovery's format, as a balancer's configuration contains it. */
   Map<String, Object> knownList() {
     return run(() -> document(true, members.values()));
   }
@@ -126,9 +128,12 @@
     return document;
   }
 
-  // ---- what goes wrong ----
+  // ---- fault injection ----
 
-  /** Down: watches are reset, calls wait and end with an error. */
+  /**
+   * Begins or ends an outage. While it lasts, calls wait and then fail, and watches are reset; if
+   * lists are pushed, agents keep calls and watches open and send nothing until its end.
+   */
   public void setDown(boolean on) {
     run(
         () -> {
@@ -143,35 +148,38 @@
         });
   }
 
-  /** Turns all calls away at once, as one does whose queue is full. */
+  /** Rejects all calls immediately, as a service with a full queue does. */
   public void setRejecting(boolean on) {
     run(() -> rejecting = on);
   }
 
-  /** Nobody listens any more where this one balancer asks, though discovery runs; or again. */
+  /**
+   * Closes the listener and the watches of one balancer's endpoint, so that its connections are
+   * refused while discovery serves all others; or opens the listener again.
+   */
   public void setRefusing(String balancer, boolean on) {
     run(
         () -> {
-          endpoints.computeIfAbsent(balancer, any -> new Endpoint()).refuse(on);
+          endpoints.computeIfAbsent(balancer, name -> new Endpoint()).setRefusing(on);
           return null;
         });
   }
 
-  /** How long one call takes, and how many calls of others come in a second. */
-  public void setLoad(long callMillis, double others) {
+  /** Sets the processing time of one call, and how many calls of others arrive per second. */
+  public void setLoad(long callMillis, double othersPerSecond) {
     run(
         () -> {
           boolean idle = otherCallsPerSecond <= 0;
           callNanos = MILLISECONDS.toNanos(callMillis);
-          otherCallsPerSecond = others;
-          if (idle && others > 0) {
+          otherCallsPerSecond = othersPerSecond;
+          if (idle && othersPerSecond > 0) {
             scheduleOtherCall();
           }
           return null;
         });
   }
 
-  /** So much work is in the queue from now on. */
+  /** Adds work of other callers to the queue. */
   public void addBacklog(long millis) {
     run(
         () ->
@@ -188,7 +196,7 @@
         });
   }
 
-  /** Says nothing any more on the watches that are open now. */
+  /** Stops sending on the watches that are open now, without closing them. */
   public void silenceWatches() {
     run(
         () -> {
@@ -210,7 +218,7 @@
         NANOSECONDS);
   }
 
-  /** When a call that comes now is answered, or -1 if it is turned away. */
+  /** Queues a call that arrives now; the time of its answer, or -1 if it is rejected. */
   private long enqueue() {
     long now = System.nanoTime();
     long end = Math.max(now, busyUntilNanos) + callNanos;
@@ -222,15 +230,15 @@
     return end;
   }
 
-  // ---- whom it tells ----
+  // ---- balancers ----
 
-  /** Where a balancer asks from now on; the address that it had before ends. */
+  /** Opens a new address for a balancer's calls and closes its former one. */
   public InetSocketAddress openEndpoint(String balancer) throws InterruptedException {
-    Endpoint endpoint = run(() -> endpoints.computeIfAbsent(balancer, any -> new Endpoint()));
+    Endpoint endpoint = run(() -> endpoints.computeIfAbsent(balancer, name -> new Endpoint()));
     return endpoint.move();
   }
 
-  /** A process of a balancer starts, with the list of its configuration. */
+  /** Records that a balancer's process starts, with the list in its configuration. */
   void balancerStarted(String balancer) {
     run(
         () -> {
@@ -239,7 +247,7 @@
         });
   }
 
-  /** When a change counts as sentRevision to a balancer. */
+  /** The time from which a change counts as delivered to a balancer. */
   long deliveryNanos(String balancer, Change change) {
     return run(
         () -> {
@@ -250,7 +258,7 @@
         });
   }
 
-  /** Balancers that have a watch which has spoken and has not been silenced. */
+  /** The number of balancers with an answered watch that has not been silenced. */
   public int watchingBalancers() {
     return run(
         () ->
@@ -264,7 +272,7 @@
     return run(() -> List.copyOf(changes));
   }
 
-  /** Calls that came, and of these the ones that were turned away. */
+  /** The number of calls received, and of those rejected among them. */
   public long[] callCounts() {
     return run(
         () -> {
@@ -293,12 +301,12 @@
     channel.close();
   }
 
-  /** The address of one balancer, and what it has been sentRevision there. */
+  /** The address that one balancer calls, and the history of what it was sent there. */
   private final class Endpoint {
     private final Set<Watch> watches = new LinkedHashSet<>();
     private final EndpointHistory history = new EndpointHistory();
 
-    /** Calls to an agent that says nothing while discovery is down. */
+    /** Calls to an agent during an outage of discovery; answered at its end. */
     private final List<Runnable> heldCalls = new ArrayList<>();
 
     private Channel listener;
@@ -330,7 +338,7 @@
       return (InetSocketAddress) next.localAddress();
     }
 
-    void refuse(boolean on) {
+    void setRefusing(boolean on) {
       boolean change = on != refusing;
       refusing = on;
       if (listener == null || !change) {
@@ -448,7 +456,7 @@
       }
     }
 
-    /** Discovery is back: what waited is answered, and open watches hear what they missed. */
+    /** Answers held calls and sends missed changes on open watches, after an outage. */
     void recover() {
       List<Runnable> calls = List.copyOf(heldCalls);
       heldCalls.clear();
@@ -463,7 +471,10 @@
       }
     }
 
-    /** What has changed since the last line, or the complete list where that is not known. */
+    /**
+     * Sends the changes since the revision that the watch was last sent, or the complete list if
+     * that revision is unknown.
+     */
     private void sendList(Watch watch) {
       boolean complete = watch.sentRevision < 0 || watch.sentRevision > revision;
       Map<String, ListedMember> entries = new LinkedHashMap<>();
@@ -492,6 +503,7 @@
     }
   }
 
+  /** An open response on which list changes are sent, one JSON document a line. */
   private static final class Watch {
     private final Channel channel;
     private long sentRevision;
--- a/src/main/java/heathswitch/testbed/platform/EndpointHistory.java
+++ b/src/main/java/heathswitch/testbed/platform/EndpointHistory.java
@@ -6,24 +6,28 @@
 import java.util.Map;
 
 /**
- * What passed between discovery and one balancer, and when by that a change of the list counts as
- * delivered to it: the earliest time that any sentence of the operators' pages gives. Not
- * thread-safe.
+ * The exchanges between discovery and one balancer. From them it derives when a change of the list
+ * counts as delivered to the balancer: the earliest time that any rule in the operators'
+ * documentation gives. Not thread-safe.
  */
 final class EndpointHistory {
-  /** A change counts as delivered so long after discovery had it and could be reached. */
+  /** Time from a change, with discovery reachable, until it counts as delivered. */
   static final long DELIVERY_NANOS = 6_000_000_000L;
 
-  /** And so long after a new configuration that has the balancer contact elsewhere. */
+  /**
+   * Time from a reload that changes discovery's address until earlier changes count as delivered.
+   */
   static final long MOVE_NANOS = 4_000_000_000L;
 
-  /** An agent's change may come so soon before a move that it is delivered with it. */
+  /** A pushed change at most so long before a reload counts as delivered with that reload. */
   private static final long NEAR_MOVE_NANOS = 2_000_000_000L;
 
-  /** A call that failed holds a balancer to its list for so many times as long. */
+  /** After a failed call a balancer may use its list for so many times as long. */
   private static final int FAILED_FACTOR = 4;
 
-  /** The balancer's start, a call of it, or the end of a watch: from here on it has not asked. */
+  /**
+   * The balancer's start, a call by it or the end of a watch: the start of a span without calls.
+   */
   private static final class Contact {
     private final long nanos;
     private boolean failed;
@@ -33,6 +37,7 @@
     }
   }
 
+  /** The time for which a watch was open. */
   private static final class Watch {
     private final long fromNanos;
     private long untilNanos = Long.MAX_VALUE;
@@ -42,7 +47,9 @@
     }
   }
 
+  /** The time at which each revision was first sent. */
   private final Map<Long, Long> sentNanos = new HashMap<>();
+
   private final List<Long> moves = new ArrayList<>();
   private final List<Long> silences = new ArrayList<>();
   private final List<Contact> contacts = new ArrayList<>();
@@ -60,14 +67,14 @@
     silences.add(nanos);
   }
 
-  /** A call has come; what is returned tells that it failed. */
+  /** Records a call; the returned task marks it as failed. */
   Runnable callReceived(long nanos) {
     Contact call = new Contact(nanos);
     contacts.add(call);
     return () -> call.failed = true;
   }
 
-  /** A watch is open; what is returned tells of its end. */
+  /** Records the opening of a watch; the returned task records its end. */
   Runnable watchOpened(long nanos) {
     Watch watch = new Watch(nanos);
     watches.add(watch);
@@ -81,7 +88,7 @@
     sentNanos.putIfAbsent(revision, nanos);
   }
 
-  /** When a change counts as delivered where discovery is asked. */
+  /** When a change counts as delivered to a balancer that calls discovery for the list. */
   long polledDeliveryNanos(
       DiscoveryStub.Change change, DiscoveryOutages outages, long mustAskNanos) {
     long delivered = outages.endOfSpan(change.nanos(), DELIVERY_NANOS);
@@ -93,10 +100,10 @@
       }
     }
     for (long move : moves) {
-      long atMove = outages.endOfSpan(move, MOVE_NANOS);
+      long moveLimit = outages.endOfSpan(move, MOVE_NANOS);
       boolean near = change.nanos() <= move + MOVE_NANOS;
       if (near && !answered(move, Math.max(change.nanos(), move + MOVE_NANOS))) {
-        delivered = Math.min(delivered, Math.max(change.nanos(), atMove));
+        delivered = Math.min(delivered, Math.max(change.nanos(), moveLimit));
       }
     }
     delivered = Math.min(delivered, deliveryNanosWithoutCall(change, outages, mustAskNanos));
@@ -104,8 +111,9 @@
   }
 
   /**
-   * A balancer with no watch is listValidUntil to the list that it has for a time from its last
-   * call; from then on a change counts as delivered so long after it was made.
+   * When a change counts as delivered to a balancer without a watch. For {@code mustAskNanos} from
+   * its last call (longer if that failed) it may use the list that it has; after that a change
+   * counts as delivered {@code mustAskNanos} after it was made.
    */
   private long deliveryNanosWithoutCall(
       DiscoveryStub.Change change, DiscoveryOutages outages, long mustAskNanos) {
@@ -126,12 +134,16 @@
     return watches.stream().anyMatch(it -> it.fromNanos <= nanos && nanos < it.untilNanos);
   }
 
-  /** Whether a call was answered in a span. */
+  /** Whether a call was answered after one time and until another. */
   private boolean answered(long afterNanos, long untilNanos) {
     return watches.stream().anyMatch(it -> it.fromNanos > afterNanos && it.fromNanos <= untilNanos);
   }
 
-  /** When a change counts as delivered that an agent had at a time. */
+  /**
+   * When a change counts as delivered to a balancer with an agent.
+   *
+   * @param agentNanos when its agent had the change
+   */
   long pushedDeliveryNanos(DiscoveryStub.Change change, long agentNanos) {
     long delivered = agentNanos;
     for (long silence : silences) {
--- a/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
+++ b/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
@@ -24,37 +24,38 @@
 import java.util.concurrent.Callable;
 
 /**
- * Clients of one balancer as the platform has them: they use every connection that stays open, up
- * to the end of the process, and open more when all are busy. A request that crosses the end of a
- * resting connection is sent once more on a new one; where that cannot be made nobody has taken it.
- * Whatever else ends without a whole answer in time is lost. On one event loop.
+ * A load on one balancer by clients that behave like those of the platform. They reuse every open
+ * connection until the process ends, and open another one if all are busy. A request that is sent
+ * while an idle connection is being closed is sent once more on a new connection; if that can't be
+ * opened, the request counts as unreached, since no balancer received it. Any other request without
+ * a complete answer in time counts as lost. All state belongs to one event loop.
  */
 public final class KeepAliveLoad {
-  /** What became of the requests. */
+  /** The number of requests sent, and of each outcome. */
   public record Counts(long sent, long served, long refused, long failed, long unreached) {}
 
   /**
-   * A request that was taken and not answered.
+   * A request that was sent and not answered.
    *
-   * @param sentAgain whether it had crossed the end of a resting connection before
-   * @param answeredBefore whether another request had been answered on its connection
-   * @param connectionMillis for how long its connection had been open
-   * @param millis how long ago it was sent, the last time
-   * @param stoppingMillis how long ago its process was told to end; -1 if it was not
+   * @param resent whether it was sent a second time, after its idle connection had been closed
+   * @param answeredBefore whether an earlier request had been answered on its connection
+   * @param connectionAgeMillis time since its connection was opened
+   * @param millis time since it was last sent
+   * @param millisSinceStopping time since the process was sent SIGTERM; -1 if it was not
    */
   public record LostRequest(
       String path,
       String why,
-      boolean sentAgain,
+      boolean resent,
       boolean answeredBefore,
-      long connectionMillis,
+      long connectionAgeMillis,
       long millis,
-      long stoppingMillis) {}
+      long millisSinceStopping) {}
 
-  /** A final answer may be late by as much and only earns nothing. */
+  /** An answer that is late by at most this much is worth nothing, but isn't lost. */
   private static final long LATE_MILLIS = 500;
 
-  private static final int CONNECT_MILLIS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
   private static final double UNSAFE_SHARE = 0.2;
 
   private final EventLoop loop;
@@ -63,13 +64,13 @@
   private final long deadlineMillis;
   private final SplittableRandom random;
   private final HttpDialer dialer;
-  private final ArrayDeque<Connection> resting = new ArrayDeque<>();
+  private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   private final List<LostRequest> lost = new ArrayList<>();
   private boolean stopped;
   private boolean killed;
-  private boolean stopping;
-  private long stoppingNanos;
-  private long owed;
+  private boolean stopSignalled;
+  private long stopSignalledNanos;
+  private long outstanding;
   private long sent;
   private long served;
   private long refused;
@@ -87,43 +88,46 @@
     this.perSecond = perSecond;
     this.deadlineMillis = deadlineMillis;
     this.random = new SplittableRandom(seed);
-    this.dialer = new HttpDialer(loop, balancer, CONNECT_MILLIS);
+    this.dialer = new HttpDialer(loop, balancer, CONNECT_TIMEOUT_MILLIS);
   }
 
   KeepAliveLoad start() {
-    loop.execute(this::plan);
+    loop.execute(this::scheduleNext);
     return this;
   }
 
-  /** Whether a request's path is of this load. */
+  /** Whether a path belongs to a request of this load. */
   boolean owns(String path) {
     return path.contains('-' + prefix);
   }
 
-  /** Its process is told to end now. */
-  void stopping() {
+  /** Records that the process is sent SIGTERM now. */
+  void stopSignalled() {
     long now = System.nanoTime();
     run(
         () -> {
-          stopping = true;
-          stoppingNanos = now;
+          stopSignalled = true;
+          stopSignalledNanos = now;
           return null;
         });
   }
 
-  /** Its process is being killed now: from here on the end of a connection is no crossing. */
+  /**
+   * Records that the process is killed now. From here on a request whose connection is closed is
+   * lost; it isn't sent again.
+   */
   void killed() {
     run(() -> killed = true);
   }
 
-  /** No new requests, on new connections or open ones. */
+  /** Stops sending new requests. */
   void stop() {
     run(() -> stopped = true);
   }
 
-  /** Whether every request has had its end. */
+  /** Whether every request has an outcome. */
   boolean settled() {
-    return run(() -> owed == 0);
+    return run(() -> outstanding == 0);
   }
 
   Counts counts() {
@@ -137,8 +141,8 @@
   void close() {
     run(
         () -> {
-          resting.forEach(connection -> connection.channel.close());
-          resting.clear();
+          idle.forEach(connection -> connection.channel.close());
+          idle.clear();
           return null;
         });
   }
@@ -147,13 +151,13 @@
     return loop.submit(task).syncUninterruptibly().getNow();
   }
 
-  private void plan() {
+  private void scheduleNext() {
     long wait = (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
     loop.schedule(
         () -> {
           if (!stopped) {
             send();
-            plan();
+            scheduleNext();
           }
         },
         wait,
@@ -162,17 +166,17 @@
 
   private void send() {
     sent++;
-    owed++;
+    outstanding++;
     boolean unsafe = random.nextDouble() < UNSAFE_SHARE;
     Request request = new Request(prefix + sent, unsafe);
-    Connection connection = resting.pollLast();
+    Connection connection = idle.pollLast();
     while (connection != null && !connection.channel.isActive()) {
-      connection = resting.pollLast();
+      connection = idle.pollLast();
     }
     if (connection == null) {
       connect(request);
     } else {
-      connection.begin(request);
+      connection.send(request);
     }
   }
 
@@ -184,10 +188,10 @@
         done -> {
           if (done.isSuccess()) {
             connection.openedNanos = System.nanoTime();
-            connection.begin(request);
+            connection.send(request);
           } else {
             unreached++;
-            owed--;
+            outstanding--;
           }
         });
   }
@@ -196,23 +200,24 @@
     return NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  private void lose(Connection connection, Request request, String why) {
+  private void addLost(Connection connection, Request request, String why) {
     lost.add(
         new LostRequest(
             request.path(),
             why,
-            request.again,
-            connection.used,
+            request.resent,
+            connection.answered,
             millisSince(connection.openedNanos),
-            millisSince(connection.begunNanos),
-            stopping ? millisSince(stoppingNanos) : -1));
-    owed--;
+            millisSince(connection.sentNanos),
+            stopSignalled ? millisSince(stopSignalledNanos) : -1));
+    outstanding--;
   }
 
+  /** A request, which is sent at most twice. */
   private static final class Request {
     private final String id;
     private final boolean unsafe;
-    private boolean again;
+    private boolean resent;
 
     Request(String id, boolean unsafe) {
       this.id = id;
@@ -224,18 +229,19 @@
     }
   }
 
+  /** A connection, with at most one request at a time. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private Channel channel;
     private Request request;
-    private boolean used;
-    private int turn;
+    private boolean answered;
+    private int requestNumber;
     private long openedNanos;
-    private long begunNanos;
+    private long sentNanos;
 
-    void begin(Request next) {
+    void send(Request next) {
       request = next;
-      begunNanos = System.nanoTime();
-      int current = ++turn;
+      sentNanos = System.nanoTime();
+      int current = ++requestNumber;
       HttpMethod method = next.unsafe ? HttpMethod.POST : HttpMethod.GET;
       DefaultFullHttpRequest message =
           new DefaultFullHttpRequest(
@@ -254,20 +260,20 @@
         HttpUtil.setContentLength(message, 1);
       }
       channel.writeAndFlush(message);
-      loop.schedule(() -> overdue(current), deadlineMillis + LATE_MILLIS, MILLISECONDS);
+      loop.schedule(() -> handleTimeout(current), deadlineMillis + LATE_MILLIS, MILLISECONDS);
     }
 
-    private void overdue(int begun) {
-      if (request != null && turn == begun) {
-        lose(this, take(), "no answer in time");
+    private void handleTimeout(int expected) {
+      if (request != null && requestNumber == expected) {
+        addLost(this, removeRequest(), "no answer in time");
         channel.close();
       }
     }
 
-    private Request take() {
-      Request taken = request;
+    private Request removeRequest() {
+      Request removed = request;
       request = null;
-      return taken;
+      return removed;
     }
 
     @Override
@@ -276,16 +282,16 @@
         channel.close();
         return;
       }
-      take();
-      owed--;
+      removeRequest();
+      outstanding--;
       switch (answer.status().code()) {
         case 200 -> served++;
         case 429, 503 -> refused++;
         default -> failed++;
       }
-      used = true;
+      answered = true;
       if (HttpUtil.isKeepAlive(answer)) {
-        resting.addLast(this);
+        idle.addLast(this);
       } else {
         channel.close();
       }
@@ -293,16 +299,16 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      resting.remove(this);
-      Request unanswered = take();
+      idle.remove(this);
+      Request unanswered = removeRequest();
       if (unanswered == null) {
         return;
       }
-      if (used && !unanswered.again && !killed) {
-        unanswered.again = true;
+      if (answered && !unanswered.resent && !killed) {
+        unanswered.resent = true;
         connect(unanswered);
       } else {
-        lose(this, unanswered, killed ? "found by SIGKILL" : "connection ended");
+        addLost(this, unanswered, killed ? "unanswered at SIGKILL" : "connection closed");
       }
     }
 
--- a/src/main/java/heathswitch/testbed/platform/ListedMember.java
+++ b/src/main/java/heathswitch/testbed/platform/ListedMember.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 
 /**
- * One upstream as discovery lists it.
+ * One upstream in discovery's list.
  *
- * @param startedMillis when it last started, in Unix time; 0 for long ago
+ * @param startedMillis Unix time of its last start; 0 if that was long ago
  */
 record ListedMember(String id, InetSocketAddress address, Phase phase, long startedMillis) {
-  /** What discovery says of an upstream. */
+  /** The state of an upstream in discovery's list. */
   enum Phase {
     IN_SERVICE("in_service"),
     TERMINATING("terminating"),
     TERMINATED("terminated");
 
-    private final String word;
+    private final String jsonValue;
 
-    Phase(String word) {
-      this.word = word;
+    Phase(String jsonValue) {
+      this.jsonValue = jsonValue;
     }
   }
 
-  ListedMember with(Phase next) {
+  ListedMember withPhase(Phase next) {
     return new ListedMember(id, address, next, startedMillis);
   }
 
-  /** In discovery's form. */
+  /** The member in discovery's JSON format. */
   Map<String, Object> json() {
     Map<String, Object> json = new LinkedHashMap<>();
     json.put("id", id);
@@ -35,7 +35,7 @@
     json.put("locality", "a");
     json.put("flavor", "std");
     json.put("cell", 1);
-    json.put("phase", phase.word);
+    json.put("phase", phase.jsonValue);
     json.put("size", 1.0);
     json.put("up_since_ms", startedMillis);
     return json;
--- a/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
@@ -17,16 +17,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A balancer as the platform runs it: {@code serve} with its configuration named by EDGE_CONFIG.
+ * A balancer process as the platform starts it: the command {@code serve}, with the path of its
+ * configuration in EDGE_CONFIG.
  */
 public final class PlatformBalancer implements AutoCloseable {
-  private static final List<String> FLAGS =
+  private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
-  private static final long START_MILLIS = 30_000;
-  private static final int ASK_MILLIS = 1000;
+  private static final long PROCESS_TIMEOUT_MILLIS = 30_000;
+  private static final int PROBE_TIMEOUT_MILLIS = 1000;
 
-  /** The class path of the balancers, that of another build for one; else that of the rig. */
-  private static final String PROGRAM =
+  /**
+   * The class path of the balancers, such as that of another build; default: the test bed's own.
+   */
+  private static final String CLASS_PATH =
       System.getProperty("soak.program", System.getProperty("java.class.path"));
 
   private final String name;
@@ -50,48 +53,53 @@
     return listen;
   }
 
-  /** Variables of the environment of its next processes, beside those that the platform sets. */
+  /** Adds environment variables for the next processes, beside those that the platform sets. */
   public void environment(Map<String, String> variables) {
     environment.putAll(variables);
   }
 
-  /** What its configuration says at its next start or SIGHUP. */
+  /** Writes the configuration that the next start or SIGHUP reads. */
   void configure(Map<String, Object> next) throws IOException {
     config = next;
-    Path written = folder.resolve("next");
-    Files.writeString(written, JSON.std.asString(config));
-    Files.move(written, file(), StandardCopyOption.ATOMIC_MOVE);
+    Path temporary = folder.resolve("next");
+    Files.writeString(temporary, JSON.std.asString(config));
+    Files.move(temporary, configFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   Map<String, Object> config() {
     return config;
   }
 
-  private Path file() {
+  private Path configFile() {
     return folder.resolve("config.json");
   }
 
-  /** The log of its newest process. */
+  /** The log file of the latest process. */
   public Path log() {
     return folder.resolve("log-" + starts);
   }
 
-  /** Starts its process and returns when it is ready; how long that took. */
+  /** Starts the process and waits until it is ready; returns the time taken, in milliseconds. */
   long start() throws IOException, InterruptedException {
     starts++;
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(FLAGS);
-    command.addAll(List.of("-cp", PROGRAM, "heathswitch.proxy.Main", "serve"));
+    command.addAll(JVM_FLAGS);
+    command.addAll(List.of("-cp", CLASS_PATH, "heathswitch.proxy.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().put("EDGE_CONFIG", file().toString());
+    builder.environment().put("EDGE_CONFIG", configFile().toString());
     builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
     builder.environment().putAll(environment);
     long began = System.nanoTime();
     process = builder.redirectOutput(log().toFile()).start();
     while (!ready()) {
-      if (!process.isAlive() || System.nanoTime() - began > START_MILLIS * 1_000_000) {
-        throw new IOException(name + " did not start:\n" + Files.readString(log()));
+      if (!process.isAlive() || System.nanoTime() - began > PROCESS_TIMEOUT_MILLIS * 1_000_000) {
+        throw new IOException(
+            name
+                + " did not start within "
+                + PROCESS_TIMEOUT_MILLIS
+                + " ms or exited:\n"
+                + Files.readString(log()));
       }
       Thread.sleep(20);
     }
@@ -102,8 +110,8 @@
     try {
       URL url = new URL("http", "127.0.0.1", listen.getPort(), "/up");
       HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-      connection.setConnectTimeout(ASK_MILLIS);
-      connection.setReadTimeout(ASK_MILLIS);
+      connection.setConnectTimeout(PROBE_TIMEOUT_MILLIS);
+      connection.setReadTimeout(PROBE_TIMEOUT_MILLIS);
       return connection.getResponseCode() == 200;
     } catch (IOException e) {
       return false;
@@ -114,18 +122,18 @@
     return process != null && process.isAlive();
   }
 
-  /** Sends a signal by its name: HUP, TERM, STOP or CONT. */
+  /** Sends a signal by name: HUP, TERM, STOP or CONT. */
   public void signal(String signal) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL and waits for the end of the process. */
   public void kill() throws InterruptedException {
-    process.destroyForcibly().waitFor(START_MILLIS, TimeUnit.MILLISECONDS);
+    process.destroyForcibly().waitFor(PROCESS_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Waits for its end; its exit code, or -1 if it goes on. */
-  int awaitEnd(long millis) throws InterruptedException {
+  /** Waits for the end of the process; returns its exit code, or -1 if it is still running. */
+  int awaitExit(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
   }
 
--- a/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Balancers of the platform in processes of their own, before stand-in servers that discovery
- * lists.
+ * Balancer processes in the platform's environment, with the discovery stub and the stand-in
+ * servers that it lists.
  */
 public final class PlatformFleet implements AutoCloseable {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
   private static final List<Kind> KINDS =
       List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
 
@@ -27,15 +27,15 @@
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(1);
   private final DiscoveryStub discovery;
   private final Ledger ledger = new Ledger();
-  private final RoutingHistory routing = new RoutingHistory();
+  private final RoutingHistory routingHistory = new RoutingHistory();
   private final Map<String, StandIn> servers = new LinkedHashMap<>();
   private final List<PlatformBalancer> balancers = new ArrayList<>();
   private final Shape shape;
   private final PlatformSettings settings;
   private long seed;
-  private int serversMade;
+  private int serverCount;
 
-  /** A fleet with no process yet; the seed draws times of work and loads. */
+  /** Creates a fleet without processes; the seed determines service times and loads. */
   public PlatformFleet(long seed, PlatformSettings settings, Shape shape) {
     this.seed = seed;
     this.settings = settings;
@@ -45,39 +45,39 @@
 
   // ---- servers ----
 
-  /** Starts a server that discovery lists from now on; its id. */
+  /** Starts a server and adds it to discovery's list; returns its id. */
   public String addServer(boolean justStarted) throws InterruptedException {
-    String id = "s-" + ++serversMade;
-    StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routing);
-    servers.put(id, server.onRun(ledger::ran).start(ANY));
+    String id = "s-" + ++serverCount;
+    StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routingHistory);
+    servers.put(id, server.onRun(ledger::ran).start(ANY_PORT));
     long started = justStarted ? System.currentTimeMillis() : 0;
     discovery.publish(
         new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
     return id;
   }
 
-  /** Discovery has it that a server drains; the server goes on answering. */
+  /** Marks a server as draining in discovery; the server continues to serve. */
   public void drain(String id) {
-    discovery.publish(discovery.member(id).with(ListedMember.Phase.TERMINATING));
+    discovery.publish(discovery.member(id).withPhase(ListedMember.Phase.TERMINATING));
   }
 
-  /** The same of a server that turns all new work away from now on. */
+  /** Marks a server as draining in discovery, and has it reject all new requests. */
   public void drainAndReject(String id) {
     servers.get(id).faults().turnsAway(true);
     drain(id);
   }
 
-  /** A server is gone: nothing listens there any more, and discovery knows. */
+  /** Stops a server and removes it from discovery's list. */
   public void remove(String id) {
     servers.get(id).close();
-    discovery.publish(discovery.member(id).with(ListedMember.Phase.TERMINATED));
+    discovery.publish(discovery.member(id).withPhase(ListedMember.Phase.TERMINATED));
   }
 
   public StandIn server(String id) {
     return servers.get(id);
   }
 
-  /** Those that discovery lists as in service. */
+  /** The ids of the servers that discovery lists as in service. */
   public List<String> inService() {
     return servers.keySet().stream()
         .filter(
@@ -90,7 +90,7 @@
 
   // ---- balancers ----
 
-  /** Starts so many balancers, one after another. */
+  /** Adds balancers and starts them one after another. */
   public PlatformFleet startBalancers(int count) throws IOException, InterruptedException {
     for (int i = 0; i < count; i++) {
       start(addBalancer());
@@ -98,33 +98,37 @@
     return this;
   }
 
-  /** One more balancer, whose process has not been started yet. */
+  /** Adds a balancer without starting its process. */
   public PlatformBalancer addBalancer() throws IOException {
     PlatformBalancer balancer = new PlatformBalancer("n" + balancers.size());
     balancers.add(balancer);
     return balancer;
   }
 
-  /** Starts one that does not run; how long it took to be ready, in milliseconds. */
+  /**
+   * Starts the process of a balancer that isn't running.
+   *
+   * @return the time until it was ready, in milliseconds
+   */
   public long start(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
     discovery.balancerStarted(balancer.name());
     return balancer.start();
   }
 
-  /** A new configuration moves the balancer's discovery to another port. */
+  /** Reloads a balancer with a configuration that names another port for discovery. */
   public void reconfigure(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
     balancer.signal("HUP");
   }
 
-  /** A new configuration is written, and its signal is still to come. */
+  /** Writes a new configuration, without the signal to reload it. */
   void configure(PlatformBalancer balancer) throws IOException, InterruptedException {
-    InetSocketAddress asked = discovery.openEndpoint(balancer.name());
+    InetSocketAddress endpoint = discovery.openEndpoint(balancer.name());
     Map<String, Object> config = new LinkedHashMap<>();
     config.put("name", balancer.name());
     config.put("listen", "127.0.0.1:" + balancer.listen().getPort());
-    config.put("discovery", "127.0.0.1:" + asked.getPort());
+    config.put("discovery", "127.0.0.1:" + endpoint.getPort());
     config.put("seed", String.format("%016x", seed++));
     config.put("limits", Map.of("sockets", settings.sockets(), "memory_mb", 192));
     config.put("known", discovery.knownList());
@@ -140,9 +144,9 @@
     return discovery;
   }
 
-  // ---- clients and what became of their requests ----
+  // ---- clients and the outcome of their requests ----
 
-  /** A load on one balancer. */
+  /** Starts an open-loop load on one balancer. */
   public OpenLoop startLoad(PlatformBalancer balancer, double perSecond) {
     OpenLoop load =
         new OpenLoop(
@@ -154,16 +158,16 @@
             200,
             seed++,
             ledger);
-    routing.addLoad(balancer.name(), load::owns);
+    routingHistory.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
-  /** Clients of one balancer that use what stays open, also while it ends. */
+  /** Starts a load of clients that keep using open connections while their balancer shuts down. */
   public KeepAliveLoad startKeepAliveLoad(PlatformBalancer balancer, double perSecond) {
     KeepAliveLoad load =
         new KeepAliveLoad(
             clientLoops.next(), balancer.listen(), perSecond, settings.deadlineMillis(), seed++);
-    routing.addLoad(balancer.name(), load::owns);
+    routingHistory.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
@@ -175,9 +179,9 @@
     return ledger;
   }
 
-  /** Requests that went to a server after the balancer's grace for its drain was over. */
+  /** Requests that reached a draining or removed server after the grace time. */
   public List<RoutingHistory.LateRequest> lateRequests() {
-    return routing.lateRequests(discovery, settings.graceMillis());
+    return routingHistory.lateRequests(discovery, settings.graceMillis());
   }
 
   @Override
--- a/src/main/java/heathswitch/testbed/platform/PlatformSettings.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformSettings.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * What the settings tell all balancers of a fleet.
+ * The settings that all balancers of a fleet have in common.
  *
- * @param deadlineMillis of every class, and for which clients wait
- * @param graceMillis for which a server may be sent to after it was told to drain
- * @param sockets descriptors that each process may hold
- * @param pushed whether lists are pushed to an agent beside each balancer, or asked for
- * @param mustAskMillis for which a balancer with no watch is held to its list
+ * @param deadlineMillis the deadline of every class of requests, and how long clients wait
+ * @param graceMillis how long a server may be sent requests after its drain was delivered
+ * @param sockets the number of descriptors that each process may have open
+ * @param pushed whether lists are pushed to an agent beside each balancer, instead of called for
+ * @param mustAskMillis how long a balancer without a watch may use its list after its last call
  */
 public record PlatformSettings(
     long deadlineMillis, long graceMillis, int sockets, boolean pushed, long mustAskMillis) {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long MUST_ASK_MILLIS = 10_000;
+  private static final long DEFAULT_MUST_ASK_MILLIS = 10_000;
 
-  /** Terms by which a balancer has to ask as seldom as on most deployments. */
+  /** Settings with the interval between calls for the list that most deployments have. */
   public PlatformSettings(long deadlineMillis, long graceMillis, int sockets, boolean pushed) {
-    this(deadlineMillis, graceMillis, sockets, pushed, MUST_ASK_MILLIS);
+    this(deadlineMillis, graceMillis, sockets, pushed, DEFAULT_MUST_ASK_MILLIS);
   }
 
-  /** The platform's settings object for one of so many balancers. */
+  /** The platform's settings object for one balancer, by its index among all balancers. */
   Map<String, Object> toJson(int index, int balancers) {
     Map<String, Object> settings = new LinkedHashMap<>();
     settings.put(
--- a/src/main/java/heathswitch/testbed/platform/SoakFault.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakFault.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.platform;
 
-/** What goes wrong in a soak. */
+/** The kinds of faults that a soak test injects. */
 enum SoakFault {
   DISCOVERY_DOWN,
   DISCOVERY_REJECTS_CALLS,
@@ -12,10 +12,10 @@
   SERVER_DIES,
   SERVER_HANGS,
   SERVER_RESETS,
-  /** One balancer's calls for the list are refused, while discovery runs for all others. */
+  /** Discovery refuses the connections of one balancer and serves all others. */
   DISCOVERY_REFUSES_ONE_BALANCER,
   BALANCERS_RECONFIGURED,
-  /** The file of a new configuration is read late, or only after it could not be read. */
+  /** Reads of a new configuration file are delayed, or fail at first. */
   BALANCERS_RECONFIGURED_WITH_READ_FAULTS,
   BALANCER_RESTARTED,
   BALANCER_PAUSED,
--- a/src/main/java/heathswitch/testbed/platform/SoakMeasurement.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakMeasurement.java
@@ -9,33 +9,33 @@
 import java.util.concurrent.Future;
 
 /**
- * The soak over a row of seeds, some side by side. What broke a rule is printed with its schedule;
- * a seed alone is played by {@code -Dsoak.first=N -Dsoak.seeds=1}.
+ * Runs the soak test for consecutive seeds, several at a time. Violations are printed with the
+ * scenario's faults; {@code -Dsoak.first=N -Dsoak.seeds=1} repeats a single seed.
  */
 public final class SoakMeasurement implements Measurement {
   private static final int SEEDS = 50;
   private static final int SHORT_SEEDS = 4;
-  private static final int SIDE_BY_SIDE = 4;
+  private static final int PARALLEL_RUNS = 4;
 
   @Override
   public Figures run(boolean brief) throws Exception {
     long first = Long.getLong("soak.first", 1);
     int seeds = Integer.getInteger("soak.seeds", brief ? SHORT_SEEDS : SEEDS);
-    ExecutorService side = Executors.newFixedThreadPool(SIDE_BY_SIDE);
+    ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
     List<Future<SoakRun.Result>> results = new ArrayList<>();
     for (long seed = first; seed < first + seeds; seed++) {
-      long played = seed;
-      results.add(side.submit(() -> SoakRun.run(played)));
+      long current = seed;
+      results.add(executor.submit(() -> SoakRun.run(current)));
     }
     try {
       return figures(results);
     } finally {
-      side.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
   private static Figures figures(List<Future<SoakRun.Result>> results) throws Exception {
-    long broken = 0;
+    long seedsWithViolations = 0;
     long sent = 0;
     long served = 0;
     long refused = 0;
@@ -45,8 +45,8 @@
     for (Future<SoakRun.Result> each : results) {
       SoakRun.Result result = each.get();
       if (!result.violations().isEmpty()) {
-        broken++;
-        Figures.progress("seed " + result.seed() + " broke " + result.violations());
+        seedsWithViolations++;
+        Figures.progress("seed " + result.seed() + " violations: " + result.violations());
         result.faults().forEach(fault -> Figures.progress("  " + fault));
       }
       sent += result.counts().sent();
@@ -58,7 +58,7 @@
     }
     Figures figures = new Figures();
     figures.add("seeds", results.size());
-    figures.add("seeds_broken", broken);
+    figures.add("seeds_broken", seedsWithViolations);
     figures.add("requests", sent);
     figures.add("served", served);
     figures.add("refused", refused);
--- a/src/main/java/heathswitch/testbed/platform/SoakRun.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakRun.java
@@ -17,17 +17,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One run of processes under faults that a seed draws: discovery that is down, busy or forgetful,
- * servers that drain, join, die, hang or fail, signals in series, clocks that are stepped, calls of
- * the system that fail, idle clients that crowd in. SIGKILL comes at the earliest moment that the
- * platform allows, and clients use what is open until then. Afterwards the rules are checked.
+ * One run of a soak test: balancer processes under a random scenario that is drawn from a seed. The
+ * faults are: discovery that is down, busy or resets watches; servers that drain, join, die, hang
+ * or reset connections; series of reloads and restarts; steps of the wall clock; system calls that
+ * fail; many idle connections. SIGKILL follows SIGTERM as early as the platform allows, and clients
+ * use open connections until then. At the end the run is checked for violations of the rules on
+ * drains, lost requests, duplicates, exit codes and crashes.
  */
 public final class SoakRun {
   /**
-   * What was found.
+   * The result of a run.
    *
-   * @param faults the schedule as it was played
-   * @param breaks what broke a rule; empty if all held
+   * @param faults the scenario's settings and the faults with their times
+   * @param violations of the rules; empty if none was found
    */
   public record Result(
       long seed,
@@ -36,14 +38,14 @@
       KeepAliveLoad.Counts counts,
       long slowestStartMillis) {}
 
-  /** SIGKILL comes so long after the longest deadline, of these at most, at the earliest. */
-  private static final long KILL_MILLIS = 700;
+  /** Earliest SIGKILL after SIGTERM: this long after the deadline, which counts up to a maximum. */
+  private static final long KILL_MARGIN_MILLIS = 700;
 
-  private static final long MOST_DEADLINE_MILLIS = 3000;
-  private static final long RUN_MILLIS = 20_000;
+  private static final long MAX_WAIT_MILLIS = 3000;
+  private static final long DURATION_MILLIS = 20_000;
   private static final long LAST_FAULT_MILLIS = 13_000;
 
-  /** Faults in which a change of the list is not heard. */
+  /** Faults during which changes of the list don't reach balancers. */
   private static final List<SoakFault> LIST_BLOCKING_FAULTS =
       List.of(
           SoakFault.DISCOVERY_DOWN,
@@ -53,35 +55,35 @@
           SoakFault.DISCOVERY_REFUSES_ONE_BALANCER);
 
   private static final long SETTLE_MILLIS = 15_000;
-  private static final int MOST_NAMED = 5;
+  private static final int MAX_LISTED = 5;
 
   private final long seed;
   private final SplittableRandom random;
-  private final SoakScenario settings;
+  private final SoakScenario scenario;
   private final PlatformFleet fleet;
   private final Map<PlatformBalancer, SystemFaultInjector> injectors = new HashMap<>();
   private final Map<PlatformBalancer, KeepAliveLoad> loads = new HashMap<>();
-  private final List<KeepAliveLoad> ended = new ArrayList<>();
+  private final List<KeepAliveLoad> endedLoads = new ArrayList<>();
 
-  /** Those that have been told to end and are not back yet. */
-  private final Set<PlatformBalancer> ending = ConcurrentHashMap.newKeySet();
+  /** Balancers that were told to end and have not restarted yet. */
+  private final Set<PlatformBalancer> restarting = ConcurrentHashMap.newKeySet();
 
-  private final List<CompletableFuture<Void>> running = new ArrayList<>();
-  private final List<Socket> openIdleConnections = new ArrayList<>();
+  private final List<CompletableFuture<Void>> pending = new ArrayList<>();
+  private final List<Socket> idleConnections = new ArrayList<>();
   private final List<String> faults = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
-  private long beganNanos;
+  private long startNanos;
   private long slowestStartMillis;
 
   private SoakRun(long seed) {
     this.seed = seed;
     random = new SplittableRandom(seed);
-    settings = SoakScenario.draw(random);
-    fleet = new PlatformFleet(seed, settings.settings(), settings.shape());
-    faults.add(settings.toString());
+    scenario = SoakScenario.draw(random);
+    fleet = new PlatformFleet(seed, scenario.settings(), scenario.shape());
+    faults.add(scenario.toString());
   }
 
-  /** Plays one seed. */
+  /** Runs the scenario of one seed. */
   public static Result run(long seed) throws Exception {
     SoakRun soak = new SoakRun(seed);
     try {
@@ -92,62 +94,69 @@
   }
 
   private Result run() throws Exception {
-    for (int i = 0; i < settings.servers(); i++) {
+    for (int i = 0; i < scenario.servers(); i++) {
       fleet.addServer(false);
     }
     fleet.discovery().setLoad(random.nextInt(20, 400), 0);
-    for (int i = 0; i < settings.balancers(); i++) {
+    for (int i = 0; i < scenario.balancers(); i++) {
       SystemFaultInjector injector = new SystemFaultInjector();
       PlatformBalancer balancer = fleet.addBalancer();
       balancer.environment(injector.environment());
       injectors.put(balancer, injector);
       fleet.start(balancer);
-      loads.put(balancer, fleet.startKeepAliveLoad(balancer, settings.perSecond()));
+      loads.put(balancer, fleet.startKeepAliveLoad(balancer, scenario.perSecond()));
     }
-    beganNanos = System.nanoTime();
+    startNanos = System.nanoTime();
     runFaults();
-    sleepUntil(RUN_MILLIS);
-    for (CompletableFuture<Void> each : running) {
+    sleepUntil(DURATION_MILLIS);
+    for (CompletableFuture<Void> each : pending) {
       each.get(60, TimeUnit.SECONDS);
     }
-    finish();
+    check();
     return result();
   }
 
-  // ---- the schedule ----
+  // ---- the faults ----
 
-  private record Planned(long millis, SoakFault fault) {}
+  /** A fault and the time of its injection, since the start of the run. */
+  private record PlannedFault(long millis, SoakFault fault) {}
 
-  /** Drawn faults at drawn times, and in the midst of them a list that changes unheard. */
+  /**
+   * Injects random faults at random times. Among them, always: a fault that blocks the list,
+   * together with a reload and a drain.
+   */
   private void runFaults() throws Exception {
-    List<Planned> plan = new ArrayList<>();
+    List<PlannedFault> plan = new ArrayList<>();
     for (int i = random.nextInt(4, 10); i > 0; i--) {
-      SoakFault fault = any(settings.faults());
-      plan.add(new Planned(random.nextLong(500, LAST_FAULT_MILLIS), fault));
+      SoakFault fault = randomOf(scenario.faults());
+      plan.add(new PlannedFault(random.nextLong(500, LAST_FAULT_MILLIS), fault));
     }
-    long deaf = random.nextLong(1500, 5000);
+    long blockedMillis = random.nextLong(1500, 5000);
+    plan.add(
+        new PlannedFault(
+            blockedMillis,
+            randomOf(LIST_BLOCKING_FAULTS.stream().filter(scenario.faults()::contains).toList())));
     plan.add(
-        new Planned(
-            deaf, any(LIST_BLOCKING_FAULTS.stream().filter(settings.faults()::contains).toList())));
-    plan.add(new Planned(deaf + random.nextLong(-300, 1500), SoakFault.BALANCERS_RECONFIGURED));
-    plan.add(new Planned(deaf + random.nextLong(100, 2500), SoakFault.SERVER_DRAINS));
-    plan.sort(Comparator.comparingLong(Planned::millis));
-    for (Planned next : plan) {
+        new PlannedFault(
+            blockedMillis + random.nextLong(-300, 1500), SoakFault.BALANCERS_RECONFIGURED));
+    plan.add(new PlannedFault(blockedMillis + random.nextLong(100, 2500), SoakFault.SERVER_DRAINS));
+    plan.sort(Comparator.comparingLong(PlannedFault::millis));
+    for (PlannedFault next : plan) {
       sleepUntil(next.millis());
-      begin(next.fault());
+      inject(next.fault());
     }
   }
 
   private void note(String text) {
-    faults.add(String.format("%.2f %s", (System.nanoTime() - beganNanos) / 1e9, text));
+    faults.add(String.format("%.2f %s", (System.nanoTime() - startNanos) / 1e9, text));
   }
 
-  private SoakFault any(List<SoakFault> among) {
-    return among.get(random.nextInt(among.size()));
+  private SoakFault randomOf(List<SoakFault> faults) {
+    return faults.get(random.nextInt(faults.size()));
   }
 
   private PlatformBalancer randomBalancer() {
-    return fleet.balancers().get(random.nextInt(settings.balancers()));
+    return fleet.balancers().get(random.nextInt(scenario.balancers()));
   }
 
   private String randomServer() {
@@ -155,51 +164,51 @@
     return ids.get(random.nextInt(ids.size()));
   }
 
-  /** Begins a fault; what takes its time goes on by itself. */
-  private void begin(SoakFault fault) throws Exception {
+  /** Injects a fault. A fault with a duration is ended by a scheduled action. */
+  private void inject(SoakFault fault) throws Exception {
     DiscoveryStub discovery = fleet.discovery();
     long span = random.nextLong(1500, 13_000);
     switch (fault) {
       case DISCOVERY_DOWN -> {
-        note("discovery down for " + span);
+        note("discovery down for " + span + " ms");
         discovery.setDown(true);
-        later(span, () -> discovery.setDown(false));
+        schedule(span, () -> discovery.setDown(false));
       }
       case DISCOVERY_REJECTS_CALLS -> {
-        note("discovery turns calls away for " + span);
+        note("discovery rejects calls for " + span + " ms");
         discovery.setRejecting(true);
         discovery.resetWatches();
-        later(span, () -> discovery.setRejecting(false));
+        schedule(span, () -> discovery.setRejecting(false));
       }
       case DISCOVERY_BUSY -> {
-        note("discovery has work of others for " + span);
+        note("discovery busy with other callers for " + span + " ms");
         discovery.addBacklog(span);
         discovery.resetWatches();
       }
       case WATCHES_RESET -> {
-        note("watches reset");
+        note("all watches reset");
         discovery.resetWatches();
       }
       case WATCHES_SILENT -> {
-        note("watches silent");
+        note("all watches silenced");
         discovery.silenceWatches();
       }
       case SERVER_DRAINS -> drain();
-      case SERVER_JOINS -> note("joins " + fleet.addServer(true));
-      case SERVER_DIES -> die();
+      case SERVER_JOINS -> note("server joins: " + fleet.addServer(true));
+      case SERVER_DIES -> stopServer();
       case SERVER_HANGS -> {
         String id = randomServer();
-        note("hangs " + id + " for " + span);
+        note("server hangs: " + id + " for " + span + " ms");
         fleet.server(id).faults().silent(true);
-        later(span, () -> fleet.server(id).faults().silent(false));
+        schedule(span, () -> fleet.server(id).faults().silent(false));
       }
       case SERVER_RESETS -> {
         String id = randomServer();
-        note("resets " + id + " for " + span);
+        note("server resets connections: " + id + " for " + span + " ms");
         fleet.server(id).faults().resets(0.3);
-        later(span, () -> fleet.server(id).faults().resets(0));
+        schedule(span, () -> fleet.server(id).faults().resets(0));
       }
-      case DISCOVERY_REFUSES_ONE_BALANCER -> cutOff(span);
+      case DISCOVERY_REFUSES_ONE_BALANCER -> refuseOneBalancer(span);
       case BALANCERS_RECONFIGURED -> reconfigure();
       case BALANCERS_RECONFIGURED_WITH_READ_FAULTS -> {
         injectReadFaults();
@@ -208,15 +217,15 @@
       case BALANCER_RESTARTED -> restart(randomBalancer());
       case BALANCER_PAUSED -> {
         PlatformBalancer balancer = randomBalancer();
-        note("held up " + balancer.name());
+        note("balancer paused: " + balancer.name());
         balancer.signal("STOP");
-        later(random.nextLong(50, 150), () -> balancer.signal("CONT"));
+        schedule(random.nextLong(50, 150), () -> balancer.signal("CONT"));
       }
       case CLOCK_STEPPED -> {
         PlatformBalancer balancer = randomBalancer();
         long[] steps = {-3_600_000, -7000, 7000, 3_600_000};
         long step = steps[random.nextInt(steps.length)];
-        note("clock of " + balancer.name() + " off by " + step);
+        note("wall clock of " + balancer.name() + " off by " + step + " ms");
         injectors.get(balancer).setWallClockOffset(step);
       }
       case SYSTEM_CALLS_FAIL -> failSystemCalls();
@@ -230,27 +239,29 @@
       return;
     }
     String id = randomServer();
-    note("drains " + id);
-    if (settings.drainingServersReject()) {
+    note("server drains: " + id);
+    if (scenario.drainingServersReject()) {
       fleet.drainAndReject(id);
     } else {
       fleet.drain(id);
     }
   }
 
-  private void cutOff(long span) {
+  private void refuseOneBalancer(long span) {
     PlatformBalancer balancer = randomBalancer();
-    note("discovery refuses " + balancer.name() + " for " + span);
+    note("discovery refuses connections of " + balancer.name() + " for " + span + " ms");
     fleet.discovery().setRefusing(balancer.name(), true);
-    later(span, () -> fleet.discovery().setRefusing(balancer.name(), false));
+    schedule(span, () -> fleet.discovery().setRefusing(balancer.name(), false));
   }
 
-  /** The next file of each is read late, or cannot be read at first. */
+  /** Delays the next read of each balancer's configuration file, or fails its next reads. */
   private void injectReadFaults() {
     boolean late = random.nextBoolean();
     int times = random.nextInt(1, 4);
     long millis = random.nextLong(50, 500);
-    note("files of configurations " + (late ? "late by " + millis : "unreadable, " + times));
+    note(
+        "reads of configuration files "
+            + (late ? "delayed by " + millis + " ms" : "fail " + times + " times"));
     for (SystemFaultInjector injector : injectors.values()) {
       if (late) {
         injector.delayConfigurationRead(millis);
@@ -263,24 +274,24 @@
     }
   }
 
-  private void die() throws Exception {
+  private void stopServer() throws Exception {
     if (fleet.inService().size() < 3) {
       return;
     }
     String id = randomServer();
-    note("dies " + id);
+    note("server dies: " + id);
     fleet.remove(id);
   }
 
-  /** New configurations to all or one, in a series. */
+  /** Reloads all balancers or one of them, several times in a row. */
   private void reconfigure() throws Exception {
-    List<PlatformBalancer> told =
+    List<PlatformBalancer> reloaded =
         random.nextBoolean() ? fleet.balancers() : List.of(randomBalancer());
     int times = random.nextInt(1, 5);
-    note("new configurations, " + times + " to " + told.size());
+    note("reloads: " + times + " of " + reloaded.size() + " balancers");
     for (int i = 0; i < times; i++) {
-      for (PlatformBalancer balancer : told) {
-        if (balancer.alive() && !ending.contains(balancer)) {
+      for (PlatformBalancer balancer : reloaded) {
+        if (balancer.alive() && !restarting.contains(balancer)) {
           fleet.reconfigure(balancer);
         }
       }
@@ -288,49 +299,50 @@
     }
   }
 
-  /** SIGTERM, with other signals around it, SIGKILL at the earliest moment, and a new process. */
+  /** Sends SIGTERM, possibly among other signals, then SIGKILL as early as allowed; restarts. */
   private void restart(PlatformBalancer balancer) throws Exception {
-    if (!ending.add(balancer)) {
+    if (!restarting.add(balancer)) {
       return;
     }
     KeepAliveLoad load = loads.get(balancer);
     boolean hangUpBefore = random.nextBoolean();
-    boolean again = random.nextBoolean();
+    boolean termTwice = random.nextBoolean();
     boolean hangUpAfter = random.nextBoolean();
-    note("restarted " + balancer.name() + (again ? ", TERM twice" : ""));
-    long kill = Math.min(fleet.settings().deadlineMillis(), MOST_DEADLINE_MILLIS) + KILL_MILLIS;
-    running.add(
+    note("balancer restarted: " + balancer.name() + (termTwice ? ", SIGTERM twice" : ""));
+    long killMillis =
+        Math.min(fleet.settings().deadlineMillis(), MAX_WAIT_MILLIS) + KILL_MARGIN_MILLIS;
+    pending.add(
         CompletableFuture.runAsync(
             () -> {
               try {
                 if (hangUpBefore) {
                   balancer.signal("HUP");
                 }
-                load.stopping();
+                load.stopSignalled();
                 long signalled = System.nanoTime();
                 balancer.signal("TERM");
                 if (hangUpAfter) {
                   balancer.signal("HUP");
                 }
-                if (again) {
+                if (termTwice) {
                   balancer.signal("TERM");
                 }
-                long left = kill - (System.nanoTime() - signalled) / 1_000_000;
-                int code = balancer.awaitEnd(Math.max(0, left));
+                long left = killMillis - (System.nanoTime() - signalled) / 1_000_000;
+                int code = balancer.awaitExit(Math.max(0, left));
                 if (code < 0) {
                   load.killed();
                   balancer.kill();
                 } else if (code != 0) {
-                  addViolation(balancer.name() + " ended with " + code);
+                  addViolation(balancer.name() + " exited with code " + code);
                 }
                 load.stop();
                 long took = fleet.start(balancer);
                 synchronized (this) {
                   slowestStartMillis = Math.max(slowestStartMillis, took);
-                  ended.add(load);
-                  loads.put(balancer, fleet.startKeepAliveLoad(balancer, settings.perSecond()));
+                  endedLoads.add(load);
+                  loads.put(balancer, fleet.startKeepAliveLoad(balancer, scenario.perSecond()));
                 }
-                ending.remove(balancer);
+                restarting.remove(balancer);
               } catch (IOException | InterruptedException e) {
                 addViolation(balancer.name() + ": " + e);
               }
@@ -346,65 +358,67 @@
       SystemFaultInjector.Errno.EADDRNOTAVAIL, SystemFaultInjector.Errno.ENETUNREACH
     };
     int times = random.nextInt(1, 6);
-    note("calls fail at " + balancer.name() + ", " + times);
+    note("system calls of " + balancer.name() + " fail, " + times + " of each kind");
     SystemFaultInjector injector = injectors.get(balancer);
     injector.fail(SystemFaultInjector.SystemCall.ACCEPT, accepts[random.nextInt(2)], times);
     injector.fail(SystemFaultInjector.SystemCall.SOCKET, SystemFaultInjector.Errno.ENFILE, times);
     injector.fail(SystemFaultInjector.SystemCall.CONNECT, connects[random.nextInt(2)], times);
   }
 
-  /** Clients that connect and say nothing, more than there are descriptors. */
+  /** Opens more idle connections to one balancer than it has descriptors for. */
   private void openIdleConnections() {
     PlatformBalancer balancer = randomBalancer();
-    note("crowd at " + balancer.name());
+    note("idle connections to " + balancer.name());
     for (int i = 0; i < 500; i++) {
       Socket socket = new Socket();
       try {
         socket.connect(balancer.listen(), 50);
-        openIdleConnections.add(socket);
+        idleConnections.add(socket);
       } catch (IOException e) {
-        return; // It is being restarted, or takes no more.
+        return; // The balancer is restarting or accepts no more connections.
       }
     }
   }
 
+  /** An action of a fault, which may throw. */
   private interface Action {
     void run() throws Exception;
   }
 
-  private void later(long millis, Action action) {
-    running.add(
+  private void schedule(long millis, Action action) {
+    pending.add(
         CompletableFuture.runAsync(
             () -> {
               try {
                 action.run();
               } catch (Exception e) {
-                addViolation("the rig: " + e);
+                addViolation("test bed: " + e);
               }
             },
             CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS)));
   }
 
   private void sleepUntil(long millis) throws InterruptedException {
-    long left = millis - (System.nanoTime() - beganNanos) / 1_000_000;
+    long left = millis - (System.nanoTime() - startNanos) / 1_000_000;
     if (left > 0) {
       Thread.sleep(left);
     }
   }
 
-  // ---- the rules ----
+  // ---- the checks ----
 
-  private synchronized void addViolation(String what) {
-    violations.add(what);
+  private synchronized void addViolation(String text) {
+    violations.add(text);
   }
 
   private synchronized List<KeepAliveLoad> allLoads() {
-    List<KeepAliveLoad> all = new ArrayList<>(ended);
+    List<KeepAliveLoad> all = new ArrayList<>(endedLoads);
     all.addAll(loads.values());
     return all;
   }
 
-  private void finish() throws InterruptedException, ExecutionException {
+  /** Ends the loads, waits for outstanding requests and checks the rules. */
+  private void check() throws InterruptedException, ExecutionException {
     allLoads().forEach(KeepAliveLoad::stop);
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_MILLIS);
     while (!allLoads().stream().allMatch(KeepAliveLoad::settled) && System.nanoTime() < until) {
@@ -412,7 +426,7 @@
     }
     for (PlatformBalancer balancer : fleet.balancers()) {
       if (!balancer.alive()) {
-        addViolation(balancer.name() + " has crashed");
+        addViolation(balancer.name() + " crashed");
       }
     }
     List<RoutingHistory.LateRequest> late = fleet.lateRequests();
@@ -423,11 +437,11 @@
     allLoads().forEach(load -> lost.addAll(load.lost()));
     if (!lost.isEmpty()) {
       addViolation(
-          "lost: " + lost.size() + ", " + lost.subList(0, Math.min(MOST_NAMED, lost.size())));
+          "lost: " + lost.size() + ", " + lost.subList(0, Math.min(MAX_LISTED, lost.size())));
     }
-    long twice = fleet.ledger().doubles(path -> path.contains("publish"));
-    if (twice > 0) {
-      addViolation("run twice: " + twice);
+    long duplicates = fleet.ledger().doubles(path -> path.contains("publish"));
+    if (duplicates > 0) {
+      addViolation("duplicates of unsafe requests: " + duplicates);
     }
   }
 
@@ -448,7 +462,7 @@
   }
 
   private void close() throws IOException {
-    for (Socket socket : openIdleConnections) {
+    for (Socket socket : idleConnections) {
       socket.close();
     }
     fleet.close();
@@ -457,7 +471,7 @@
     }
   }
 
-  /** The logs of a run's processes, by their names; while it runs. */
+  /** The logs of the balancer processes, by name, while the run lasts. */
   Map<String, String> logs() throws IOException {
     Map<String, String> logs = new LinkedHashMap<>();
     for (PlatformBalancer balancer : fleet.balancers()) {
--- a/src/main/java/heathswitch/testbed/platform/SoakScenario.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakScenario.java
@@ -7,10 +7,11 @@
 import java.util.SplittableRandom;
 
 /**
- * What one run of the soak is drawn to be: how many balancers under which load, what their settings
- * tell them, and how servers that drain behave.
+ * The random scenario of one soak run: balancers, servers, load, settings, the behaviour of
+ * draining servers, and the kinds of faults that may be injected.
  *
- * @param drainsTurnAway whether a server that drains turns new work away, or goes on serving it
+ * @param drainingServersReject whether a draining server rejects new requests, instead of serving
+ *     them
  */
 record SoakScenario(
     int balancers,
@@ -23,11 +24,11 @@
   private static final int SOCKETS = 512;
 
   /**
-   * Where a server that drains serves on, nothing but discovery's word tells of the drain, and a
-   * balancer that is cut off from discovery alone takes that for an outage: left open, so that the
-   * soak has the two together in no run.
+   * Faults that may cut a single balancer off from discovery, which takes this for an outage. If
+   * draining servers continue to serve, only discovery tells of a drain, and such a balancer can't
+   * learn of it. This case is an open question, so no run combines the two.
    */
-  private static final List<SoakFault> CUT_OFF_ALONE =
+  private static final List<SoakFault> FAULTS_LIKE_OUTAGE =
       List.of(SoakFault.DISCOVERY_REFUSES_ONE_BALANCER, SoakFault.SYSTEM_CALLS_FAIL);
 
   static SoakScenario draw(SplittableRandom random) {
@@ -36,10 +37,9 @@
     long deadlineMillis = random.nextInt(600, 4000);
     ServiceTime time = ServiceTime.exponential(random.nextInt(10, 60));
     boolean pushed = random.nextInt(3) == 0;
-    boolean setRejecting = random.nextInt(4) > 0;
-    long graceMillis = setRejecting ? random.nextLong(600, 2500) : random.nextLong(1500, 2500);
-    long mustAskMillis =
-        setRejecting ? random.nextLong(1500, 10_000) : random.nextLong(8000, 10_000);
+    boolean reject = random.nextInt(4) > 0;
+    long graceMillis = reject ? random.nextLong(600, 2500) : random.nextLong(1500, 2500);
+    long mustAskMillis = reject ? random.nextLong(1500, 10_000) : random.nextLong(8000, 10_000);
     PlatformSettings settings =
         new PlatformSettings(deadlineMillis, graceMillis, SOCKETS, pushed, mustAskMillis);
     int servers = random.nextInt(4, 8);
@@ -49,20 +49,20 @@
         perSecond,
         settings,
         Shape.warm(8, 32, time),
-        setRejecting,
+        reject,
         Arrays.stream(SoakFault.values())
-            .filter(fault -> setRejecting || !CUT_OFF_ALONE.contains(fault))
+            .filter(fault -> reject || !FAULTS_LIKE_OUTAGE.contains(fault))
             .toList());
   }
 
   @Override
   public String toString() {
     return String.format(
-        "lists are %s, deadline %d, grace %d, asked within %d, servers that drain %s",
-        settings.pushed() ? "pushed" : "asked for",
+        "lists are %s, deadline %d ms, grace %d ms, must ask within %d ms, draining servers %s",
+        settings.pushed() ? "pushed" : "called for",
         settings.deadlineMillis(),
         settings.graceMillis(),
         settings.mustAskMillis(),
-        drainingServersReject ? "turn away" : "serve on");
+        drainingServersReject ? "reject requests" : "continue to serve");
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/SystemFaultInjector.java
+++ b/src/main/java/heathswitch/testbed/platform/SystemFaultInjector.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults of the system under one process: a wall clock that is stepped, and calls that fail for a
- * moment. A small library in C ({@code src/main/native/faults.c}) is built by the machine's
- * compiler and loaded into the process before all others; it reads what is to go wrong from a file
- * that both have mapped.
+ * Injects system faults into one process: an offset of the wall clock, and a number of failing
+ * system calls. The faults are injected by an LD_PRELOAD shim, {@code src/main/native/faults.c},
+ * which is built with the machine's C compiler. The shim reads the faults from a control file that
+ * it and this class both map into memory.
  */
 public final class SystemFaultInjector implements AutoCloseable {
-  /** A kind of call that can fail, by the index of its count in the file. */
+  /** A kind of system call that can fail, with the index of its counter in the control file. */
   public enum SystemCall {
     ACCEPT(1),
     SOCKET(3),
     CONNECT(5),
     SYNC(7),
-    /** A read of the file of the configuration. */
+    /** A read of the configuration file. */
     READ_CONFIGURATION(9);
 
     private final int index;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Errors as Linux numbers them. */
+  /** Error numbers of Linux. */
   public enum Errno {
     EIO(5),
     ENFILE(23),
@@ -51,18 +51,20 @@
     }
   }
 
-  private static final int WALL_CLOCK_OFFSET = 0;
-  private static final int DELAYED_CONFIG_READS = 11;
-  private static final int DELAY_NANOS = 12;
+  // Indexes in the control file, as in faults.c.
+  private static final int WALL_CLOCK_OFFSET_NANOS = 0;
+  private static final int HELD_CONFIG_READS = 11;
+  private static final int HOLD_NANOS = 12;
   private static final int FIELDS = 13;
+
   private static final long BUILD_SECONDS = 60;
-  private static Path library;
+  private static Path shim;
 
   private final Path file;
   private final LongBuffer control;
 
   public SystemFaultInjector() throws IOException, InterruptedException {
-    build();
+    buildShim();
     file = Files.createTempFile("heathswitch-faults-", "");
     Files.write(file, new byte[FIELDS * Long.BYTES]);
     try (FileChannel channel =
@@ -75,14 +77,14 @@
     }
   }
 
-  private static synchronized void build() throws IOException, InterruptedException {
-    if (library != null) {
+  private static synchronized void buildShim() throws IOException, InterruptedException {
+    if (shim != null) {
       return;
     }
     Path root = Path.of(System.getProperty("heathswitch.root", "."));
     Path folder = Files.createTempDirectory("heathswitch-native-");
     Path built = folder.resolve("faults.so");
-    folder.toFile().deleteOnExit(); // The last one that is named goes first.
+    folder.toFile().deleteOnExit(); // Deleted in reverse order of registration.
     built.toFile().deleteOnExit();
     Process compiler =
         new ProcessBuilder(
@@ -99,37 +101,37 @@
     if (!compiler.waitFor(BUILD_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
       throw new IOException("src/main/native/faults.c could not be built with cc");
     }
-    library = built;
+    shim = built;
   }
 
-  /** Variables for the process that is to meet the faults; before its start. */
+  /** Environment variables with which the process has to be started. */
   public Map<String, String> environment() {
-    return Map.of("LD_PRELOAD", library.toString(), "FAULTS_CONTROL", file.toString());
+    return Map.of("LD_PRELOAD", shim.toString(), "FAULTS_CONTROL", file.toString());
   }
 
-  /** Sets the wall clock off by so many milliseconds from the true time. */
+  /** Sets the offset of the process's wall clock from the true time. */
   public void setWallClockOffset(long offMillis) {
-    control.put(WALL_CLOCK_OFFSET, offMillis * 1_000_000);
+    control.put(WALL_CLOCK_OFFSET_NANOS, offMillis * 1_000_000);
   }
 
-  /** Has the next so many calls fail. */
+  /** Has the next calls of a kind fail with an error, as many as given. */
   public void fail(SystemCall call, Errno errno, int times) {
     control.put(call.index + 1, errno.number);
     control.put(call.index, times);
   }
 
-  /** Has the next read of the file of the configuration return so late with what it has read. */
+  /** Delays the return of the next read of the configuration file; the read itself succeeds. */
   public void delayConfigurationRead(long millis) {
-    control.put(DELAY_NANOS, millis * 1_000_000);
-    control.put(DELAYED_CONFIG_READS, 1);
+    control.put(HOLD_NANOS, millis * 1_000_000);
+    control.put(HELD_CONFIG_READS, 1);
   }
 
-  /** How many of the calls that are to fail have not been made yet. */
+  /** The number of calls that still have to fail. */
   public long remaining(SystemCall call) {
     return Math.max(0, control.get(call.index));
   }
 
-  /** After the end of its process. */
+  /** Deletes the control file; to be called after the end of the process. */
   @Override
   public void close() throws IOException {
     Files.deleteIfExists(file);
--- a/src/main/java/heathswitch/testbed/platform/package-info.java
+++ b/src/main/java/heathswitch/testbed/platform/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The platform's side of a balancer, written from the protocol page: discovery with its queue and
- * its outages, processes with their configurations and signals, and a checker of the rules.
+ * The platform's side of a balancer, implemented from the protocol page: a discovery stub with a
+ * call queue and outages, balancer processes with their configurations and signals, fault
+ * injection, and a soak test that checks the rules of the platform.
  */
 package heathswitch.testbed.platform;
--- a/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
@@ -14,9 +14,9 @@
 import testing.Await;
 
 /**
- * Balancers in processes of their own whose calls for the list are turned away, after a new
- * configuration, while a server begins to drain: none may send there once the change counts as told
- * and the grace is over, whether or not the list ever came.
+ * Discovery rejects the calls of several balancer processes for the list, for example after a
+ * reload, while a server begins to drain. No balancer may send requests to that server once the
+ * change counts as delivered and the grace time is over, even if the list never arrived.
  */
 @Timeout(120)
 class CrowdedDiscoveryTest {
@@ -25,7 +25,7 @@
   private static final int BALANCERS = 3;
   private static final double PER_SECOND = 40;
 
-  /** Past the time in which the change counts as told, and the grace. */
+  /** Longer than the time until the change counts as delivered, plus the grace time. */
   private static final long PAST_GRACE_MILLIS = 10_500;
 
   private static PlatformFleet fleet(int seed) throws Exception {
@@ -46,26 +46,30 @@
     return loads.stream().mapToLong(load -> load.tally().count(Tally.Result.SERVED)).sum();
   }
 
-  private static void awaitAllAsked(PlatformFleet fleet) throws Exception {
-    Await.until("a watch of each", () -> fleet.discovery().watchingBalancers() == BALANCERS);
+  private static void awaitAllWatching(PlatformFleet fleet) throws Exception {
+    Await.until(
+        "a watch of each balancer", () -> fleet.discovery().watchingBalancers() == BALANCERS);
   }
 
-  private static void end(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
+  private static void stopAndCheck(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
     for (OpenLoop load : loads) {
       load.stop();
     }
     List<RoutingHistory.LateRequest> late = fleet.lateRequests();
-    assertEquals(0, late.size(), () -> "sent to a server that drains, first " + late.get(0));
-    assertEquals(0, fleet.ledger().lost(), "without an answer");
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
+    assertEquals(0, late.size(), () -> "sent to a draining server, first " + late.get(0));
+    assertEquals(0, fleet.ledger().lost(), "requests without an answer");
+    assertEquals(
+        0, fleet.ledger().doubles(id -> id.contains("publish")), "duplicates of unsafe requests");
   }
 
-  /** As in the incident: no call is taken from the reload on until long after the grace. */
+  /**
+   * Reproduces an incident: all calls are rejected from a reload until long after the grace time.
+   */
   @Test
-  void nothingIsSentToADrainingServerWhileAllCallsAreTurnedAway() throws Exception {
+  void drainingServerGetsNoRequestsAfterGraceWhenAllCallsAreRejectedAfterReload() throws Exception {
     try (PlatformFleet fleet = fleet(71)) {
       List<OpenLoop> loads = loads(fleet);
-      awaitAllAsked(fleet);
+      awaitAllWatching(fleet);
       fleet.discovery().setRejecting(true);
       for (PlatformBalancer balancer : fleet.balancers()) {
         fleet.reconfigure(balancer);
@@ -73,42 +77,43 @@
       fleet.drain("s-1");
       Thread.sleep(PAST_GRACE_MILLIS);
       fleet.discovery().setRejecting(false);
-      awaitAllAsked(fleet);
+      awaitAllWatching(fleet);
       long before = served(loads);
-      Await.until("requests served again", () -> served(loads) > before + 60);
-      end(fleet, loads);
+      Await.until("requests served after the end of rejections", () -> served(loads) > before + 60);
+      stopAndCheck(fleet, loads);
     }
   }
 
-  /** The watches break and no new configuration comes: the same limit holds. */
+  /** Watches are reset without a reload: the same time limit holds. */
   @Test
-  void theSameHoldsWhereWatchesBreak() throws Exception {
+  void drainingServerGetsNoRequestsAfterGraceWhenWatchesAreResetAndCallsRejected()
+      throws Exception {
     try (PlatformFleet fleet = fleet(72)) {
       List<OpenLoop> loads = loads(fleet);
-      awaitAllAsked(fleet);
+      awaitAllWatching(fleet);
       fleet.discovery().setRejecting(true);
       fleet.discovery().resetWatches();
       fleet.drain("s-2");
       Thread.sleep(PAST_GRACE_MILLIS);
       fleet.discovery().setRejecting(false);
-      end(fleet, loads);
+      stopAndCheck(fleet, loads);
     }
   }
 
-  /** An outage is no reason to turn clients away: nothing can have been told meanwhile. */
+  /** Discovery can't have delivered a change during its outage, so balancers must keep serving. */
   @Test
-  void requestsAreServedThroughAnOutage() throws Exception {
+  void requestsAreServedDuringDiscoveryOutage() throws Exception {
     try (PlatformFleet fleet = fleet(73)) {
       List<OpenLoop> loads = loads(fleet);
-      awaitAllAsked(fleet);
+      awaitAllWatching(fleet);
       fleet.discovery().setDown(true);
       Thread.sleep(PAST_GRACE_MILLIS);
       long before = served(loads);
       Await.until("requests served", () -> served(loads) > before + 60);
       fleet.discovery().setDown(false);
       fleet.drain("s-3");
-      awaitAllAsked(fleet);
-      end(fleet, loads);
+      awaitAllWatching(fleet);
+      stopAndCheck(fleet, loads);
       assertTrue(refused(loads) < served(loads) / 20, "refused " + refused(loads));
     }
   }
--- a/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
+++ b/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
@@ -10,15 +10,15 @@
 import testing.Await;
 
 /**
- * Configurations in quick succession for one process: the newest is in force in the end, whatever
- * holds up or fails the reading of its file.
+ * Several reloads of one process in quick succession: at the end the latest configuration is in
+ * force, even if reads of its file are delayed or fail.
  */
 @Timeout(90)
 class ReloadSeriesTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
   private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
-  private static final long HELD_UP_MILLIS = 400;
-  private static final long BETWEEN_MILLIS = 50;
+  private static final long READ_DELAY_MILLIS = 400;
+  private static final long RELOAD_INTERVAL_MILLIS = 50;
 
   private final SystemFaultInjector injector = new SystemFaultInjector();
 
@@ -38,27 +38,30 @@
     return balancer;
   }
 
-  /** Only at the newest address somebody listens: a watch tells that it is in force. */
-  private static void awaitNewest(PlatformFleet fleet) throws Exception {
-    Thread.sleep(2 * HELD_UP_MILLIS);
-    Await.until("a watch at the newest address", () -> fleet.discovery().watchingBalancers() == 1);
+  /**
+   * Discovery listens only at its latest address, so a watch shows that the latest configuration is
+   * in force.
+   */
+  private static void awaitLatest(PlatformFleet fleet) throws Exception {
+    Thread.sleep(2 * READ_DELAY_MILLIS);
+    Await.until("a watch at the latest address", () -> fleet.discovery().watchingBalancers() == 1);
   }
 
   @Test
-  void aReloadThatIsHeldUpDoesNotUndoTheNextOne() throws Exception {
+  void delayedReloadDoesNotOverrideTheNextReload() throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(95, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
-      injector.delayConfigurationRead(HELD_UP_MILLIS);
+      injector.delayConfigurationRead(READ_DELAY_MILLIS);
       fleet.reconfigure(balancer);
-      Thread.sleep(BETWEEN_MILLIS);
+      Thread.sleep(RELOAD_INTERVAL_MILLIS);
       fleet.reconfigure(balancer);
-      awaitNewest(fleet);
+      awaitLatest(fleet);
     }
   }
 
-  /** A process that is started anew has no configuration of before to go on with. */
+  /** A new process has no former configuration to continue with. */
   @Test
-  void aProcessStartsThoughItsFileCannotBeReadAtFirst() throws Exception {
+  void processStartsWhenItsConfigurationFileIsUnreadableAtFirst() throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(97, SETTINGS, SHAPE)) {
       injector.fail(
           SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
@@ -66,22 +69,22 @@
       assertEquals(
           0,
           injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
-          "all have failed");
+          "failures left");
     }
   }
 
   @Test
-  void aFileThatCouldNotBeReadIsReadAgain() throws Exception {
+  void reloadIsRetriedWhenConfigurationFileIsUnreadableAtFirst() throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(96, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
       injector.fail(
           SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
       fleet.reconfigure(balancer);
-      awaitNewest(fleet);
+      awaitLatest(fleet);
       assertEquals(
           0,
           injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
-          "all have failed");
+          "failures left");
     }
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/SoakTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SoakTest.java
@@ -10,12 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A few seeds of the soak, two at a time; the long run is {@code heathswitch measure soak}. */
+/**
+ * Runs the soak test for a few seeds, two at a time. {@code heathswitch measure soak} runs more.
+ */
 @Timeout(180)
 class SoakTest {
   private static final long FIRST_SEED = 101;
   private static final int ROUNDS = 2;
-  private static final int SIDE_BY_SIDE = 2;
+  private static final int PARALLEL_RUNS = 2;
 
   private static SoakRun.Result run(long seed) {
     try {
@@ -26,17 +28,17 @@
   }
 
   @Test
-  void noRuleIsBrokenUnderDrawnFaults() throws Exception {
+  void noRuleIsViolatedUnderRandomFaults() throws Exception {
     for (int round = 0; round < ROUNDS; round++) {
-      long first = FIRST_SEED + (long) round * SIDE_BY_SIDE;
-      List<CompletableFuture<SoakRun.Result>> side =
-          LongStream.range(first, first + SIDE_BY_SIDE)
+      long first = FIRST_SEED + (long) round * PARALLEL_RUNS;
+      List<CompletableFuture<SoakRun.Result>> runs =
+          LongStream.range(first, first + PARALLEL_RUNS)
               .mapToObj(seed -> CompletableFuture.supplyAsync(() -> run(seed)))
               .toList();
-      for (CompletableFuture<SoakRun.Result> each : side) {
+      for (CompletableFuture<SoakRun.Result> each : runs) {
         SoakRun.Result result = each.get(120, TimeUnit.SECONDS);
         assertEquals(List.of(), result.violations(), () -> result.seed() + ": " + result.faults());
-        assertTrue(result.counts().served() > 0, "some were served");
+        assertTrue(result.counts().served() > 0, "no request was served");
       }
     }
   }
--- a/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import testing.Await;
 
-/** One process under a system whose calls fail for a moment and whose wall clock is stepped. */
+/** One balancer process whose system calls fail for a short time or whose wall clock is stepped. */
 @Timeout(120)
 class SystemFaultsTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
@@ -46,8 +46,8 @@
     return balancer;
   }
 
-  /** One request on a connection of its own: the status line, and how long it took. */
-  private static long ask(PlatformBalancer balancer, int number) throws IOException {
+  /** Sends one request on a new connection and expects status 200; the time taken, in ms. */
+  private static long sendRequest(PlatformBalancer balancer, int number) throws IOException {
     long began = System.nanoTime();
     try (Socket socket = new Socket()) {
       socket.connect(balancer.listen(), 1000);
@@ -64,42 +64,42 @@
     return (System.nanoTime() - began) / 1_000_000;
   }
 
-  /** A listener that leaves off for a second answers nobody in time whose deadline is short. */
+  /** A listener that pauses for a second after a failure would miss short deadlines. */
   @ParameterizedTest
   @EnumSource(names = {"ENFILE", "ENOBUFS", "ECONNABORTED"})
-  void acceptsThatFailHoldNobodyUp(SystemFaultInjector.Errno errno) throws Exception {
+  void failingAcceptsDoNotDelayRequests(SystemFaultInjector.Errno errno) throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(81, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
-      ask(balancer, 0);
+      sendRequest(balancer, 0);
       injector.fail(SystemFaultInjector.SystemCall.ACCEPT, errno, FAILURES);
       long slowest = 0;
       for (int i = 1; i <= 20; i++) {
-        slowest = Math.max(slowest, ask(balancer, i));
+        slowest = Math.max(slowest, sendRequest(balancer, i));
       }
-      assertEquals(0, injector.remaining(SystemFaultInjector.SystemCall.ACCEPT), "all have failed");
-      assertTrue(slowest < 500, "slowest " + slowest + " ms");
+      assertEquals(0, injector.remaining(SystemFaultInjector.SystemCall.ACCEPT), "failures left");
+      assertTrue(slowest < 500, "slowest request took " + slowest + " ms");
     }
   }
 
-  /** The next attempt goes to a server to which a connection can be made. */
+  /** After a failed connect, the next attempt goes to a server that can be connected to. */
   @ParameterizedTest
   @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH"})
-  void aConnectThatFailsIsTriedElsewhere(SystemFaultInjector.Errno errno) throws Exception {
+  void failedConnectIsRetriedOnAnotherServer(SystemFaultInjector.Errno errno) throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(82, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
       injector.fail(SystemFaultInjector.SystemCall.CONNECT, errno, 1);
-      ask(balancer, 0);
+      sendRequest(balancer, 0);
       injector.fail(SystemFaultInjector.SystemCall.SOCKET, SystemFaultInjector.Errno.ENFILE, 1);
       for (int i = 1; i <= 5; i++) {
-        ask(balancer, i);
+        sendRequest(balancer, i);
       }
       assertTrue(balancer.alive());
     }
   }
 
-  /** What fails may be the call for the list: another one follows. */
+  /** A failed call for the list is followed by another one. */
   @Test
-  void aCallForTheListWhoseSocketCannotBeMadeIsRepeated() throws Exception {
+  void callForListIsRepeatedWhenItsSocketCannotBeCreated() throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(85, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
       Await.until("a watch", () -> fleet.discovery().watchingBalancers() == 1);
@@ -110,14 +110,16 @@
       long failed = System.nanoTime();
       Await.until("a new watch", () -> fleet.discovery().watchingBalancers() == 1);
       long tookMillis = (System.nanoTime() - failed) / 1_000_000;
-      assertTrue(balancer.alive() && tookMillis < 3500, "after " + tookMillis + " ms");
+      assertTrue(
+          balancer.alive() && tookMillis < 3500,
+          "a new watch after " + tookMillis + " ms; process alive: " + balancer.alive());
     }
   }
 
-  /** Deadlines, the watch on discovery and the drain go by real time. */
+  /** Deadlines, the watch on discovery and drains don't depend on the wall clock. */
   @ParameterizedTest
   @ValueSource(longs = {-3_600_000, 3_600_000})
-  void aWallClockThatIsSteppedChangesNothing(long offMillis) throws Exception {
+  void wallClockStepDoesNotAffectRequestsWatchesOrDrains(long offMillis) throws Exception {
     try (PlatformFleet fleet = new PlatformFleet(83, SETTINGS, SHAPE)) {
       PlatformBalancer balancer = start(fleet);
       KeepAliveLoad load = fleet.startKeepAliveLoad(balancer, 40);
@@ -127,29 +129,33 @@
       fleet.discovery().resetWatches();
       Await.until("a new watch", () -> fleet.discovery().watchingBalancers() == 1);
       fleet.drain("s-2");
-      Await.until("requests", () -> load.counts().served() > 200);
+      Await.until("served requests", () -> load.counts().served() > 200);
       load.stop();
-      Await.until("all ended", load::settled);
+      Await.until("all requests to end", load::settled);
       assertEquals(0, load.lost().size());
       assertEquals(0, fleet.lateRequests().size());
       assertEquals(0, load.counts().failed() + load.counts().refused());
       balancer.signal("TERM");
-      assertEquals(0, balancer.awaitEnd(5000));
-      assertTrue(steppedIn(balancer, offMillis), "the library was loaded");
+      assertEquals(0, balancer.awaitExit(5000));
+      assertTrue(
+          logHasOffset(balancer, offMillis), "the process did not see the wall clock's offset");
     }
   }
 
-  /** Whether the log shows that the process saw the step. */
-  private static boolean steppedIn(PlatformBalancer balancer, long offMillis) throws IOException {
+  /** Whether the last log line has the offset, so that the shim was loaded. */
+  private static boolean logHasOffset(PlatformBalancer balancer, long offMillis)
+      throws IOException {
     List<String> lines = Files.readAllLines(balancer.log());
     String last = lines.get(lines.size() - 1);
     long seen = Instant.parse(last.substring(0, last.indexOf(' '))).toEpochMilli();
     return Math.abs(seen - System.currentTimeMillis() - offMillis) < 60_000;
   }
 
-  /** A process that starts while its clock is off takes a server that is just starting for cold. */
+  /**
+   * A process that starts with an offset of its clock still treats a just started server as cold.
+   */
   @Test
-  void aColdServerIsSparedByOneWhoseClockIsAnHourAhead() throws Exception {
+  void coldServerGetsReducedShareFromBalancerWhoseClockIsAnHourAhead() throws Exception {
     injector.setWallClockOffset(3_600_000);
     try (PlatformFleet fleet = new PlatformFleet(84, SETTINGS, SHAPE)) {
       for (int i = 0; i < 5; i++) {
@@ -160,10 +166,10 @@
       balancer.environment(injector.environment());
       fleet.start(balancer);
       KeepAliveLoad load = fleet.startKeepAliveLoad(balancer, 60);
-      Await.until("requests", () -> load.counts().served() > 150);
+      Await.until("served requests", () -> load.counts().served() > 150);
       load.stop();
       long sent = fleet.server(cold).received();
-      assertTrue(sent > 0 && sent < 15, "a fair share were 25, the cold one got " + sent);
+      assertTrue(sent > 0 && sent < 15, "a full share is 25 requests, the cold server got " + sent);
     }
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
@@ -14,8 +14,8 @@
 import testing.Await;
 
 /**
- * One of several balancers in processes of their own cannot reach discovery, which goes on for all
- * others: it may not use servers for ever by what it knew, and need not leave off serving either.
+ * One of several balancer processes can't reach discovery, which serves all others. The balancer
+ * may not use the servers of its former list forever, but doesn't have to stop serving either.
  */
 @Timeout(120)
 class UnreachableDiscoveryTest {
@@ -25,7 +25,10 @@
   private static final int SERVERS = 6;
   private static final double PER_SECOND = 30;
 
-  /** As long as in the evidence, and longer than any sentence lets a change go untold. */
+  /**
+   * As long as in the observed failure, and longer than any rule allows until a change counts as
+   * delivered.
+   */
   private static final long UNREACHABLE_MILLIS = 14_000;
 
   private static PlatformFleet fleet(int seed) throws Exception {
@@ -46,43 +49,47 @@
     return load.tally().count(Tally.Result.SERVED);
   }
 
-  private static void end(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
+  private static void stopAndCheck(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
     for (OpenLoop load : loads) {
       load.stop();
     }
     List<RoutingHistory.LateRequest> late = fleet.lateRequests();
-    assertEquals(0, late.size(), () -> "sent to a server that drains, first " + late.get(0));
-    assertEquals(0, fleet.ledger().lost(), "without an answer");
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
+    assertEquals(0, late.size(), () -> "sent to a draining server, first " + late.get(0));
+    assertEquals(0, fleet.ledger().lost(), "requests without an answer");
+    assertEquals(
+        0, fleet.ledger().doubles(id -> id.contains("publish")), "duplicates of unsafe requests");
   }
 
-  private static void drainTwo(PlatformFleet fleet) throws Exception {
+  private static void drainTwoServers(PlatformFleet fleet) throws Exception {
     fleet.drainAndReject("s-1");
     Thread.sleep(500);
     fleet.drainAndReject("s-2");
   }
 
-  /** As n0 of the evidence: two configurations, then all calls are refused, then servers drain. */
+  /** Reproduces an observed failure: two reloads, then all calls refused, then servers drain. */
   @Test
-  void nothingIsSentToDrainingServersWhereEachCallIsRefusedAfterAMove() throws Exception {
+  void drainingServersGetNoRequestsAfterGraceWhenCallsAreRefusedAfterReload() throws Exception {
     try (PlatformFleet fleet = fleet(91)) {
       List<OpenLoop> loads = loads(fleet);
-      Await.until("a watch of each", () -> fleet.discovery().watchingBalancers() == BALANCERS);
+      Await.until(
+          "a watch of each balancer", () -> fleet.discovery().watchingBalancers() == BALANCERS);
       PlatformBalancer cutOff = fleet.balancers().get(0);
       fleet.reconfigure(cutOff);
       Thread.sleep(100);
       fleet.reconfigure(cutOff);
       fleet.discovery().setRefusing(cutOff.name(), true);
-      drainTwo(fleet);
+      drainTwoServers(fleet);
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long before = served(loads.get(0));
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long later = served(loads.get(0)) - before;
-      assertTrue(later > PER_SECOND * UNREACHABLE_MILLIS / 2000 / 2, "served on: " + later);
+      assertTrue(
+          later > PER_SECOND * UNREACHABLE_MILLIS / 2000 / 2, "served while cut off: " + later);
       fleet.discovery().setRefusing(cutOff.name(), false);
       Await.until(
-          "a watch of each again", () -> fleet.discovery().watchingBalancers() == BALANCERS);
-      end(fleet, loads);
+          "a watch of each balancer again",
+          () -> fleet.discovery().watchingBalancers() == BALANCERS);
+      stopAndCheck(fleet, loads);
     }
   }
 }
