--- a/src/test/java/heathswitch/proxy/grpc/EchoServer.java
+++ b/src/test/java/heathswitch/proxy/grpc/EchoServer.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A stand-in gRPC server on grpc-java: messages are bytes, and the calls are those of the published
- * interop cases as far as bytes can say them.
+ * A gRPC test server on grpc-java. Its methods follow the published gRPC interop cases, as far as
+ * that is possible with byte arrays as messages.
  */
 final class EchoServer implements AutoCloseable {
   static final String SERVICE = "timetable.Store";
@@ -32,9 +32,9 @@
       Metadata.Key.of("x-grpc-test-echo-initial", Metadata.ASCII_STRING_MARSHALLER);
   static final Metadata.Key<byte[]> BINARY =
       Metadata.Key.of("x-grpc-test-echo-trailing-bin", Metadata.BINARY_BYTE_MARSHALLER);
-  static final Metadata.Key<String> TIMEOUT =
+  static final Metadata.Key<String> RECEIVED_TIMEOUT =
       Metadata.Key.of("x-saw-timeout", Metadata.ASCII_STRING_MARSHALLER);
-  static final Metadata.Key<String> PREVIOUS =
+  static final Metadata.Key<String> PREVIOUS_ATTEMPTS =
       Metadata.Key.of("grpc-previous-rpc-attempts", Metadata.ASCII_STRING_MARSHALLER);
 
   private static final MethodDescriptor.Marshaller<byte[]> BYTES =
@@ -62,13 +62,13 @@
       method("Fail", MethodDescriptor.MethodType.UNARY);
   static final MethodDescriptor<byte[], byte[]> SLEEP =
       method("Sleep", MethodDescriptor.MethodType.UNARY);
-  static final MethodDescriptor<byte[], byte[]> NONE =
+  static final MethodDescriptor<byte[], byte[]> UNIMPLEMENTED =
       method("None", MethodDescriptor.MethodType.UNARY);
-  static final MethodDescriptor<byte[], byte[]> DOWN =
+  static final MethodDescriptor<byte[], byte[]> SERVER_STREAMING =
       method("Down", MethodDescriptor.MethodType.SERVER_STREAMING);
-  static final MethodDescriptor<byte[], byte[]> UP =
+  static final MethodDescriptor<byte[], byte[]> CLIENT_STREAMING =
       method("Up", MethodDescriptor.MethodType.CLIENT_STREAMING);
-  static final MethodDescriptor<byte[], byte[]> PING =
+  static final MethodDescriptor<byte[], byte[]> BIDI_STREAMING =
       method("Ping", MethodDescriptor.MethodType.BIDI_STREAMING);
 
   private static MethodDescriptor<byte[], byte[]> method(
@@ -92,13 +92,20 @@
             .maxInboundMessageSize(8 << 20)
             .addService(
                 ServerServiceDefinition.builder(SERVICE)
-                    .addMethod(UNARY, counted(ServerCalls.asyncUnaryCall(this::echo)))
-                    .addMethod(UNSAFE, counted(ServerCalls.asyncUnaryCall(this::echo)))
-                    .addMethod(FAIL, counted(ServerCalls.asyncUnaryCall(this::fail)))
-                    .addMethod(SLEEP, counted(ServerCalls.asyncUnaryCall((request, to) -> {})))
-                    .addMethod(DOWN, counted(ServerCalls.asyncServerStreamingCall(this::down)))
-                    .addMethod(UP, counted(ServerCalls.asyncClientStreamingCall(this::up)))
-                    .addMethod(PING, counted(ServerCalls.asyncBidiStreamingCall(this::ping)))
+                    .addMethod(UNARY, counting(ServerCalls.asyncUnaryCall(this::echo)))
+                    .addMethod(UNSAFE, counting(ServerCalls.asyncUnaryCall(this::echo)))
+                    .addMethod(FAIL, counting(ServerCalls.asyncUnaryCall(this::fail)))
+                    .addMethod(
+                        SLEEP, counting(ServerCalls.asyncUnaryCall((request, responses) -> {})))
+                    .addMethod(
+                        SERVER_STREAMING,
+                        counting(ServerCalls.asyncServerStreamingCall(this::streamMessages)))
+                    .addMethod(
+                        CLIENT_STREAMING,
+                        counting(ServerCalls.asyncClientStreamingCall(this::countBytes)))
+                    .addMethod(
+                        BIDI_STREAMING,
+                        counting(ServerCalls.asyncBidiStreamingCall(this::echoStream)))
                     .build())
             .build()
             .start();
@@ -108,8 +115,8 @@
     return server.getPort();
   }
 
-  /** Counts calls, cancels and runs, and echoes metadata as the interop cases have it. */
-  private ServerCallHandler<byte[], byte[]> counted(ServerCallHandler<byte[], byte[]> handler) {
+  /** Counts calls, messages and cancellations, and echoes metadata as in the interop cases. */
+  private ServerCallHandler<byte[], byte[]> counting(ServerCallHandler<byte[], byte[]> handler) {
     return (call, headers) -> {
       calls.incrementAndGet();
       if (failing) {
@@ -123,13 +130,13 @@
               if (headers.containsKey(ASCII)) {
                 head.put(ASCII, headers.get(ASCII));
               }
-              if (headers.containsKey(PREVIOUS)) {
-                head.put(ASCII, "previous " + headers.get(PREVIOUS));
+              if (headers.containsKey(PREVIOUS_ATTEMPTS)) {
+                head.put(ASCII, "previous " + headers.get(PREVIOUS_ATTEMPTS));
               }
               Metadata.Key<String> timeout =
                   Metadata.Key.of("grpc-timeout", Metadata.ASCII_STRING_MARSHALLER);
               if (headers.containsKey(timeout)) {
-                head.put(TIMEOUT, headers.get(timeout));
+                head.put(RECEIVED_TIMEOUT, headers.get(timeout));
               }
               super.sendHeaders(head);
             }
@@ -159,32 +166,32 @@
     };
   }
 
-  private void echo(byte[] request, StreamObserver<byte[]> to) {
+  private void echo(byte[] request, StreamObserver<byte[]> responses) {
     if (request.length < 64) {
       runs.computeIfAbsent(new String(request), any -> new AtomicInteger()).incrementAndGet();
     }
-    to.onNext(request);
-    to.onCompleted();
+    responses.onNext(request);
+    responses.onCompleted();
   }
 
-  /** Answers with the status whose code is the message's first byte. */
-  private void fail(byte[] request, StreamObserver<byte[]> to) {
-    to.onError(
+  /** Answers with the status whose code is the first byte of the message. */
+  private void fail(byte[] request, StreamObserver<byte[]> responses) {
+    responses.onError(
         Status.fromCodeValue(request[0])
             .withDescription("test status message \u2713 \t%")
             .asRuntimeException());
   }
 
-  /** As many messages as the first byte says, of the size that the next two say, in KiB. */
-  private void down(byte[] request, StreamObserver<byte[]> to) {
+  /** Sends the number of messages in the first byte, each of the size in the second one, in KiB. */
+  private void streamMessages(byte[] request, StreamObserver<byte[]> responses) {
     for (int i = 0; i < request[0]; i++) {
-      to.onNext(new byte[request[1] << 10]);
+      responses.onNext(new byte[request[1] << 10]);
     }
-    to.onCompleted();
+    responses.onCompleted();
   }
 
-  /** How many bytes came. */
-  private StreamObserver<byte[]> up(StreamObserver<byte[]> to) {
+  /** Answers with the number of bytes received. */
+  private StreamObserver<byte[]> countBytes(StreamObserver<byte[]> responses) {
     return new StreamObserver<>() {
       private int sum;
 
@@ -198,31 +205,31 @@
 
       @Override
       public void onCompleted() {
-        to.onNext(Integer.toString(sum).getBytes());
-        to.onCompleted();
+        responses.onNext(Integer.toString(sum).getBytes());
+        responses.onCompleted();
       }
     };
   }
 
-  /** Takes the next message only when the last one has gone out. */
-  private StreamObserver<byte[]> ping(StreamObserver<byte[]> to) {
-    ServerCallStreamObserver<byte[]> out = (ServerCallStreamObserver<byte[]>) to;
-    boolean[] waiting = {false};
+  /** Echoes each message, and requests the next one only while the transport is ready to send. */
+  private StreamObserver<byte[]> echoStream(StreamObserver<byte[]> responses) {
+    ServerCallStreamObserver<byte[]> out = (ServerCallStreamObserver<byte[]>) responses;
+    boolean[] waitingForReady = {false};
     out.disableAutoRequest();
     out.request(1);
     out.setOnReadyHandler(
         () -> {
-          if (waiting[0]) {
-            waiting[0] = false;
+          if (waitingForReady[0]) {
+            waitingForReady[0] = false;
             out.request(1);
           }
         });
     return new StreamObserver<>() {
       @Override
       public void onNext(byte[] value) {
-        to.onNext(value);
-        waiting[0] = !out.isReady();
-        if (!waiting[0]) {
+        responses.onNext(value);
+        waitingForReady[0] = !out.isReady();
+        if (!waitingForReady[0]) {
           out.request(1);
         }
       }
@@ -232,7 +239,7 @@
 
       @Override
       public void onCompleted() {
-        to.onCompleted();
+        responses.onCompleted();
       }
     };
   }
--- a/src/test/java/heathswitch/proxy/grpc/GrpcFailureTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcFailureTest.java
@@ -34,13 +34,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import testing.Await;
 
-/** Servers that fail or vanish, ends that cross calls, readers that are slow. */
+/**
+ * Tests failing and disappearing servers, races at the end of calls and connections, slow readers,
+ * drains and the exhaustion of descriptors.
+ */
 @Timeout(120)
 class GrpcFailureTest {
   private static final Metadata.Key<String> PUSHBACK =
       Metadata.Key.of("grpc-retry-pushback-ms", Metadata.ASCII_STRING_MARSHALLER);
 
-  private static final MethodDescriptor<byte[], byte[]> HEALTH =
+  private static final MethodDescriptor<byte[], byte[]> HEALTH_CHECK =
       EchoServer.UNARY.toBuilder().setFullMethodName("grpc.health.v1.Health/Check").build();
 
   static StreamObserver<byte[]> observer(BlockingQueue<Object> results) {
@@ -87,8 +90,11 @@
         });
   }
 
-  /** Windows start small; waves of calls that are held and then answered together open them. */
-  private static void openWindows(GrpcFixture fixture, int target, RawHttp2Server... servers)
+  /**
+   * Grows the windows of the servers, which start small, with waves of calls that are held and then
+   * answered together.
+   */
+  private static void growWindows(GrpcFixture fixture, int target, RawHttp2Server... servers)
       throws Exception {
     BlockingQueue<Object> results = new LinkedBlockingQueue<>();
     ManagedChannel channel = fixture.channel();
@@ -98,11 +104,13 @@
         unary(channel, EchoServer.UNARY, "w", results);
       }
       Await.until(
-          "a wave of " + size,
-          () -> Stream.of(servers).mapToLong(RawHttp2Server::whole).sum() + results.size() >= size);
+          "calls in a wave: " + size,
+          () ->
+              Stream.of(servers).mapToLong(RawHttp2Server::openCallCount).sum() + results.size()
+                  >= size);
       Stream.of(servers).forEach(RawHttp2Server::answerAll);
       for (int i = 0; i < size; i++) {
-        while (results.isEmpty()) { // Some may have come to a server by way of a second attempt.
+        while (results.isEmpty()) { // Some calls may be second attempts.
           Stream.of(servers).forEach(RawHttp2Server::answerAll);
           Thread.sleep(1);
         }
@@ -112,48 +120,56 @@
   }
 
   /**
-   * Never run by the node's own word, its flight lands elsewhere, whatever the class, or is refused
-   * where no window has room for it; the node is not asked again for each of them.
+   * A server refuses all its streams (REFUSED_STREAM) while about 200 are in flight. The calls did
+   * not run, so they are retried on the other server whatever their class, or refused if its window
+   * has no room. The failing server must not get a retry of each of them.
    */
   @Test
-  void twoHundredStreamsToANodeThatStartsFailing() throws Exception {
-    try (RawHttp2Server good = new RawHttp2Server(1000);
-        RawHttp2Server bad = new RawHttp2Server(1000);
+  void refusedStreamsAreRetriedOnOtherServer() throws Exception {
+    try (RawHttp2Server healthy = new RawHttp2Server(1000);
+        RawHttp2Server failing = new RawHttp2Server(1000);
         GrpcFixture fixture =
             new GrpcFixture()
-                .server(good.port())
-                .server(bad.port())
-                .with("most_streams = 1000")
+                .server(healthy.port())
+                .server(failing.port())
+                .extraConfig("most_streams = 1000")
                 .start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       int sent = 480;
-      // How far the windows open depends on the timing of the waves: until both hold 200 at once,
-      // or, on a machine so busy that answers seem slow and windows are cut, as many as there are.
-      for (int tries = 0; bad.whole() < (tries < 60 ? 200 : 40); tries++) {
-        assertTrue(tries < 150, "the windows do not open");
-        good.answerAll();
-        bad.answerAll();
-        openWindows(fixture, 1000, good, bad);
-        good.calls.clear();
-        bad.calls.clear();
+      // How far the windows grow depends on the timing of the waves. Repeat until the failing
+      // server holds 200 calls. On a busy machine answers look slow and windows shrink; after 60
+      // tries, 40 calls are enough.
+      for (int tries = 0; failing.openCallCount() < (tries < 60 ? 200 : 40); tries++) {
+        assertTrue(tries < 150, "the windows do not grow");
+        healthy.answerAll();
+        failing.answerAll();
+        growWindows(fixture, 1000, healthy, failing);
+        healthy.calls.clear();
+        failing.calls.clear();
         results.clear();
         for (int i = 0; i < sent; i++) {
           unary(channel, i % 2 == 0 ? EchoServer.UNARY : EchoServer.UNSAFE, "call", results);
         }
-        Await.until("all out", () -> good.whole() + bad.whole() + results.size() >= sent);
+        Await.until(
+            "all calls are in flight",
+            () -> healthy.openCallCount() + failing.openCallCount() + results.size() >= sent);
       }
-      List<RawHttp2Server.Call> flight = List.copyOf(bad.calls);
-      // The other node is done with its own, so that there is room for those of the failing one.
-      good.answering = true;
-      good.answerAll();
-      Await.until("the others", () -> results.size() == sent - flight.size());
-      int others = good.calls.size();
-      flight.forEach(call -> call.reset(Http2Error.REFUSED_STREAM));
-      Await.until("each is answered", () -> results.size() + bad.whole() == sent);
-      int again = bad.calls.size() - flight.size();
-      assertTrue(again <= 5, "asked again " + again);
-      bad.answerAll();
+      List<RawHttp2Server.Call> inFlight = List.copyOf(failing.calls);
+      // The healthy server answers its calls, which makes room for those of the failing one.
+      healthy.answerImmediately = true;
+      healthy.answerAll();
+      Await.until(
+          "the calls of the healthy server are answered",
+          () -> results.size() == sent - inFlight.size());
+      int healthyCallsBefore = healthy.calls.size();
+      inFlight.forEach(call -> call.reset(Http2Error.REFUSED_STREAM));
+      Await.until(
+          "all calls are answered or back at the failing server",
+          () -> results.size() + failing.openCallCount() == sent);
+      int retriedOnFailing = failing.calls.size() - inFlight.size();
+      assertTrue(retriedOnFailing <= 5, "retries on the failing server: " + retriedOnFailing);
+      failing.answerAll();
       int served = 0;
       for (int i = 0; i < sent; i++) {
         Object result = results.poll(30, TimeUnit.SECONDS);
@@ -162,19 +178,24 @@
         assertTrue(refused || result instanceof String, String.valueOf(result));
         served += refused ? 0 : 1;
       }
-      int landed = good.calls.size() - others;
-      assertTrue(landed >= flight.size() / 4, "landed " + landed + " of " + flight.size());
-      assertTrue(served >= others + landed, "served " + served);
+      int retriedOnHealthy = healthy.calls.size() - healthyCallsBefore;
+      assertTrue(
+          retriedOnHealthy >= inFlight.size() / 4,
+          "retried on the healthy server: " + retriedOnHealthy + " of " + inFlight.size());
+      assertTrue(served >= healthyCallsBefore + retriedOnHealthy, "served " + served);
     }
   }
 
-  /** Streams that the server had not seen when it said so go elsewhere; the others go on. */
+  /**
+   * Streams that the server had not received when it sent GOAWAY are retried elsewhere; the others
+   * complete.
+   */
   @Test
-  void goAwayAndNewStreamsCross() throws Exception {
-    try (EchoServer good = new EchoServer();
+  void streamsUnseenAtGoAwayAreRetriedElsewhere() throws Exception {
+    try (EchoServer healthy = new EchoServer();
         RawHttp2Server leaving = new RawHttp2Server(1000);
         GrpcFixture fixture =
-            new GrpcFixture().server(good.port()).server(leaving.port()).start()) {
+            new GrpcFixture().server(healthy.port()).server(leaving.port()).start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       int sent = 0;
@@ -182,7 +203,7 @@
         unary(channel, EchoServer.UNSAFE, "u " + sent++, results);
         Thread.sleep(1);
       }
-      leaving.goAway();
+      leaving.sendGoAway();
       for (int i = 0; i < 40; i++) {
         unary(channel, EchoServer.UNSAFE, "u " + sent++, results);
       }
@@ -192,7 +213,7 @@
         Object result = null;
         while (result == null) {
           for (RawHttp2Server.Call call : leaving.calls) {
-            if (call.whole && !answered.contains(call)) {
+            if (call.requestComplete && !answered.contains(call)) {
               answered.add(call);
               call.answer("0");
             }
@@ -204,20 +225,21 @@
             result instanceof Status status && status.getCode() == Status.Code.UNAVAILABLE;
         assertTrue(refused || result instanceof String, String.valueOf(result));
       }
-      // What was served ran once, at one of the two, and nothing else ran.
-      assertEquals(served, good.runs.size() + answered.size());
-      good.runs.forEach((call, runs) -> assertEquals(1, runs.get(), call));
+      // Each served call ran exactly once, on one of the servers, and no other call ran.
+      assertEquals(served, healthy.runs.size() + answered.size());
+      healthy.runs.forEach((call, runs) -> assertEquals(1, runs.get(), call));
       assertTrue(served >= 45, "served " + served);
     }
   }
 
   @Test
-  void trailersWithoutAStatusAreNoAnswer() throws Exception {
+  void trailersWithoutStatusBecomeUnknown() throws Exception {
     try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
-      Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
+      Await.until(
+          "the call has arrived", () -> raw.calls.size() == 1 && raw.calls.get(0).requestComplete);
       raw.calls.get(0).answer(null);
       Status status = (Status) results.poll(30, TimeUnit.SECONDS);
       assertEquals(Status.Code.UNKNOWN, status.getCode());
@@ -225,7 +247,7 @@
     }
   }
 
-  /** What answers is no gRPC server: its caller is told what the protocol's table says of it. */
+  /** The HTTP status of a server without gRPC is mapped as the gRPC protocol specifies. */
   @ParameterizedTest
   @CsvSource({
     "400, INTERNAL",
@@ -239,8 +261,8 @@
     "418, UNKNOWN",
     "200, UNKNOWN"
   })
-  void anAnswerOverHttpAloneIsToldByItsStatus(String http, Status.Code expected) throws Exception {
-    Status status = statusOfOne(call -> call.foreign(http));
+  void nonGrpcAnswerIsMappedFromHttpStatus(String http, Status.Code expected) throws Exception {
+    Status status = statusOfSingleUnsafeCall(call -> call.answerHttp(http));
     assertEquals(expected, status.getCode());
     String words = String.valueOf(status.getDescription());
     assertTrue(words.contains(http.equals("200") ? "text/html" : http), words);
@@ -254,84 +276,96 @@
     "INTERNAL_ERROR, INTERNAL",
     "STREAM_CLOSED, UNKNOWN"
   })
-  void aResetIsToldByItsCode(Http2Error error, Status.Code expected) throws Exception {
-    assertEquals(expected, statusOfOne(call -> call.reset(error)).getCode());
+  void resetIsMappedFromErrorCode(Http2Error error, Status.Code expected) throws Exception {
+    assertEquals(expected, statusOfSingleUnsafeCall(call -> call.reset(error)).getCode());
   }
 
-  /** Of an unsafe call that its one server, which may have run it, ends in this way. */
-  private static Status statusOfOne(Consumer<RawHttp2Server.Call> end) throws Exception {
+  /**
+   * Returns the status of an unsafe call that its only server ends in the given way, after the call
+   * may have run.
+   */
+  private static Status statusOfSingleUnsafeCall(Consumer<RawHttp2Server.Call> endCall)
+      throws Exception {
     try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
-      Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
-      end.accept(raw.calls.get(0));
+      Await.until(
+          "the call has arrived", () -> raw.calls.size() == 1 && raw.calls.get(0).requestComplete);
+      endCall.accept(raw.calls.get(0));
       Status status = (Status) results.poll(30, TimeUnit.SECONDS);
       assertEquals(1, raw.calls.size());
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
       return status;
     }
   }
 
-  /** Its kernel acknowledges and it says nothing more: PING finds out, long before the deadline. */
+  /**
+   * The kernel of the server acknowledges data, but the server hangs: the PING times out, and the
+   * call ends long before its deadline.
+   */
   @Test
-  void aHalfClosedStreamWhoseServerHangsIsEnded() throws Exception {
+  void halfClosedStreamToHungServerIsEnded() throws Exception {
     try (RawHttp2Server raw = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      StreamObserver<byte[]> to =
+      StreamObserver<byte[]> requests =
           ClientCalls.asyncBidiStreamingCall(
-              fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(results));
-      to.onNext(new byte[] {1});
-      to.onCompleted();
-      Await.until("the call", () -> raw.calls.size() == 1 && raw.calls.get(0).whole);
-      raw.calls.get(0).begin();
+              fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
+              observer(results));
+      requests.onNext(new byte[] {1});
+      requests.onCompleted();
+      Await.until(
+          "the call has arrived", () -> raw.calls.size() == 1 && raw.calls.get(0).requestComplete);
+      raw.calls.get(0).sendHeaders();
       StatusRuntimeException error = (StatusRuntimeException) results.poll(30, TimeUnit.SECONDS);
       assertEquals(Status.Code.INTERNAL, error.getStatus().getCode());
       assertTrue(raw.pings.get() > 0);
-      assertEquals(0, fixture.live());
+      assertEquals(0, fixture.liveRequestCount());
     }
   }
 
-  /** The caller has gone when the answer comes: nobody gets it, and nothing is left over. */
+  /** A cancellation by the client may race with the answer; no request may stay live. */
   @Test
-  void aCancelCrossesTheTrailers() throws Exception {
+  void cancellationRacingTrailersLeavesNoLiveRequests() throws Exception {
     try (RawHttp2Server raw = new RawHttp2Server(1000);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       ManagedChannel channel = fixture.channel();
       for (int i = 0; i < 50; i++) {
-        int size = i + 1; // Tells the calls apart: one that is late may have a second copy.
+        int size = i + 1; // Distinguishes the calls, since a late call may be hedged.
         ClientCall<byte[], byte[]> call = channel.newCall(EchoServer.UNARY, CallOptions.DEFAULT);
         BlockingQueue<Object> results = new LinkedBlockingQueue<>();
         ClientCalls.asyncUnaryCall(call, new byte[size], observer(results));
-        Await.until("the call", () -> raw.call(size) != null);
-        Thread other = new Thread(() -> raw.call(size).answer("0"));
+        Await.until("the call has arrived", () -> raw.completeCall(size) != null);
+        Thread other = new Thread(() -> raw.completeCall(size).answer("0"));
         other.start();
-        call.cancel("crossing", null);
+        call.cancel("cancelled by the test", null);
         other.join();
         assertTrue(results.poll(30, TimeUnit.SECONDS) != null);
       }
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
     }
   }
 
-  /** More calls than its SETTINGS allow on one connection go over further ones. */
+  /** Calls beyond the limit in the SETTINGS of a connection use further connections. */
   @Test
-  void aServersLimitOfStreamsIsObeyed() throws Exception {
+  void maxConcurrentStreamsOfServerIsRespected() throws Exception {
     try (RawHttp2Server raw = new RawHttp2Server(3);
         GrpcFixture fixture = new GrpcFixture().server(raw.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      raw.answering = true;
+      raw.answerImmediately = true;
       unary(fixture.channel(), EchoServer.UNSAFE, "first", results);
       results.poll(30, TimeUnit.SECONDS);
-      raw.answering = false;
+      raw.answerImmediately = false;
       raw.calls.clear();
       ManagedChannel channel = fixture.channel();
       for (int i = 0; i < 10; i++) {
         unary(channel, EchoServer.UNSAFE, "x", results);
       }
       Await.until("all calls", () -> raw.calls.size() == 10);
-      Await.until("all whole", () -> raw.calls.stream().allMatch(call -> call.whole));
+      Await.until(
+          "all requests are complete",
+          () -> raw.calls.stream().allMatch(call -> call.requestComplete));
       raw.calls.forEach(call -> call.answer("0"));
       for (int i = 0; i < 10; i++) {
         assertTrue(results.poll(30, TimeUnit.SECONDS) instanceof String);
@@ -341,7 +375,7 @@
   }
 
   @Test
-  void noServerIsARefusalThatSaysWhenToComeBack() throws Exception {
+  void callWithoutServerIsRefusedWithPushback() throws Exception {
     try (GrpcFixture fixture = new GrpcFixture().server(1).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       ClientCalls.asyncUnaryCall(
@@ -354,15 +388,15 @@
     }
   }
 
-  /** Its effect is not known, so no library may try it again by itself. */
+  /** The call may have had an effect, so client libraries must not retry it by themselves. */
   @Test
-  void anUnsafeCallWhoseServerDiesIsAFailure() throws Exception {
+  void unsafeCallFailsWithoutRetryWhenServerDies() throws Exception {
     EchoServer echo = new EchoServer();
     MethodDescriptor<byte[], byte[]> sleep = EchoServer.SLEEP;
     try (GrpcFixture fixture =
         new GrpcFixture()
             .server(echo.port())
-            .with("[[grpc.method]]\npath = \"/timetable.Store/Sleep\"\nclass = \"publish\"")
+            .extraConfig("[[grpc.method]]\npath = \"/timetable.Store/Sleep\"\nclass = \"publish\"")
             .start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       ClientCalls.asyncUnaryCall(
@@ -375,18 +409,18 @@
     }
   }
 
-  /** A reader that takes nothing holds back the sender, through the balancer. */
+  /** The balancer passes the backpressure of a client that does not read on to the sender. */
   @Test
-  void aSlowReaderHoldsBackTheSender() throws Exception {
+  void slowReaderAppliesBackpressureToSender() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
-      AtomicInteger ready = new AtomicInteger();
+      AtomicInteger sentCount = new AtomicInteger();
       List<ClientCallStreamObserver<byte[]>> calls = new ArrayList<>();
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       int messages = 400;
       byte[] message = new byte[64 << 10];
       ClientCalls.asyncBidiStreamingCall(
-          fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
           new ClientResponseObserver<byte[], byte[]>() {
             @Override
             public void beforeStart(ClientCallStreamObserver<byte[]> call) {
@@ -394,9 +428,9 @@
               call.disableAutoRequestWithInitial(0);
               call.setOnReadyHandler(
                   () -> {
-                    while (call.isReady() && ready.get() < messages) {
+                    while (call.isReady() && sentCount.get() < messages) {
                       call.onNext(message);
-                      if (ready.incrementAndGet() == messages) {
+                      if (sentCount.incrementAndGet() == messages) {
                         call.onCompleted();
                       }
                     }
@@ -418,18 +452,18 @@
               results.add("done");
             }
           });
-      // The sender stops by itself, long before all is sent: wait until it has not moved on.
+      // The sender stops long before everything is sent: wait until it makes no progress.
       int[] last = {-1};
-      int[] still = {0};
+      int[] unchangedCount = {0};
       Await.until(
-          "the sender is held back",
+          "the sender stops",
           () -> {
-            int now = ready.get();
-            still[0] = now == last[0] && now > 0 ? still[0] + 1 : 0;
+            int now = sentCount.get();
+            unchangedCount[0] = now == last[0] && now > 0 ? unchangedCount[0] + 1 : 0;
             last[0] = now;
-            return still[0] > 200;
+            return unchangedCount[0] > 200;
           });
-      assertTrue(ready.get() < messages / 2, "sent " + ready.get() + " of " + messages);
+      assertTrue(sentCount.get() < messages / 2, "sent " + sentCount.get() + " of " + messages);
       calls.get(0).request(messages + 1);
       for (int i = 0; i < messages; i++) {
         assertEquals(message.length, ((byte[]) results.poll(30, TimeUnit.SECONDS)).length);
@@ -438,9 +472,9 @@
     }
   }
 
-  /** With a gateway, what gateways say to each other is not for clients. */
+  /** Clients must not send the headers that gateways exchange with each other. */
   @Test
-  void aForbiddenHeaderIsTurnedAway() throws Exception {
+  void forbiddenHeaderIsRejected() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       fixture.node().grpc().setForbiddenHeader("x-site-trail");
@@ -461,41 +495,42 @@
   }
 
   @Test
-  void healthIsAnswered() throws Exception {
+  void healthCheckIsAnswered() throws Exception {
     try (GrpcFixture fixture = new GrpcFixture().server(1).start()) {
       byte[] serving =
           ClientCalls.blockingUnaryCall(
-              fixture.channel(), HEALTH, CallOptions.DEFAULT, new byte[0]);
+              fixture.channel(), HEALTH_CHECK, CallOptions.DEFAULT, new byte[0]);
       assertArrayEquals(new byte[] {8, 1}, serving);
     }
   }
 
-  /** Calls that are on when the balancer is told to end get their answers, and then it is done. */
+  /** Calls in progress when a drain starts are completed before the drain ends. */
   @Test
-  void aDrainLetsCallsFinish() throws Exception {
+  void drainLetsCallsFinish() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      StreamObserver<byte[]> to =
+      StreamObserver<byte[]> requests =
           ClientCalls.asyncBidiStreamingCall(
-              fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(results));
-      to.onNext(new byte[] {1});
+              fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
+              observer(results));
+      requests.onNext(new byte[] {1});
       assertArrayEquals(new byte[] {1}, (byte[]) results.poll(30, TimeUnit.SECONDS));
       var drained = fixture.node().node().shutdown().drain();
-      to.onNext(new byte[] {2});
+      requests.onNext(new byte[] {2});
       assertArrayEquals(new byte[] {2}, (byte[]) results.poll(30, TimeUnit.SECONDS));
-      to.onCompleted();
+      requests.onCompleted();
       assertEquals("done", results.poll(30, TimeUnit.SECONDS));
       assertTrue(drained.await(30, TimeUnit.SECONDS));
     }
   }
 
-  /** A connection that is old is ended in good order: no call on it is lost. */
+  /** A client connection at its maximum age is closed gracefully: no call is lost. */
   @Test
-  void anOldConnectionIsReplacedUnderLoad() throws Exception {
+  void agedConnectionIsReplacedWithoutLosingCalls() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
-            new GrpcFixture().server(echo.port()).with("connection_age = \"1s\"").start()) {
+            new GrpcFixture().server(echo.port()).extraConfig("connection_age = \"1s\"").start()) {
       ManagedChannel channel = fixture.channel();
       long until = System.nanoTime() + 3_000_000_000L;
       int calls = 0;
@@ -508,41 +543,41 @@
     }
   }
 
-  /** The server is told how many attempts came before (gRFC A6), and a first one says nothing. */
+  /**
+   * A retry carries the number of previous attempts (gRFC A6); a first attempt has no such header.
+   */
   @Test
-  void aRetryIsMarked() throws Exception {
+  void retryCarriesNumberOfPreviousAttempts() throws Exception {
     try (RawHttp2Server one = new RawHttp2Server(100);
         RawHttp2Server two = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(one.port()).server(two.port()).start()) {
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
       unary(fixture.channel(), EchoServer.UNSAFE, "x", results);
-      Await.until("the first attempt", () -> one.whole() + two.whole() == 1);
-      RawHttp2Server first = one.whole() == 1 ? one : two;
+      Await.until("the first attempt", () -> one.openCallCount() + two.openCallCount() == 1);
+      RawHttp2Server first = one.openCallCount() == 1 ? one : two;
       RawHttp2Server second = first == one ? two : one;
       assertEquals(null, first.calls.get(0).headers.get("grpc-previous-rpc-attempts"));
       first.calls.get(0).reset(Http2Error.REFUSED_STREAM);
-      Await.until("the second attempt", () -> second.whole() == 1);
+      Await.until("the second attempt", () -> second.openCallCount() == 1);
       assertEquals("1", second.calls.get(0).headers.get("grpc-previous-rpc-attempts").toString());
       second.answerAll();
       assertTrue(results.poll(30, TimeUnit.SECONDS) instanceof String);
     }
   }
 
-  /**
-   * Its descriptors are used up by clients that say nothing: calls are refused or served, not lost.
-   */
+  /** When silent clients use up the descriptors, calls are refused or served, but not lost. */
   @Test
-  void withoutDescriptorsCallsAreAnsweredAllTheSame() throws Exception {
+  void callsAreAnsweredWhenDescriptorsAreExhausted() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).sockets(64).start()) {
-      List<Socket> silent = new ArrayList<>();
+      List<Socket> idleSockets = new ArrayList<>();
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = new LinkedBlockingQueue<>();
-      unary(channel, HEALTH, "", results);
+      unary(channel, HEALTH_CHECK, "", results);
       results.poll(30, TimeUnit.SECONDS);
       try {
         for (int i = 0; i < 14; i++) {
-          silent.add(new Socket("127.0.0.1", fixture.port()));
+          idleSockets.add(new Socket("127.0.0.1", fixture.port()));
         }
         unary(channel, EchoServer.UNSAFE, "x", results);
         Object result = results.poll(30, TimeUnit.SECONDS);
@@ -550,7 +585,7 @@
             result instanceof Status status && status.getCode() == Status.Code.UNAVAILABLE;
         assertTrue(refused || "x".equals(result), String.valueOf(result));
       } finally {
-        for (Socket socket : silent) {
+        for (Socket socket : idleSockets) {
           socket.close();
         }
       }
--- a/src/test/java/heathswitch/proxy/grpc/GrpcFixture.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcFixture.java
@@ -12,63 +12,63 @@
 import java.util.Map;
 import testing.Await;
 
-/** A balancer with a gRPC front in this process, and grpc-java clients of it. */
+/** Runs a balancer with a gRPC listener in this process, and creates grpc-java clients for it. */
 final class GrpcFixture implements AutoCloseable {
 
-  private final Path folder = Files.createTempDirectory("heathswitch-grpc-");
+  private final Path directory = Files.createTempDirectory("heathswitch-grpc-");
   private final List<ManagedChannel> channels = new ArrayList<>();
-  private final StringBuilder members = new StringBuilder();
-  private int count;
+  private final StringBuilder memberLines = new StringBuilder();
+  private int memberCount;
   private int sockets = 512;
-  private String more = "";
+  private String extraConfig = "";
   private StandaloneNode node;
 
   GrpcFixture() throws Exception {}
 
   GrpcFixture server(int grpcPort) {
-    count++;
-    members.append(
+    memberCount++;
+    memberLines.append(
         "s-"
-            + count
+            + memberCount
             + " 127.0.0.1:"
-            + (10 + count)
+            + (10 + memberCount)
             + " a store 0 1 in_service grpc="
             + grpcPort
             + '\n');
     return this;
   }
 
-  /** A server in words of the list's own. */
-  GrpcFixture line(String words) {
-    count++;
-    members.append(words).append('\n');
+  /** Adds a server by a raw line of the member list. */
+  GrpcFixture memberLine(String text) {
+    memberCount++;
+    memberLines.append(text).append('\n');
     return this;
   }
 
-  /** Replaces the list of servers while it runs. */
-  void rewrite(String... lines) throws Exception {
+  /** Replaces the member list of the running balancer. */
+  void replaceMembers(String... lines) throws Exception {
     Path next =
         Files.writeString(
-            folder.resolve("next"), String.join("\n", lines) + "\nend " + lines.length + "\n");
-    Files.move(next, folder.resolve("m"), StandardCopyOption.ATOMIC_MOVE);
+            directory.resolve("next"), String.join("\n", lines) + "\nend " + lines.length + "\n");
+    Files.move(next, directory.resolve("m"), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  GrpcFixture sockets(int most) {
-    sockets = most;
+  GrpcFixture sockets(int limit) {
+    sockets = limit;
     return this;
   }
 
-  /** Further keys of the table [grpc]. */
-  GrpcFixture with(String lines) {
-    more = lines;
+  /** Adds keys to the table {@code [grpc]} of the configuration. */
+  GrpcFixture extraConfig(String lines) {
+    extraConfig = lines;
     return this;
   }
 
   GrpcFixture start() throws Exception {
-    Files.writeString(folder.resolve("m"), members + "end " + count + "\n");
+    Files.writeString(directory.resolve("m"), memberLines + "end " + memberCount + "\n");
     Path file =
         Files.writeString(
-            folder.resolve("c.toml"),
+            directory.resolve("c.toml"),
             """
             [balancer]
             name = "g"
@@ -102,7 +102,7 @@
             path = "/timetable.Store/Publish"
             class = "publish"
             """
-                .formatted(sockets, more));
+                .formatted(sockets, extraConfig));
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
       throw new AssertionError(result.faults());
@@ -120,7 +120,7 @@
     return node.grpc().address().getPort();
   }
 
-  /** A connection of its own. */
+  /** Returns a new client channel with its own connection. */
   ManagedChannel channel() {
     ManagedChannel channel =
         NettyChannelBuilder.forAddress("127.0.0.1", port())
@@ -131,23 +131,23 @@
     return channel;
   }
 
-  /** What the module and the pools have out. */
-  int live() throws Exception {
+  /** The number of requests that are still in progress. */
+  int liveRequestCount() throws Exception {
     return node.node().loop().submit(() -> node.node().dispatcher().liveRequestCount()).get();
   }
 
-  /** Calls in flight and window of each server. */
-  Map<String, int[]> loads() throws Exception {
+  /** The calls in flight and the window of each server. */
+  Map<String, int[]> serverLoads() throws Exception {
     return node.node().loop().submit(() -> node.node().dispatcher().loads(1000)).get();
   }
 
-  /** Waits until no request is live: each was answered, and all its attempts have ended. */
-  void awaitNothingLeft() throws InterruptedException {
+  /** Waits until every request is answered and all attempts have ended. */
+  void awaitNoLiveRequests() throws InterruptedException {
     Await.until(
-        "nothing is left over",
+        "no live requests",
         () -> {
           try {
-            return live() == 0;
+            return liveRequestCount() == 0;
           } catch (Exception e) {
             throw new AssertionError(e);
           }
@@ -160,11 +160,11 @@
     if (node != null) {
       node.stop();
     }
-    try (var files = Files.list(folder)) {
+    try (var files = Files.list(directory)) {
       for (Path path : files.toList()) {
         Files.delete(path);
       }
     }
-    Files.delete(folder);
+    Files.delete(directory);
   }
 }
--- a/src/test/java/heathswitch/proxy/grpc/GrpcInteropTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcInteropTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.function.Executable;
 import testing.Await;
 
-/** The published interop cases, by grpc-java on both sides with the balancer between. */
+/** Runs the published gRPC interop cases with grpc-java on both sides of the balancer. */
 @Timeout(120)
 class GrpcInteropTest {
   private EchoServer echo;
@@ -44,14 +44,14 @@
 
   @AfterEach
   void stop() throws Exception {
-    Await.until("nothing is left over", () -> live() == 0);
+    Await.until("no live requests", () -> liveRequestCount() == 0);
     fixture.close();
     echo.close();
   }
 
-  private int live() {
+  private int liveRequestCount() {
     try {
-      return fixture.live();
+      return fixture.liveRequestCount();
     } catch (Exception e) {
       throw new AssertionError(e);
     }
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aMessageOverTheBoundIsTurnedAway() {
+  void messageAboveLimitIsRejected() {
     assertEquals(
         Status.Code.RESOURCE_EXHAUSTED, code(() -> unary(EchoServer.UNARY, random((4 << 20) + 1))));
     assertEquals(0, echo.calls.get());
@@ -98,7 +98,10 @@
   void serverStreaming() {
     Iterator<byte[]> answers =
         ClientCalls.blockingServerStreamingCall(
-            fixture.channel(), EchoServer.DOWN, CallOptions.DEFAULT, new byte[] {100, 100});
+            fixture.channel(),
+            EchoServer.SERVER_STREAMING,
+            CallOptions.DEFAULT,
+            new byte[] {100, 100});
     int count = 0;
     while (answers.hasNext()) {
       assertEquals(100 << 10, answers.next().length);
@@ -110,13 +113,14 @@
   @Test
   void clientStreaming() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
-    StreamObserver<byte[]> to =
+    StreamObserver<byte[]> requests =
         ClientCalls.asyncClientStreamingCall(
-            fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT), observer(answers));
+            fixture.channel().newCall(EchoServer.CLIENT_STREAMING, CallOptions.DEFAULT),
+            observer(answers));
     for (int size : new int[] {27182, 8, 1828, 45904, 500_000}) {
-      to.onNext(random(size));
+      requests.onNext(random(size));
     }
-    to.onCompleted();
+    requests.onCompleted();
     assertArrayEquals("574922".getBytes(), (byte[]) answers.poll(30, TimeUnit.SECONDS));
     assertEquals("done", answers.poll(30, TimeUnit.SECONDS));
   }
@@ -124,14 +128,15 @@
   @Test
   void pingPong() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
-    StreamObserver<byte[]> to =
+    StreamObserver<byte[]> requests =
         ClientCalls.asyncBidiStreamingCall(
-            fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(answers));
+            fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
+            observer(answers));
     for (int size : new int[] {31415, 9, 2653, 58979, 0}) {
-      to.onNext(random(size));
+      requests.onNext(random(size));
       assertArrayEquals(random(size), (byte[]) answers.poll(30, TimeUnit.SECONDS));
     }
-    to.onCompleted();
+    requests.onCompleted();
     assertEquals("done", answers.poll(30, TimeUnit.SECONDS));
   }
 
@@ -139,7 +144,8 @@
   void emptyStream() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
     ClientCalls.asyncBidiStreamingCall(
-            fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT), observer(answers))
+            fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
+            observer(answers))
         .onCompleted();
     assertEquals("done", answers.poll(30, TimeUnit.SECONDS));
   }
@@ -147,31 +153,33 @@
   @Test
   void cancelAfterBegin() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
-    ClientCall<byte[], byte[]> call = fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT);
-    StreamObserver<byte[]> to = ClientCalls.asyncClientStreamingCall(call, observer(answers));
-    to.onNext(random(10));
-    Await.until("begun", () -> echo.received.get() == 1);
+    ClientCall<byte[], byte[]> call =
+        fixture.channel().newCall(EchoServer.CLIENT_STREAMING, CallOptions.DEFAULT);
+    StreamObserver<byte[]> requests = ClientCalls.asyncClientStreamingCall(call, observer(answers));
+    requests.onNext(random(10));
+    Await.until("the server received the message", () -> echo.received.get() == 1);
     call.cancel("test", null);
     assertEquals(Status.Code.CANCELLED, answers.poll(30, TimeUnit.SECONDS));
-    Await.until("the server hears of it", () -> echo.cancelled.get() == 1);
+    Await.until("the server sees the cancellation", () -> echo.cancelled.get() == 1);
   }
 
   @Test
   void cancelAfterFirstResponse() throws Exception {
     BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
     ClientCall<byte[], byte[]> call =
-        fixture.channel().newCall(EchoServer.PING, CallOptions.DEFAULT);
-    StreamObserver<byte[]> to = ClientCalls.asyncBidiStreamingCall(call, observer(answers));
-    to.onNext(random(31415));
+        fixture.channel().newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT);
+    StreamObserver<byte[]> requests = ClientCalls.asyncBidiStreamingCall(call, observer(answers));
+    requests.onNext(random(31415));
     assertArrayEquals(random(31415), (byte[]) answers.poll(30, TimeUnit.SECONDS));
     call.cancel("test", null);
     assertEquals(Status.Code.CANCELLED, answers.poll(30, TimeUnit.SECONDS));
-    Await.until("the server hears of it", () -> echo.cancelled.get() == 1);
+    Await.until("the server sees the cancellation", () -> echo.cancelled.get() == 1);
   }
 
   @Test
-  void timeoutOnASleepingServer() throws Exception {
-    for (MethodDescriptor<byte[], byte[]> method : List.of(EchoServer.SLEEP, EchoServer.PING)) {
+  void timeoutOnSleepingServer() throws Exception {
+    for (MethodDescriptor<byte[], byte[]> method :
+        List.of(EchoServer.SLEEP, EchoServer.BIDI_STREAMING)) {
       int before = echo.cancelled.get();
       BlockingQueue<Object> answers = new LinkedBlockingQueue<>();
       CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(300, TimeUnit.MILLISECONDS);
@@ -182,7 +190,7 @@
         ClientCalls.asyncBidiStreamingCall(call, observer(answers));
       }
       assertEquals(Status.Code.DEADLINE_EXCEEDED, answers.poll(30, TimeUnit.SECONDS));
-      Await.until("the server hears of it", () -> echo.cancelled.get() > before);
+      Await.until("the server sees the cancellation", () -> echo.cancelled.get() > before);
     }
   }
 
@@ -204,7 +212,7 @@
 
   @Test
   void unimplementedMethod() {
-    assertEquals(Status.Code.UNIMPLEMENTED, code(() -> unary(EchoServer.NONE, random(1))));
+    assertEquals(Status.Code.UNIMPLEMENTED, code(() -> unary(EchoServer.UNIMPLEMENTED, random(1))));
   }
 
   @Test
@@ -212,7 +220,8 @@
     Metadata sent = new Metadata();
     sent.put(EchoServer.ASCII, "test_initial_metadata_value");
     sent.put(EchoServer.BINARY, new byte[] {(byte) 0xab, 0, (byte) 0xab, 10, 13});
-    for (MethodDescriptor<byte[], byte[]> method : List.of(EchoServer.UNARY, EchoServer.DOWN)) {
+    for (MethodDescriptor<byte[], byte[]> method :
+        List.of(EchoServer.UNARY, EchoServer.SERVER_STREAMING)) {
       AtomicReference<Metadata> headers = new AtomicReference<>();
       AtomicReference<Metadata> trailers = new AtomicReference<>();
       Channel channel =
@@ -235,9 +244,12 @@
     }
   }
 
-  /** It goes on reduced and never grows. */
+  /**
+   * The forwarded timeout is shorter than the client's, and never longer than the deadline of the
+   * class.
+   */
   @Test
-  void theDeadlineGoesOn() {
+  void deadlineIsForwardedReduced() {
     AtomicReference<Metadata> headers = new AtomicReference<>();
     Channel channel =
         ClientInterceptors.intercept(
@@ -245,12 +257,13 @@
             MetadataUtils.newCaptureMetadataInterceptor(headers, new AtomicReference<>()));
     CallOptions shorter = CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS);
     ClientCalls.blockingUnaryCall(channel, EchoServer.UNARY, shorter, random(1));
-    long nanos = GrpcTimeout.parse(headers.get().get(EchoServer.TIMEOUT));
-    assertTrue(nanos > 0 && nanos < 10_000_000_000L, "shorter than the class's: " + nanos);
+    long nanos = GrpcTimeout.parse(headers.get().get(EchoServer.RECEIVED_TIMEOUT));
+    assertTrue(
+        nanos > 0 && nanos < 10_000_000_000L, "shorter than the deadline of the class: " + nanos);
     CallOptions longer = CallOptions.DEFAULT.withDeadlineAfter(1000, TimeUnit.SECONDS);
     ClientCalls.blockingUnaryCall(channel, EchoServer.UNARY, longer, random(1));
-    nanos = GrpcTimeout.parse(headers.get().get(EchoServer.TIMEOUT));
-    assertTrue(nanos > 0 && nanos <= 20_000_000_000L, "the class's own: " + nanos);
+    nanos = GrpcTimeout.parse(headers.get().get(EchoServer.RECEIVED_TIMEOUT));
+    assertTrue(nanos > 0 && nanos <= 20_000_000_000L, "the deadline of the class: " + nanos);
   }
 
   private static StreamObserver<byte[]> observer(BlockingQueue<Object> answers) {
--- a/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The header of the deadline in all its units, and what statuses say of a server. */
+/** Tests the header {@code grpc-timeout}, and the mapping of gRPC statuses to outcomes. */
 class GrpcTimeoutTest {
   @ParameterizedTest
   @CsvSource({
@@ -26,37 +26,37 @@
     "00000001m,1000000",
     "99999999H,9223372036854775807"
   })
-  void readsAllSixUnits(String text, long nanos) {
+  void parsesAllSixUnits(String text, long nanos) {
     assertEquals(nanos, GrpcTimeout.parse(text));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"", "S", "1", "1s", "-1S", "1.5S", "123456789S", "1SS", " 1S", "+1S", "1h"})
-  void refusesWhatIsNone(String text) {
+  void parseRejectsMalformedTimeouts(String text) {
     assertEquals(-1, GrpcTimeout.parse(text));
   }
 
-  /** Written and read again it never grows, and loses at most a part in a hundred thousand. */
+  /** Formatting rounds down, and loses at most a hundred-thousandth of the timeout. */
   @Test
-  void neverGrows() {
+  void formattedTimeoutNeverGrows() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 100_000; i++) {
       long nanos = random.nextLong() >>> random.nextInt(1, 63);
       String text = GrpcTimeout.format(nanos);
-      long again = GrpcTimeout.parse(text);
+      long parsed = GrpcTimeout.parse(text);
       assertTrue(text.length() <= 9, text);
       assertTrue(
-          again >= 0 && again <= nanos && nanos - again <= nanos / 100_000, nanos + " " + text);
+          parsed >= 0 && parsed <= nanos && nanos - parsed <= nanos / 100_000, nanos + " " + text);
     }
     assertEquals("0n", GrpcTimeout.format(-5));
   }
 
   @Test
-  void readsStatuses() {
+  void statusCodesMapToOutcomes() {
     assertEquals(Status.UNAUTHENTICATED, Status.of("16"));
-    for (String none : new String[] {null, "", "17", "-1", "x", "014", "1.0"}) {
-      assertEquals(null, Status.of(none));
+    for (String malformed : new String[] {null, "", "17", "-1", "x", "014", "1.0"}) {
+      assertEquals(null, Status.of(malformed));
     }
     assertEquals(Outcome.OK, Status.outcome(Status.NOT_FOUND, false));
     assertEquals(Outcome.ERROR, Status.outcome(Status.UNAVAILABLE, false));
--- a/src/test/java/heathswitch/proxy/grpc/ProtocolAbuseTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/ProtocolAbuseTest.java
@@ -20,35 +20,37 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Frames that no library would send: each sort has its end, and another connection is served on.
+ * Sends abusive traffic that no library would send. The balancer must close the connection or
+ * reject the call, and must still serve another connection.
  */
 @Timeout(120)
 class ProtocolAbuseTest {
 
   private EchoServer echo;
   private GrpcFixture fixture;
-  private ManagedChannel other;
+  private ManagedChannel otherChannel;
 
   @BeforeEach
   void start() throws Exception {
     echo = new EchoServer();
     fixture = new GrpcFixture().server(echo.port()).start();
-    other = fixture.channel();
-    served();
+    otherChannel = fixture.channel();
+    assertServed();
   }
 
   @AfterEach
   void stop() throws Exception {
-    served();
+    assertServed();
     fixture.close();
     echo.close();
   }
 
-  private void served() {
+  private void assertServed() {
     byte[] message = {1, 2};
     assertArrayEquals(
         message,
-        ClientCalls.blockingUnaryCall(other, EchoServer.UNARY, CallOptions.DEFAULT, message));
+        ClientCalls.blockingUnaryCall(
+            otherChannel, EchoServer.UNARY, CallOptions.DEFAULT, message));
   }
 
   @FunctionalInterface
@@ -56,87 +58,93 @@
     void send(RawHttp2Client raw, int i) throws IOException;
   }
 
-  /** Sends until the connection ends; a flood that never ends it is the fault. */
-  private void ends(Flood flood, int most) throws IOException {
+  /** Sends frames and asserts that the balancer closes the connection. */
+  private void assertConnectionCloses(Flood flood, int maxFrames) throws IOException {
     try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
       Thread sender =
           new Thread(
               () -> {
                 try {
-                  for (int i = 0; i < most; i++) {
+                  for (int i = 0; i < maxFrames; i++) {
                     flood.send(raw, i);
                   }
                   raw.out.flush();
                 } catch (IOException e) {
-                  // Ended by the balancer.
+                  // Closed by the balancer.
                 }
               });
       sender.start();
-      raw.goneAway(); // Fails by its time-out if the connection is not ended.
+      raw.readUntilClosed(); // Times out if the connection is not closed.
     }
   }
 
   @Test
-  void rapidReset() throws IOException {
-    ends(
+  void rapidResetClosesConnection() throws IOException {
+    assertConnectionCloses(
         (raw, i) -> {
-          raw.frame(
+          raw.sendFrame(
               RawHttp2Client.HEADERS,
               RawHttp2Client.END_HEADERS,
               2 * i + 1,
-              RawHttp2Client.call("/timetable.Store/Sleep"));
-          raw.frame(RawHttp2Client.RST, 0, 2 * i + 1, new byte[] {0, 0, 0, 8});
+              RawHttp2Client.callHeaders("/timetable.Store/Sleep"));
+          raw.sendFrame(RawHttp2Client.RST_STREAM, 0, 2 * i + 1, new byte[] {0, 0, 0, 8});
         },
         5000);
   }
 
   @Test
-  void pingFlood() throws IOException {
-    ends((raw, i) -> raw.frame(RawHttp2Client.PING, 0, 0, new byte[8]), 20_000);
+  void pingFloodClosesConnection() throws IOException {
+    assertConnectionCloses(
+        (raw, i) -> raw.sendFrame(RawHttp2Client.PING, 0, 0, new byte[8]), 20_000);
   }
 
   @Test
-  void settingsFlood() throws IOException {
-    ends((raw, i) -> raw.frame(RawHttp2Client.SETTINGS, 0, 0, new byte[0]), 20_000);
+  void settingsFloodClosesConnection() throws IOException {
+    assertConnectionCloses(
+        (raw, i) -> raw.sendFrame(RawHttp2Client.SETTINGS, 0, 0, new byte[0]), 20_000);
   }
 
   @Test
-  void emptyFrames() throws IOException {
-    ends(
+  void emptyDataFramesCloseConnection() throws IOException {
+    assertConnectionCloses(
         (raw, i) -> {
           if (i == 0) {
-            raw.frame(
+            raw.sendFrame(
                 RawHttp2Client.HEADERS,
                 RawHttp2Client.END_HEADERS,
                 1,
-                RawHttp2Client.call("/timetable.Store/Sleep"));
+                RawHttp2Client.callHeaders("/timetable.Store/Sleep"));
           }
-          raw.frame(RawHttp2Client.DATA, 0, 1, new byte[0]);
+          raw.sendFrame(RawHttp2Client.DATA, 0, 1, new byte[0]);
         },
         5000);
   }
 
   @Test
-  void continuationFlood() throws IOException {
-    ends(
+  void continuationFloodClosesConnection() throws IOException {
+    assertConnectionCloses(
         (raw, i) -> {
           if (i == 0) {
-            raw.frame(RawHttp2Client.HEADERS, 0, 1, RawHttp2Client.call("/timetable.Store/Sleep"));
+            raw.sendFrame(
+                RawHttp2Client.HEADERS, 0, 1, RawHttp2Client.callHeaders("/timetable.Store/Sleep"));
           }
-          raw.frame(RawHttp2Client.CONTINUATION, 0, 1, new byte[0]);
+          raw.sendFrame(RawHttp2Client.CONTINUATION, 0, 1, new byte[0]);
         },
         5000);
   }
 
-  /** Small on the wire, large when decoded: one long header in the table, named again and again. */
+  /**
+   * A header block that is small on the wire and large when decoded: it refers to one long entry of
+   * the dynamic table many times.
+   */
   @Test
-  void headerBomb() throws Exception {
+  void oversizedDecodedHeadersAreAnsweredWith431() throws Exception {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.write(RawHttp2Client.call("/timetable.Store/Sleep"));
-    bytes.write(0x40); // Literal with indexing, a new name.
+    bytes.write(RawHttp2Client.callHeaders("/timetable.Store/Sleep"));
+    bytes.write(0x40); // Literal with incremental indexing and a new name.
     bytes.write(1);
     bytes.write('x');
-    bytes.write(0x7f); // A length of 127 and 3000 more.
+    bytes.write(0x7f); // A length of 127 + 3000.
     bytes.write(0x80 | (3000 & 127));
     bytes.write(3000 >> 7);
     bytes.write(new byte[127 + 3000]);
@@ -145,12 +153,12 @@
     }
     byte[] block = bytes.toByteArray();
     try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
-      raw.frame(
+      raw.sendFrame(
           RawHttp2Client.HEADERS, RawHttp2Client.END_HEADERS | RawHttp2Client.END_STREAM, 1, block);
       raw.out.flush();
-      RawHttp2Client.Frame frame = raw.read();
-      while (!frame.last()) {
-        frame = raw.read(); // Null, and so a failure, if the connection ends without an answer.
+      RawHttp2Client.Frame frame = raw.readFrame();
+      while (!frame.endsStream()) {
+        frame = raw.readFrame(); // Null, and thus a failure, if closed.
       }
       assertEquals(1, frame.stream());
       assertEquals(
@@ -160,30 +168,30 @@
               .status()
               .toString());
     }
-    assertEquals(1, echo.calls.get(), "only the call of another connection has run");
+    assertEquals(1, echo.calls.get(), "only the call on the other connection has run");
   }
 
   @Test
-  void noHttp2AtAll() throws IOException {
+  void connectionWithoutHttp2IsClosed() throws IOException {
     try (Socket socket = new Socket("127.0.0.1", fixture.port())) {
       socket.setSoTimeout(30_000);
       socket.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
-      socket.getInputStream().readAllBytes(); // Fails by its time-out if it is not ended.
+      socket.getInputStream().readAllBytes(); // Times out if the connection is not closed.
     } catch (SocketException e) {
       assertTrue(e.getMessage().contains("reset"), e.getMessage());
     }
   }
 
-  /** Five bytes that claim four gigabytes are turned away before any more come. */
+  /** A five-byte prefix that declares 4 GiB is rejected before more data is received. */
   @Test
-  void aMessageThatClaimsAHugeLength() throws Exception {
+  void messageDeclaringHugeLengthIsRejected() throws Exception {
     try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
-      raw.frame(
+      raw.sendFrame(
           RawHttp2Client.HEADERS,
           RawHttp2Client.END_HEADERS,
           1,
-          RawHttp2Client.call("/timetable.Store/Sleep"));
-      raw.frame(
+          RawHttp2Client.callHeaders("/timetable.Store/Sleep"));
+      raw.sendFrame(
           RawHttp2Client.DATA,
           0,
           1,
@@ -192,7 +200,7 @@
       InputStream in = raw.socket.getInputStream();
       while (true) {
         byte[] head = in.readNBytes(9);
-        assertTrue(head.length == 9, "an answer comes");
+        assertTrue(head.length == 9, "an answer is received");
         int length = (head[0] & 255) << 16 | (head[1] & 255) << 8 | head[2] & 255;
         in.readNBytes(length);
         if (head[3] == RawHttp2Client.HEADERS && (head[4] & RawHttp2Client.END_STREAM) != 0) {
--- a/src/test/java/heathswitch/proxy/grpc/RawHttp2Client.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawHttp2Client.java
@@ -8,11 +8,11 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** A client that writes its frames by hand, and can so do what no library would. */
+/** An HTTP/2 client that writes raw frames, so that tests can send what no library would. */
 final class RawHttp2Client implements AutoCloseable {
   static final int DATA = 0;
   static final int HEADERS = 1;
-  static final int RST = 3;
+  static final int RST_STREAM = 3;
   static final int SETTINGS = 4;
   static final int PING = 6;
   static final int GOAWAY = 7;
@@ -20,9 +20,9 @@
   static final int END_STREAM = 1;
   static final int END_HEADERS = 4;
 
-  /** A frame that has come. */
+  /** A received frame. */
   record Frame(int type, int flags, int stream, byte[] payload) {
-    boolean last() {
+    boolean endsStream() {
       return (type == HEADERS || type == DATA) && (flags & END_STREAM) != 0;
     }
   }
@@ -35,10 +35,10 @@
     socket.setSoTimeout(30_000);
     out = new DataOutputStream(socket.getOutputStream());
     out.write("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-    frame(SETTINGS, 0, 0, new byte[0]);
+    sendFrame(SETTINGS, 0, 0, new byte[0]);
   }
 
-  void frame(int type, int flags, int stream, byte[] payload) throws IOException {
+  void sendFrame(int type, int flags, int stream, byte[] payload) throws IOException {
     out.writeByte(payload.length >> 16);
     out.writeShort(payload.length);
     out.writeByte(type);
@@ -47,8 +47,8 @@
     out.write(payload);
   }
 
-  /** Reads to the end of the connection; whether a GOAWAY came before it. */
-  boolean goneAway() throws IOException {
+  /** Reads until the connection is closed. Returns whether a GOAWAY was received. */
+  boolean readUntilClosed() throws IOException {
     boolean goAway = false;
     InputStream in = socket.getInputStream();
     try {
@@ -62,7 +62,7 @@
         in.readNBytes(length);
       }
     } catch (SocketException e) {
-      return goAway; // Reset: what was still being sent had not been read.
+      return goAway; // Reset by the peer, since it had not read all that was sent.
     }
   }
 
@@ -71,8 +71,8 @@
     socket.close();
   }
 
-  /** The next frame, or null at the end of the connection. */
-  Frame read() throws IOException {
+  /** Reads the next frame. Returns null if the connection is closed. */
+  Frame readFrame() throws IOException {
     InputStream in = socket.getInputStream();
     byte[] head = in.readNBytes(9);
     if (head.length < 9) {
@@ -84,32 +84,35 @@
     return new Frame(head[3], head[4], stream, in.readNBytes(length));
   }
 
-  /** A message with its prefix. */
-  static byte[] message(String text) {
+  /** Returns a gRPC message with its prefix. */
+  static byte[] lengthPrefixed(String text) {
     byte[] bytes = new byte[5 + text.length()];
     bytes[4] = (byte) text.length();
     System.arraycopy(text.getBytes(StandardCharsets.US_ASCII), 0, bytes, 5, text.length());
     return bytes;
   }
 
-  /** Literal headers without indexing (RFC 7541, section 6.2.2): names and values in turn. */
-  static byte[] headers(String... words) throws IOException {
+  /**
+   * Encodes headers as literals without indexing (RFC 7541, section 6.2.2). Names and values
+   * alternate.
+   */
+  static byte[] encodeHeaders(String... namesAndValues) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    for (int i = 0; i < words.length; i++) {
+    for (int i = 0; i < namesAndValues.length; i++) {
       if (i % 2 == 0) {
         bytes.write(0);
       }
-      bytes.write(words[i].length());
-      bytes.write(words[i].getBytes(StandardCharsets.US_ASCII));
+      bytes.write(namesAndValues[i].length());
+      bytes.write(namesAndValues[i].getBytes(StandardCharsets.US_ASCII));
     }
     return bytes.toByteArray();
   }
 
-  /** The headers of a call, with further ones. */
-  static byte[] call(String path, String... more) throws IOException {
+  /** Encodes the headers of a call, and additional headers. */
+  static byte[] callHeaders(String path, String... moreHeaders) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.write(
-        headers(
+        encodeHeaders(
             ":method",
             "POST",
             ":scheme",
@@ -122,7 +125,7 @@
             "application/grpc",
             "te",
             "trailers"));
-    bytes.write(headers(more));
+    bytes.write(encodeHeaders(moreHeaders));
     return bytes.toByteArray();
   }
 }
--- a/src/test/java/heathswitch/proxy/grpc/RawHttp2Server.java
+++ b/src/test/java/heathswitch/proxy/grpc/RawHttp2Server.java
@@ -29,15 +29,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An HTTP/2 server that does what no library would: the test holds and ends each stream. */
+/** An HTTP/2 server that lets a test control each stream, beyond what a gRPC library allows. */
 final class RawHttp2Server implements AutoCloseable {
-  /** One call that has come, whole or not. */
+  /** A received call; its request may be incomplete. */
   final class Call {
     final ChannelHandlerContext ctx;
     final Http2Headers headers;
     final AtomicInteger bytes = new AtomicInteger();
-    volatile boolean whole;
-    volatile boolean over;
+    volatile boolean requestComplete;
+    volatile boolean ended;
 
     Call(ChannelHandlerContext ctx, Http2Headers headers) {
       this.ctx = ctx;
@@ -45,13 +45,13 @@
     }
 
     void reset(Http2Error error) {
-      over = true;
+      ended = true;
       ctx.writeAndFlush(new DefaultHttp2ResetFrame(error));
     }
 
     void answer(String status) {
-      over = true;
-      ctx.write(new DefaultHttp2HeadersFrame(head(), false));
+      ended = true;
+      ctx.write(new DefaultHttp2HeadersFrame(answerHeaders(), false));
       ctx.write(
           new DefaultHttp2DataFrame(
               ctx.alloc().buffer().writeBytes(new byte[] {0, 0, 0, 0, 1, 0})));
@@ -63,38 +63,38 @@
               true));
     }
 
-    /** An answer of something that speaks HTTP and no gRPC. */
-    void foreign(String status) {
-      over = true;
+    /** Answers with plain HTTP, like a server without gRPC support. */
+    void answerHttp(String status) {
+      ended = true;
       Http2Headers head = new DefaultHttp2Headers().status(status).set("content-type", "text/html");
       ctx.write(new DefaultHttp2HeadersFrame(head, false));
       ctx.writeAndFlush(
           new DefaultHttp2DataFrame(ctx.alloc().buffer().writeBytes(new byte[] {'<'}), true));
     }
 
-    /** A message of so many bytes, and no end. */
-    void message(int size) {
+    /** Sends a message of the given size without ending the stream. */
+    void sendMessage(int size) {
       ctx.writeAndFlush(
           new DefaultHttp2DataFrame(
               ctx.alloc().buffer(size + 5).writeByte(0).writeInt(size).writeZero(size)));
     }
 
-    void trailers(String status) {
-      over = true;
+    void sendTrailers(String status) {
+      ended = true;
       ctx.writeAndFlush(
           new DefaultHttp2HeadersFrame(new DefaultHttp2Headers().set("grpc-status", status), true));
     }
 
-    void begin() {
-      ctx.writeAndFlush(new DefaultHttp2HeadersFrame(head(), false));
+    void sendHeaders() {
+      ctx.writeAndFlush(new DefaultHttp2HeadersFrame(answerHeaders(), false));
     }
 
-    private Http2Headers head() {
+    private Http2Headers answerHeaders() {
       return new DefaultHttp2Headers().status("200").set("content-type", "application/grpc");
     }
   }
 
-  /** Before each message: whether it is compressed, and its length. */
+  /** The prefix of each message: the compression flag and the length. */
   private static final int PREFIX_BYTES = 5;
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -102,10 +102,10 @@
   final List<Channel> connections = new CopyOnWriteArrayList<>();
   final AtomicInteger pings = new AtomicInteger();
   final AtomicInteger resets = new AtomicInteger();
-  volatile boolean answering;
+  volatile boolean answerImmediately;
   private final Channel listener;
 
-  RawHttp2Server(int mostStreams) throws Exception {
+  RawHttp2Server(int maxStreams) throws Exception {
     listener =
         new ServerBootstrap()
             .group(group)
@@ -121,7 +121,7 @@
                             Http2FrameCodecBuilder.forServer()
                                 .initialSettings(
                                     Http2Settings.defaultSettings()
-                                        .maxConcurrentStreams(mostStreams))
+                                        .maxConcurrentStreams(maxStreams))
                                 .autoAckPingFrame(false)
                                 .encoderEnforceMaxRstFramesPerWindow(0, 0)
                                 .decoderEnforceMaxRstFramesPerWindow(0, 0)
@@ -130,10 +130,10 @@
                                 new ChannelInitializer<Channel>() {
                                   @Override
                                   protected void initChannel(Channel stream) {
-                                    stream.pipeline().addLast(new Stream());
+                                    stream.pipeline().addLast(new StreamHandler());
                                   }
                                 }),
-                            new Ignore());
+                            new ConnectionHandler());
                   }
                 })
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -145,30 +145,32 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** The first call whose message of so many bytes has come whole, or null. */
-  Call call(int messageBytes) {
+  /** The first call with a complete request of one message of the given size, or null. */
+  Call completeCall(int messageBytes) {
     return calls.stream()
-        .filter(call -> call.whole && call.bytes.get() == PREFIX_BYTES + messageBytes)
+        .filter(call -> call.requestComplete && call.bytes.get() == PREFIX_BYTES + messageBytes)
         .findFirst()
         .orElse(null);
   }
 
-  /** Calls that have come whole and are not over. */
-  long whole() {
-    return calls.stream().filter(call -> call.whole && !call.over).count();
+  /** The number of calls with a complete request that have not ended. */
+  long openCallCount() {
+    return calls.stream().filter(call -> call.requestComplete && !call.ended).count();
   }
 
   void answerAll() {
-    calls.stream().filter(call -> call.whole && !call.over).forEach(call -> call.answer("0"));
+    calls.stream()
+        .filter(call -> call.requestComplete && !call.ended)
+        .forEach(call -> call.answer("0"));
   }
 
-  /** Closes all connections as a process does that has died. */
-  void die() {
+  /** Closes all connections, as if the process had died. */
+  void closeConnections() {
     connections.forEach(Channel::close);
   }
 
-  /** Says on all connections that it takes no more streams; those that it has seen go on. */
-  void goAway() {
+  /** Sends a GOAWAY on all connections; streams that were already received continue. */
+  void sendGoAway() {
     for (Channel channel : connections) {
       channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR));
     }
@@ -179,10 +181,10 @@
     group.shutdownGracefully(0, 2, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  private final class Ignore extends ChannelInboundHandlerAdapter {
+  private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      // A PING stays without its answer: the machine hangs though its kernel lives.
+      // PINGs are not acknowledged, as if the machine hung while its kernel still runs.
       if (message instanceof Http2PingFrame ping && !ping.ack()) {
         pings.incrementAndGet();
       }
@@ -190,7 +192,7 @@
     }
   }
 
-  private final class Stream extends ChannelInboundHandlerAdapter {
+  private final class StreamHandler extends ChannelInboundHandlerAdapter {
     private Call call;
 
     @Override
@@ -206,8 +208,8 @@
       }
       ReferenceCountUtil.release(message);
       if (last) {
-        call.whole = true;
-        if (answering) {
+        call.requestComplete = true;
+        if (answerImmediately) {
           call.answer("0");
         }
       }
--- a/src/test/java/heathswitch/proxy/grpc/StreamingAndLimitsTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/StreamingAndLimitsTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import testing.Await;
 
-/** Calls that the table says nothing of, told from their traffic; bounds; what servers speak. */
+/**
+ * Tests calls that are recognized as streams by their traffic, the limits of the configuration, and
+ * servers with and without gRPC.
+ */
 @Timeout(120)
 class StreamingAndLimitsTest {
   private static final Object DONE = "done";
@@ -47,11 +50,14 @@
     return ((StatusRuntimeException) error).getStatus();
   }
 
-  /** Calls until it is served: a server that looks slow on a busy machine is rested for a while. */
-  private static void served(ManagedChannel channel, String text) throws Exception {
+  /**
+   * Repeats a call until it is served. On a busy machine a server may look slow and get no calls
+   * for a while.
+   */
+  private static void assertServed(ManagedChannel channel, String text) throws Exception {
     BlockingQueue<Object> results = results();
     Await.until(
-        "served",
+        "the call is served",
         () -> {
           GrpcFailureTest.unary(channel, EchoServer.UNSAFE, text, results);
           try {
@@ -66,224 +72,235 @@
         });
   }
 
-  /** What was sent to the server that never ran it goes whole to the next one. */
+  /** All data of a call that the first server never ran is sent again to the next one. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aSecondMessageComesJustAsTheFirstAttemptFails(boolean messageFirst) throws Exception {
+  void secondMessageRacingFailureOfFirstAttemptIsRetried(boolean messageFirst) throws Exception {
     for (int round = 0; round < 5; round++) {
       try (RawHttp2Server one = new RawHttp2Server(100);
           RawHttp2Server two = new RawHttp2Server(100);
           GrpcFixture fixture = new GrpcFixture().server(one.port()).server(two.port()).start()) {
         BlockingQueue<Object> results = results();
-        StreamObserver<byte[]> to =
+        StreamObserver<byte[]> requests =
             ClientCalls.asyncClientStreamingCall(
-                fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT),
+                fixture.channel().newCall(EchoServer.CLIENT_STREAMING, CallOptions.DEFAULT),
                 GrpcFailureTest.observer(results));
-        to.onNext(new byte[10]);
-        Await.until("begun", () -> one.calls.size() + two.calls.size() == 1);
+        requests.onNext(new byte[10]);
+        Await.until(
+            "the first attempt has arrived", () -> one.calls.size() + two.calls.size() == 1);
         RawHttp2Server first = one.calls.isEmpty() ? two : one;
         RawHttp2Server second = first == one ? two : one;
         if (messageFirst) {
-          to.onNext(new byte[20]);
+          requests.onNext(new byte[20]);
           first.calls.get(0).reset(Http2Error.REFUSED_STREAM);
         } else {
           first.calls.get(0).reset(Http2Error.REFUSED_STREAM);
-          to.onNext(new byte[20]);
+          requests.onNext(new byte[20]);
         }
-        to.onCompleted();
-        Await.until("whole elsewhere", () -> second.whole() == 1);
+        requests.onCompleted();
+        Await.until(
+            "the request is complete at the second server", () -> second.openCallCount() == 1);
         assertEquals(15 + 25, second.calls.get(0).bytes.get());
         second.answerAll();
         assertEquals(1, ((byte[]) next(results)).length);
         assertEquals(DONE, next(results));
         assertEquals(1, first.calls.size() + second.calls.size() - 1);
-        fixture.awaitNothingLeft();
+        fixture.awaitNoLiveRequests();
       }
     }
   }
 
-  /** However the two fall, the caller gets one end and nothing behind it. */
+  /** Whichever comes first, the client gets exactly one end of stream and nothing after it. */
   @Test
-  void aSecondMessageOfTheAnswerComesJustAsTheDeadlinePasses() throws Exception {
+  void answerMessageRacingDeadlineEndsCallOnce() throws Exception {
     try (RawHttp2Server server = new RawHttp2Server(100);
         GrpcFixture fixture = new GrpcFixture().server(server.port()).start()) {
       for (int i = 0; i < 20; i++) {
         int number = i;
         try (RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
-          byte[] head = RawHttp2Client.call("/timetable.Store/Down", "grpc-timeout", "100m");
-          raw.frame(RawHttp2Client.HEADERS, RawHttp2Client.END_HEADERS, 1, head);
-          raw.frame(RawHttp2Client.DATA, RawHttp2Client.END_STREAM, 1, RawHttp2Client.message("x"));
+          byte[] head = RawHttp2Client.callHeaders("/timetable.Store/Down", "grpc-timeout", "100m");
+          raw.sendFrame(RawHttp2Client.HEADERS, RawHttp2Client.END_HEADERS, 1, head);
+          raw.sendFrame(
+              RawHttp2Client.DATA,
+              RawHttp2Client.END_STREAM,
+              1,
+              RawHttp2Client.lengthPrefixed("x"));
           raw.out.flush();
-          long began = System.nanoTime();
-          Await.until("the call", () -> server.calls.size() > number);
+          long startNanos = System.nanoTime();
+          Await.until("the call has arrived", () -> server.calls.size() > number);
           RawHttp2Server.Call call = server.calls.get(i);
-          Await.until("whole", () -> call.whole);
-          call.begin();
-          call.message(10);
+          Await.until("the request is complete", () -> call.requestComplete);
+          call.sendHeaders();
+          call.sendMessage(10);
           Thread sender =
               new Thread(
                   () -> {
-                    while (System.nanoTime() - began < (90 + number) * 1_000_000L) {
+                    while (System.nanoTime() - startNanos < (90 + number) * 1_000_000L) {
                       Thread.onSpinWait();
                     }
-                    call.message(10);
+                    call.sendMessage(10);
                   });
           sender.start();
-          int ends = 0;
-          raw.frame(RawHttp2Client.PING, 0, 0, new byte[8]);
+          int endCount = 0;
+          raw.sendFrame(RawHttp2Client.PING, 0, 0, new byte[8]);
           raw.out.flush();
-          while (ends == 0) {
-            RawHttp2Client.Frame frame = raw.read();
-            assertNotNull(frame, "an end comes");
-            ends += frame.last() ? 1 : 0;
+          while (endCount == 0) {
+            RawHttp2Client.Frame frame = raw.readFrame();
+            assertNotNull(frame, "an end of stream is received");
+            endCount += frame.endsStream() ? 1 : 0;
           }
           sender.join();
-          raw.frame(RawHttp2Client.PING, 0, 0, new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
+          raw.sendFrame(RawHttp2Client.PING, 0, 0, new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
           raw.out.flush();
-          RawHttp2Client.Frame after = raw.read();
+          RawHttp2Client.Frame after = raw.readFrame();
           while (after.type() != RawHttp2Client.PING || after.payload()[0] != 1) {
-            assertTrue(after.stream() == 0, "nothing of the call behind its end: " + after.type());
-            after = raw.read();
+            assertTrue(
+                after.stream() == 0,
+                "no frame of the call after its end of stream: " + after.type());
+            after = raw.readFrame();
           }
         }
       }
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
     }
   }
 
   @Test
-  void aStreamOfNoMessageAtAll() throws Exception {
+  void emptyClientStreamIsAnswered() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       BlockingQueue<Object> results = results();
-      StreamObserver<byte[]> to =
+      StreamObserver<byte[]> requests =
           ClientCalls.asyncClientStreamingCall(
-              fixture.channel().newCall(EchoServer.UP, CallOptions.DEFAULT),
+              fixture.channel().newCall(EchoServer.CLIENT_STREAMING, CallOptions.DEFAULT),
               GrpcFailureTest.observer(results));
-      to.onCompleted();
+      requests.onCompleted();
       assertArrayEquals("0".getBytes(), (byte[]) next(results));
       assertEquals(DONE, next(results));
     }
   }
 
-  /** Some clients end their call in a frame of its own, and may be slow to. */
+  /** Some clients half-close with a separate frame, which may arrive late. */
   @ParameterizedTest
   @ValueSource(ints = {0, 5, 30, 200})
-  void theEndOfAUnaryCallComesLate(int millis) throws Exception {
+  void unaryCallWithLateHalfCloseIsAnswered(int millis) throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start();
         RawHttp2Client raw = new RawHttp2Client(fixture.port())) {
-      raw.frame(
+      raw.sendFrame(
           RawHttp2Client.HEADERS,
           RawHttp2Client.END_HEADERS,
           1,
-          RawHttp2Client.call("/timetable.Store/Unary"));
-      raw.frame(RawHttp2Client.DATA, 0, 1, RawHttp2Client.message("late"));
+          RawHttp2Client.callHeaders("/timetable.Store/Unary"));
+      raw.sendFrame(RawHttp2Client.DATA, 0, 1, RawHttp2Client.lengthPrefixed("late"));
       raw.out.flush();
       Thread.sleep(millis);
-      raw.frame(RawHttp2Client.DATA, RawHttp2Client.END_STREAM, 1, new byte[0]);
+      raw.sendFrame(RawHttp2Client.DATA, RawHttp2Client.END_STREAM, 1, new byte[0]);
       raw.out.flush();
       StringBuilder data = new StringBuilder();
-      RawHttp2Client.Frame frame = raw.read();
-      while (!frame.last()) {
+      RawHttp2Client.Frame frame = raw.readFrame();
+      while (!frame.endsStream()) {
         if (frame.type() == RawHttp2Client.DATA) {
           data.append(new String(frame.payload()));
         }
-        frame = raw.read();
+        frame = raw.readFrame();
       }
-      assertEquals(new String(RawHttp2Client.message("late")), data.toString());
+      assertEquals(new String(RawHttp2Client.lengthPrefixed("late")), data.toString());
       assertEquals(1, echo.calls.get());
     }
   }
 
-  /** It is answered all the same, by a refusal or by its server. */
+  /** Without free descriptors the call is still answered, by its server or with a refusal. */
   @Test
-  void anUndeclaredStreamWhenNoDescriptorIsLeft() throws Exception {
+  void streamIsAnsweredWhenDescriptorsAreExhausted() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).sockets(64).start()) {
       ManagedChannel channel = fixture.channel();
       BlockingQueue<Object> results = results();
-      GrpcFailureTest.unary(channel, EchoServer.NONE, "", results);
-      next(results); // The client has its connection.
+      GrpcFailureTest.unary(channel, EchoServer.UNIMPLEMENTED, "", results);
+      next(results); // The client is connected.
       List<Socket> silent = new ArrayList<>();
       try {
         for (int i = 0; i < 40; i++) {
           silent.add(new Socket("127.0.0.1", fixture.port()));
         }
-        StreamObserver<byte[]> to =
+        StreamObserver<byte[]> requests =
             ClientCalls.asyncBidiStreamingCall(
-                channel.newCall(EchoServer.PING, CallOptions.DEFAULT),
+                channel.newCall(EchoServer.BIDI_STREAMING, CallOptions.DEFAULT),
                 GrpcFailureTest.observer(results));
-        to.onNext(new byte[] {1});
+        requests.onNext(new byte[] {1});
         Object result = next(results);
         assertTrue(
             result instanceof byte[] || status(result).getCode() == Status.Code.UNAVAILABLE,
             String.valueOf(result));
-        to.onCompleted();
+        requests.onCompleted();
       } finally {
         for (Socket socket : silent) {
           socket.close();
         }
       }
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
     }
   }
 
-  /** A call that is out when its server turns HTTP/1.1 ends there; none that follows goes there. */
+  /**
+   * A call in flight completes at its server when the list changes the server to HTTP/1.1; later
+   * calls do not go there.
+   */
   @Test
-  void aListTurnsAServerFromOneProtocolIntoTheOther() throws Exception {
-    try (RawHttp2Server turning = new RawHttp2Server(100);
+  void serverChangedToHttp1ByListGetsNoMoreGrpcCalls() throws Exception {
+    try (RawHttp2Server changing = new RawHttp2Server(100);
         EchoServer other = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
-                .line("s-1 grpc://127.0.0.1:" + turning.port() + " a store 0 1 in_service")
-                .line("s-2 grpc://127.0.0.1:" + other.port() + " a store 0 1 in_service")
+                .memberLine("s-1 grpc://127.0.0.1:" + changing.port() + " a store 0 1 in_service")
+                .memberLine("s-2 grpc://127.0.0.1:" + other.port() + " a store 0 1 in_service")
                 .start()) {
       BlockingQueue<Object> results = results();
-      for (int sent = 0; turning.calls.isEmpty(); sent++) {
+      for (int sent = 0; changing.calls.isEmpty(); sent++) {
         GrpcFailureTest.unary(fixture.channel(), EchoServer.UNSAFE, "x " + sent, results);
         Thread.sleep(5);
       }
-      Await.until("one is out", () -> turning.whole() >= 1);
+      Await.until("a call is in flight", () -> changing.openCallCount() >= 1);
       Thread.sleep(50);
       results.clear();
-      int out = (int) turning.whole();
-      fixture.rewrite(
-          "s-1 127.0.0.1:" + turning.port() + " a store 0 1 in_service",
+      int inFlight = (int) changing.openCallCount();
+      fixture.replaceMembers(
+          "s-1 127.0.0.1:" + changing.port() + " a store 0 1 in_service",
           "s-2 grpc://127.0.0.1:" + other.port() + " a store 0 1 in_service");
       Await.until(
-          "the list is taken",
+          "the list is applied",
           () -> {
             MembersStatus status = fixture.node().members().status();
             return status.acceptedTotal() == 2 && status.applied();
           });
       for (int i = 0; i < 30; i++) {
-        served(fixture.channel(), "z " + i);
+        assertServed(fixture.channel(), "z " + i);
       }
-      int before = turning.calls.size();
-      assertEquals(out, before, "no call after the list");
-      turning.answerAll();
-      for (int i = 0; i < out; i++) {
-        assertTrue(next(results) instanceof String, "what was out is answered");
+      int before = changing.calls.size();
+      assertEquals(inFlight, before, "no call after the list was applied");
+      changing.answerAll();
+      for (int i = 0; i < inFlight; i++) {
+        assertTrue(next(results) instanceof String, "calls in flight are answered");
       }
-      served(fixture.channel(), "w");
-      assertEquals(before, turning.calls.size());
+      assertServed(fixture.channel(), "w");
+      assertEquals(before, changing.calls.size());
     }
   }
 
-  /** None of a call's attempts is spent on a server that cannot take it, however many there are. */
+  /** No attempt is spent on a server without gRPC, however many there are. */
   @Test
-  void serversThatSpeakHttpAloneAreNotTried() throws Exception {
+  void serversWithoutGrpcAreNotTried() throws Exception {
     try (EchoServer echo = new EchoServer()) {
       GrpcFixture fixture = new GrpcFixture();
       for (int i = 0; i < 60; i++) {
-        fixture.line("h-" + i + " 127.0.0.1:" + (i + 10) + " a store 0 1 in_service");
+        fixture.memberLine("h-" + i + " 127.0.0.1:" + (i + 10) + " a store 0 1 in_service");
       }
-      fixture.line("g-1 grpc://127.0.0.1:" + echo.port() + " a store 0 1 in_service");
+      fixture.memberLine("g-1 grpc://127.0.0.1:" + echo.port() + " a store 0 1 in_service");
       try (fixture) {
         fixture.start();
         for (int i = 0; i < 100; i++) {
-          served(fixture.channel(), "c " + i);
+          assertServed(fixture.channel(), "c " + i);
         }
         assertEquals(100, echo.calls.get());
       }
@@ -291,37 +308,38 @@
   }
 
   /**
-   * One byte over is told with both figures, tried nowhere else, and no server is blamed for it.
+   * The status of a message one byte above the limit states its length and the limit. There is no
+   * retry, and no server's window shrinks.
    */
   @Test
-  void anAnswerOneByteOverTheBound() throws Exception {
+  void messageOneByteAboveLimitIsRejected() throws Exception {
     try (EchoServer echo = new EchoServer();
-        EchoServer twin = new EchoServer();
+        EchoServer otherEcho = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
-                .server(twin.port())
-                .with("most_message = 65535")
+                .server(otherEcho.port())
+                .extraConfig("most_message = 65535")
                 .start()) {
       ManagedChannel channel = fixture.channel();
       for (int i = 0; i < 10; i++) {
-        int before = echo.calls.get() + twin.calls.get();
+        int before = echo.calls.get() + otherEcho.calls.get();
         BlockingQueue<Object> results = results();
         ClientCalls.asyncServerStreamingCall(
-            channel.newCall(EchoServer.DOWN, CallOptions.DEFAULT),
+            channel.newCall(EchoServer.SERVER_STREAMING, CallOptions.DEFAULT),
             new byte[] {1, 64},
             GrpcFailureTest.observer(results));
         Status status = status(next(results));
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, status.getCode());
         assertTrue(status.getDescription().contains("65536"), status.getDescription());
         assertTrue(status.getDescription().contains("65535"), status.getDescription());
-        assertEquals(before + 1, echo.calls.get() + twin.calls.get());
+        assertEquals(before + 1, echo.calls.get() + otherEcho.calls.get());
       }
       BlockingQueue<Object> results = results();
-      for (int[] load : fixture.loads().values()) {
-        assertTrue(load[1] >= 32, "a window was cut to " + load[1]);
+      for (int[] load : fixture.serverLoads().values()) {
+        assertTrue(load[1] >= 32, "a window shrank to " + load[1]);
       }
-      served(channel, "after");
+      assertServed(channel, "after");
       GrpcFailureTest.unary(channel, EchoServer.UNARY, "x".repeat(65535), results);
       assertEquals(65535, ((String) next(results)).length());
       GrpcFailureTest.unary(channel, EchoServer.UNARY, "x".repeat(65536), results);
@@ -331,9 +349,9 @@
     }
   }
 
-  /** A caller that takes nothing of 4 MiB holds up nobody else on its connection. */
+  /** A client that does not read a 4 MiB answer does not block other calls on its connection. */
   @Test
-  void aStalledWindowUnderALargeAnswer() throws Exception {
+  void stalledLargeAnswerDoesNotBlockOtherCalls() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture = new GrpcFixture().server(echo.port()).start()) {
       ManagedChannel channel = fixture.channel();
@@ -354,71 +372,72 @@
           new Metadata());
       call.sendMessage(new byte[4 << 20]);
       call.halfClose();
-      Await.until("it has run", () -> echo.calls.get() == 1);
-      for (int i = 0; i < 40; i++) { // Few, as the large one has a deadline.
-        served(channel, "small " + i);
+      Await.until("the call has run", () -> echo.calls.get() == 1);
+      for (int i = 0; i < 40; i++) { // Few, because the large call has a deadline.
+        assertServed(channel, "small " + i);
       }
       assertNull(large.poll());
       call.request(2);
       assertEquals(4 << 20, next(large));
       assertEquals(Status.Code.OK, next(large));
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
     }
   }
 
-  /** They wait, cost nothing but their place, and all end. */
+  /** Many idle streams wait, each occupying only its place in a window, and all of them end. */
   @Test
-  void manyIdleStreams() throws Exception {
+  void manyIdleStreamsCompleteWhenEnded() throws Exception {
     try (RawHttp2Server server = new RawHttp2Server(5000)) {
-      GrpcFixture fixture = new GrpcFixture().with("most_streams = 3000");
-      for (int i = 0; i < 80; i++) { // Each entry has a window of its own.
+      GrpcFixture fixture = new GrpcFixture().extraConfig("most_streams = 3000");
+      for (int i = 0; i < 80; i++) { // Each member has its own window.
         fixture.server(server.port());
       }
       try (fixture) {
         fixture.start();
-        int streams = 1500; // A working set has 48 servers at most, each with a window of 32.
+        int streams = 1500; // At most 48 servers in a working set, with a window of 32 each.
         ManagedChannel channel = fixture.channel();
         BlockingQueue<Object> results = results();
         for (int i = 0; i < streams; i++) {
           ClientCalls.asyncServerStreamingCall(
-              channel.newCall(EchoServer.DOWN, CallOptions.DEFAULT),
+              channel.newCall(EchoServer.SERVER_STREAMING, CallOptions.DEFAULT),
               new byte[] {1, 1},
               GrpcFailureTest.observer(results));
           int number = i;
           Await.until("call " + i, () -> server.calls.size() > number);
-          server.calls.get(i).begin();
+          server.calls.get(i).sendHeaders();
         }
-        Await.until("all whole", () -> server.whole() == streams);
+        Await.until("all requests are complete", () -> server.openCallCount() == streams);
         assertNull(results.poll());
-        server.calls.forEach(call -> call.trailers("0"));
+        server.calls.forEach(call -> call.sendTrailers("0"));
         for (int i = 0; i < streams; i++) {
           assertEquals(DONE, next(results));
         }
-        fixture.awaitNothingLeft();
+        fixture.awaitNoLiveRequests();
       }
     }
   }
 
   @Test
-  void noMoreConnectionsThanTheTableSays() throws Exception {
+  void connectionsAboveLimitAreClosed() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
-            new GrpcFixture().server(echo.port()).with("most_connections = 3").start()) {
+            new GrpcFixture().server(echo.port()).extraConfig("most_connections = 3").start()) {
       List<RawHttp2Client> clients = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
         RawHttp2Client client = new RawHttp2Client(fixture.port());
         client.out.flush();
-        assertNotNull(client.read(), "its SETTINGS come");
+        assertNotNull(client.readFrame(), "SETTINGS are received");
         clients.add(client);
       }
       try (Socket fourth = new Socket("127.0.0.1", fixture.port())) {
         fourth.setSoTimeout(30_000);
-        assertEquals(-1, fourth.getInputStream().read(), "it is ended, and nothing is said on it");
+        assertEquals(
+            -1, fourth.getInputStream().read(), "the connection is closed without any data");
       }
       clients.get(0).close();
       BlockingQueue<Object> results = results();
       Await.until(
-          "there is room again",
+          "a new connection is served",
           () -> {
             GrpcFailureTest.unary(fixture.channel(), EchoServer.UNARY, "x", results);
             try {
@@ -433,9 +452,9 @@
     }
   }
 
-  /** Its kernel takes the connection and nobody speaks: it is not kept for good. */
+  /** A connection that the kernel of the server accepts, but that gets no SETTINGS, is closed. */
   @Test
-  void aServerThatAcceptsAndSaysNothingIsLeft() throws Exception {
+  void connectionToSilentServerIsClosed() throws Exception {
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         GrpcFixture fixture = new GrpcFixture().server(silent.getLocalPort()).start()) {
       BlockingQueue<Object> results = results();
@@ -446,22 +465,23 @@
           GrpcFailureTest.observer(results));
       try (Socket accepted = silent.accept()) {
         accepted.setSoTimeout(30_000);
-        accepted.getInputStream().readAllBytes(); // Fails by its time-out if it is not ended.
+        accepted.getInputStream().readAllBytes(); // Times out if the connection is not closed.
       }
-      // Nothing of the call was sent, so that it may be refused though it is unsafe.
+      // Nothing of the call was sent, so it may be refused although it is unsafe.
       assertEquals(Status.Code.UNAVAILABLE, status(next(results)).getCode());
-      fixture.awaitNothingLeft();
+      fixture.awaitNoLiveRequests();
     }
   }
 
-  /** Servers take PINGs beyond the third for abuse, and would end the connection with all calls. */
+  /** Servers treat more than three PINGs as abuse and close the connection with all its calls. */
   @Test
-  void aQuietCallIsNotLostByBeingAskedAfter() throws Exception {
+  void keepalivePingsDoNotEndQuietCall() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
-                .with("[[grpc.method]]\npath = \"/timetable.Store/Sleep\"\nclass = \"publish\"")
+                .extraConfig(
+                    "[[grpc.method]]\npath = \"/timetable.Store/Sleep\"\nclass = \"publish\"")
                 .start()) {
       BlockingQueue<Object> results = results();
       CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(12, TimeUnit.SECONDS);
@@ -473,14 +493,14 @@
     }
   }
 
-  /** The table can still fix what a method is. */
+  /** A method that the configuration declares as unary is buffered up to the message limit. */
   @Test
-  void aMethodThatIsFixedAsUnaryIsBounded() throws Exception {
+  void methodConfiguredAsUnaryIsLimited() throws Exception {
     try (EchoServer echo = new EchoServer();
         GrpcFixture fixture =
             new GrpcFixture()
                 .server(echo.port())
-                .with(
+                .extraConfig(
                     """
                     most_message = 100000
                     [[grpc.method]]
@@ -491,7 +511,7 @@
                 .start()) {
       BlockingQueue<Object> results = results();
       ClientCalls.asyncServerStreamingCall(
-          fixture.channel().newCall(EchoServer.DOWN, CallOptions.DEFAULT),
+          fixture.channel().newCall(EchoServer.SERVER_STREAMING, CallOptions.DEFAULT),
           new byte[] {3, 60},
           GrpcFailureTest.observer(results));
       assertEquals(Status.Code.RESOURCE_EXHAUSTED, status(next(results)).getCode());
