--- a/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.grpc;
 
 import heathswitch.policy.api.Outcome;
-import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.BufferingMode;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.MultiplexedConnection;
 import heathswitch.proxy.runtime.Log;
@@ -145,15 +145,15 @@
     } else {
       headers = frame;
       boundaryTracker = new MessageBoundaryTracker(server.config().maxMessageBytes());
-      Gathering mode = call.mode();
-      if (mode == Gathering.STREAM || mode == Gathering.AUTO && !call.isRequestComplete()) {
+      BufferingMode mode = call.mode();
+      if (mode == BufferingMode.STREAM || mode == BufferingMode.AUTO && !call.isRequestComplete()) {
         startStreaming();
       } else {
         buffer =
             new MessageBuffer(
                 server.bufferBudget(),
                 server.config().maxMessageBytes() + MessageBoundaryTracker.PREFIX_BYTES);
-        if (mode == Gathering.AUTO) {
+        if (mode == BufferingMode.AUTO) {
           server.bufferingTimer().register(this);
         }
       }
@@ -177,7 +177,7 @@
     } else if (streaming) {
       return forwardData(data);
     } else if (call.mode()
-        .passesOn(
+        .shouldForward(
             boundaryTracker.startedCount(), buffer.size(), server.config().maxBufferedBytes())) {
       startStreaming();
     }
@@ -205,7 +205,7 @@
   /** Streams the answer from now on, since it is incomplete after the buffering time. */
   @Override
   public void onBufferingTimeout() {
-    if (!ended && headers != null && !streaming && call.mode().passesOnLate()) {
+    if (!ended && headers != null && !streaming && call.mode().forwardsAfterTimeout()) {
       startStreaming();
     }
   }
@@ -229,7 +229,7 @@
   }
 
   private void onTrailers(Http2Headers frame) {
-    Status status = Status.of(frame.get(GrpcHeaders.STATUS));
+    Status status = Status.parse(frame.get(GrpcHeaders.STATUS));
     boolean neverRan = headers == null && frame.contains(GrpcHeaders.NOT_RUN);
     Outcome outcome = Status.outcome(status, neverRan);
     if (status == null) {
@@ -287,7 +287,8 @@
    */
   private void onNonGrpcAnswer(Http2Headers head, String why) {
     CharSequence code = head.status();
-    Status status = Status.ofHttp(code == null || code.length() != 3 ? 0 : parseStatusCode(code));
+    Status status =
+        Status.fromHttpStatus(code == null || code.length() != 3 ? 0 : parseStatusCode(code));
     boolean notRun = headers == null && head.contains(GrpcHeaders.NOT_RUN);
     String server = upstream().name;
     Log.warn("foreign gRPC answer", server + ": " + why, "server", server, "reason", why);
@@ -317,7 +318,7 @@
       endWithoutAnswer(refused ? Outcome.REFUSED : Outcome.RESET);
       return;
     }
-    Status status = Status.ofReset(code);
+    Status status = Status.fromResetCode(code);
     Http2Headers trailers = GrpcHeaders.trailersOnly(status, "the server reset the call: " + code);
     end(Outcome.RESET, new GrpcAnswer(null, null, trailers));
   }
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import heathswitch.policy.api.RequestProtocol;
-import heathswitch.policy.grpc.Gathering;
+import heathswitch.policy.grpc.BufferingMode;
 import heathswitch.policy.grpc.Status;
 import heathswitch.proxy.http2.InboundConnection;
 import heathswitch.proxy.http2.MultiplexedConnection;
@@ -114,7 +114,7 @@
     deadlineNanos = server.clock().nowNanos() + timeoutNanos;
     boundaryTracker = new MessageBoundaryTracker(config.maxMessageBytes());
     replayBuffer = new MessageBuffer(server.bufferBudget(), maxReplayBytes(config));
-    if (requestComplete || method.mode() == Gathering.STREAM) {
+    if (requestComplete || method.mode() == BufferingMode.STREAM) {
       dispatch();
     } else {
       server.bufferingTimer().register(this);
@@ -127,7 +127,7 @@
    * the last frame before the call was dispatched.
    */
   private int maxReplayBytes(GrpcConfig config) {
-    return method.mode() == Gathering.UNARY
+    return method.mode() == BufferingMode.UNARY
         ? config.maxMessageBytes() + MessageBoundaryTracker.PREFIX_BYTES
         : config.maxBufferedBytes() + 2 * MultiplexedConnection.STREAM_WINDOW_BYTES;
   }
@@ -158,7 +158,7 @@
     } else if (last
         || method
             .mode()
-            .passesOn(
+            .shouldForward(
                 boundaryTracker.startedCount(),
                 replayBuffer.size(),
                 server.config().maxBufferedBytes())) {
@@ -179,7 +179,7 @@
     if (dispatched || answered) {
       return;
     }
-    if (method.mode().passesOnLate()) {
+    if (method.mode().forwardsAfterTimeout()) {
       dispatch();
     } else {
       scheduleDeadline();
@@ -244,7 +244,7 @@
     return replayBuffer;
   }
 
-  Gathering mode() {
+  BufferingMode mode() {
     return method.mode();
   }
 
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -137,7 +137,7 @@
       try {
         node.node()
             .loop()
-            .submit(() -> node.gateway().change((out ? "drain/" : "resume/") + link))
+            .submit(() -> node.gateway().drainOrResume((out ? "drain/" : "resume/") + link))
             .get(10, TimeUnit.SECONDS);
       } catch (Exception e) {
         throw new AssertionError(e);
@@ -183,7 +183,7 @@
       Files.writeString(file, table, StandardOpenOption.APPEND);
       StandaloneConfig.Result result = StandaloneConfig.read(file);
       if (result.config() == null) {
-        throw new AssertionError(result.faults());
+        throw new AssertionError(result.errors());
       }
       StandaloneNode starting = new StandaloneNode(file, result.config());
       starting.start();
--- a/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
+++ b/src/test/java/heathswitch/proxy/grpc/GrpcTimeoutTest.java
@@ -54,9 +54,9 @@
 
   @Test
   void statusCodesMapToOutcomes() {
-    assertEquals(Status.UNAUTHENTICATED, Status.of("16"));
+    assertEquals(Status.UNAUTHENTICATED, Status.parse("16"));
     for (String malformed : new String[] {null, "", "17", "-1", "x", "014", "1.0"}) {
-      assertEquals(null, Status.of(malformed));
+      assertEquals(null, Status.parse(malformed));
     }
     assertEquals(Outcome.OK, Status.outcome(Status.NOT_FOUND, false));
     assertEquals(Outcome.ERROR, Status.outcome(Status.UNAVAILABLE, false));
