--- a/src/main/java/heathswitch/testbed/Main.java
+++ b/src/main/java/heathswitch/testbed/Main.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The rig's command line: {@code demo} and {@code measure NAME [--short]}. */
+/** Command line of the test bed: {@code demo} and {@code measure NAME [--short]}. */
 public final class Main {
   private static final Map<String, Measurement> MEASUREMENTS =
       Map.of(
@@ -33,7 +33,7 @@
 
   private Main() {}
 
-  /** Runs a command to its end. */
+  /** Runs a command and exits with its status. */
   public static void main(String[] args) throws Exception {
     System.exit(run(List.of(args)));
   }
@@ -42,14 +42,15 @@
     if (args.size() >= 1 && args.get(0).equals("demo")) {
       return Demo.run(args.subList(1, args.size()));
     }
-    boolean brief = args.size() == 3 && args.get(2).equals("--short");
-    if (args.size() >= 2 && args.get(0).equals("measure") && (args.size() == 2 || brief)) {
+    boolean isShort = args.size() == 3 && args.get(2).equals("--short");
+    if (args.size() >= 2 && args.get(0).equals("measure") && (args.size() == 2 || isShort)) {
       Measurement measurement = MEASUREMENTS.get(args.get(1));
       if (measurement != null) {
-        System.out.println(measurement.run(brief).json());
+        System.out.println(measurement.run(isShort).json());
         return 0;
       }
-      System.err.println("no measurement " + args.get(1) + "; there are: " + MEASUREMENTS.keySet());
+      System.err.println(
+          "unknown measurement " + args.get(1) + "; known measurements: " + MEASUREMENTS.keySet());
       return 2;
     }
     System.err.println("usage: heathswitch demo [--seconds N] | measure NAME [--short]");
--- a/src/main/java/heathswitch/testbed/balancer/Workplace.java
+++ b/src/main/java/heathswitch/testbed/balancer/BalancerFolder.java
@@ -10,31 +10,31 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A folder of its own for one balancer: its configuration, its lists of servers, its log. */
-public final class Workplace implements AutoCloseable {
-  private final Path folder;
+/** Temporary folder of one balancer, with its configuration, server list, state and log. */
+public final class BalancerFolder implements AutoCloseable {
+  private final Path path;
 
-  public Workplace(String name) throws IOException {
-    folder = Files.createTempDirectory("heathswitch-" + name + '-');
+  public BalancerFolder(String name) throws IOException {
+    path = Files.createTempDirectory("heathswitch-" + name + '-');
   }
 
-  public Path folder() {
-    return folder;
+  public Path path() {
+    return path;
   }
 
-  public Path members() {
-    return folder.resolve("members.txt");
+  public Path serverListFile() {
+    return path.resolve("members.txt");
   }
 
-  /** A server as the list names it. */
-  public static ListedServer listed(StandIn server, String zone, String kind, double weight) {
-    InetSocketAddress at = server.address();
-    String address = at.getAddress().getHostAddress() + ':' + at.getPort();
+  /** Returns the server list entry of a stand-in server. */
+  public static ListedServer listEntry(StandIn server, String zone, String kind, double weight) {
+    InetSocketAddress socketAddress = server.address();
+    String address = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
     return new ListedServer(server.name(), address, zone, kind, 0, weight, true);
   }
 
-  /** A list as a person would write it: with a count, without a digest. */
-  public static String text(List<ListedServer> servers) {
+  /** Formats a server list as if written by hand: with a count but without a digest. */
+  public static String formatServerList(List<ListedServer> servers) {
     return servers.stream().map(MembersFormat::formatLine).collect(Collectors.joining("\n"))
         + "\nend "
         + servers.size()
@@ -42,12 +42,12 @@
   }
 
   /**
-   * Writes a configuration.
+   * Writes the configuration file.
    *
-   * @param members the lines of the table [members] after its files and its state folder
+   * @param membersLines lines of the table {@code [members]} after its files and its state folder
    */
-  public Path configure(
-      InetSocketAddress listen, InetSocketAddress admin, int sockets, String members)
+  public Path writeConfig(
+      InetSocketAddress listen, InetSocketAddress admin, int sockets, String membersLines)
       throws IOException {
     String text =
         """
@@ -82,16 +82,16 @@
         listen = "%s"
         loop_watch = "1ms"
         """
-            .formatted(plain(listen), sockets, members, plain(admin));
-    return Files.writeString(folder.resolve("balancer.toml"), text);
+            .formatted(hostAndPort(listen), sockets, membersLines, hostAndPort(admin));
+    return Files.writeString(path.resolve("balancer.toml"), text);
   }
 
-  private static String plain(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ':' + address.getPort();
   }
 
   @Override
   public void close() throws IOException {
-    Folders.delete(folder);
+    Folders.deleteRecursively(path);
   }
 }
--- a/src/main/java/heathswitch/testbed/balancer/BalancerProcess.java
+++ b/src/main/java/heathswitch/testbed/balancer/BalancerProcess.java
@@ -18,64 +18,75 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A balancer in a process of its own, started from a configuration file and asked over HTTP. */
+/** Handle of a balancer in a separate process, with access to its admin pages over HTTP. */
 public final class BalancerProcess implements AutoCloseable {
-  private static final long START_MILLIS = 60_000;
-  private static final int ASK_MILLIS = 10_000;
+  private static final long START_TIMEOUT_MILLIS = 60_000;
+  private static final int REQUEST_TIMEOUT_MILLIS = 10_000;
 
-  /** Below those that the system gives to connections by itself. */
+  /** Start of the port range used, below the ephemeral ports of the operating system. */
   private static final int FIRST_PORT = 20_000;
 
-  private static final int PORTS = 12_000;
+  private static final int PORT_COUNT = 12_000;
 
-  /** A number for each of two rigs side by side, or a port of one that is dead might be taken. */
-  private static final int BESIDE = Integer.getInteger("heathswitch.testbed.beside", 0);
+  /**
+   * Distinguishes two test beds that run side by side. Without it one could take the port of a
+   * process of the other that has just exited.
+   */
+  private static final int TESTBED_INDEX = Integer.getInteger("heathswitch.testbed.beside", 0);
 
-  /** Begins anywhere, so that rigs that know nothing of each other seldom meet. */
-  private static final AtomicInteger NEXT_PORT =
-      new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS) + BESIDE * (PORTS / 2));
+  /**
+   * Starts at an offset that depends on the process, so that independent test beds rarely collide.
+   */
+  private static final AtomicInteger NEXT_PORT_OFFSET =
+      new AtomicInteger(
+          (int) (ProcessHandle.current().pid() * 97 % PORT_COUNT)
+              + TESTBED_INDEX * (PORT_COUNT / 2));
 
   private final Process process;
-  private final Path log;
+  private final Path logFile;
   private final InetSocketAddress listen;
   private final InetSocketAddress admin;
 
   private BalancerProcess(
-      Process process, Path log, InetSocketAddress listen, InetSocketAddress admin) {
+      Process process, Path logFile, InetSocketAddress listen, InetSocketAddress admin) {
     this.process = process;
-    this.log = log;
+    this.logFile = logFile;
     this.listen = listen;
     this.admin = admin;
   }
 
   /**
-   * A loopback address with a port that nobody uses just now. It is not one of those that the
-   * system gives to connections, so that none of them takes it before the balancer listens, or
-   * while it is being started again.
+   * Returns a loopback address with a port that is currently free. The port is outside the
+   * ephemeral range, so that no outgoing connection takes it before the balancer listens or while
+   * it restarts.
    */
   public static InetSocketAddress freeAddress() throws IOException {
-    for (int tries = 0; tries < PORTS; tries++) {
-      int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORTS);
+    for (int tries = 0; tries < PORT_COUNT; tries++) {
+      int port = FIRST_PORT + Math.floorMod(NEXT_PORT_OFFSET.getAndIncrement(), PORT_COUNT);
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
         return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
       } catch (BindException e) {
-        // Somebody listens there; the next one may be free.
+        // This port is in use; try the next one.
       }
     }
-    throw new IOException("no port is free");
+    throw new IOException("no free port found");
   }
 
-  /** Starts a balancer and returns when its admin listener answers. */
+  /** Starts a balancer from the current class path and returns when its admin listener answers. */
   public static BalancerProcess start(
-      Path config, Path log, InetSocketAddress listen, InetSocketAddress admin, List<String> flags)
+      Path config,
+      Path logFile,
+      InetSocketAddress listen,
+      InetSocketAddress admin,
+      List<String> flags)
       throws IOException, InterruptedException {
-    return start(config, log, listen, admin, flags, System.getProperty("java.class.path"));
+    return start(config, logFile, listen, admin, flags, System.getProperty("java.class.path"));
   }
 
-  /** Likewise of another build of the program. */
+  /** Starts a balancer from the given class path and returns when its admin listener answers. */
   public static BalancerProcess start(
       Path config,
-      Path log,
+      Path logFile,
       InetSocketAddress listen,
       InetSocketAddress admin,
       List<String> flags,
@@ -91,17 +102,20 @@
     command.add("--config");
     command.add(config.toString());
     Process process =
-        new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
-    BalancerProcess balancer = new BalancerProcess(process, log, listen, admin);
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MILLIS);
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(logFile.toFile())
+            .start();
+    BalancerProcess balancer = new BalancerProcess(process, logFile, listen, admin);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
     while (true) {
       try {
         balancer.get("status");
         return balancer;
       } catch (IOException e) {
-        if (!process.isAlive() || System.nanoTime() > until) {
+        if (!process.isAlive() || System.nanoTime() > deadline) {
           process.destroyForcibly();
-          throw new IOException("the balancer did not start:\n" + Files.readString(log));
+          throw new IOException("the balancer did not start:\n" + Files.readString(logFile));
         }
         Thread.sleep(20);
       }
@@ -112,32 +126,36 @@
     return listen;
   }
 
-  /** A page of the admin listener. */
+  /** Gets a page of the admin listener. */
   public Map<String, Object> get(String page) throws IOException {
-    return read(connection(page));
+    return readResponse(openConnection(page));
   }
 
-  /** Has the admin listener change something. */
+  /** Sends a POST request to the admin listener. */
   public Map<String, Object> post(String page) throws IOException {
-    HttpURLConnection connection = connection(page);
+    HttpURLConnection connection = openConnection(page);
     connection.setRequestMethod("POST");
     connection.setRequestProperty(AdminServer.INTENT_HEADER, "rig");
     connection.setDoOutput(true);
     connection.getOutputStream().close();
-    return read(connection);
+    return readResponse(connection);
   }
 
-  private HttpURLConnection connection(String page) throws IOException {
+  private HttpURLConnection openConnection(String page) throws IOException {
     String host = admin.getAddress().getHostAddress();
     URL url = new URL("http", host, admin.getPort(), "/" + page);
     HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-    connection.setConnectTimeout(ASK_MILLIS);
-    connection.setReadTimeout(ASK_MILLIS);
+    connection.setConnectTimeout(REQUEST_TIMEOUT_MILLIS);
+    connection.setReadTimeout(REQUEST_TIMEOUT_MILLIS);
     return connection;
   }
 
-  /** The answer; a refusal is an error that says its status and its reason. */
-  private static Map<String, Object> read(HttpURLConnection connection) throws IOException {
+  /**
+   * Parses the response body.
+   *
+   * @throws IOException with status and reason if the response is an error
+   */
+  private static Map<String, Object> readResponse(HttpURLConnection connection) throws IOException {
     int status = connection.getResponseCode();
     if (status >= 400) {
       try (InputStream in = connection.getErrorStream()) {
@@ -146,48 +164,51 @@
       }
     }
     try (InputStream in = connection.getInputStream()) {
-      return JSON.std.mapFrom(in); // Read to its end, so that the connection is kept.
+      return JSON.std.mapFrom(in); // Reads to the end, so that the connection can be reused.
     }
   }
 
-  public boolean alive() {
+  public boolean isAlive() {
     return process.isAlive();
   }
 
-  public Path log() {
-    return log;
+  public Path logFile() {
+    return logFile;
   }
 
-  /** Has its JVM collect all garbage, so that the heap after it is what is in use. */
-  public void collect() throws IOException, InterruptedException {
+  /**
+   * Runs a full garbage collection in the JVM of the balancer, so that only live objects remain.
+   */
+  public void collectGarbage() throws IOException, InterruptedException {
     String jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
-    Process asked =
+    Process jcmdProcess =
         new ProcessBuilder(jcmd, Long.toString(process.pid()), "GC.run")
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
-    if (!asked.waitFor(START_MILLIS, TimeUnit.MILLISECONDS) || asked.exitValue() != 0) {
-      throw new IOException("the balancer's JVM could not be asked to collect");
+    if (!jcmdProcess.waitFor(START_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        || jcmdProcess.exitValue() != 0) {
+      throw new IOException("could not run a garbage collection in the JVM of the balancer");
     }
   }
 
-  /** Sends it a signal by its name, such as STOP or CONT. */
-  public void signal(String name) throws IOException, InterruptedException {
-    tell("kill", "-" + name, Long.toString(process.pid()));
+  /** Sends a signal by its name, such as STOP or CONT, to the process. */
+  public void sendSignal(String name) throws IOException, InterruptedException {
+    runCommand("kill", "-" + name, Long.toString(process.pid()));
   }
 
-  /** Its files can't grow beyond so many bytes from now on. */
-  public void limitFiles(long bytes) throws IOException, InterruptedException {
-    tell("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + bytes + ':');
+  /** Limits the size of files that the process can write. */
+  public void limitFileSize(long bytes) throws IOException, InterruptedException {
+    runCommand("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + bytes + ':');
   }
 
-  private void tell(String... command) throws IOException, InterruptedException {
+  private void runCommand(String... command) throws IOException, InterruptedException {
     if (new ProcessBuilder(command).start().waitFor() != 0) {
       throw new IOException(String.join(" ", command) + " failed");
     }
   }
 
-  /** Ends it without its drain. */
+  /** Kills the process without a drain. */
   public void kill() {
     process.destroyForcibly();
   }
--- a/src/main/java/heathswitch/testbed/balancer/Folders.java
+++ b/src/main/java/heathswitch/testbed/balancer/Folders.java
@@ -6,14 +6,14 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Folders that the rig makes for its processes and takes away again. */
+/** Helper for the temporary folders of test bed processes. */
 public final class Folders {
   private Folders() {}
 
-  /** Deletes a folder and all that is in it, of which a process may be deleting files itself. */
-  public static void delete(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+  /** Deletes a folder and its contents, which a process may be deleting at the same time. */
+  public static void deleteRecursively(Path folder) throws IOException {
+    try (Stream<Path> files = Files.walk(folder)) {
+      for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(path);
       }
     }
--- /dev/null
+++ b/src/main/java/heathswitch/testbed/balancer/package-info.java
@@ -0,0 +1,2 @@
+/** Balancer processes started by the test bed, with their configuration and files. */
+package heathswitch.testbed.balancer;
--- /dev/null
+++ b/src/main/java/heathswitch/testbed/client/package-info.java
@@ -0,0 +1,2 @@
+/** Load generators and the ledger of their calls. */
+package heathswitch.testbed.client;
--- a/src/main/java/heathswitch/testbed/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -24,20 +24,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A balancer on the example files, with a stand-in server at each address of the list and a small
- * load, and a table that shows what it does. The list may be edited meanwhile.
+ * Demo that runs a balancer on the example files, with a stand-in server at each listed address and
+ * a low request rate, and prints a table of the results. The server list can be edited while it
+ * runs.
  */
 public final class Demo implements AutoCloseable {
-  private static final double PER_SECOND = 200;
+  private static final double REQUESTS_PER_SECOND = 200;
   private static final String USAGE = "usage: heathswitch demo [--seconds N]";
 
-  private final NioEventLoopGroup group = new NioEventLoopGroup(2);
+  private final NioEventLoopGroup loops = new NioEventLoopGroup(2);
   private final List<StandIn> servers = new ArrayList<>();
   private BalancerProcess balancer;
 
   private Demo() {}
 
-  /** Runs until it is interrupted, or for the seconds that {@code --seconds N} says. */
+  /** Runs until interrupted, or for the number of seconds given by {@code --seconds N}. */
   public static int run(List<String> args) throws Exception {
     long seconds = Long.MAX_VALUE;
     if (args.size() == 2 && args.get(0).equals("--seconds") && args.get(1).matches("\\d{1,6}")) {
@@ -48,134 +49,138 @@
     }
     Path root = Path.of(System.getProperty("heathswitch.root", "."));
     Demo demo = new Demo();
-    Thread end = new Thread(demo::close, "end");
-    Runtime.getRuntime().addShutdownHook(end); // Interrupted, it still ends what it started.
+    Thread shutdownHook = new Thread(demo::close, "end");
+    // Stops the started processes even if the demo is interrupted.
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
-      return demo.play(root, seconds);
+      return demo.runToEnd(root, seconds);
     } finally {
-      Runtime.getRuntime().removeShutdownHook(end);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
       demo.close();
     }
   }
 
-  private int play(Path root, long seconds) throws Exception {
-    Path file = root.resolve("deploy/example.toml");
-    StandaloneConfig.Result result = StandaloneConfig.read(file);
+  private int runToEnd(Path root, long seconds) throws Exception {
+    Path configFile = root.resolve("deploy/example.toml");
+    StandaloneConfig.Result result = StandaloneConfig.read(configFile);
     if (result.config() == null) {
       result.errors().forEach(System.err::println);
       return 1;
     }
     StandaloneConfig config = result.config();
-    Path list = config.members().files().get(0);
-    MembersFormat.Parsed parsed = MembersFormat.parse(list.toString(), Files.readAllBytes(list));
-    for (ValidationError fault : parsed.faults()) {
-      System.err.println(fault);
+    Path listFile = config.members().files().get(0);
+    MembersFormat.Parsed parsed =
+        MembersFormat.parse(listFile.toString(), Files.readAllBytes(listFile));
+    for (ValidationError error : parsed.faults()) {
+      System.err.println(error);
       return 1;
     }
-    // The state of an earlier demo would hold back what has been edited since.
+    // The saved state of an earlier run would hold back changes made to the list since.
     Files.deleteIfExists(config.members().state().resolve("members.state"));
     Shape shape = Shape.warm(8, 64, ServiceTime.lognormal(15, 0.5));
-    for (ListEntry placed : parsed.entries()) {
-      ListedServer listed = placed.server();
-      StandIn server = new StandIn(group.next(), listed.id(), shape, servers.size(), null);
+    for (ListEntry entry : parsed.entries()) {
+      ListedServer listed = entry.server();
+      StandIn server = new StandIn(loops.next(), listed.id(), shape, servers.size(), null);
       servers.add(server.start(Addresses.parse(listed.address())));
     }
-    Path log = root.resolve("target/demo.log");
+    Path logFile = root.resolve("target/demo.log");
     balancer =
         BalancerProcess.start(
-            file,
-            log,
+            configFile,
+            logFile,
             config.node().listen(),
             config.admin().listen(),
             List.of("-XX:+UseZGC", "-Xmx256m"));
     System.out.println(
-        "a balancer on "
+        "balancer on "
             + Addresses.format(config.node().listen())
             + ", "
             + servers.size()
             + " stand-in servers, "
-            + (int) PER_SECOND
-            + " requests a second; its log: "
-            + log);
-    System.out.println("edit weights, phases or lines and watch: " + list);
+            + (int) REQUESTS_PER_SECOND
+            + " requests per second; balancer log: "
+            + logFile);
+    System.out.println(
+        "edit weights, phases or lines of the server list while this runs: " + listFile);
     List<Kind> kinds =
         List.of(
             Kind.safe("view-week", "satri-wittaya", 0.9),
             Kind.unsafe("publish", "satri-wittaya", 0.1));
     OpenLoop load =
-        new OpenLoop(group.next(), config.node().listen(), kinds, PER_SECOND, 3000, 200, 1);
+        new OpenLoop(
+            loops.next(), config.node().listen(), kinds, REQUESTS_PER_SECOND, 3000, 200, 1);
     load.start();
-    show(load, seconds);
+    printTable(load, seconds);
     load.stop();
     return 0;
   }
 
-  private void show(OpenLoop load, long seconds) throws InterruptedException, IOException {
-    StringBuilder head =
+  private void printTable(OpenLoop load, long seconds) throws InterruptedException, IOException {
+    StringBuilder header =
         new StringBuilder("   t   req/s  served  refused  failed  lost   p50 ms   p99 ms  list ");
-    servers.forEach(server -> head.append(String.format("%9s", server.name())));
+    servers.forEach(server -> header.append(String.format("%9s", server.name())));
     long[] received = new long[servers.size()];
     long[] counts = new long[Tally.Result.values().length];
-    String note = "";
-    for (long second = 1; second <= seconds && balancer.alive(); second++) {
+    String lastStatus = "";
+    for (long second = 1; second <= seconds && balancer.isAlive(); second++) {
       Thread.sleep(1000);
       if (second % 20 == 1) {
-        System.out.println(head);
+        System.out.println(header);
       }
       Map<String, Object> members = balancer.get("members");
-      System.out.println(line(second, load, members, counts, received));
-      String said = said(members);
-      if (!said.equals(note)) {
-        note = said;
-        System.out.println("     " + (said.isEmpty() ? "nothing is held back" : said));
+      System.out.println(formatRow(second, load, members, counts, received));
+      String status = listStatus(members);
+      if (!status.equals(lastStatus)) {
+        lastStatus = status;
+        System.out.println("     " + (status.isEmpty() ? "no list is held back" : status));
       }
     }
   }
 
-  /** What has come since the line before; the counts that it gets become those of now. */
-  private String line(
+  /** Formats the changes since the previous row and updates the given counts. */
+  private String formatRow(
       long second, OpenLoop load, Map<String, Object> members, long[] counts, long[] received) {
-    long[] now = new long[counts.length];
+    long[] changes = new long[counts.length];
     long total = 0;
     for (Tally.Result result : Tally.Result.values()) {
       int i = result.ordinal();
-      now[i] = load.tally().count(result) - counts[i];
-      counts[i] += now[i];
-      total += now[i];
+      changes[i] = load.tally().count(result) - counts[i];
+      counts[i] += changes[i];
+      total += changes[i];
     }
     Histogram latencies = load.tally().interval();
-    StringBuilder line =
+    StringBuilder row =
         new StringBuilder(
             String.format(
                 "%4d %7d %7d %8d %7d %5d %8.1f %8.1f  %4s ",
                 second,
                 total,
-                now[0],
-                now[1],
-                now[2],
-                now[3],
+                changes[0],
+                changes[1],
+                changes[2],
+                changes[3],
                 latencies.getValueAtPercentile(50) / 1000.0,
                 latencies.getValueAtPercentile(99) / 1000.0,
                 "v" + members.get("version")));
-    long[] share = new long[received.length];
-    long all = 0;
-    for (int i = 0; i < share.length; i++) {
-      share[i] = servers.get(i).received() - received[i];
-      received[i] += share[i];
-      all += share[i];
+    long[] receivedNow = new long[received.length];
+    long totalReceived = 0;
+    for (int i = 0; i < receivedNow.length; i++) {
+      receivedNow[i] = servers.get(i).received() - received[i];
+      received[i] += receivedNow[i];
+      totalReceived += receivedNow[i];
     }
-    for (long count : share) {
-      line.append(String.format("%8.1f%%", all == 0 ? 0 : 100.0 * count / all));
+    for (long count : receivedNow) {
+      row.append(String.format("%8.1f%%", totalReceived == 0 ? 0 : 100.0 * count / totalReceived));
     }
-    return line.toString();
+    return row.toString();
   }
 
-  /** The balancer's latest word on the list, other than that it is taken. */
-  private static String said(Map<String, Object> members) {
+  /** Describes a list version that is held back or refused; empty if the list is in force. */
+  private static String listStatus(Map<String, Object> members) {
     if (members.get("held") instanceof Map<?, ?> held) {
       return "version "
           + held.get("version")
-          + " held back until confirmed: "
+          + " is held back until it is confirmed: "
           + held.get("reasons");
     }
     if (members.get("refusals") instanceof List<?> refusals
@@ -192,6 +197,6 @@
       balancer.close();
     }
     servers.forEach(StandIn::close);
-    group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
+    loops.shutdownGracefully(0, 2, TimeUnit.SECONDS);
   }
 }
--- /dev/null
+++ b/src/main/java/heathswitch/testbed/demo/package-info.java
@@ -0,0 +1,2 @@
+/** The demo command of the test bed. */
+package heathswitch.testbed.demo;
--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -3,8 +3,8 @@
 import heathswitch.policy.members.ListedServer;
 import heathswitch.proxy.maintenance.VoterFolder;
 import heathswitch.proxy.standalone.StandaloneConfig;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
 import heathswitch.testbed.client.Kind;
 import heathswitch.testbed.client.Ledger;
 import heathswitch.testbed.client.OpenLoop;
@@ -151,7 +151,7 @@
               BalancerProcess.freeAddress(),
               BalancerProcess.freeAddress(),
               consensusAddresses.get(i),
-              new Workplace("fleet"),
+              new BalancerFolder("fleet"),
               peerProxies,
               JVM_FLAGS);
       nodes.put(node.name, node);
@@ -173,7 +173,7 @@
         }
         Files.writeString(node.gossipKeyFile(), gossipKeys);
       }
-      configure(node, voters, maintenance);
+      writeConfig(node, voters, maintenance);
       if (maintenance != null) {
         VoterFolder.create(StandaloneConfig.read(node.config).config().maintenance());
       }
@@ -205,7 +205,7 @@
   /** Returns the entry of a server in an instance's server list. */
   public ListedServer listEntry(Node node, StandIn server) {
     String kind = server.name().substring(0, server.name().lastIndexOf('-'));
-    ListedServer entry = Workplace.listed(server, "a", kind, 1);
+    ListedServer entry = BalancerFolder.listEntry(server, "a", kind, 1);
     DelayLine proxy = node.serverProxy(server);
     String address = proxy == null ? entry.endpoint() : "127.0.0.1:" + proxy.address().getPort();
     long cell = cellByServer.get(server.name());
@@ -222,15 +222,16 @@
    * servers.
    */
   public void writeListEntries(Node node, List<ListedServer> entries) throws IOException {
-    Path next = node.workplace.folder().resolve("next");
-    Files.writeString(next, Workplace.text(entries));
-    Files.move(next, node.workplace.members(), StandardCopyOption.ATOMIC_MOVE);
+    Path next = node.folder.path().resolve("next");
+    Files.writeString(next, BalancerFolder.formatServerList(entries));
+    Files.move(next, node.folder.serverListFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** Writes an instance's configuration, which it reads at its next start. */
-  public void configure(Node node, int voters, MaintenanceSettings maintenance) throws IOException {
+  public void writeConfig(Node node, int voters, MaintenanceSettings maintenance)
+      throws IOException {
     String members = "most_removed = 1.0\ndrain = \"2s\"";
-    node.config = node.workplace.configure(node.listen, node.admin, 1024, members);
+    node.config = node.folder.writeConfig(node.listen, node.admin, 1024, members);
     StringBuilder table = new StringBuilder();
     table.append("[log]\nformat = \"json\"\n");
     if (gossipKeys != null) {
--- a/src/main/java/heathswitch/testbed/fleet/Node.java
+++ b/src/main/java/heathswitch/testbed/fleet/Node.java
@@ -1,8 +1,8 @@
 package heathswitch.testbed.fleet;
 
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
 import heathswitch.testbed.balancer.Folders;
-import heathswitch.testbed.balancer.Workplace;
 import heathswitch.testbed.server.StandIn;
 import heathswitch.testbed.site.DatagramLine;
 import heathswitch.testbed.site.DelayLine;
@@ -46,7 +46,7 @@
   final InetSocketAddress listen;
   final InetSocketAddress admin;
   final InetSocketAddress consensusAddress;
-  final Workplace workplace;
+  final BalancerFolder folder;
 
   /** Proxies to the other instances, by instance name. */
   final Map<String, DelayLine> peerProxies;
@@ -75,14 +75,14 @@
       InetSocketAddress listen,
       InetSocketAddress admin,
       InetSocketAddress consensusAddress,
-      Workplace workplace,
+      BalancerFolder workplace,
       Map<String, DelayLine> peerProxies,
       List<String> jvmFlags) {
     this.name = name;
     this.listen = listen;
     this.admin = admin;
     this.consensusAddress = consensusAddress;
-    this.workplace = workplace;
+    this.folder = workplace;
     this.peerProxies = peerProxies;
     this.jvmFlags = jvmFlags;
   }
@@ -102,11 +102,11 @@
 
   /** Returns the path of its server list. */
   public Path serverListFile() {
-    return workplace.members();
+    return folder.serverListFile();
   }
 
   public Path logFile() {
-    return workplace.folder().resolve("log");
+    return folder.path().resolve("log");
   }
 
   /** Sets JVM flags of its next process in addition to those of all instances. */
@@ -136,7 +136,7 @@
 
   /** Returns the path of the file with the keys that authenticate its datagrams. */
   public Path gossipKeyFile() {
-    return workplace.folder().resolve("peers.keys");
+    return folder.path().resolve("peers.keys");
   }
 
   /** Starts its process, which may not have joined the others yet when this returns. */
@@ -162,18 +162,18 @@
   }
 
   public boolean isAlive() {
-    return process != null && process.alive();
+    return process != null && process.isAlive();
   }
 
   /** Pauses the process with SIGSTOP; its connections stay open. */
   public void pause() throws IOException, InterruptedException {
-    process.signal("STOP");
+    process.sendSignal("STOP");
     paused = true;
   }
 
   /** Resumes the paused process with SIGCONT. */
   public void resume() throws IOException, InterruptedException {
-    process.signal("CONT");
+    process.sendSignal("CONT");
     paused = false;
   }
 
@@ -193,7 +193,7 @@
    * The limit does not apply to the next process.
    */
   public void fillDisk(long bytes) throws IOException, InterruptedException {
-    process.limitFiles(bytes);
+    process.limitFileSize(bytes);
   }
 
   /** Simulates a full disk with a limit near the current size of the maintenance log. */
@@ -205,7 +205,7 @@
 
   /** Returns the segment of the maintenance log that is being written. */
   private Path openLogSegment() throws IOException {
-    try (Stream<Path> all = Files.walk(workplace.folder().resolve("work"))) {
+    try (Stream<Path> all = Files.walk(folder.path().resolve("work"))) {
       return all.filter(path -> path.getFileName().toString().startsWith("log_inprogress"))
           .findFirst()
           .orElseThrow(() -> new IOException(name + " has no open log segment"));
@@ -251,7 +251,7 @@
 
   /** Deletes the folder of the maintenance log, as after the loss of a disk. */
   public void deleteWorkFolder() throws IOException {
-    Folders.delete(workplace.folder().resolve("work"));
+    Folders.deleteRecursively(folder.path().resolve("work"));
   }
 
   public Map<String, Object> get(String page) throws IOException {
@@ -270,6 +270,6 @@
     peerProxies.values().forEach(DelayLine::close);
     serverProxies.values().forEach(DelayLine::close);
     datagramProxies.values().forEach(DatagramLine::close);
-    workplace.close();
+    folder.close();
   }
 }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -501,7 +501,8 @@
           result.splits++;
           List<Node> rest = new ArrayList<>(fleet.nodes());
           rest.remove(victim);
-          disturb(victim, "network partition", node -> fleet.setPartitioned(List.of(node), rest, true));
+          disturb(
+              victim, "network partition", node -> fleet.setPartitioned(List.of(node), rest, true));
           Future<Double> millisToOut = probe(witness, true);
           hold(startNanos, scale.holdMillis() + span);
           result.holdWorst = Math.max(result.holdWorst, millisToOut.get());
--- a/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
@@ -71,7 +71,7 @@
       for (NioEventLoopGroup group : List.of(servers, between, clients)) {
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
       }
-      Folders.delete(folder);
+      Folders.deleteRecursively(folder);
     }
     return figures;
   }
--- a/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
@@ -1,8 +1,8 @@
 package heathswitch.testbed.measure;
 
 import heathswitch.policy.members.ListedServer;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
 import heathswitch.testbed.client.GrpcKinds;
 import heathswitch.testbed.client.GrpcLoad;
 import heathswitch.testbed.client.Kind;
@@ -78,7 +78,7 @@
     final NioEventLoopGroup clients = new NioEventLoopGroup(CLIENTS);
     final List<StandIn> servers = new ArrayList<>();
     final List<GrpcDuty> duties = new ArrayList<>();
-    final Workplace workplace = new Workplace("measure");
+    final BalancerFolder workplace = new BalancerFolder("measure");
     final InetSocketAddress listen = BalancerProcess.freeAddress();
     final InetSocketAddress grpc = BalancerProcess.freeAddress();
     final BalancerProcess balancer;
@@ -91,14 +91,14 @@
         StandIn server = new StandIn(group.next(), "s-" + i, shape, i, observer).start(ANY);
         servers.add(server);
         duties.add(server.grpc());
-        ListedServer plain = Workplace.listed(server, "a", "front", 1);
+        ListedServer plain = BalancerFolder.listEntry(server, "a", "front", 1);
         listed.add(
             new ListedServer(
                 plain.id(), plain.address(), "a", "front", 0, 1, true, duties.get(i).port()));
       }
-      Files.writeString(workplace.members(), Workplace.text(listed));
+      Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(listed));
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, "");
+      Path config = workplace.writeConfig(listen, admin, 1024, "");
       Files.writeString(
           config,
           """
@@ -112,7 +112,7 @@
           """
               .formatted(grpc.getPort()),
           StandardOpenOption.APPEND);
-      Path log = workplace.folder().resolve("log");
+      Path log = workplace.path().resolve("log");
       balancer = BalancerProcess.start(config, log, listen, admin, flags);
     }
 
@@ -288,14 +288,14 @@
     }
     Thread.sleep(1500);
     Figures.progress("streams that wait");
-    rig.balancer.collect();
+    rig.balancer.collectGarbage();
     double before = rig.status("heap_after_gc_mb");
     GrpcLoad load =
         new GrpcLoad(rig.clients.next(), "/board.Live/Watch", 0, WAITING, 5000, 5, null);
     load.start(rig.grpc);
     Thread.sleep(3000);
     double live = rig.status("live_requests");
-    rig.balancer.collect();
+    rig.balancer.collectGarbage();
     double after = rig.status("heap_after_gc_mb");
     figures.add("waiting_streams", (long) live);
     figures.rounded("heap_per_stream_bytes", (after - before) * 1048576 / Math.max(1, live));
--- a/src/main/java/heathswitch/testbed/measure/ListDraw.java
+++ b/src/main/java/heathswitch/testbed/measure/ListDraw.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.measure;
 
 import heathswitch.policy.members.ListedServer;
-import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.balancer.BalancerFolder;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -38,7 +38,7 @@
   }
 
   String text() {
-    return "# " + number++ + '\n' + Workplace.text(listed);
+    return "# " + number++ + '\n' + BalancerFolder.formatServerList(listed);
   }
 
   /** The next good list; never like the one before. */
@@ -68,7 +68,7 @@
       case 0, 1 -> good.substring(0, random.nextInt(1, good.length() - 1));
       case 2 -> "";
       case 3 -> garbage();
-      case 4 -> "# " + number++ + '\n' + Workplace.text(listed.subList(0, 2));
+      case 4 -> "# " + number++ + '\n' + BalancerFolder.formatServerList(listed.subList(0, 2));
       default ->
           good.replaceFirst("\nend \\d+", "\n" + good.lines().skip(1).findFirst().get() + "$0");
     };
--- a/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
@@ -2,8 +2,8 @@
 
 import heathswitch.policy.members.ListedServer;
 import heathswitch.proxy.members.MembersFormat;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
 import heathswitch.testbed.client.Kind;
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.client.Tally;
@@ -85,7 +85,7 @@
     SplittableRandom random = new SplittableRandom(17);
     NioEventLoopGroup group = new NioEventLoopGroup(3);
     List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
       Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < SERVERS; i++) {
@@ -94,14 +94,14 @@
         arrived.put(server.name(), 0);
         servers.add(server.start(ANY));
         String kind = List.of("front", "timetable", "store").get(i % 3);
-        all.add(Workplace.listed(server, i / 3 % 2 == 0 ? "a" : "b", kind, 1));
+        all.add(BalancerFolder.listEntry(server, i / 3 % 2 == 0 ? "a" : "b", kind, 1));
       }
       ListDraw draw = new ListDraw(random, all);
-      Files.writeString(workplace.members(), draw.text());
+      Files.writeString(workplace.serverListFile(), draw.text());
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
         OpenLoop load =
             new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
@@ -126,13 +126,13 @@
   private void rewrite(
       int count,
       BalancerProcess balancer,
-      Workplace workplace,
+      BalancerFolder workplace,
       ListDraw draw,
       SplittableRandom random,
       OpenLoop load,
       Figures figures)
       throws Exception {
-    Rewriter rewriter = new Rewriter(workplace.members(), random);
+    Rewriter rewriter = new Rewriter(workplace.serverListFile(), random);
     Set<String> good = new HashSet<>(Set.of(MembersFormat.digest(draw.listed())));
     List<Version> versions = new ArrayList<>();
     Histogram applied = new Histogram(3);
@@ -281,19 +281,19 @@
   private double many(int rewrites, Figures figures) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(4);
     List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       Figures.progress("starting " + MANY + " stand-in servers");
       List<ListedServer> all = new ArrayList<>();
       Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < MANY; i++) {
         servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
-        all.add(Workplace.listed(servers.get(i), i % 2 == 0 ? "a" : "b", "front", 1));
+        all.add(BalancerFolder.listEntry(servers.get(i), i % 2 == 0 ? "a" : "b", "front", 1));
       }
-      Files.writeString(workplace.members(), Workplace.text(all));
+      Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
         OpenLoop load =
             new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
@@ -303,11 +303,11 @@
         for (int i = -2; i < rewrites; i++) {
           List<ListedServer> next = next(all, i);
           balancer.get("status");
-          Path file = workplace.folder().resolve("next");
-          Files.writeString(file, Workplace.text(next));
+          Path file = workplace.path().resolve("next");
+          Files.writeString(file, BalancerFolder.formatServerList(next));
           String digest = MembersFormat.digest(next);
           long written = System.nanoTime();
-          Files.move(file, workplace.members(), StandardCopyOption.ATOMIC_MOVE);
+          Files.move(file, workplace.serverListFile(), StandardCopyOption.ATOMIC_MOVE);
           Map<String, Object> after =
               await(
                   balancer,
@@ -361,18 +361,18 @@
   private double shares(int seconds, ServiceTime time) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(2);
     List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
       Shape shape = Shape.warm(16, 256, time);
       for (int i = 0; i < 3; i++) {
         servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
-        all.add(Workplace.listed(servers.get(i), "a", "front", 1 << i));
+        all.add(BalancerFolder.listEntry(servers.get(i), "a", "front", 1 << i));
       }
-      Files.writeString(workplace.members(), Workplace.text(all));
+      Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
         OpenLoop load =
             new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
--- a/src/main/java/heathswitch/testbed/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.measure;
 
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
 import heathswitch.testbed.client.Kind;
 import heathswitch.testbed.client.Ledger;
 import heathswitch.testbed.client.OpenLoop;
@@ -38,7 +38,7 @@
   /** Of each gateway here, its ways to the gateways of other sites. */
   final List<Map<String, List<DelayLine>>> ways = new ArrayList<>();
 
-  private final List<Workplace> workplaces = new ArrayList<>();
+  private final List<BalancerFolder> workplaces = new ArrayList<>();
 
   SiteRig(String name, NioEventLoopGroup group, int count, Shape shape, Ledger ledger, long seed)
       throws Exception {
@@ -80,18 +80,20 @@
           table.append("gateways = ").append(addresses).append('\n');
         }
       }
-      Workplace workplace = new Workplace("gateway");
+      BalancerFolder workplace = new BalancerFolder("gateway");
       workplaces.add(workplace);
       Files.writeString(
-          workplace.members(),
-          Workplace.text(
-              servers.stream().map(each -> Workplace.listed(each, "a", "front", 1)).toList()));
+          workplace.serverListFile(),
+          BalancerFolder.formatServerList(
+              servers.stream()
+                  .map(each -> BalancerFolder.listEntry(each, "a", "front", 1))
+                  .toList()));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, "");
+      Path config = workplace.writeConfig(listen, admin, 1024, "");
       Files.writeString(config, table, StandardOpenOption.APPEND);
       balancers.add(
-          BalancerProcess.start(config, workplace.folder().resolve("log"), listen, admin, FLAGS));
+          BalancerProcess.start(config, workplace.path().resolve("log"), listen, admin, FLAGS));
     }
   }
 
@@ -178,7 +180,7 @@
     }
     ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayLine::close)));
     servers.forEach(StandIn::close);
-    for (Workplace workplace : workplaces) {
+    for (BalancerFolder workplace : workplaces) {
       workplace.close();
     }
   }
--- a/src/main/java/heathswitch/testbed/package-info.java
+++ b/src/main/java/heathswitch/testbed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rig: stand-in servers, an open-loop client and measurements, all of them on loopback. The
- * balancer loads nothing of it.
+ * The test bed: stub servers, load generators, fault injection and measurements, all on loopback.
+ * The balancer does not depend on it.
  */
 package heathswitch.testbed;
--- a/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
@@ -142,6 +142,6 @@
     if (process != null) {
       process.destroyForcibly().onExit().join();
     }
-    Folders.delete(folder);
+    Folders.deleteRecursively(folder);
   }
 }
--- /dev/null
+++ b/src/main/java/heathswitch/testbed/server/package-info.java
@@ -0,0 +1,2 @@
+/** Stand-in servers with configurable service times, cold starts and faults. */
+package heathswitch.testbed.server;
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -3,7 +3,7 @@
 import heathswitch.proxy.members.MembersFormat;
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.proxy.standalone.StandaloneNode;
-import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.client.Kind;
 import heathswitch.testbed.client.Ledger;
 import heathswitch.testbed.client.OpenLoop;
@@ -53,7 +53,7 @@
 
     final List<StandIn> servers = new ArrayList<>();
     final Map<String, DelayLine> paths = new LinkedHashMap<>();
-    final Workplace workplace;
+    final BalancerFolder workplace;
     String certificate;
     private final List<String> memberLines = new ArrayList<>();
     volatile StandaloneNode node;
@@ -62,7 +62,7 @@
       this.key = key;
       this.name = name;
       certificate = key;
-      workplace = new Workplace("site");
+      workplace = new BalancerFolder("site");
       for (int i = 0; i < servers; i++) {
         StandIn server =
             new StandIn(group.next(), key + "-" + i, shape, seed++, null).onRun(ledger::ran);
@@ -153,10 +153,11 @@
     void start(boolean tls) throws Exception {
       servers.forEach(
           each ->
-              memberLines.add(MembersFormat.formatLine(Workplace.listed(each, "a", "front", 1))));
+              memberLines.add(
+                  MembersFormat.formatLine(BalancerFolder.listEntry(each, "a", "front", 1))));
       String members = String.join("\n", memberLines) + "\nend " + memberLines.size() + '\n';
-      Files.writeString(workplace.members(), members);
-      Path file = workplace.configure(ANY, ANY, 512, "");
+      Files.writeString(workplace.serverListFile(), members);
+      Path file = workplace.writeConfig(ANY, ANY, 512, "");
       StringBuilder table = new StringBuilder("[[class]]\nname = \"keyed\"\neffect = \"keyed\"\n");
       table.append("window = \"5s\"\naim = \"2500ms\"\ndeadline = \"6s\"\n");
       table.append("[gateway]\nsite = \"").append(name).append("\"\nlisten = \"127.0.0.1:0\"\n");
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -351,7 +351,7 @@
       Node changed = fleet.node(3);
       MaintenanceSettings raised =
           new MaintenanceSettings(false, 2000, 500, 2, 2, FLOOR.formatted("0.9"));
-      fleet.configure(changed, 3, raised);
+      fleet.writeConfig(changed, 3, raised);
       changed.terminate();
       changed.start();
       Await.until("it serves", changed::acceptsConnections);
--- a/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
@@ -53,7 +53,7 @@
       Map<String, Object> members = json(request(admin, "GET /members", ""));
       assertEquals(1, members.get("version"));
       assertEquals(4, members.get("in_service"));
-      assertEquals(List.of(fixture.workplace.members().toString()), members.get("source"));
+      assertEquals(List.of(fixture.workplace.serverListFile().toString()), members.get("source"));
       fixture.write(fixture.table(0));
       var watcher = fixture.node().members();
       Await.until("held", () -> watcher.status().pending() != null);
@@ -93,7 +93,7 @@
   void exposesMetricsInPrometheusFormat() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1, 2));
-      Path keys = fixture.workplace.folder().resolve("peers.keys");
+      Path keys = fixture.workplace.path().resolve("peers.keys");
       Files.writeString(keys, "k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n");
       int port = BalancerProcess.freeAddress().getPort();
       fixture.start(
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -1,7 +1,7 @@
 package heathswitch.proxy.standalone;
 
 import heathswitch.policy.members.ListedServer;
-import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.client.Kind;
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.server.ServiceTime;
@@ -24,7 +24,7 @@
 
   final NioEventLoopGroup group = new NioEventLoopGroup(2);
   final List<StandIn> servers = new ArrayList<>();
-  final Workplace workplace = new Workplace("test");
+  final BalancerFolder workplace = new BalancerFolder("test");
   private StandaloneNode node;
 
   StandaloneFixture() throws Exception {}
@@ -43,17 +43,18 @@
   }
 
   ListedServer listed(int index, double weight) {
-    return Workplace.listed(servers.get(index), "a", "front", weight);
+    return BalancerFolder.listEntry(servers.get(index), "a", "front", weight);
   }
 
   String table(int... indexes) {
-    return Workplace.text(Arrays.stream(indexes).mapToObj(i -> listed(i, 1)).toList());
+    return BalancerFolder.formatServerList(
+        Arrays.stream(indexes).mapToObj(i -> listed(i, 1)).toList());
   }
 
   void write(String text) throws Exception {
-    Path next = workplace.folder().resolve("next");
+    Path next = workplace.path().resolve("next");
     Files.writeString(next, text);
-    Files.move(next, workplace.members(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(next, workplace.serverListFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   StandaloneFixture start(String members) throws Exception {
@@ -62,7 +63,7 @@
 
   /** Appends further lines to the configuration, which start inside the table [admin]. */
   StandaloneFixture start(String members, String furtherLines) throws Exception {
-    Path file = workplace.configure(EPHEMERAL, EPHEMERAL, 512, members);
+    Path file = workplace.writeConfig(EPHEMERAL, EPHEMERAL, 512, members);
     Files.writeString(file, furtherLines, StandardOpenOption.APPEND);
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.proxy.members.MembersWatcher;
-import heathswitch.testbed.balancer.Workplace;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.client.OpenLoop;
 import heathswitch.testbed.client.Tally;
 import heathswitch.testbed.server.ServiceTime;
@@ -42,7 +42,7 @@
   void distributesCallsByWeightsFromFile() throws Exception {
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3, ServiceTime.fixed(3))) {
       fixture.write(
-          Workplace.text(
+          BalancerFolder.formatServerList(
               List.of(fixture.listed(0, 1), fixture.listed(1, 2), fixture.listed(2, 4))));
       fixture.start(FAST_POLLING);
       InetSocketAddress at = fixture.node().node().address();
@@ -73,7 +73,7 @@
       OpenLoop load = fixture.load(300);
       SplittableRandom random = new SplittableRandom(9);
       MembersWatcher members = fixture.node().members();
-      Path file = fixture.workplace.members();
+      Path file = fixture.workplace.serverListFile();
       for (int i = 0; i < 40; i++) {
         String valid = "# " + i + "\n" + fixture.table(i % 4, (i + 1) % 4, (i + 2) % 4);
         long refused = members.status().refusedTotal();
@@ -161,7 +161,7 @@
       fixture.start(FAST_POLLING);
       MembersWatcher members = fixture.node().members();
       String next = fixture.table(0, 1, 2);
-      Path file = fixture.workplace.members();
+      Path file = fixture.workplace.serverListFile();
       Files.writeString(file, next.substring(0, next.length() / 2));
       fixture.node().reload();
       Await.until("refused", () -> members.status().refusedTotal() > 0);
@@ -170,7 +170,7 @@
       fixture.node().reload();
       Await.until("accepted", () -> members.status().version() == 2);
       // A configuration with errors changes nothing.
-      Path config = fixture.workplace.folder().resolve("balancer.toml");
+      Path config = fixture.workplace.path().resolve("balancer.toml");
       Files.writeString(
           config, Files.readString(config).replace("members.txt", "other.txt") + "x = 1");
       fixture.node().reload();
@@ -185,8 +185,8 @@
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1));
       fixture.start(FAST_POLLING);
-      Path config = fixture.workplace.folder().resolve("balancer.toml");
-      Path other = fixture.workplace.members().resolveSibling("other.txt");
+      Path config = fixture.workplace.path().resolve("balancer.toml");
+      Path other = fixture.workplace.serverListFile().resolveSibling("other.txt");
       String next = Files.readString(config).replace("members.txt", "other.txt");
       Files.writeString(other, fixture.table(0, 1, 2));
       Files.delete(config);
@@ -205,7 +205,7 @@
       fixture.write(fixture.table(0, 1));
       fixture.start(FAST_POLLING);
       fixture.node().stop();
-      Files.delete(fixture.workplace.members());
+      Files.delete(fixture.workplace.serverListFile());
       fixture.start(FAST_POLLING);
       assertEquals(1, fixture.node().members().status().version());
       OpenLoop load = fixture.load(200);
--- a/src/test/java/heathswitch/testbed/ChecksTest.java
+++ b/src/test/java/heathswitch/testbed/LedgerTest.java
@@ -6,8 +6,8 @@
 import heathswitch.testbed.client.Tally;
 import org.junit.jupiter.api.Test;
 
-/** What the measurements check by, with faults put in: each of them can fall short. */
-class ChecksTest {
+/** Checks that the ledger used by the measurements detects each kind of fault. */
+class LedgerTest {
   private final Ledger ledger = new Ledger();
 
   private void call(String id, int runs, Tally.Result result) {
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aSoundRunHasNoFaults() {
+  void correctCallsCountAsNoFault() {
     call("a", 1, Tally.Result.SERVED);
     call("b", 0, Tally.Result.REFUSED);
     call("safe", 2, Tally.Result.SERVED);
@@ -29,9 +29,9 @@
     assertEquals(0, ledger.untrue(id -> !id.equals("safe")));
   }
 
-  /** As many runs as calls, and two faults all the same: a sum would not show either. */
+  /** The number of runs equals the number of calls, so a sum would hide both faults. */
   @Test
-  void oneCallRunTwiceShowsThoughAnotherWasLost() {
+  void aDuplicateRunIsDetectedAlthoughAnotherCallWasLost() {
     call("twice", 2, Tally.Result.SERVED);
     call("never", 0, Tally.Result.LOST);
     assertEquals(1, ledger.doubles(id -> true));
@@ -39,20 +39,20 @@
   }
 
   @Test
-  void aRunThatNoClientEndsIsLost() {
+  void aRunWithoutAClientResultIsLost() {
     call("open", 1, null);
     assertEquals(1, ledger.lost());
   }
 
   @Test
-  void anAnswerOfNobodyAndARefusalAfterARunAreUntrue() {
+  void anAnswerWithoutARunAndARefusalAfterARunAreFalseResults() {
     call("invented", 0, Tally.Result.SERVED);
     call("ran and refused", 1, Tally.Result.REFUSED);
     assertEquals(2, ledger.untrue(id -> true));
   }
 
   @Test
-  void onlyTheCallsThatAreNamedCountAsLost() {
+  void onlyCallsThatMatchThePredicateCountAsLost() {
     call("here", 1, Tally.Result.LOST);
     call("there", 1, Tally.Result.LOST);
     assertEquals(1, ledger.lost(id -> id.equals("here")));
