--- a/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
+++ b/src/main/java/heathswitch/testbed/maintenance/MaintenanceSimulation.java
@@ -110,22 +110,34 @@
 
   /** Kinds of events. */
   enum Kind {
+    /** Time advances by a number of milliseconds. */
     ADVANCE_TIME,
+    /** An instance applies its next log entry. */
     APPLY,
+    /** An instance runs a step of its session. */
     STEP,
+    /** The leader reads its clock for the first pending command. */
     READ_CLOCK,
+    /** The leader appends the first pending command. */
     APPEND,
+    /** The first pending command is lost. */
     DROP,
+    /** The first pending command becomes the last. */
     REORDER,
+    /** The first pending command is appended and stays pending. */
     DUPLICATE,
+    /** An instance, the argument / 4, dispatches a call to a machine, the argument % 4. */
     DISPATCH_CALL,
+    /** An instance writes its oldest unwritten call. */
     WRITE_CALL,
+    /** The written calls of an instance end. */
     END_CALL,
     PAUSE,
     RESUME,
     KILL,
     RESTART,
     RESTART_WITHOUT_DISK,
+    /** An instance is cut off from the log. */
     PARTITION,
     HEAL,
     ELECT,
@@ -133,8 +145,11 @@
     COMPLETE_ORDER,
     CANCEL_ORDER,
     FENCE,
+    /** An instance restarts with the latest release. */
     UPGRADE,
+    /** All instances see one machine as unhealthy, or as healthy again. */
     TOGGLE_UNHEALTHY,
+    /** The log of an instance stops until the instance is killed. */
     STOP_LOG
   }
 
--- a/src/main/java/heathswitch/testbed/maintenance/SimulatedInstance.java
+++ b/src/main/java/heathswitch/testbed/maintenance/SimulatedInstance.java
@@ -93,6 +93,7 @@
     session = new InstanceSession(name, stopsWhenCutOff, 100, rules, release);
   }
 
+  /** Reads the clock of this instance, in nanoseconds. */
   long clock() {
     return offset + (long) (simulation.now() * rate);
   }
@@ -101,6 +102,7 @@
     return alive && !paused;
   }
 
+  /** Kills the process; its calls end, and a stopped log works again after the next start. */
   void kill() {
     logStopped = false;
     knowsLogStopped = false;
@@ -169,6 +171,7 @@
     }
   }
 
+  /** Runs a step of the session and submits its commands. */
   void step() {
     boolean leaseEnded = stopsWhenCutOff && !session.maySend(clock());
     stepsAfterLease = leaseEnded ? stepsAfterLease + 1 : 0;
