--- a/src/main/java/heathswitch/testbed/client/GrpcKinds.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcCallChecker.java
@@ -23,80 +23,81 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One call of each of the four kinds, checked against what its server is known to answer. */
-public final class GrpcKinds implements AutoCloseable {
-  /** How many kinds there are. */
-  public static final int KINDS = 4;
+/** Makes one call of each of the four gRPC call kinds and checks the answers of the stub server. */
+public final class GrpcCallChecker implements AutoCloseable {
+  /** Number of call kinds. */
+  public static final int KIND_COUNT = 4;
 
-  private static final int MOST_EVENTS = 10_000;
-  private static final int WAIT_SECONDS = 15;
-  private static final int MESSAGES = 64;
-  private static final int KIB = 255;
+  private static final int MAX_EVENTS = 10_000;
+  private static final int TIMEOUT_SECONDS = 15;
+  private static final int MESSAGE_COUNT = 64;
+  private static final int MESSAGE_KIB = 255;
 
   private final Channel connection;
 
-  public GrpcKinds(EventLoop loop, InetSocketAddress balancer) throws InterruptedException {
-    connection = Http2Client.connect(loop, balancer);
+  public GrpcCallChecker(EventLoop loop, InetSocketAddress balancer) throws InterruptedException {
+    connection = Http2Connector.connect(loop, balancer);
   }
 
-  /** The kinds of call that went wrong, each with what was seen. */
-  public List<String> failures() throws InterruptedException {
+  /** Makes one call of each kind and returns the kinds that failed, with what was received. */
+  public List<String> checkAllKinds() throws InterruptedException {
     List<String> failures = new ArrayList<>();
-    unary(failures);
-    down(failures);
-    up(failures);
-    ping(failures);
+    checkUnary(failures);
+    checkServerStreaming(failures);
+    checkClientStreaming(failures);
+    checkBidirectional(failures);
     return failures;
   }
 
-  private void unary(List<String> failures) throws InterruptedException {
+  private void checkUnary(List<String> failures) throws InterruptedException {
     Call call = new Call("/timetable.Store/Next");
-    call.send(message(new byte[8]), true);
-    check("unary", 6, call.end(), failures);
+    call.send(encodeMessage(new byte[8]), true);
+    checkResult("unary", 6, call.awaitEnd(), failures);
   }
 
-  private void down(List<String> failures) throws InterruptedException {
+  private void checkServerStreaming(List<String> failures) throws InterruptedException {
     Call call = new Call("/timetable.Store/Down");
-    call.send(message(new byte[] {MESSAGES, (byte) KIB}), true);
-    check("server streaming", MESSAGES * (5L + (KIB << 10)), call.end(), failures);
+    call.send(encodeMessage(new byte[] {MESSAGE_COUNT, (byte) MESSAGE_KIB}), true);
+    checkResult(
+        "server streaming", MESSAGE_COUNT * (5L + (MESSAGE_KIB << 10)), call.awaitEnd(), failures);
   }
 
-  private void up(List<String> failures) throws InterruptedException {
+  private void checkClientStreaming(List<String> failures) throws InterruptedException {
     Call call = new Call("/timetable.Store/Up");
     for (int i = 0; i < 5; i++) {
-      call.send(message(new byte[10_000]), false);
-      Thread.sleep(20); // Of a person who types: the balancer must not wait for the end.
+      call.send(encodeMessage(new byte[10_000]), false);
+      Thread.sleep(20); // Sent slowly: the balancer must forward without waiting for the end.
     }
     call.send(Unpooled.EMPTY_BUFFER, true);
-    check("client streaming", 13, call.end(), failures);
+    checkResult("client streaming", 13, call.awaitEnd(), failures);
   }
 
-  private void ping(List<String> failures) throws InterruptedException {
+  private void checkBidirectional(List<String> failures) throws InterruptedException {
     Call call = new Call("/timetable.Store/Ping");
     long bytes = 0;
     for (int i = 0; i < 5; i++) {
-      call.send(message(new byte[100]), false);
+      call.send(encodeMessage(new byte[100]), false);
       while (bytes < (i + 1) * 105L) {
-        long more = call.data();
-        if (more < 0) {
+        long received = call.awaitData();
+        if (received < 0) {
           failures.add("bidirectional: ended after " + bytes + " bytes");
           return;
         }
-        bytes += more;
+        bytes += received;
       }
     }
     call.send(Unpooled.EMPTY_BUFFER, true);
-    check("bidirectional", 5 * 105L, call.end(), failures);
+    checkResult("bidirectional", 5 * 105L, call.awaitEnd(), failures);
   }
 
-  private static void check(String kind, long bytes, String seen, List<String> failures) {
+  private static void checkResult(String kind, long bytes, String actual, List<String> failures) {
     String expected = bytes + " bytes, status 0";
-    if (!expected.equals(seen)) {
-      failures.add(kind + ": " + seen + "; " + expected + " expected");
+    if (!expected.equals(actual)) {
+      failures.add(kind + ": " + actual + "; " + expected + " expected");
     }
   }
 
-  private static ByteBuf message(byte[] body) {
+  private static ByteBuf encodeMessage(byte[] body) {
     return Unpooled.buffer().writeByte(0).writeInt(body.length).writeBytes(body);
   }
 
@@ -105,17 +106,17 @@
     connection.close().syncUninterruptibly();
   }
 
-  /** One call, driven from a thread that may wait. */
+  /** One call, driven by a thread that may block. */
   private final class Call extends ChannelInboundHandlerAdapter {
-    /** Sizes of data as they come, then the status. */
-    private final BlockingQueue<Object> events = new ArrayBlockingQueue<>(MOST_EVENTS);
+    /** Sizes of the received data frames, followed by the status. */
+    private final BlockingQueue<Object> events = new ArrayBlockingQueue<>(MAX_EVENTS);
 
     private final Http2StreamChannel stream;
     private long bytes;
 
     Call(String path) throws InterruptedException {
       stream = new Http2StreamChannelBootstrap(connection).handler(this).open().sync().getNow();
-      Http2Headers head =
+      Http2Headers headers =
           new DefaultHttp2Headers()
               .method("POST")
               .scheme("http")
@@ -123,26 +124,26 @@
               .authority("balancer")
               .set("content-type", "application/grpc")
               .set("te", "trailers");
-      stream.writeAndFlush(new DefaultHttp2HeadersFrame(head, false));
+      stream.writeAndFlush(new DefaultHttp2HeadersFrame(headers, false));
     }
 
     void send(ByteBuf data, boolean last) {
       stream.writeAndFlush(new DefaultHttp2DataFrame(data, last));
     }
 
-    /** Bytes of the next piece, or -1 at the end. */
-    long data() throws InterruptedException {
-      Object event = events.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    /** Waits for the next data frame; returns its size, or -1 at the end or after the timeout. */
+    long awaitData() throws InterruptedException {
+      Object event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       bytes += event instanceof Integer size ? size : 0;
       return event instanceof Integer size ? size : -1;
     }
 
-    /** Waits for the end; what came, and the status. */
-    String end() throws InterruptedException {
-      Object event = events.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    /** Waits for the end; returns the number of bytes received and the status. */
+    String awaitEnd() throws InterruptedException {
+      Object event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       while (event instanceof Integer size) {
         bytes += size;
-        event = events.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       }
       stream.close();
       return bytes + " bytes, " + event;
--- a/src/main/java/heathswitch/testbed/client/GrpcLoad.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcLoadGenerator.java
@@ -18,74 +18,77 @@
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 
-/** gRPC calls of one method over one connection; each message is the call's id. */
-public final class GrpcLoad extends Load {
+/**
+ * Load of unary gRPC calls of one method over one connection. Each message is the id of its call.
+ */
+public final class GrpcLoadGenerator extends LoadGenerator {
   private final long deadlineNanos;
   private final String path;
-  private final long prefix;
+  private final long firstId;
   private Channel connection;
-  private long number;
+  private long callCount;
 
   /**
-   * A load that is not yet running; see {@link Load}.
+   * Creates a load that is not yet running; see {@link LoadGenerator}.
    *
-   * @param ledger told of each call by its path and id, or null
+   * @param ledger records each call by its path and id, or null
    */
-  public GrpcLoad(
+  public GrpcLoadGenerator(
       EventLoop loop,
       String path,
       double perSecond,
-      int always,
+      int concurrency,
       long deadlineMillis,
       long seed,
-      Ledger ledger) {
-    super(loop, perSecond, always, seed, ledger);
+      CallLedger ledger) {
+    super(loop, perSecond, concurrency, seed, ledger);
     this.path = path;
     this.deadlineNanos = deadlineMillis * 1_000_000L;
-    this.prefix = seed << 40;
+    this.firstId = seed << 40;
   }
 
-  /** Connects and begins. */
-  public GrpcLoad start(InetSocketAddress balancer) throws InterruptedException {
-    connection = Http2Client.connect(loop, balancer);
-    begin();
+  /** Connects and starts the load. */
+  public GrpcLoadGenerator start(InetSocketAddress balancer) throws InterruptedException {
+    connection = Http2Connector.connect(loop, balancer);
+    startCalls();
     return this;
   }
 
   @Override
-  void closeAll() {
+  void closeConnections() {
     connection.close();
   }
 
   @Override
-  void call(long intendedNanos) {
-    Call call = new Call(prefix + number++, intendedNanos);
+  void sendCall(long intendedNanos) {
+    Call call = new Call(firstId + callCount++, intendedNanos);
     new Http2StreamChannelBootstrap(connection)
         .handler(call)
         .open()
         .addListener(
             done -> {
               if (done.isSuccess()) {
-                call.begin((Http2StreamChannel) done.getNow());
+                call.sendRequest((Http2StreamChannel) done.getNow());
               } else {
-                call.end(Tally.Result.LOST);
+                call.finish(LoadStats.Result.LOST);
               }
             });
   }
 
+  /** One call in flight. */
   private final class Call extends ChannelInboundHandlerAdapter {
     private final long id;
     private final long intendedNanos;
     private Future<?> timeout;
-    private boolean over;
+    private boolean finished;
 
     Call(long id, long intendedNanos) {
       this.id = id;
       this.intendedNanos = intendedNanos;
     }
 
-    void begin(Http2StreamChannel stream) {
-      Http2Headers head =
+    void sendRequest(Http2StreamChannel stream) {
+      Http2Headers headers =
           new DefaultHttp2Headers()
               .method("POST")
               .scheme("http")
@@ -94,17 +97,17 @@
               .set("content-type", "application/grpc")
               .set("te", "trailers")
               .set("grpc-timeout", deadlineNanos / 1_000_000 + "m");
-      stream.write(new DefaultHttp2HeadersFrame(head, false));
+      stream.write(new DefaultHttp2HeadersFrame(headers, false));
       stream.writeAndFlush(
           new DefaultHttp2DataFrame(
               stream.alloc().buffer(13).writeByte(0).writeInt(8).writeLong(id), true));
       timeout =
           loop.schedule(
               () -> {
-                end(Tally.Result.LOST);
+                finish(LoadStats.Result.LOST);
                 stream.close();
               },
-              deadlineNanos + MARGIN_NANOS,
+              deadlineNanos + DEADLINE_MARGIN_NANOS,
               NANOSECONDS);
     }
 
@@ -112,17 +115,17 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       if (message instanceof Http2HeadersFrame frame && frame.isEndStream()) {
         String status = String.valueOf(frame.headers().get("grpc-status"));
-        end(
+        finish(
             status.equals("0")
-                ? Tally.Result.SERVED
-                : status.equals("14") ? Tally.Result.REFUSED : Tally.Result.FAILED);
+                ? LoadStats.Result.SERVED
+                : status.equals("14") ? LoadStats.Result.REFUSED : LoadStats.Result.FAILED);
       }
       ReferenceCountUtil.release(message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end(Tally.Result.LOST);
+      finish(LoadStats.Result.LOST);
     }
 
     @Override
@@ -130,15 +133,15 @@
       ctx.close();
     }
 
-    void end(Tally.Result result) {
-      if (over) {
+    void finish(LoadStats.Result result) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
       if (timeout != null) {
         timeout.cancel(false);
       }
-      result(GrpcDuty.name(path, id), result, intendedNanos);
+      recordResult(GrpcDuty.name(path, id), result, intendedNanos);
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/client/Http2Client.java
+++ b/src/main/java/heathswitch/testbed/client/Http2Connector.java
@@ -12,12 +12,15 @@
 import io.netty.handler.codec.http2.Http2Settings;
 import java.net.InetSocketAddress;
 
-/** A client's connection over HTTP/2, for calls on streams of their own. */
-final class Http2Client {
-  private Http2Client() {}
+/** Opens HTTP/2 client connections whose calls each use a separate stream. */
+final class Http2Connector {
+  private Http2Connector() {}
 
-  /** Returns once it is connected; loopback addresses alone. Not to be called on the loop. */
-  static Channel connect(EventLoop loop, InetSocketAddress to) throws InterruptedException {
+  /**
+   * Connects to a loopback address and returns once connected. Must not be called on the event
+   * loop.
+   */
+  static Channel connect(EventLoop loop, InetSocketAddress address) throws InterruptedException {
     return new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -35,7 +38,7 @@
                         new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()));
               }
             })
-        .connect(Load.loopback(to))
+        .connect(LoadGenerator.requireLoopback(address))
         .sync()
         .channel();
   }
--- a/src/main/java/heathswitch/testbed/client/HttpDialer.java
+++ b/src/main/java/heathswitch/testbed/client/HttpConnector.java
@@ -12,27 +12,27 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.net.InetSocketAddress;
 
-/** Opens connections over HTTP/1.1 to one address, on one loop, with whole answers. */
-public final class HttpDialer {
-  private static final int MOST_ANSWER_BYTES = 2 << 20;
+/** Opens HTTP/1.1 connections with aggregated responses to one address on one event loop. */
+public final class HttpConnector {
+  private static final int MAX_RESPONSE_BYTES = 2 << 20;
 
   private final Bootstrap bootstrap;
-  private final InetSocketAddress to;
+  private final InetSocketAddress address;
 
-  public HttpDialer(EventLoop loop, InetSocketAddress to, int connectMillis) {
-    this.to = to;
+  public HttpConnector(EventLoop loop, InetSocketAddress address, int connectTimeoutMillis) {
+    this.address = address;
     this.bootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis);
   }
 
   /**
-   * Begins to connect.
+   * Starts to connect.
    *
-   * @param handler gets whole answers
+   * @param handler receives aggregated responses
    */
   public ChannelFuture connect(ChannelHandler handler) {
     ChannelInitializer<Channel> pipeline =
@@ -42,9 +42,9 @@
             channel
                 .pipeline()
                 .addLast(
-                    new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER_BYTES), handler);
+                    new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), handler);
           }
         };
-    return bootstrap.clone().handler(pipeline).connect(to);
+    return bootstrap.clone().handler(pipeline).connect(address);
   }
 }
--- a/src/main/java/heathswitch/testbed/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -7,9 +7,9 @@
 import heathswitch.proxy.runtime.Addresses;
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
@@ -102,12 +102,12 @@
             + logFile);
     System.out.println(
         "edit weights, phases or lines of the server list while this runs: " + listFile);
-    List<Kind> kinds =
+    List<RequestKind> kinds =
         List.of(
-            Kind.safe("view-week", "satri-wittaya", 0.9),
-            Kind.unsafe("publish", "satri-wittaya", 0.1));
-    OpenLoop load =
-        new OpenLoop(
+            RequestKind.safe("view-week", "satri-wittaya", 0.9),
+            RequestKind.unsafe("publish", "satri-wittaya", 0.1));
+    HttpLoadGenerator load =
+        new HttpLoadGenerator(
             loops.next(), config.node().listen(), kinds, REQUESTS_PER_SECOND, 3000, 200, 1);
     load.start();
     printTable(load, seconds);
@@ -115,12 +115,13 @@
     return 0;
   }
 
-  private void printTable(OpenLoop load, long seconds) throws InterruptedException, IOException {
+  private void printTable(HttpLoadGenerator load, long seconds)
+      throws InterruptedException, IOException {
     StringBuilder header =
         new StringBuilder("   t   req/s  served  refused  failed  lost   p50 ms   p99 ms  list ");
     servers.forEach(server -> header.append(String.format("%9s", server.name())));
     long[] received = new long[servers.size()];
-    long[] counts = new long[Tally.Result.values().length];
+    long[] counts = new long[LoadStats.Result.values().length];
     String lastStatus = "";
     for (long second = 1; second <= seconds && balancer.isAlive(); second++) {
       Thread.sleep(1000);
@@ -139,16 +140,20 @@
 
   /** Formats the changes since the previous row and updates the given counts. */
   private String formatRow(
-      long second, OpenLoop load, Map<String, Object> members, long[] counts, long[] received) {
+      long second,
+      HttpLoadGenerator load,
+      Map<String, Object> members,
+      long[] counts,
+      long[] received) {
     long[] changes = new long[counts.length];
     long total = 0;
-    for (Tally.Result result : Tally.Result.values()) {
+    for (LoadStats.Result result : LoadStats.Result.values()) {
       int i = result.ordinal();
-      changes[i] = load.tally().count(result) - counts[i];
+      changes[i] = load.stats().count(result) - counts[i];
       counts[i] += changes[i];
       total += changes[i];
     }
-    Histogram latencies = load.tally().interval();
+    Histogram latencies = load.stats().takeLatencies();
     StringBuilder row =
         new StringBuilder(
             String.format(
--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -5,9 +5,9 @@
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
 import heathswitch.testbed.site.DatagramLine;
@@ -38,14 +38,15 @@
   private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress("127.0.0.1", 0);
   private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx160m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
-  private static final List<Kind> REQUEST_KINDS =
-      List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static final List<RequestKind> REQUEST_KINDS =
+      List.of(
+          RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   private final NioEventLoopGroup serverLoops = new NioEventLoopGroup(2);
   private final NioEventLoopGroup proxyLoops = new NioEventLoopGroup(2);
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(2);
   private final History history = new History();
-  private final Ledger ledger = new Ledger();
+  private final CallLedger ledger = new CallLedger();
   private final List<StandIn> servers = new ArrayList<>();
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final Map<String, Integer> cellByServer = new HashMap<>();
@@ -76,7 +77,7 @@
     for (int i = 0; i < count; i++) {
       String name = kind + '-' + (i + 1);
       StandIn server = new StandIn(serverLoops.next(), name, shape, seed++, history);
-      servers.add(server.onRun(ledger::ran).start(ANY_LOOPBACK_PORT));
+      servers.add(server.onRun(ledger::recordRun).start(ANY_LOOPBACK_PORT));
       cellByServer.put(name, servers.size());
     }
     return this;
@@ -333,7 +334,7 @@
     return history;
   }
 
-  public Ledger ledger() {
+  public CallLedger ledger() {
     return ledger;
   }
 
@@ -386,8 +387,8 @@
   }
 
   /** Starts an open-loop load on one instance. */
-  public OpenLoop startLoad(Node node, double perSecond) {
-    return new OpenLoop(
+  public HttpLoadGenerator startLoad(Node node, double perSecond) {
+    return new HttpLoadGenerator(
             clientLoops.next(), node.listen, REQUEST_KINDS, perSecond, 3000, 200, seed++, ledger)
         .start();
   }
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.maintenance;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
@@ -176,14 +176,16 @@
     private final boolean withOrders;
     private final RunResult result = new RunResult();
     private final SplittableRandom faultRandom = new SplittableRandom(SEED);
-    private final Map<Node, OpenLoop> loads = new ConcurrentHashMap<>();
-    private final List<OpenLoop> endedLoads = Collections.synchronizedList(new ArrayList<>());
+    private final Map<Node, HttpLoadGenerator> loads = new ConcurrentHashMap<>();
+    private final List<HttpLoadGenerator> endedLoads =
+        Collections.synchronizedList(new ArrayList<>());
 
     /** Loads on instances that were not subject to a fault while the load ran. */
-    private final List<OpenLoop> undisturbedLoads = Collections.synchronizedList(new ArrayList<>());
+    private final List<HttpLoadGenerator> undisturbedLoads =
+        Collections.synchronizedList(new ArrayList<>());
 
     private final List<Thread> probes = new ArrayList<>();
-    private final Map<OpenLoop, String> loadTimes = new ConcurrentHashMap<>();
+    private final Map<HttpLoadGenerator, String> loadTimes = new ConcurrentHashMap<>();
     private final long startNanos = System.nanoTime();
     private final Set<String> reserved = new HashSet<>();
 
@@ -233,8 +235,8 @@
       return result;
     }
 
-    private OpenLoop load(Node node, boolean undisturbed) {
-      OpenLoop load = fleet.startLoad(node, scale.perSecond() / scale.instances());
+    private HttpLoadGenerator load(Node node, boolean undisturbed) {
+      HttpLoadGenerator load = fleet.startLoad(node, scale.perSecond() / scale.instances());
       if (undisturbed) {
         undisturbedLoads.add(load);
         loadTimes.put(load, node.name() + " from " + seconds());
@@ -665,7 +667,7 @@
     }
 
     private void replaceLoad(Node node, boolean undisturbed) throws InterruptedException {
-      OpenLoop before = loads.put(node, load(node, undisturbed));
+      HttpLoadGenerator before = loads.put(node, load(node, undisturbed));
       before.stop();
       loadTimes.computeIfPresent(before, (load, span) -> span + " to " + seconds());
       endedLoads.add(before);
@@ -680,34 +682,36 @@
     private void evaluate() throws Exception {
       sleep(1000);
       for (Node node : fleet.nodes()) {
-        OpenLoop load = loads.get(node);
+        HttpLoadGenerator load = loads.get(node);
         load.stop();
         endedLoads.add(load);
       }
-      for (OpenLoop load : endedLoads) {
-        result.served += load.tally().count(Tally.Result.SERVED);
-        result.calls += load.tally().total();
+      for (HttpLoadGenerator load : endedLoads) {
+        result.served += load.stats().count(LoadStats.Result.SERVED);
+        result.calls += load.stats().total();
       }
       result.breaches = fleet.history().breaches().size();
       fleet.history().breaches().forEach(each -> Figures.progress("  breach " + each));
       result.floorBreaches =
           fleet.history().maxConcurrentOut() > Math.min(MAX_OUT, MACHINES_ABOVE_FLOOR) ? 1 : 0;
       result.stuckOrders = result.orders.get() - result.done.get();
-      for (OpenLoop load : undisturbedLoads) {
-        long lost = load.tally().count(Tally.Result.LOST);
+      for (HttpLoadGenerator load : undisturbedLoads) {
+        long lost = load.stats().count(LoadStats.Result.LOST);
         if (lost > 0) {
           Figures.progress(
               (withOrders ? "  lost " : "  with no orders lost ")
                   + lost
                   + " of "
-                  + load.tally().total()
+                  + load.stats().total()
                   + " at "
                   + loadTimes.get(load));
         }
       }
       result.lostRequests =
-          fleet.ledger().lost(path -> undisturbedLoads.stream().anyMatch(load -> load.owns(path)));
-      result.doubleRuns = fleet.ledger().doubles(path -> path.contains("publish"));
+          fleet
+              .ledger()
+              .lostCount(path -> undisturbedLoads.stream().anyMatch(load -> load.owns(path)));
+      result.doubleRuns = fleet.ledger().duplicateRunCount(path -> path.contains("publish"));
       result.disagreements = disagreements();
     }
 
--- a/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
@@ -1,9 +1,9 @@
 package heathswitch.testbed.measure;
 
 import heathswitch.testbed.balancer.Folders;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.site.Authority;
@@ -52,13 +52,13 @@
   private final NioEventLoopGroup between = new NioEventLoopGroup(2);
   private final NioEventLoopGroup clients = new NioEventLoopGroup(2);
   private final List<SiteRig> sites = new ArrayList<>();
-  private Ledger ledger;
+  private CallLedger ledger;
   private long seed = 100;
 
   @Override
   public Figures run(boolean brief) throws Exception {
     Figures figures = new Figures();
-    ledger = new Ledger();
+    ledger = new CallLedger();
     Path folder = Files.createTempDirectory("heathswitch-sites-");
     long unit = brief ? 2000 : 15_000;
     try {
@@ -117,12 +117,13 @@
     }
   }
 
-  private List<OpenLoop> load(SiteRig site, double share) {
+  private List<HttpLoadGenerator> load(SiteRig site, double share) {
     return site.load(clients, share * CAPACITY, DEADLINE_MILLIS, seed += 10, ledger);
   }
 
-  private static List<OpenLoop> stop(List<OpenLoop> loads) throws InterruptedException {
-    for (OpenLoop load : loads) {
+  private static List<HttpLoadGenerator> stop(List<HttpLoadGenerator> loads)
+      throws InterruptedException {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
     return loads;
@@ -132,7 +133,7 @@
   private Phase phase(double home, double others, long millis) throws Exception {
     SiteRig first = sites.get(0);
     long crossed = first.sum("calls");
-    List<List<OpenLoop>> loads = new ArrayList<>();
+    List<List<HttpLoadGenerator>> loads = new ArrayList<>();
     for (SiteRig site : sites) {
       loads.add(load(site, site == first ? home : others));
     }
@@ -141,12 +142,13 @@
     for (int i = 0; i < own.length; i++) {
       stop(loads.get(i));
       own[i] =
-          (double) SiteRig.count(loads.get(i), Tally.Result.SERVED) / SiteRig.total(loads.get(i));
+          (double) SiteRig.count(loads.get(i), LoadStats.Result.SERVED)
+              / SiteRig.total(loads.get(i));
     }
     return new Phase(
         SiteRig.total(loads.get(0)),
-        SiteRig.count(loads.get(0), Tally.Result.SERVED),
-        SiteRig.count(loads.get(0), Tally.Result.LOST),
+        SiteRig.count(loads.get(0), LoadStats.Result.SERVED),
+        SiteRig.count(loads.get(0), LoadStats.Result.LOST),
         first.sum("calls") - crossed,
         own);
   }
@@ -190,9 +192,9 @@
         .add("needless_share", four((double) needless / Math.max(1, together.calls())))
         .add("needless_of_crossed", four((double) needless / Math.max(1, together.crossed())))
         .add("bounced", bounced)
-        .add("lost", ledger.lost())
-        .add("double_runs", ledger.doubles(GatewayMeasurement::unsafe))
-        .add("untrue_answers", ledger.untrue(GatewayMeasurement::unsafe))
+        .add("lost", ledger.lostCount())
+        .add("double_runs", ledger.duplicateRunCount(GatewayMeasurement::unsafe))
+        .add("untrue_answers", ledger.falseResultCount(GatewayMeasurement::unsafe))
         .add("served_alone", four(aloneMuch.servedShare()))
         .add("served_gateway", four(much.servedShare()))
         .add("served_oracle", four(oracle(oracle, 1.4)))
@@ -228,7 +230,7 @@
           server ->
               server.onRun(
                   path -> {
-                    ledger.ran(path);
+                    ledger.recordRun(path);
                     String id = path.substring(path.indexOf('-') + 1);
                     boolean crossed = id.startsWith(home) || id.startsWith(second);
                     if (crossed && room.hadRoom(System.nanoTime() - SENT_BEFORE_NANOS)) {
@@ -239,7 +241,7 @@
   }
 
   private void watchNothing() {
-    sites.forEach(site -> site.servers.forEach(server -> server.onRun(ledger::ran)));
+    sites.forEach(site -> site.servers.forEach(server -> server.onRun(ledger::recordRun)));
   }
 
   /**
@@ -248,7 +250,7 @@
   private void drop(long unit, Figures figures) throws Exception {
     Figures.progress("links drop and come back");
     SiteRig first = sites.get(0);
-    List<List<OpenLoop>> loads = new ArrayList<>();
+    List<List<HttpLoadGenerator>> loads = new ArrayList<>();
     for (SiteRig site : sites) {
       loads.add(load(site, site == first ? 1.4 : EASY));
     }
@@ -258,7 +260,7 @@
     long crossedBefore = first.sum("served");
     Thread.sleep(500);
     double rate = (first.sum("served") - crossedBefore) / 0.5;
-    long lateBefore = SiteRig.count(loads.get(0), Tally.Result.LOST);
+    long lateBefore = SiteRig.count(loads.get(0), LoadStats.Result.LOST);
     long crossed = first.sum("calls");
     reset.forEach(line -> line.cut(true));
     silent.forEach(line -> line.mute(true, true));
@@ -279,10 +281,10 @@
       at = now;
     }
     Thread.sleep(500);
-    for (List<OpenLoop> each : loads) {
+    for (List<HttpLoadGenerator> each : loads) {
       stop(each);
     }
-    long late = SiteRig.count(loads.get(0), Tally.Result.LOST) - lateBefore;
+    long late = SiteRig.count(loads.get(0), LoadStats.Result.LOST) - lateBefore;
     long out = first.sum("calls") - crossed;
     figures
         .add("link_drop_late_share", four((double) late / Math.max(1, out)))
--- a/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
@@ -3,13 +3,13 @@
 import heathswitch.policy.members.ListedServer;
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.GrpcKinds;
-import heathswitch.testbed.client.GrpcLoad;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.Load;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.GrpcCallChecker;
+import heathswitch.testbed.client.GrpcLoadGenerator;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.GrpcDuty;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
@@ -57,8 +57,8 @@
   @Override
   public Figures run(boolean brief) throws Exception {
     Figures figures = new Figures();
-    Ledger ledger = new Ledger();
-    StandIn.Observer observer = (server, name, millis) -> ledger.ran(name);
+    CallLedger ledger = new CallLedger();
+    StandIn.Observer observer = (server, name, millis) -> ledger.recordRun(name);
     try (Rig rig = new Rig(6, ServiceTime.lognormal(5, 0.5), observer, FLAGS)) {
       mixed(rig, ledger, brief ? 5 : 30, figures);
       undeclared(rig, figures);
@@ -132,8 +132,9 @@
     }
   }
 
-  private static List<Kind> kinds() {
-    return List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static List<RequestKind> kinds() {
+    return List.of(
+        RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
   }
 
   /** Safe calls may have a second copy; those of gRPC here are all of a class that may not. */
@@ -141,16 +142,19 @@
     return !name.startsWith("/api/view");
   }
 
-  private static void mixed(Rig rig, Ledger ledger, int seconds, Figures figures) throws Exception {
+  private static void mixed(Rig rig, CallLedger ledger, int seconds, Figures figures)
+      throws Exception {
     Figures.progress("mixed load on " + rig.servers.size() + " servers");
-    OpenLoop http =
-        new OpenLoop(rig.clients.next(), rig.listen, kinds(), PER_SECOND, 3000, 300, 1, ledger)
+    HttpLoadGenerator http =
+        new HttpLoadGenerator(
+                rig.clients.next(), rig.listen, kinds(), PER_SECOND, 3000, 300, 1, ledger)
             .start();
-    GrpcLoad grpc =
-        new GrpcLoad(rig.clients.next(), NEXT, PER_SECOND, 0, 3000, 2, ledger).start(rig.grpc);
+    GrpcLoadGenerator grpc =
+        new GrpcLoadGenerator(rig.clients.next(), NEXT, PER_SECOND, 0, 3000, 2, ledger)
+            .start(rig.grpc);
     Thread.sleep(2000);
-    http.tally().interval(); // What came before is the compiler's.
-    grpc.tally().interval();
+    http.stats().takeLatencies(); // What came before is the compiler's.
+    grpc.stats().takeLatencies();
     long[] httpBefore = rig.servers.stream().mapToLong(StandIn::received).toArray();
     long[] grpcBefore = rig.duties.stream().mapToLong(GrpcDuty::received).toArray();
     WindowSeries windows = new WindowSeries();
@@ -162,17 +166,17 @@
     double skew = skew(rig, httpBefore, grpcBefore);
     http.stop();
     grpc.stop();
-    Histogram httpTimes = http.tally().interval();
-    Histogram grpcTimes = grpc.tally().interval();
+    Histogram httpTimes = http.stats().takeLatencies();
+    Histogram grpcTimes = grpc.stats().takeLatencies();
     figures
         .add("share_skew", Math.round(skew * 10_000) / 10_000.0)
         .add("window_breaches", windows.breaches())
-        .add("lost", ledger.lost())
-        .add("double_runs", ledger.doubles(GrpcMeasurement::unsafe))
-        .add("untrue_answers", ledger.untrue(GrpcMeasurement::unsafe))
+        .add("lost", ledger.lostCount())
+        .add("double_runs", ledger.duplicateRunCount(GrpcMeasurement::unsafe))
+        .add("untrue_answers", ledger.falseResultCount(GrpcMeasurement::unsafe))
         .add("window_samples", windows.samples())
-        .add("calls_http1", http.tally().total())
-        .add("calls_grpc", grpc.tally().total())
+        .add("calls_http1", http.stats().total())
+        .add("calls_grpc", grpc.stats().total())
         .rounded("p99_http1_ms", httpTimes.getValueAtPercentile(99) / 1000.0)
         .rounded("p99_grpc_ms", grpcTimes.getValueAtPercentile(99) / 1000.0);
   }
@@ -204,11 +208,11 @@
 
   private static void undeclared(Rig rig, Figures figures) throws Exception {
     Figures.progress("every kind of call, none of them in the table");
-    try (GrpcKinds kinds = new GrpcKinds(rig.clients.next(), rig.grpc)) {
-      List<String> failures = kinds.failures();
+    try (GrpcCallChecker kinds = new GrpcCallChecker(rig.clients.next(), rig.grpc)) {
+      List<String> failures = kinds.checkAllKinds();
       failures.forEach(Figures::progress);
-      figures.add("undeclared", GrpcKinds.KINDS);
-      figures.add("undeclared_ok", GrpcKinds.KINDS - failures.size());
+      figures.add("undeclared", GrpcCallChecker.KIND_COUNT);
+      figures.add("undeclared_ok", GrpcCallChecker.KIND_COUNT - failures.size());
     }
   }
 
@@ -217,22 +221,24 @@
     for (int round = 0; round < 2; round++) { // The first one warms both up.
       Figures.progress(round == 0 ? "warming up" : "requests a second");
       long length = round == 0 ? 3000 : seconds * 1000L;
-      List<Load> http = new ArrayList<>();
+      List<LoadGenerator> http = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         EventLoop loop = rig.clients.next();
-        http.add(new OpenLoop(loop, rig.listen, kinds(), 0, 3000, AT_ONCE, 10 + i).start());
+        http.add(
+            new HttpLoadGenerator(loop, rig.listen, kinds(), 0, 3000, AT_ONCE, 10 + i).start());
       }
       alone(rig, http, length, round == 0 ? null : figures, "http1");
-      List<Load> grpc = new ArrayList<>();
+      List<LoadGenerator> grpc = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         EventLoop loop = rig.clients.next();
-        grpc.add(new GrpcLoad(loop, NEXT, 0, AT_ONCE, 3000, 20 + i, null).start(rig.grpc));
+        grpc.add(new GrpcLoadGenerator(loop, NEXT, 0, AT_ONCE, 3000, 20 + i, null).start(rig.grpc));
       }
       alone(rig, grpc, length, round == 0 ? null : figures, "grpc");
     }
   }
 
-  private static void alone(Rig rig, List<Load> loads, long millis, Figures figures, String kind)
+  private static void alone(
+      Rig rig, List<LoadGenerator> loads, long millis, Figures figures, String kind)
       throws Exception {
     Thread.sleep(500);
     long served = served(loads);
@@ -244,7 +250,7 @@
     served = served(loads) - served;
     cpu = rig.status("loop_cpu_ms") - cpu;
     clientCpu = clientCpu(rig) - clientCpu;
-    for (Load load : loads) {
+    for (LoadGenerator load : loads) {
       load.stop();
     }
     if (figures != null) {
@@ -256,8 +262,8 @@
     }
   }
 
-  private static long served(List<Load> loads) {
-    return loads.stream().mapToLong(load -> load.tally().count(Tally.Result.SERVED)).sum();
+  private static long served(List<LoadGenerator> loads) {
+    return loads.stream().mapToLong(load -> load.stats().count(LoadStats.Result.SERVED)).sum();
   }
 
   /** CPU time of the clients' loops together, in milliseconds. */
@@ -276,22 +282,22 @@
   /** Heap for each stream that waits for its server, of those that got one. */
   private static void waiting(Rig rig, Figures figures) throws Exception {
     Figures.progress("windows open for " + WAITING + " streams");
-    List<Load> opening = new ArrayList<>();
+    List<LoadGenerator> opening = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       opening.add(
-          new GrpcLoad(rig.clients.next(), NEXT, 0, WAITING / 2, 5000, 30 + i, null)
+          new GrpcLoadGenerator(rig.clients.next(), NEXT, 0, WAITING / 2, 5000, 30 + i, null)
               .start(rig.grpc));
     }
     Thread.sleep(3000);
-    for (Load load : opening) {
+    for (LoadGenerator load : opening) {
       load.stop();
     }
     Thread.sleep(1500);
     Figures.progress("streams that wait");
     rig.balancer.collectGarbage();
     double before = rig.status("heap_after_gc_mb");
-    GrpcLoad load =
-        new GrpcLoad(rig.clients.next(), "/board.Live/Watch", 0, WAITING, 5000, 5, null);
+    GrpcLoadGenerator load =
+        new GrpcLoadGenerator(rig.clients.next(), "/board.Live/Watch", 0, WAITING, 5000, 5, null);
     load.start(rig.grpc);
     Thread.sleep(3000);
     double live = rig.status("live_requests");
--- a/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
@@ -4,9 +4,9 @@
 import heathswitch.proxy.members.MembersFormat;
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
@@ -73,8 +73,9 @@
     return figures;
   }
 
-  private static List<Kind> kinds() {
-    return List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static List<RequestKind> kinds() {
+    return List.of(
+        RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
   }
 
   // ---- thousands of rewrites ----
@@ -103,8 +104,8 @@
       Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
       Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         rewrite(count, balancer, workplace, draw, random, load, figures);
       }
     } finally {
@@ -129,7 +130,7 @@
       BalancerFolder workplace,
       ListDraw draw,
       SplittableRandom random,
-      OpenLoop load,
+      HttpLoadGenerator load,
       Figures figures)
       throws Exception {
     Rewriter rewriter = new Rewriter(workplace.serverListFile(), random);
@@ -150,7 +151,7 @@
         balancer.get("status"); // The stalls of the start are none of the lists'.
       }
       if (i % (count / 10) == 0) {
-        Figures.progress("rewrite " + i + " of " + count + ", " + load.tally().total() + " calls");
+        Figures.progress("rewrite " + i + " of " + count + ", " + load.stats().total() + " calls");
       }
       Map<String, Object> before = balancer.get("members");
       if (i % 3 == 2) {
@@ -202,14 +203,14 @@
         .add("refused", refused)
         .add("bad_accepted", badAccepted)
         .add("strays", strays(versions))
-        .add("lost", load.tally().count(Tally.Result.LOST))
+        .add("lost", load.stats().count(LoadStats.Result.LOST))
         .rounded("apply_p50_ms", applied.getValueAtPercentile(50) / 1000.0)
         .rounded("apply_p99_ms", applied.getValueAtPercentile(99) / 1000.0)
         .rounded("heap_growth_mb", heapAfter - heapBefore)
         .add("missed", missed)
-        .add("calls", load.tally().total())
-        .add("failed", load.tally().count(Tally.Result.FAILED))
-        .add("turned_away", load.tally().count(Tally.Result.REFUSED))
+        .add("calls", load.stats().total())
+        .add("failed", load.stats().count(LoadStats.Result.FAILED))
+        .add("turned_away", load.stats().count(LoadStats.Result.REFUSED))
         .add("servers", SERVERS)
         .add("calls_per_s", PER_SECOND)
         .add("stray_grace_ms", STRAY_GRACE_MILLIS)
@@ -295,8 +296,8 @@
       Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
       Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         Thread.sleep(2000);
         double worst = 0;
         double slowest = 0;
@@ -331,7 +332,7 @@
             .add("many_servers", MANY)
             .add("many_rewrites", rewrites)
             .rounded("many_apply_most_ms", slowest)
-            .add("many_lost", load.tally().count(Tally.Result.LOST));
+            .add("many_lost", load.stats().count(LoadStats.Result.LOST));
         return worst;
       }
     } finally {
@@ -374,8 +375,8 @@
       Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
       Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         Thread.sleep(1500);
         long[] before = servers.stream().mapToLong(StandIn::received).toArray();
         Thread.sleep(seconds * 1000L);
--- a/src/main/java/heathswitch/testbed/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -2,10 +2,10 @@
 
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
 import heathswitch.testbed.site.Authority;
@@ -27,8 +27,9 @@
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final List<String> FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx128m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
-  private static final List<Kind> KINDS =
-      List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static final List<RequestKind> KINDS =
+      List.of(
+          RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   final String name;
   final List<StandIn> servers = new ArrayList<>();
@@ -40,12 +41,13 @@
 
   private final List<BalancerFolder> workplaces = new ArrayList<>();
 
-  SiteRig(String name, NioEventLoopGroup group, int count, Shape shape, Ledger ledger, long seed)
+  SiteRig(
+      String name, NioEventLoopGroup group, int count, Shape shape, CallLedger ledger, long seed)
       throws Exception {
     this.name = name;
     for (int i = 0; i < count; i++) {
       StandIn server = new StandIn(group.next(), name + '-' + i, shape, seed + i, null);
-      servers.add(server.onRun(ledger::ran).start(ANY));
+      servers.add(server.onRun(ledger::recordRun).start(ANY));
     }
     for (int i = 0; i < GATEWAYS; i++) {
       gateways.add(BalancerProcess.freeAddress());
@@ -102,12 +104,16 @@
   }
 
   /** Calls of this site's own, spread over its gateways. */
-  List<OpenLoop> load(
-      NioEventLoopGroup group, double perSecond, long deadlineMillis, long seed, Ledger ledger) {
-    List<OpenLoop> loads = new ArrayList<>();
+  List<HttpLoadGenerator> load(
+      NioEventLoopGroup group,
+      double perSecond,
+      long deadlineMillis,
+      long seed,
+      CallLedger ledger) {
+    List<HttpLoadGenerator> loads = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
       loads.add(
-          new OpenLoop(
+          new HttpLoadGenerator(
                   group.next(),
                   balancers.get(i).listen(),
                   KINDS,
@@ -121,12 +127,12 @@
     return loads;
   }
 
-  static long count(List<OpenLoop> loads, Tally.Result result) {
-    return loads.stream().mapToLong(load -> load.tally().count(result)).sum();
+  static long count(List<HttpLoadGenerator> loads, LoadStats.Result result) {
+    return loads.stream().mapToLong(load -> load.stats().count(result)).sum();
   }
 
-  static long total(List<OpenLoop> loads) {
-    return loads.stream().mapToLong(load -> load.tally().total()).sum();
+  static long total(List<HttpLoadGenerator> loads) {
+    return loads.stream().mapToLong(load -> load.stats().total()).sum();
   }
 
   /** Takes all links out, or puts them back. */
--- a/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
+++ b/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
@@ -3,7 +3,7 @@
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
-import heathswitch.testbed.client.HttpDialer;
+import heathswitch.testbed.client.HttpConnector;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -63,7 +63,7 @@
   private final double perSecond;
   private final long deadlineMillis;
   private final SplittableRandom random;
-  private final HttpDialer dialer;
+  private final HttpConnector dialer;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   private final List<LostRequest> lost = new ArrayList<>();
   private boolean stopped;
@@ -88,7 +88,7 @@
     this.perSecond = perSecond;
     this.deadlineMillis = deadlineMillis;
     this.random = new SplittableRandom(seed);
-    this.dialer = new HttpDialer(loop, balancer, CONNECT_TIMEOUT_MILLIS);
+    this.dialer = new HttpConnector(loop, balancer, CONNECT_TIMEOUT_MILLIS);
   }
 
   KeepAliveLoad start() {
--- a/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -1,8 +1,8 @@
 package heathswitch.testbed.platform;
 
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -20,13 +20,14 @@
  */
 public final class PlatformFleet implements AutoCloseable {
   private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
-  private static final List<Kind> KINDS =
-      List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static final List<RequestKind> KINDS =
+      List.of(
+          RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   private final NioEventLoopGroup serverLoops = new NioEventLoopGroup(1);
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(1);
   private final DiscoveryStub discovery;
-  private final Ledger ledger = new Ledger();
+  private final CallLedger ledger = new CallLedger();
   private final RoutingHistory routingHistory = new RoutingHistory();
   private final Map<String, StandIn> servers = new LinkedHashMap<>();
   private final List<PlatformBalancer> balancers = new ArrayList<>();
@@ -49,7 +50,7 @@
   public String addServer(boolean justStarted) throws InterruptedException {
     String id = "s-" + ++serverCount;
     StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routingHistory);
-    servers.put(id, server.onRun(ledger::ran).start(ANY_PORT));
+    servers.put(id, server.onRun(ledger::recordRun).start(ANY_PORT));
     long started = justStarted ? System.currentTimeMillis() : 0;
     discovery.publish(
         new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
@@ -147,9 +148,9 @@
   // ---- clients and the outcome of their requests ----
 
   /** Starts an open-loop load on one balancer. */
-  public OpenLoop startLoad(PlatformBalancer balancer, double perSecond) {
-    OpenLoop load =
-        new OpenLoop(
+  public HttpLoadGenerator startLoad(PlatformBalancer balancer, double perSecond) {
+    HttpLoadGenerator load =
+        new HttpLoadGenerator(
             clientLoops.next(),
             balancer.listen(),
             KINDS,
@@ -175,7 +176,7 @@
     return settings;
   }
 
-  public Ledger ledger() {
+  public CallLedger ledger() {
     return ledger;
   }
 
--- a/src/main/java/heathswitch/testbed/platform/SoakRun.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakRun.java
@@ -439,7 +439,7 @@
       addViolation(
           "lost: " + lost.size() + ", " + lost.subList(0, Math.min(MAX_LISTED, lost.size())));
     }
-    long duplicates = fleet.ledger().doubles(path -> path.contains("publish"));
+    long duplicates = fleet.ledger().duplicateRunCount(path -> path.contains("publish"));
     if (duplicates > 0) {
       addViolation("duplicates of unsafe requests: " + duplicates);
     }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.gossip.GossipTraffic;
@@ -150,8 +150,8 @@
     private final Size size;
     private final boolean subsetting;
     private final FleetResult result = new FleetResult();
-    private final Map<Node, OpenLoop> loads = new HashMap<>();
-    private final List<OpenLoop> allLoads = new ArrayList<>();
+    private final Map<Node, HttpLoadGenerator> loads = new HashMap<>();
+    private final List<HttpLoadGenerator> allLoads = new ArrayList<>();
     private final long startedNanos = System.nanoTime();
     private Fleet fleet;
 
@@ -207,11 +207,11 @@
         sum += relativeLoad(node);
       }
       for (Node node : nodes) {
-        OpenLoop previous = loads.remove(node);
+        HttpLoadGenerator previous = loads.remove(node);
         if (previous != null) {
           previous.stop();
         }
-        OpenLoop load = fleet.startLoad(node, size.perSecond() * relativeLoad(node) / sum);
+        HttpLoadGenerator load = fleet.startLoad(node, size.perSecond() * relativeLoad(node) / sum);
         loads.put(node, load);
         allLoads.add(load);
       }
@@ -277,8 +277,8 @@
     /** Measures the calls of the most loaded server, divided by the mean, while nothing changes. */
     private void measureSpread(String name) throws InterruptedException {
       long[] before = received();
-      for (OpenLoop load : loads.values()) {
-        load.tally().interval();
+      for (HttpLoadGenerator load : loads.values()) {
+        load.stats().takeLatencies();
       }
       Thread.sleep(size.phaseMillis());
       long[] after = received();
@@ -293,8 +293,8 @@
       result.spread.put(name, (double) max * after.length / sum);
       if (name.equals("grown")) {
         var latencies = new org.HdrHistogram.Histogram(3_600_000_000L, 3);
-        for (Map.Entry<Node, OpenLoop> each : loads.entrySet()) {
-          latencies.add(each.getValue().tally().interval());
+        for (Map.Entry<Node, HttpLoadGenerator> each : loads.entrySet()) {
+          latencies.add(each.getValue().stats().takeLatencies());
           result.connections += (int) number(page(each.getKey(), "status"), "connected_servers");
         }
         result.p99 = latencies.getValueAtPercentile(99);
@@ -438,18 +438,18 @@
     }
 
     private void collectResults() throws Exception {
-      for (OpenLoop load : loads.values()) {
+      for (HttpLoadGenerator load : loads.values()) {
         load.stop();
       }
       long served = 0;
       long calls = 0;
-      for (OpenLoop load : allLoads) {
-        served += load.tally().count(Tally.Result.SERVED);
-        calls += load.tally().total();
+      for (HttpLoadGenerator load : allLoads) {
+        served += load.stats().count(LoadStats.Result.SERVED);
+        calls += load.stats().total();
       }
       result.goodput = (double) served / Math.max(1, calls);
-      result.lost = fleet.ledger().lost();
-      result.doubleRuns = fleet.ledger().doubles(id -> id.contains("publish"));
+      result.lost = fleet.ledger().lostCount();
+      result.doubleRuns = fleet.ledger().duplicateRunCount(id -> id.contains("publish"));
       progress(calls + " calls, " + Arrays.toString(received()));
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.site.DelayLine;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,8 +19,8 @@
 /** Calls between sites on loopback, with delays of 5.6 to 10 ms on the paths between them. */
 @Timeout(120)
 class GatewayTest {
-  private static final Kind VIEW = Kind.safe("view", "school", 1);
-  private static final Kind PUBLISH = Kind.unsafe("publish", "school", 1);
+  private static final RequestKind VIEW = RequestKind.safe("view", "school", 1);
+  private static final RequestKind PUBLISH = RequestKind.unsafe("publish", "school", 1);
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -28,13 +28,13 @@
     try (SitesFixture sites =
         new SitesFixture().site("hat-yai", 1, 2, 40).site("bangkok", 4, 8, 40).startLinked(tls)) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = home.load(150, 3000, VIEW, PUBLISH);
+      HttpLoadGenerator load = home.load(150, 3000, VIEW, PUBLISH);
       Await.until("calls were forwarded", () -> home.sum("bangkok", "served") > 100);
       load.stop();
-      long served = load.tally().count(Tally.Result.SERVED);
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
-      assertEquals(0, sites.ledger.doubles(id -> id.startsWith("/api/publish")));
-      assertEquals(0, sites.ledger.untrue(id -> id.startsWith("/api/publish")));
+      long served = load.stats().count(LoadStats.Result.SERVED);
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
+      assertEquals(0, sites.ledger.duplicateRunCount(id -> id.startsWith("/api/publish")));
+      assertEquals(0, sites.ledger.falseResultCount(id -> id.startsWith("/api/publish")));
       assertTrue(home.received() > 0, "the local site works too");
       assertTrue(served > 100, "served " + served);
       assertEquals(home.sum("bangkok", "calls"), home.links().get(0).get("calls"));
@@ -57,10 +57,10 @@
     try (SitesFixture sites =
         new SitesFixture().site("hat-yai", 4, 8, 10).site("bangkok", 4, 8, 10).startLinked(false)) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = home.load(200, 3000, VIEW);
-      Await.until("calls were made", () -> load.tally().total() > 300);
+      HttpLoadGenerator load = home.load(200, 3000, VIEW);
+      Await.until("calls were made", () -> load.stats().total() > 300);
       load.stop();
-      assertEquals(load.tally().total(), load.tally().count(Tally.Result.SERVED));
+      assertEquals(load.stats().total(), load.stats().count(LoadStats.Result.SERVED));
       assertEquals(0, home.sum("bangkok", "calls"));
     }
   }
@@ -72,22 +72,22 @@
       // Nothing listens on port 1 of a test machine.
       sites.site("hat-yai").addMemberLine("gone-1 127.0.0.1:1 a front 0 1 in_service");
       sites.site("bangkok", 4, 8, 5).startLinked(false);
-      OpenLoop load = sites.site("hat-yai").load(50, 3000, VIEW, PUBLISH);
-      Await.until("calls were served", () -> load.tally().count(Tally.Result.SERVED) > 50);
+      HttpLoadGenerator load = sites.site("hat-yai").load(50, 3000, VIEW, PUBLISH);
+      Await.until("calls were served", () -> load.stats().count(LoadStats.Result.SERVED) > 50);
       load.stop();
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
       // Refusals are permitted, as a new link may refuse some calls.
-      assertEquals(0, load.tally().count(Tally.Result.FAILED));
+      assertEquals(0, load.stats().count(LoadStats.Result.FAILED));
     }
   }
 
   // ---- a link that fails during a call ----
 
   /** Starts load on a site whose only server is busy, and waits until a call is forwarded. */
-  private static OpenLoop loadUntilForwarded(SitesFixture sites, Kind kind, long deadlineMillis)
-      throws Exception {
+  private static HttpLoadGenerator loadUntilForwarded(
+      SitesFixture sites, RequestKind kind, long deadlineMillis) throws Exception {
     SitesFixture.Site home = sites.site("hat-yai");
-    OpenLoop load = home.load(50, deadlineMillis, kind);
+    HttpLoadGenerator load = home.load(50, deadlineMillis, kind);
     Await.until("a forwarded call is in flight", () -> home.sum("bangkok", "in_flight") > 0);
     return load;
   }
@@ -101,13 +101,13 @@
         .startLinked(false);
   }
 
-  private static final Kind KEYED = new Kind("keyed", "school", true, true, 1);
+  private static final RequestKind KEYED = new RequestKind("keyed", "school", true, true, 1);
 
   private static long[] faults(SitesFixture sites, String prefix) {
     return new long[] {
-      sites.ledger.lost(),
-      sites.ledger.doubles(id -> id.startsWith(prefix)),
-      sites.ledger.untrue(id -> id.startsWith(prefix))
+      sites.ledger.lostCount(),
+      sites.ledger.duplicateRunCount(id -> id.startsWith(prefix)),
+      sites.ledger.falseResultCount(id -> id.startsWith(prefix))
     };
   }
 
@@ -116,7 +116,7 @@
   void safeCallsAreRetriedOverAnotherLink(boolean reset) throws Exception {
     try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      HttpLoadGenerator load = loadUntilForwarded(sites, VIEW, 5000);
       DelayLine path = home.paths.get("bangkok-1");
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       if (reset) {
@@ -125,11 +125,11 @@
         path.mute(true, true);
       }
       Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
-      long refusedBefore = load.tally().count(Tally.Result.FAILED);
+      long refusedBefore = load.stats().count(LoadStats.Result.FAILED);
       load.stop();
-      assertEquals(0, load.tally().count(Tally.Result.FAILED) - refusedBefore);
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
-      assertTrue(load.tally().count(Tally.Result.SERVED) > 0);
+      assertEquals(0, load.stats().count(LoadStats.Result.FAILED) - refusedBefore);
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
+      assertTrue(load.stats().count(LoadStats.Result.SERVED) > 0);
       assertTrue(count(home, 0, "failed") > 0, "calls were in flight on the link");
     }
   }
@@ -148,7 +148,8 @@
   void callsThatMustNotRunTwiceFail(String type, boolean reset) throws Exception {
     try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = loadUntilForwarded(sites, type.equals("keyed") ? KEYED : PUBLISH, 5000);
+      HttpLoadGenerator load =
+          loadUntilForwarded(sites, type.equals("keyed") ? KEYED : PUBLISH, 5000);
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       DelayLine path = home.paths.get("bangkok-1");
       long since = System.nanoTime();
@@ -157,7 +158,7 @@
       } else {
         path.mute(true, true);
       }
-      Await.until("failure reported", () -> load.tally().count(Tally.Result.FAILED) > 0);
+      Await.until("failure reported", () -> load.stats().count(LoadStats.Result.FAILED) > 0);
       long millis = (System.nanoTime() - since) / 1_000_000;
       load.stop();
       long[] faults = faults(sites, "/api/" + type);
@@ -173,7 +174,7 @@
   void linkThatLosesOneDirectionIsNotUsed(boolean outbound) throws Exception {
     try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      HttpLoadGenerator load = loadUntilForwarded(sites, VIEW, 5000);
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       home.paths.get("bangkok-1").mute(outbound, !outbound);
       Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
@@ -182,7 +183,7 @@
       home.paths.get("bangkok-1").mute(false, false);
       Await.until("the link is up again", () -> home.links().get(0).get("state").equals("up"));
       load.stop();
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
     }
   }
 
@@ -190,15 +191,15 @@
   void callsContinueAfterOneOfTwoPeerGatewaysStops() throws Exception {
     try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = loadUntilForwarded(sites, VIEW, 5000);
+      HttpLoadGenerator load = loadUntilForwarded(sites, VIEW, 5000);
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       sites.site("bangkok-1").node.stop();
       Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long before = home.sum("bangkok", "served");
       Await.until("the other link serves calls", () -> home.sum("bangkok", "served") > before + 10);
       load.stop();
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
-      assertEquals(0, load.tally().count(Tally.Result.FAILED));
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
+      assertEquals(0, load.stats().count(LoadStats.Result.FAILED));
     }
   }
 
@@ -237,7 +238,7 @@
         sites.site("site-" + i, 2, 2, 50);
       }
       sites.startLinked(false);
-      List<OpenLoop> loads = new ArrayList<>();
+      List<HttpLoadGenerator> loads = new ArrayList<>();
       for (SitesFixture.Site site : sites.sites.values()) {
         loads.add(site.load(150, 2000, VIEW, PUBLISH));
       }
@@ -246,12 +247,12 @@
           () ->
               sites.sites.values().stream()
                   .allMatch(
-                      site -> loads.get(0).tally().total() > 600 && forwardedCalls(site) > 0));
-      for (OpenLoop load : loads) {
+                      site -> loads.get(0).stats().total() > 600 && forwardedCalls(site) > 0));
+      for (HttpLoadGenerator load : loads) {
         load.stop();
-        assertEquals(0, load.tally().count(Tally.Result.LOST));
+        assertEquals(0, load.stats().count(LoadStats.Result.LOST));
       }
-      assertEquals(0, sites.ledger.doubles(id -> id.startsWith("/api/publish")));
+      assertEquals(0, sites.ledger.duplicateRunCount(id -> id.startsWith("/api/publish")));
       for (SitesFixture.Site site : sites.sites.values()) {
         for (SitesFixture.Site other : sites.sites.values()) {
           if (site != other) {
@@ -277,7 +278,7 @@
       sites.site("bangkok").addMemberLine(server.memberLine("long-1"));
       sites.startLinked(false);
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = home.load(20, 5000, PUBLISH);
+      HttpLoadGenerator load = home.load(20, 5000, PUBLISH);
       Await.until("the site is full", () -> home.sum("bangkok", "calls") > 0);
       assertEquals(
           3 << 20,
@@ -296,15 +297,15 @@
             .site("bangkok", 4, 8, 20)
             .startLinked(false)) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = home.load(50, 3000, VIEW);
+      HttpLoadGenerator load = home.load(50, 3000, VIEW);
       Await.until("calls are forwarded", () -> home.sum("bangkok", "served") > 5);
       home.drain("bangkok", true);
       assertEquals("drained", home.links().get(0).get("state"));
       long before = home.sum("bangkok", "calls") + home.sum("bangkok", "in_flight");
-      long refused = load.tally().count(Tally.Result.REFUSED);
+      long refused = load.stats().count(LoadStats.Result.REFUSED);
       Await.until(
           "calls are refused by this site",
-          () -> load.tally().count(Tally.Result.REFUSED) > refused + 10);
+          () -> load.stats().count(LoadStats.Result.REFUSED) > refused + 10);
       assertEquals(before, home.sum("bangkok", "calls"));
       home.drain("bangkok/127.0.0.1:" + home.paths.get("bangkok").address().getPort(), false);
       Await.until("calls are forwarded again", () -> home.sum("bangkok", "calls") > before + 5);
--- a/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.site.Authority;
 import io.netty.handler.ssl.JdkSslContext;
 import io.netty.handler.ssl.SslContextBuilder;
@@ -141,7 +141,7 @@
     try (SitesFixture sites =
         new SitesFixture().site("hat-yai", 1, 1, 200).site("bangkok", 4, 8, 20).startLinked(true)) {
       SitesFixture.Site home = sites.site("hat-yai");
-      OpenLoop load = home.load(50, 3000, Kind.safe("view", "school", 1));
+      HttpLoadGenerator load = home.load(50, 3000, RequestKind.safe("view", "school", 1));
       Await.until("calls are forwarded", () -> home.sum("bangkok", "served") > 5);
       Object before = home.status().get("certificate_until");
       Path pem = sites.folder().resolve("hat-yai.pem");
@@ -156,8 +156,8 @@
       Await.until("calls are still forwarded", () -> home.sum("bangkok", "served") > served + 10);
       assertEquals("up", home.links().get(0).get("state"));
       load.stop();
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
-      assertEquals(0, load.tally().count(Tally.Result.FAILED));
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
+      assertEquals(0, load.stats().count(LoadStats.Result.FAILED));
       assertEquals(0, home.sum("bangkok", "failed"));
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -4,9 +4,9 @@
 import heathswitch.proxy.standalone.StandaloneConfig;
 import heathswitch.proxy.standalone.StandaloneNode;
 import heathswitch.testbed.balancer.BalancerFolder;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
@@ -34,7 +34,7 @@
 
   final NioEventLoopGroup group = new NioEventLoopGroup(3);
   final Map<String, Site> sites = new LinkedHashMap<>();
-  final Ledger ledger = new Ledger();
+  final CallLedger ledger = new CallLedger();
   private final Path folder = Files.createTempDirectory("heathswitch-sites-");
   private Authority authority;
   private long seed = 1;
@@ -65,7 +65,7 @@
       workplace = new BalancerFolder("site");
       for (int i = 0; i < servers; i++) {
         StandIn server =
-            new StandIn(group.next(), key + "-" + i, shape, seed++, null).onRun(ledger::ran);
+            new StandIn(group.next(), key + "-" + i, shape, seed++, null).onRun(ledger::recordRun);
         this.servers.add(server.start(ANY));
       }
     }
@@ -126,8 +126,8 @@
       }
     }
 
-    OpenLoop load(double ratePerSecond, long deadlineMillis, Kind... kinds) {
-      return new OpenLoop(
+    HttpLoadGenerator load(double ratePerSecond, long deadlineMillis, RequestKind... kinds) {
+      return new HttpLoadGenerator(
               group.next(),
               node.node().address(),
               List.of(kinds),
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.server.ServiceTime;
@@ -32,7 +32,7 @@
   private static final String OLD_KEY = "k1 b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0\n";
   private static final String NEW_KEY = "k2 bmV3LW5ldy1uZXctbmV3LW5ldy0xMjM0\n";
 
-  private final List<OpenLoop> loads = new ArrayList<>();
+  private final List<HttpLoadGenerator> loads = new ArrayList<>();
 
   private Fleet fleet(int seed, int count) throws Exception {
     Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).withGossip(OLD_KEY).start(count);
@@ -42,11 +42,11 @@
 
   /** No call may be lost or run twice. */
   private void assertNoCallAffected(Fleet fleet) throws InterruptedException {
-    for (OpenLoop load : loads) {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
-    assertEquals(0, fleet.ledger().lost());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().lostCount());
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 
   private static Map<String, Object> page(Node node) {
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -17,8 +17,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.policy.members.ListedServer;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
@@ -407,8 +407,8 @@
         fleet.writeListEntries(each, lines);
         Await.until("the list is in force", () -> "2".equals(listVersion(each)));
       }
-      OpenLoop load = fleet.startLoad(node, 100);
-      Await.until("calls", () -> load.tally().total() > 20);
+      HttpLoadGenerator load = fleet.startLoad(node, 100);
+      Await.until("calls", () -> load.stats().total() > 20);
       long large = ask(node, "large", "kind=bulk&at_once=20");
       Await.until("out", () -> String.valueOf(phases(node, large).get("out")).equals("20"));
       for (int i = 0; i < 1000; i++) {
@@ -418,10 +418,10 @@
       node.post("work/cancel/" + large);
       Await.until("the next go", () -> workField(node, "orders").toString().contains("out=1"));
       load.stop();
-      assertEquals(0, fleet.ledger().lost());
+      assertEquals(0, fleet.ledger().lostCount());
       // On a busy host some are rejected, but every call is answered.
-      long served = load.tally().count(Tally.Result.SERVED);
-      assertTrue(served > 0.9 * load.tally().total(), served + " of " + load.tally().total());
+      long served = load.stats().count(LoadStats.Result.SERVED);
+      assertTrue(served > 0.9 * load.stats().total(), served + " of " + load.stats().total());
     }
   }
 
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.History;
 import heathswitch.testbed.fleet.Node;
@@ -24,15 +24,15 @@
 
   private static final int REQUESTS_PER_SECOND = 60;
 
-  private final List<OpenLoop> loads = new ArrayList<>();
-  private final Map<Node, OpenLoop> latest = new HashMap<>();
+  private final List<HttpLoadGenerator> loads = new ArrayList<>();
+  private final Map<Node, HttpLoadGenerator> latest = new HashMap<>();
 
   void load(Fleet fleet) {
     fleet.nodes().forEach(node -> load(fleet, node));
   }
 
   void load(Fleet fleet, Node node) {
-    OpenLoop load = fleet.startLoad(node, REQUESTS_PER_SECOND);
+    HttpLoadGenerator load = fleet.startLoad(node, REQUESTS_PER_SECOND);
     loads.add(load);
     latest.put(node, load);
   }
@@ -152,11 +152,11 @@
 
   /** Like {@link #verify(Fleet)}, but allows some calls at a machine that was out. */
   void verify(Fleet fleet, int maxCalls) throws InterruptedException {
-    for (OpenLoop load : loads) {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
     List<History.Breach> breaches = fleet.history().breaches();
     assertTrue(breaches.size() <= maxCalls, () -> breaches + " " + fleet.history().notes());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 }
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.proxy.standalone.StandaloneConfig;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
@@ -259,7 +259,7 @@
       Node leader = fleet.leader();
       Node other = fleet.nodes().stream().filter(node -> node != leader).findFirst().get();
       Node third = fleet.node(6 - number(leader) - number(other));
-      OpenLoop load = fleet.startLoad(third, 100);
+      HttpLoadGenerator load = fleet.startLoad(third, 100);
       long first = askForBalancer(third, leader);
       long second = askForBalancer(third, other);
       Await.until("the leader is out", () -> phase(third, first).equals("out"));
@@ -278,7 +278,7 @@
       Await.until("the next balancer is back without a new process", other::acceptsConnections);
       Await.until("done", () -> phase(third, second).equals("done"));
       load.stop();
-      assertEquals(0, fleet.ledger().lost());
+      assertEquals(0, fleet.ledger().lostCount());
     }
   }
 
@@ -303,9 +303,9 @@
       for (Node node : List.of(fleet.node(2), fleet.node(3))) {
         node.kill();
       }
-      OpenLoop load = fleet.startLoad(left, 100);
+      HttpLoadGenerator load = fleet.startLoad(left, 100);
       assertThrows(IOException.class, () -> ask(left, "front-2"));
-      Await.until("it serves", () -> load.tally().total() > 300);
+      Await.until("it serves", () -> load.stats().total() > 300);
       assertEquals(-1, left.get("work").get("lease_left_ms"), "it serves without a lease");
       for (Node node : List.of(fleet.node(2), fleet.node(3))) {
         node.start();
@@ -315,7 +315,7 @@
       awaitOut(fleet, fleet.node(2), next, "front-2");
       done(fleet, left, next, "front-2");
       load.stop();
-      assertEquals(0, fleet.ledger().lost());
+      assertEquals(0, fleet.ledger().lostCount());
       fixture.verify(fleet);
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.server.ServiceTime;
@@ -42,9 +42,9 @@
     try (Fleet fleet =
         new Fleet(seed).servers(3, "front", SHAPE).withServerProxies().start(PROCESSES)) {
       StandIn server = fleet.servers().get(0);
-      List<OpenLoop> loads = new ArrayList<>();
+      List<HttpLoadGenerator> loads = new ArrayList<>();
       for (Node node : fleet.nodes()) {
-        OpenLoop load = fleet.startLoad(node, CALLS_PER_SECOND);
+        HttpLoadGenerator load = fleet.startLoad(node, CALLS_PER_SECOND);
         loads.add(load);
         long before = received(fleet);
         Await.until("calls", () -> received(fleet) >= before + CALLS_BEFORE);
@@ -60,12 +60,13 @@
       }
       long before = received(fleet);
       Await.until("calls", () -> received(fleet) >= before + CALLS_BEFORE);
-      for (OpenLoop load : loads) {
+      for (HttpLoadGenerator load : loads) {
         load.stop();
       }
-      assertEquals(0, fleet.ledger().lost(), "requests without an answer");
-      assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
-      assertEquals(0, fleet.ledger().untrue(id -> id.contains("publish")), "untrue answers");
+      assertEquals(0, fleet.ledger().lostCount(), "requests without an answer");
+      assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")), "run twice");
+      assertEquals(
+          0, fleet.ledger().falseResultCount(id -> id.contains("publish")), "untrue answers");
       assertTrue(received(fleet) > PROCESSES * CALLS_BEFORE, "the servers received requests");
     }
   }
--- a/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/AdminServerTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -108,7 +108,7 @@
       assertEquals(3, metric(admin, "subset_servers"));
       assertEquals(1, metric(admin, "peers_there"));
       assertEquals(0, metric(admin, "requests_total"));
-      OpenLoop load = fixture.load(100);
+      HttpLoadGenerator load = fixture.load(100);
       System.gc(); // Counters must keep working if nothing else refers to their sources.
       Await.until("requests are counted", () -> metric(admin, "requests_total") > 20);
       load.stop();
--- a/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.server.ServiceTime;
@@ -41,7 +41,7 @@
 
   private static final int OBSERVED_SECONDS = 4;
 
-  private final Map<Node, OpenLoop> loads = new HashMap<>();
+  private final Map<Node, HttpLoadGenerator> loads = new HashMap<>();
 
   @Test
   void sumOfCallsFromAllProcessesRespectsWarmUp() throws Exception {
@@ -79,11 +79,11 @@
       assertTrue(
           actual <= allowed,
           actual + " calls, " + allowed + " allowed, a warm server gets " + warmCalls);
-      for (OpenLoop load : loads.values()) {
+      for (HttpLoadGenerator load : loads.values()) {
         load.stop();
       }
-      assertEquals(0, fleet.ledger().lost());
-      assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+      assertEquals(0, fleet.ledger().lostCount());
+      assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
     }
   }
 
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -2,8 +2,8 @@
 
 import heathswitch.policy.members.ListedServer;
 import heathswitch.testbed.balancer.BalancerFolder;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
@@ -78,10 +78,11 @@
     return node;
   }
 
-  OpenLoop load(double perSecond) {
-    List<Kind> kinds = List.of(Kind.safe("view", "school", 3), Kind.unsafe("publish", "school", 1));
+  HttpLoadGenerator load(double perSecond) {
+    List<RequestKind> kinds =
+        List.of(RequestKind.safe("view", "school", 3), RequestKind.unsafe("publish", "school", 1));
     InetSocketAddress at = node.node().address();
-    return new OpenLoop(group.next(), at, kinds, perSecond, 6000, 100, 5).start();
+    return new HttpLoadGenerator(group.next(), at, kinds, perSecond, 6000, 100, 5).start();
   }
 
   @Override
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -7,8 +7,8 @@
 
 import heathswitch.proxy.members.MembersWatcher;
 import heathswitch.testbed.balancer.BalancerFolder;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.server.ServiceTime;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
@@ -29,8 +29,8 @@
       "poll = \"2ms\"\nsettle = \"10ms\"\ndrain = \"200ms\"\nremoval_window = \"0ms\"\n"
           + "most_removed = 0.5\n";
 
-  private static long lostCount(OpenLoop load) {
-    return load.tally().count(Tally.Result.LOST);
+  private static long lostCount(HttpLoadGenerator load) {
+    return load.stats().count(LoadStats.Result.LOST);
   }
 
   /**
@@ -70,7 +70,7 @@
     try (StandaloneFixture fixture = new StandaloneFixture().servers(4)) {
       fixture.write(fixture.table(0, 1, 2, 3));
       fixture.start(FAST_POLLING);
-      OpenLoop load = fixture.load(300);
+      HttpLoadGenerator load = fixture.load(300);
       SplittableRandom random = new SplittableRandom(9);
       MembersWatcher members = fixture.node().members();
       Path file = fixture.workplace.serverListFile();
@@ -84,11 +84,11 @@
         fixture.write(valid);
         Await.until("accepted", () -> members.status().version() > version);
       }
-      long moreCalls = load.tally().total() + 100;
-      Await.until("calls go on", () -> load.tally().total() > moreCalls);
+      long moreCalls = load.stats().total() + 100;
+      Await.until("calls go on", () -> load.stats().total() > moreCalls);
       load.stop();
       assertEquals(0, lostCount(load));
-      assertEquals(0, load.tally().count(Tally.Result.FAILED));
+      assertEquals(0, load.stats().count(LoadStats.Result.FAILED));
     }
   }
 
@@ -98,7 +98,7 @@
     try (StandaloneFixture fixture = new StandaloneFixture().servers(3)) {
       fixture.write(fixture.table(0, 1, 2));
       fixture.start(FAST_POLLING);
-      OpenLoop load = fixture.load(400);
+      HttpLoadGenerator load = fixture.load(400);
       Await.until("calls", () -> fixture.servers.get(2).received() > 20);
       fixture.write(fixture.table(0, 1));
       MembersWatcher members = fixture.node().members();
@@ -110,18 +110,18 @@
       Await.until(
           "no new calls to the removed server",
           () -> {
-            boolean enoughCalls = load.tally().total() > seen[1] + 60;
+            boolean enoughCalls = load.stats().total() > seen[1] + 60;
             boolean unchanged = enoughCalls && seen[0] == fixture.servers.get(2).received();
             if (enoughCalls) {
               seen[0] = fixture.servers.get(2).received();
-              seen[1] = load.tally().total();
+              seen[1] = load.stats().total();
             }
             return unchanged;
           });
       long received = seen[0];
       Await.until("drained", () -> members.status().draining() == 0);
-      long furtherCalls = load.tally().total() + 200;
-      Await.until("calls", () -> load.tally().total() > furtherCalls);
+      long furtherCalls = load.stats().total() + 200;
+      Await.until("calls", () -> load.stats().total() > furtherCalls);
       assertEquals(received, fixture.servers.get(2).received());
       load.stop();
       assertEquals(0, lostCount(load));
@@ -146,8 +146,8 @@
           "list applied", () -> members.status().version() == 2 && members.status().applied());
       assertEquals(10_002, members.status().servers());
       assertEquals(2, members.status().inService());
-      OpenLoop load = fixture.load(400);
-      Await.until("served", () -> load.tally().count(Tally.Result.SERVED) > 100);
+      HttpLoadGenerator load = fixture.load(400);
+      Await.until("served", () -> load.stats().count(LoadStats.Result.SERVED) > 100);
       load.stop();
       assertEquals(0, lostCount(load)); // On a busy machine calls may be refused, immediately.
     }
@@ -208,8 +208,8 @@
       Files.delete(fixture.workplace.serverListFile());
       fixture.start(FAST_POLLING);
       assertEquals(1, fixture.node().members().status().version());
-      OpenLoop load = fixture.load(200);
-      Await.until("calls", () -> load.tally().count(Tally.Result.SERVED) > 20);
+      HttpLoadGenerator load = fixture.load(200);
+      Await.until("calls", () -> load.stats().count(LoadStats.Result.SERVED) > 20);
       load.stop();
     }
   }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.server.ServiceTime;
@@ -28,7 +28,7 @@
   private static final String TABLE =
       "width = 4\nstep = \"200ms\"\nsettle = \"500ms\"\nmost_moved = 0.3\nalone_steps = 5\n";
 
-  private final Map<Node, OpenLoop> loads = new HashMap<>();
+  private final Map<Node, HttpLoadGenerator> loads = new HashMap<>();
 
   private Fleet fleet(int seed, int count, int first) throws Exception {
     Fleet fleet =
@@ -49,11 +49,11 @@
   }
 
   private void stopLoadsAndCheckLedger(Fleet fleet) throws InterruptedException {
-    for (OpenLoop load : loads.values()) {
+    for (HttpLoadGenerator load : loads.values()) {
       load.stop();
     }
-    assertEquals(0, fleet.ledger().lost());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().lostCount());
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 
   private static Map<String, Object> page(Node node) {
@@ -261,13 +261,13 @@
   }
 
   /** Share of the calls that are served during one second. */
-  private static double servedShare(OpenLoop load) {
+  private static double servedShare(HttpLoadGenerator load) {
     try {
-      long served = load.tally().count(Tally.Result.SERVED);
-      long total = load.tally().total();
+      long served = load.stats().count(LoadStats.Result.SERVED);
+      long total = load.stats().total();
       Thread.sleep(1000);
-      return (double) (load.tally().count(Tally.Result.SERVED) - served)
-          / Math.max(1, load.tally().total() - total);
+      return (double) (load.stats().count(LoadStats.Result.SERVED) - served)
+          / Math.max(1, load.stats().total() - total);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return Double.NaN;
--- a/src/test/java/heathswitch/testbed/TestbedTest.java
+++ b/src/test/java/heathswitch/testbed/TestbedTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.server.StandIn;
@@ -51,13 +51,14 @@
     return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.US_ASCII);
   }
 
-  private OpenLoop newLoad(InetSocketAddress to, double perSecond, long deadlineMillis) {
-    List<Kind> kinds = List.of(Kind.safe("view", "t", 1));
-    return new OpenLoop(loops.next(), to, kinds, perSecond, deadlineMillis, 50, 3);
+  private HttpLoadGenerator newLoad(InetSocketAddress to, double perSecond, long deadlineMillis) {
+    List<RequestKind> kinds = List.of(RequestKind.safe("view", "t", 1));
+    return new HttpLoadGenerator(loops.next(), to, kinds, perSecond, deadlineMillis, 50, 3);
   }
 
-  private static void awaitResults(OpenLoop load, long results) throws InterruptedException {
-    while (load.tally().total() < results) {
+  private static void awaitResults(HttpLoadGenerator load, long results)
+      throws InterruptedException {
+    while (load.stats().total() < results) {
       Thread.sleep(2);
     }
   }
@@ -143,17 +144,18 @@
   @Test
   void aStallIsMeasuredByEveryRequestThatIsDueDuringIt() throws Exception {
     try (StandIn server = startServer(Shape.warm(64, 64, ServiceTime.fixed(400)))) {
-      OpenLoop load = newLoad(server.address(), 200, 20_000).start();
+      HttpLoadGenerator load = newLoad(server.address(), 200, 20_000).start();
       awaitResults(load, 100);
       load.stop();
       // 50 connections at 400 ms per request serve 125 requests per second; the others wait. Only a
       // client that measures from the intended time sees more than the 400 ms of the server.
-      assertEquals(0, load.tally().count(Tally.Result.LOST));
-      Histogram latencies = load.tally().interval();
-      assertEquals(load.tally().total(), latencies.getTotalCount());
+      assertEquals(0, load.stats().count(LoadStats.Result.LOST));
+      Histogram latencies = load.stats().takeLatencies();
+      assertEquals(load.stats().total(), latencies.getTotalCount());
       assertTrue(latencies.getMinValue() >= 399_000, "lowest latency " + latencies.getMinValue());
       assertTrue(latencies.getMaxValue() >= 500_000, "highest latency " + latencies.getMaxValue());
-      assertEquals(0, load.tally().interval().getTotalCount(), "reading the latencies resets them");
+      assertEquals(
+          0, load.stats().takeLatencies().getTotalCount(), "reading the latencies resets them");
     }
   }
 
@@ -161,14 +163,14 @@
   void requestsWithoutAnAnswerAreLost() throws Exception {
     try (StandIn server = startServer(Shape.warm(4, 4, ServiceTime.fixed(1)))) {
       server.faults().silent(true);
-      OpenLoop load = newLoad(server.address(), 100, 50).start();
+      HttpLoadGenerator load = newLoad(server.address(), 100, 50).start();
       awaitResults(load, 20);
       load.stop();
-      assertEquals(load.tally().total(), load.tally().count(Tally.Result.LOST));
+      assertEquals(load.stats().total(), load.stats().count(LoadStats.Result.LOST));
     }
-    OpenLoop unconnected = newLoad(new InetSocketAddress("127.0.0.1", 1), 100, 50).start();
+    HttpLoadGenerator unconnected = newLoad(new InetSocketAddress("127.0.0.1", 1), 100, 50).start();
     awaitResults(unconnected, 20);
     unconnected.stop();
-    assertEquals(unconnected.tally().total(), unconnected.tally().count(Tally.Result.LOST));
+    assertEquals(unconnected.stats().total(), unconnected.stats().count(LoadStats.Result.LOST));
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import java.util.ArrayList;
@@ -36,14 +36,14 @@
     return fleet.startBalancers(BALANCERS);
   }
 
-  private static List<OpenLoop> loads(PlatformFleet fleet) {
-    List<OpenLoop> loads = new ArrayList<>();
+  private static List<HttpLoadGenerator> loads(PlatformFleet fleet) {
+    List<HttpLoadGenerator> loads = new ArrayList<>();
     fleet.balancers().forEach(balancer -> loads.add(fleet.startLoad(balancer, PER_SECOND)));
     return loads;
   }
 
-  private static long served(List<OpenLoop> loads) {
-    return loads.stream().mapToLong(load -> load.tally().count(Tally.Result.SERVED)).sum();
+  private static long served(List<HttpLoadGenerator> loads) {
+    return loads.stream().mapToLong(load -> load.stats().count(LoadStats.Result.SERVED)).sum();
   }
 
   private static void awaitAllWatching(PlatformFleet fleet) throws Exception {
@@ -51,15 +51,18 @@
         "a watch of each balancer", () -> fleet.discovery().watchingBalancers() == BALANCERS);
   }
 
-  private static void stopAndCheck(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
-    for (OpenLoop load : loads) {
+  private static void stopAndCheck(PlatformFleet fleet, List<HttpLoadGenerator> loads)
+      throws Exception {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
     List<RoutingHistory.LateRequest> late = fleet.lateRequests();
     assertEquals(0, late.size(), () -> "sent to a draining server, first " + late.get(0));
-    assertEquals(0, fleet.ledger().lost(), "requests without an answer");
+    assertEquals(0, fleet.ledger().lostCount(), "requests without an answer");
     assertEquals(
-        0, fleet.ledger().doubles(id -> id.contains("publish")), "duplicates of unsafe requests");
+        0,
+        fleet.ledger().duplicateRunCount(id -> id.contains("publish")),
+        "duplicates of unsafe requests");
   }
 
   /**
@@ -68,7 +71,7 @@
   @Test
   void drainingServerGetsNoRequestsAfterGraceWhenAllCallsAreRejectedAfterReload() throws Exception {
     try (PlatformFleet fleet = fleet(71)) {
-      List<OpenLoop> loads = loads(fleet);
+      List<HttpLoadGenerator> loads = loads(fleet);
       awaitAllWatching(fleet);
       fleet.discovery().setRejecting(true);
       for (PlatformBalancer balancer : fleet.balancers()) {
@@ -89,7 +92,7 @@
   void drainingServerGetsNoRequestsAfterGraceWhenWatchesAreResetAndCallsRejected()
       throws Exception {
     try (PlatformFleet fleet = fleet(72)) {
-      List<OpenLoop> loads = loads(fleet);
+      List<HttpLoadGenerator> loads = loads(fleet);
       awaitAllWatching(fleet);
       fleet.discovery().setRejecting(true);
       fleet.discovery().resetWatches();
@@ -104,7 +107,7 @@
   @Test
   void requestsAreServedDuringDiscoveryOutage() throws Exception {
     try (PlatformFleet fleet = fleet(73)) {
-      List<OpenLoop> loads = loads(fleet);
+      List<HttpLoadGenerator> loads = loads(fleet);
       awaitAllWatching(fleet);
       fleet.discovery().setDown(true);
       Thread.sleep(PAST_GRACE_MILLIS);
@@ -118,7 +121,7 @@
     }
   }
 
-  private static long refused(List<OpenLoop> loads) {
-    return loads.stream().mapToLong(load -> load.tally().count(Tally.Result.REFUSED)).sum();
+  private static long refused(List<HttpLoadGenerator> loads) {
+    return loads.stream().mapToLong(load -> load.stats().count(LoadStats.Result.REFUSED)).sum();
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.Shape;
 import java.util.ArrayList;
@@ -39,25 +39,28 @@
     return fleet.startBalancers(BALANCERS);
   }
 
-  private static List<OpenLoop> loads(PlatformFleet fleet) {
-    List<OpenLoop> loads = new ArrayList<>();
+  private static List<HttpLoadGenerator> loads(PlatformFleet fleet) {
+    List<HttpLoadGenerator> loads = new ArrayList<>();
     fleet.balancers().forEach(balancer -> loads.add(fleet.startLoad(balancer, PER_SECOND)));
     return loads;
   }
 
-  private static long served(OpenLoop load) {
-    return load.tally().count(Tally.Result.SERVED);
+  private static long served(HttpLoadGenerator load) {
+    return load.stats().count(LoadStats.Result.SERVED);
   }
 
-  private static void stopAndCheck(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
-    for (OpenLoop load : loads) {
+  private static void stopAndCheck(PlatformFleet fleet, List<HttpLoadGenerator> loads)
+      throws Exception {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
     List<RoutingHistory.LateRequest> late = fleet.lateRequests();
     assertEquals(0, late.size(), () -> "sent to a draining server, first " + late.get(0));
-    assertEquals(0, fleet.ledger().lost(), "requests without an answer");
+    assertEquals(0, fleet.ledger().lostCount(), "requests without an answer");
     assertEquals(
-        0, fleet.ledger().doubles(id -> id.contains("publish")), "duplicates of unsafe requests");
+        0,
+        fleet.ledger().duplicateRunCount(id -> id.contains("publish")),
+        "duplicates of unsafe requests");
   }
 
   private static void drainTwoServers(PlatformFleet fleet) throws Exception {
@@ -70,7 +73,7 @@
   @Test
   void drainingServersGetNoRequestsAfterGraceWhenCallsAreRefusedAfterReload() throws Exception {
     try (PlatformFleet fleet = fleet(91)) {
-      List<OpenLoop> loads = loads(fleet);
+      List<HttpLoadGenerator> loads = loads(fleet);
       Await.until(
           "a watch of each balancer", () -> fleet.discovery().watchingBalancers() == BALANCERS);
       PlatformBalancer cutOff = fleet.balancers().get(0);
