--- a/src/main/java/heathswitch/testbed/platform/EndpointHistory.java
+++ b/src/main/java/heathswitch/testbed/platform/EndpointHistory.java
@@ -14,20 +14,16 @@
   /** Time from a change, with discovery reachable, until it counts as delivered. */
   static final long DELIVERY_NANOS = 6_000_000_000L;
 
-  /**
-   * Time from a reload that changes discovery's address until earlier changes count as delivered.
-   */
+  /** Time from a reload that changes discovery's address until a change counts as delivered. */
   static final long MOVE_NANOS = 4_000_000_000L;
 
-  /** A pushed change at most so long before a reload counts as delivered with that reload. */
+  /** A change pushed at most so long before a reload counts as delivered with that reload. */
   private static final long NEAR_MOVE_NANOS = 2_000_000_000L;
 
   /** After a failed call a balancer may use its list for so many times as long. */
   private static final int FAILED_FACTOR = 4;
 
-  /**
-   * The balancer's start, a call by it or the end of a watch: the start of a span without calls.
-   */
+  /** The balancer's start, a call by it or the end of a watch; a time without calls may follow. */
   private static final class Contact {
     private final long nanos;
     private boolean failed;
--- a/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
+++ b/src/main/java/heathswitch/testbed/platform/KeepAliveLoad.java
@@ -26,9 +26,9 @@
 /**
  * A load on one balancer by clients that behave like those of the platform. They reuse every open
  * connection until the process ends, and open another one if all are busy. A request that is sent
- * while an idle connection is being closed is sent once more on a new connection; if that can't be
- * opened, the request counts as unreached, since no balancer received it. Any other request without
- * a complete answer in time counts as lost. All state belongs to one event loop.
+ * while an idle connection is being closed is sent once more on a new connection. If a connection
+ * can't be opened, the request counts as unreached, since no balancer received it. Any other
+ * request without a complete answer in time counts as lost. All state belongs to one event loop.
  */
 public final class KeepAliveLoad {
   /** The number of requests sent, and of each outcome. */
@@ -45,7 +45,7 @@
    */
   public record LostRequest(
       String path,
-      String why,
+      String reason,
       boolean resent,
       boolean answeredBefore,
       long connectionAgeMillis,
@@ -200,11 +200,11 @@
     return NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  private void addLost(Connection connection, Request request, String why) {
+  private void addLost(Connection connection, Request request, String reason) {
     lost.add(
         new LostRequest(
             request.path(),
-            why,
+            reason,
             request.resent,
             connection.answered,
             millisSince(connection.openedNanos),
--- a/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformBalancer.java
@@ -26,9 +26,7 @@
   private static final long PROCESS_TIMEOUT_MILLIS = 30_000;
   private static final int PROBE_TIMEOUT_MILLIS = 1000;
 
-  /**
-   * The class path of the balancers, such as that of another build; default: the test bed's own.
-   */
+  /** The class path of the balancers: that of another build if given, else the test bed's own. */
   private static final String CLASS_PATH =
       System.getProperty("soak.program", System.getProperty("java.class.path"));
 
@@ -96,9 +94,9 @@
       if (!process.isAlive() || System.nanoTime() - began > PROCESS_TIMEOUT_MILLIS * 1_000_000) {
         throw new IOException(
             name
-                + " did not start within "
+                + " exited or was not ready within "
                 + PROCESS_TIMEOUT_MILLIS
-                + " ms or exited:\n"
+                + " ms:\n"
                 + Files.readString(log()));
       }
       Thread.sleep(20);
--- a/src/main/java/heathswitch/testbed/platform/SoakRun.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakRun.java
@@ -38,10 +38,13 @@
       KeepAliveLoad.Counts counts,
       long slowestStartMillis) {}
 
-  /** Earliest SIGKILL after SIGTERM: this long after the deadline, which counts up to a maximum. */
+  /**
+   * SIGKILL may follow SIGTERM after the deadline, of which at most {@link #MAX_DEADLINE_MILLIS}
+   * count, and this margin.
+   */
   private static final long KILL_MARGIN_MILLIS = 700;
 
-  private static final long MAX_WAIT_MILLIS = 3000;
+  private static final long MAX_DEADLINE_MILLIS = 3000;
   private static final long DURATION_MILLIS = 20_000;
   private static final long LAST_FAULT_MILLIS = 13_000;
 
@@ -122,8 +125,8 @@
   private record PlannedFault(long millis, SoakFault fault) {}
 
   /**
-   * Injects random faults at random times. Among them, always: a fault that blocks the list,
-   * together with a reload and a drain.
+   * Injects random faults at random times. In addition, every run has a fault that blocks the list,
+   * with a reload and a drain at about the same time.
    */
   private void runFaults() throws Exception {
     List<PlannedFault> plan = new ArrayList<>();
@@ -151,8 +154,8 @@
     faults.add(String.format("%.2f %s", (System.nanoTime() - startNanos) / 1e9, text));
   }
 
-  private SoakFault randomOf(List<SoakFault> faults) {
-    return faults.get(random.nextInt(faults.size()));
+  private SoakFault randomOf(List<SoakFault> candidates) {
+    return candidates.get(random.nextInt(candidates.size()));
   }
 
   private PlatformBalancer randomBalancer() {
@@ -310,7 +313,7 @@
     boolean hangUpAfter = random.nextBoolean();
     note("balancer restarted: " + balancer.name() + (termTwice ? ", SIGTERM twice" : ""));
     long killMillis =
-        Math.min(fleet.settings().deadlineMillis(), MAX_WAIT_MILLIS) + KILL_MARGIN_MILLIS;
+        Math.min(fleet.settings().deadlineMillis(), MAX_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     pending.add(
         CompletableFuture.runAsync(
             () -> {
--- a/src/main/java/heathswitch/testbed/platform/SoakScenario.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakScenario.java
@@ -24,9 +24,10 @@
   private static final int SOCKETS = 512;
 
   /**
-   * Faults that may cut a single balancer off from discovery, which takes this for an outage. If
-   * draining servers continue to serve, only discovery tells of a drain, and such a balancer can't
-   * learn of it. This case is an open question, so no run combines the two.
+   * Faults that may cut off a single balancer from discovery. The balancer takes this for an
+   * outage. If draining servers continue to serve, only discovery tells of a drain, so this
+   * balancer can't learn of it. What it should do then is an open question, and no run combines the
+   * two.
    */
   private static final List<SoakFault> FAULTS_LIKE_OUTAGE =
       List.of(SoakFault.DISCOVERY_REFUSES_ONE_BALANCER, SoakFault.SYSTEM_CALLS_FAIL);
--- a/src/test/java/heathswitch/testbed/platform/CrowdedDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/OverloadedDiscoveryTest.java
@@ -19,7 +19,7 @@
  * change counts as delivered and the grace time is over, even if the list never arrived.
  */
 @Timeout(120)
-class CrowdedDiscoveryTest {
+class OverloadedDiscoveryTest {
   private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(20));
   private static final PlatformSettings SETTINGS = new PlatformSettings(4000, 2000, 512, false);
   private static final int BALANCERS = 3;
