--- a/src/main/java/heathswitch/testbed/balancer/BalancerFolder.java
+++ b/src/main/java/heathswitch/testbed/balancer/BalancerFolder.java
@@ -2,7 +2,7 @@
 
 import heathswitch.policy.members.ListedServer;
 import heathswitch.proxy.members.MembersFormat;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -26,8 +26,9 @@
     return path.resolve("members.txt");
   }
 
-  /** Returns the server list entry of a stand-in server. */
-  public static ListedServer listEntry(StandIn server, String zone, String kind, double weight) {
+  /** Returns the server list entry of a simulated server. */
+  public static ListedServer listEntry(
+      SimulatedServer server, String zone, String kind, double weight) {
     InetSocketAddress socketAddress = server.address();
     String address = socketAddress.getAddress().getHostAddress() + ':' + socketAddress.getPort();
     return new ListedServer(server.name(), address, zone, kind, 0, weight, true);
--- a/src/main/java/heathswitch/testbed/client/GrpcCallChecker.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcCallChecker.java
@@ -23,7 +23,10 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Makes one call of each of the four gRPC call kinds and checks the answers of the stub server. */
+/**
+ * Makes one call of each of the four gRPC call kinds and checks the answers of the simulated
+ * server.
+ */
 public final class GrpcCallChecker implements AutoCloseable {
   /** Number of call kinds. */
   public static final int KIND_COUNT = 4;
--- a/src/main/java/heathswitch/testbed/client/GrpcLoadGenerator.java
+++ b/src/main/java/heathswitch/testbed/client/GrpcLoadGenerator.java
@@ -2,7 +2,7 @@
 
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
-import heathswitch.testbed.server.GrpcDuty;
+import heathswitch.testbed.server.GrpcEndpoint;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -141,7 +141,7 @@
       if (timeout != null) {
         timeout.cancel(false);
       }
-      recordResult(GrpcDuty.name(path, id), result, intendedNanos);
+      recordResult(GrpcEndpoint.callName(path, id), result, intendedNanos);
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/demo/Demo.java
+++ b/src/main/java/heathswitch/testbed/demo/Demo.java
@@ -10,9 +10,9 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,8 +24,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Demo that runs a balancer on the example files, with a stand-in server at each listed address and
- * a low request rate, and prints a table of the results. The server list can be edited while it
+ * Demo that runs a balancer on the example files, with a simulated server at each listed address
+ * and a low request rate, and prints a table of the results. The server list can be edited while it
  * runs.
  */
 public final class Demo implements AutoCloseable {
@@ -33,7 +33,7 @@
   private static final String USAGE = "usage: heathswitch demo [--seconds N]";
 
   private final NioEventLoopGroup loops = new NioEventLoopGroup(2);
-  private final List<StandIn> servers = new ArrayList<>();
+  private final List<SimulatedServer> servers = new ArrayList<>();
   private BalancerProcess balancer;
 
   private Demo() {}
@@ -77,10 +77,11 @@
     }
     // The saved state of an earlier run would hold back changes made to the list since.
     Files.deleteIfExists(config.members().state().resolve("members.state"));
-    Shape shape = Shape.warm(8, 64, ServiceTime.lognormal(15, 0.5));
+    ServerProfile shape = ServerProfile.alwaysWarm(8, 64, ServiceTime.lognormal(15, 0.5));
     for (ListEntry entry : parsed.entries()) {
       ListedServer listed = entry.server();
-      StandIn server = new StandIn(loops.next(), listed.id(), shape, servers.size(), null);
+      SimulatedServer server =
+          new SimulatedServer(loops.next(), listed.id(), shape, servers.size(), null);
       servers.add(server.start(Addresses.parse(listed.address())));
     }
     Path logFile = root.resolve("target/demo.log");
@@ -96,7 +97,7 @@
             + Addresses.format(config.node().listen())
             + ", "
             + servers.size()
-            + " stand-in servers, "
+            + " simulated servers, "
             + (int) REQUESTS_PER_SECOND
             + " requests per second; balancer log: "
             + logFile);
@@ -170,7 +171,7 @@
     long[] receivedNow = new long[received.length];
     long totalReceived = 0;
     for (int i = 0; i < receivedNow.length; i++) {
-      receivedNow[i] = servers.get(i).received() - received[i];
+      receivedNow[i] = servers.get(i).receivedCount() - received[i];
       received[i] += receivedNow[i];
       totalReceived += receivedNow[i];
     }
@@ -201,7 +202,7 @@
     if (balancer != null) {
       balancer.close();
     }
-    servers.forEach(StandIn::close);
+    servers.forEach(SimulatedServer::close);
     loops.shutdownGracefully(0, 2, TimeUnit.SECONDS);
   }
 }
--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -8,8 +8,8 @@
 import heathswitch.testbed.client.CallLedger;
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.ServerProfile;
+import heathswitch.testbed.server.SimulatedServer;
 import heathswitch.testbed.site.DatagramLine;
 import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -31,8 +31,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Several balancer processes in front of stand-in servers. All traffic between the balancers passes
- * through fault-injecting proxies.
+ * Several balancer processes in front of simulated servers. All traffic between the balancers
+ * passes through fault-injecting proxies.
  */
 public final class Fleet implements AutoCloseable {
   private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress("127.0.0.1", 0);
@@ -47,7 +47,7 @@
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(2);
   private final History history = new History();
   private final CallLedger ledger = new CallLedger();
-  private final List<StandIn> servers = new ArrayList<>();
+  private final List<SimulatedServer> servers = new ArrayList<>();
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final Map<String, Integer> cellByServer = new HashMap<>();
   private long seed;
@@ -72,12 +72,13 @@
     return this;
   }
 
-  /** Starts stand-in servers of one kind, each in a cell of its own. */
-  public Fleet servers(int count, String kind, Shape shape) throws InterruptedException {
+  /** Starts simulated servers of one kind, each in a cell of its own. */
+  public Fleet servers(int count, String kind, ServerProfile shape) throws InterruptedException {
     for (int i = 0; i < count; i++) {
       String name = kind + '-' + (i + 1);
-      StandIn server = new StandIn(serverLoops.next(), name, shape, seed++, history);
-      servers.add(server.onRun(ledger::recordRun).start(ANY_LOOPBACK_PORT));
+      SimulatedServer server =
+          new SimulatedServer(serverLoops.next(), name, shape, seed++, history);
+      servers.add(server.onWorkStarted(ledger::recordRun).start(ANY_LOOPBACK_PORT));
       cellByServer.put(name, servers.size());
     }
     return this;
@@ -156,7 +157,7 @@
               peerProxies,
               JVM_FLAGS);
       nodes.put(node.name, node);
-      for (StandIn server : proxiesServers ? servers : List.<StandIn>of()) {
+      for (SimulatedServer server : proxiesServers ? servers : List.<SimulatedServer>of()) {
         DelayLine proxy = new DelayLine(proxyLoops.next(), server.address(), 0, 0, seed++).start();
         node.serverProxies.put(server.name(), proxy);
       }
@@ -204,7 +205,7 @@
   }
 
   /** Returns the entry of a server in an instance's server list. */
-  public ListedServer listEntry(Node node, StandIn server) {
+  public ListedServer listEntry(Node node, SimulatedServer server) {
     String kind = server.name().substring(0, server.name().lastIndexOf('-'));
     ListedServer entry = BalancerFolder.listEntry(server, "a", kind, 1);
     DelayLine proxy = node.serverProxy(server);
@@ -214,12 +215,12 @@
   }
 
   /** Replaces an instance's server list atomically. */
-  public void writeServerList(Node node, List<StandIn> listedServers) throws IOException {
+  public void writeServerList(Node node, List<SimulatedServer> listedServers) throws IOException {
     writeListEntries(node, listedServers.stream().map(server -> listEntry(node, server)).toList());
   }
 
   /**
-   * Replaces an instance's server list atomically with entries that need not belong to stand-in
+   * Replaces an instance's server list atomically with entries that need not belong to simulated
    * servers.
    */
   public void writeListEntries(Node node, List<ListedServer> entries) throws IOException {
@@ -326,7 +327,7 @@
     return List.copyOf(nodes.values());
   }
 
-  public List<StandIn> servers() {
+  public List<SimulatedServer> servers() {
     return List.copyOf(servers);
   }
 
@@ -398,7 +399,7 @@
     for (Node node : nodes.values()) {
       node.close();
     }
-    servers.forEach(StandIn::close);
+    servers.forEach(SimulatedServer::close);
     for (NioEventLoopGroup group : List.of(serverLoops, proxyLoops, clientLoops)) {
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
--- a/src/main/java/heathswitch/testbed/fleet/History.java
+++ b/src/main/java/heathswitch/testbed/fleet/History.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.fleet;
 
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,7 +10,7 @@
  * A history on one clock of the calls that arrived at servers and of the periods in which operators
  * were told that a machine is out. Thread-safe.
  */
-public final class History implements StandIn.Observer {
+public final class History implements SimulatedServer.RequestObserver {
   private record Call(String server, String path, long nanos) {}
 
   /** Time from the first report that a machine is out until its order was reported as done. */
@@ -26,11 +26,11 @@
   private final long startNanos = System.nanoTime();
 
   @Override
-  public void arrived(StandIn server, String path, long unixMillis) {
-    arrived(server.name(), path, System.nanoTime());
+  public void onRequest(SimulatedServer server, String path, long unixMillis) {
+    onRequest(server.name(), path, System.nanoTime());
   }
 
-  synchronized void arrived(String server, String path, long nanos) {
+  synchronized void onRequest(String server, String path, long nanos) {
     calls.add(new Call(server, path, nanos));
   }
 
--- a/src/main/java/heathswitch/testbed/fleet/Node.java
+++ b/src/main/java/heathswitch/testbed/fleet/Node.java
@@ -3,7 +3,7 @@
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
 import heathswitch.testbed.balancer.Folders;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import heathswitch.testbed.site.DatagramLine;
 import heathswitch.testbed.site.DelayLine;
 import java.io.IOException;
@@ -120,7 +120,7 @@
   }
 
   /** Returns its proxy to a server, or null if it connects to the server directly. */
-  public DelayLine serverProxy(StandIn server) {
+  public DelayLine serverProxy(SimulatedServer server) {
     return serverProxies.get(server.name());
   }
 
--- a/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
+++ b/src/main/java/heathswitch/testbed/maintenance/WorkMeasurement.java
@@ -8,8 +8,8 @@
 import heathswitch.testbed.measure.Figures;
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -201,7 +201,7 @@
     }
 
     RunResult run() throws Exception {
-      Shape shape = Shape.warm(4, 64, ServiceTime.exponential(5));
+      ServerProfile shape = ServerProfile.alwaysWarm(4, 64, ServiceTime.exponential(5));
       String floor = "[[work.floor]]\nkind = \"front\"\nleast = " + scale.minShare() + "\n";
       try (Fleet newFleet = new Fleet(SEED)) {
         fleet = newFleet;
--- a/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
@@ -4,8 +4,8 @@
 import heathswitch.testbed.client.CallLedger;
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.site.Authority;
 import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -79,7 +79,8 @@
   private void start(Path folder) throws Exception {
     Figures.progress("starting " + NAMES.size() + " sites with " + SiteRig.GATEWAYS + " gateways");
     Authority authority = new Authority(folder, "ca");
-    Shape shape = Shape.warm(CORES, QUEUE, ServiceTime.lognormal(WORK_MILLIS, SPREAD));
+    ServerProfile shape =
+        ServerProfile.alwaysWarm(CORES, QUEUE, ServiceTime.lognormal(WORK_MILLIS, SPREAD));
     for (String name : NAMES) {
       sites.add(new SiteRig(name, servers, SERVERS, shape, ledger, seed += 10));
     }
@@ -228,7 +229,7 @@
     for (SiteRig site : sites.subList(1, sites.size())) {
       site.servers.forEach(
           server ->
-              server.onRun(
+              server.onWorkStarted(
                   path -> {
                     ledger.recordRun(path);
                     String id = path.substring(path.indexOf('-') + 1);
@@ -241,7 +242,7 @@
   }
 
   private void watchNothing() {
-    sites.forEach(site -> site.servers.forEach(server -> server.onRun(ledger::recordRun)));
+    sites.forEach(site -> site.servers.forEach(server -> server.onWorkStarted(ledger::recordRun)));
   }
 
   /**
--- a/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GrpcMeasurement.java
@@ -10,10 +10,10 @@
 import heathswitch.testbed.client.LoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.server.GrpcDuty;
+import heathswitch.testbed.server.GrpcEndpoint;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -58,7 +58,7 @@
   public Figures run(boolean brief) throws Exception {
     Figures figures = new Figures();
     CallLedger ledger = new CallLedger();
-    StandIn.Observer observer = (server, name, millis) -> ledger.recordRun(name);
+    SimulatedServer.RequestObserver observer = (server, name, millis) -> ledger.recordRun(name);
     try (Rig rig = new Rig(6, ServiceTime.lognormal(5, 0.5), observer, FLAGS)) {
       mixed(rig, ledger, brief ? 5 : 30, figures);
       undeclared(rig, figures);
@@ -76,21 +76,22 @@
   private static final class Rig implements AutoCloseable {
     final NioEventLoopGroup group = new NioEventLoopGroup(4);
     final NioEventLoopGroup clients = new NioEventLoopGroup(CLIENTS);
-    final List<StandIn> servers = new ArrayList<>();
-    final List<GrpcDuty> duties = new ArrayList<>();
+    final List<SimulatedServer> servers = new ArrayList<>();
+    final List<GrpcEndpoint> duties = new ArrayList<>();
     final BalancerFolder workplace = new BalancerFolder("measure");
     final InetSocketAddress listen = BalancerProcess.freeAddress();
     final InetSocketAddress grpc = BalancerProcess.freeAddress();
     final BalancerProcess balancer;
 
-    Rig(int count, ServiceTime time, StandIn.Observer observer, List<String> flags)
+    Rig(int count, ServiceTime time, SimulatedServer.RequestObserver observer, List<String> flags)
         throws Exception {
       List<ListedServer> listed = new ArrayList<>();
       for (int i = 0; i < count; i++) {
-        Shape shape = Shape.warm(2000, 2000, time);
-        StandIn server = new StandIn(group.next(), "s-" + i, shape, i, observer).start(ANY);
+        ServerProfile shape = ServerProfile.alwaysWarm(2000, 2000, time);
+        SimulatedServer server =
+            new SimulatedServer(group.next(), "s-" + i, shape, i, observer).start(ANY);
         servers.add(server);
-        duties.add(server.grpc());
+        duties.add(server.startGrpc());
         ListedServer plain = BalancerFolder.listEntry(server, "a", "front", 1);
         listed.add(
             new ListedServer(
@@ -124,8 +125,8 @@
     public void close() throws IOException {
       balancer.kill();
       balancer.close();
-      duties.forEach(GrpcDuty::close);
-      servers.forEach(StandIn::close);
+      duties.forEach(GrpcEndpoint::close);
+      servers.forEach(SimulatedServer::close);
       clients.shutdownGracefully(0, 2, TimeUnit.SECONDS);
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
       workplace.close();
@@ -155,8 +156,8 @@
     Thread.sleep(2000);
     http.stats().takeLatencies(); // What came before is the compiler's.
     grpc.stats().takeLatencies();
-    long[] httpBefore = rig.servers.stream().mapToLong(StandIn::received).toArray();
-    long[] grpcBefore = rig.duties.stream().mapToLong(GrpcDuty::received).toArray();
+    long[] httpBefore = rig.servers.stream().mapToLong(SimulatedServer::receivedCount).toArray();
+    long[] grpcBefore = rig.duties.stream().mapToLong(GrpcEndpoint::receivedCount).toArray();
     WindowSeries windows = new WindowSeries();
     long until = System.nanoTime() + seconds * 1_000_000_000L;
     while (System.nanoTime() < until) {
@@ -194,8 +195,8 @@
     double[] http = new double[servers];
     double[] grpc = new double[servers];
     for (int i = 0; i < servers; i++) {
-      http[i] = rig.servers.get(i).received() - httpBefore[i];
-      grpc[i] = rig.duties.get(i).received() - grpcBefore[i];
+      http[i] = rig.servers.get(i).receivedCount() - httpBefore[i];
+      grpc[i] = rig.duties.get(i).receivedCount() - grpcBefore[i];
       httpAll += http[i];
       grpcAll += grpc[i];
     }
--- a/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
@@ -7,9 +7,9 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -85,12 +85,13 @@
   private void rewrites(int count, Figures figures) throws Exception {
     SplittableRandom random = new SplittableRandom(17);
     NioEventLoopGroup group = new NioEventLoopGroup(3);
-    List<StandIn> servers = new ArrayList<>();
+    List<SimulatedServer> servers = new ArrayList<>();
     try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < SERVERS; i++) {
-        StandIn server = new StandIn(group.next(), "s-" + i, shape, i, this::arrived);
+        SimulatedServer server =
+            new SimulatedServer(group.next(), "s-" + i, shape, i, this::arrived);
         arrivals.put(server.name(), new long[1024]);
         arrived.put(server.name(), 0);
         servers.add(server.start(ANY));
@@ -109,12 +110,12 @@
         rewrite(count, balancer, workplace, draw, random, load, figures);
       }
     } finally {
-      servers.forEach(StandIn::close);
+      servers.forEach(SimulatedServer::close);
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
   }
 
-  private synchronized void arrived(StandIn server, String path, long unixMillis) {
+  private synchronized void arrived(SimulatedServer server, String path, long unixMillis) {
     int count = arrived.merge(server.name(), 1, Integer::sum);
     long[] times = arrivals.get(server.name());
     if (count > times.length) {
@@ -281,13 +282,13 @@
 
   private double many(int rewrites, Figures figures) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(4);
-    List<StandIn> servers = new ArrayList<>();
+    List<SimulatedServer> servers = new ArrayList<>();
     try (BalancerFolder workplace = new BalancerFolder("measure")) {
       Figures.progress("starting " + MANY + " stand-in servers");
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < MANY; i++) {
-        servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
+        servers.add(new SimulatedServer(group.next(), "s-" + i, shape, i, null).start(ANY));
         all.add(BalancerFolder.listEntry(servers.get(i), i % 2 == 0 ? "a" : "b", "front", 1));
       }
       Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
@@ -361,12 +362,12 @@
   /** Greatest distance of a server's share from its due, in percent of that due. */
   private double shares(int seconds, ServiceTime time) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(2);
-    List<StandIn> servers = new ArrayList<>();
+    List<SimulatedServer> servers = new ArrayList<>();
     try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, time);
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, time);
       for (int i = 0; i < 3; i++) {
-        servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
+        servers.add(new SimulatedServer(group.next(), "s-" + i, shape, i, null).start(ANY));
         all.add(BalancerFolder.listEntry(servers.get(i), "a", "front", 1 << i));
       }
       Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
@@ -378,9 +379,9 @@
         HttpLoadGenerator load =
             new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         Thread.sleep(1500);
-        long[] before = servers.stream().mapToLong(StandIn::received).toArray();
+        long[] before = servers.stream().mapToLong(SimulatedServer::receivedCount).toArray();
         Thread.sleep(seconds * 1000L);
-        long[] after = servers.stream().mapToLong(StandIn::received).toArray();
+        long[] after = servers.stream().mapToLong(SimulatedServer::receivedCount).toArray();
         load.stop();
         double total = Arrays.stream(after).sum() - Arrays.stream(before).sum();
         double worst = 0;
@@ -392,7 +393,7 @@
         return worst;
       }
     } finally {
-      servers.forEach(StandIn::close);
+      servers.forEach(SimulatedServer::close);
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
   }
--- a/src/main/java/heathswitch/testbed/measure/RoomWatch.java
+++ b/src/main/java/heathswitch/testbed/measure/RoomWatch.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.measure;
 
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 
@@ -11,14 +11,14 @@
   /** A minute of looks; the oldest are overwritten. */
   private static final int MOST = 240_000;
 
-  private final List<StandIn> servers;
+  private final List<SimulatedServer> servers;
   private final long[] at = new long[MOST];
   private final boolean[] room = new boolean[MOST];
   private final Thread thread;
   private volatile int count;
   private volatile boolean closed;
 
-  RoomWatch(List<StandIn> servers) {
+  RoomWatch(List<SimulatedServer> servers) {
     this.servers = servers;
     thread = new Thread(this::look, "room-watch");
     thread.setDaemon(true);
@@ -29,7 +29,7 @@
     while (!closed) {
       int slot = count % MOST;
       at[slot] = System.nanoTime();
-      room[slot] = servers.stream().anyMatch(StandIn::idle);
+      room[slot] = servers.stream().anyMatch(SimulatedServer::hasFreeCore);
       count++;
       LockSupport.parkNanos(STEP_NANOS);
     }
--- a/src/main/java/heathswitch/testbed/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -6,8 +6,8 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.ServerProfile;
+import heathswitch.testbed.server.SimulatedServer;
 import heathswitch.testbed.site.Authority;
 import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -32,7 +32,7 @@
           RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   final String name;
-  final List<StandIn> servers = new ArrayList<>();
+  final List<SimulatedServer> servers = new ArrayList<>();
   final List<InetSocketAddress> gateways = new ArrayList<>();
   final List<BalancerProcess> balancers = new ArrayList<>();
 
@@ -42,12 +42,18 @@
   private final List<BalancerFolder> workplaces = new ArrayList<>();
 
   SiteRig(
-      String name, NioEventLoopGroup group, int count, Shape shape, CallLedger ledger, long seed)
+      String name,
+      NioEventLoopGroup group,
+      int count,
+      ServerProfile shape,
+      CallLedger ledger,
+      long seed)
       throws Exception {
     this.name = name;
     for (int i = 0; i < count; i++) {
-      StandIn server = new StandIn(group.next(), name + '-' + i, shape, seed + i, null);
-      servers.add(server.onRun(ledger::recordRun).start(ANY));
+      SimulatedServer server =
+          new SimulatedServer(group.next(), name + '-' + i, shape, seed + i, null);
+      servers.add(server.onWorkStarted(ledger::recordRun).start(ANY));
     }
     for (int i = 0; i < GATEWAYS; i++) {
       gateways.add(BalancerProcess.freeAddress());
@@ -185,7 +191,7 @@
       balancer.close();
     }
     ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayLine::close)));
-    servers.forEach(StandIn::close);
+    servers.forEach(SimulatedServer::close);
     for (BalancerFolder workplace : workplaces) {
       workplace.close();
     }
--- a/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -3,8 +3,8 @@
 import heathswitch.testbed.client.CallLedger;
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.ServerProfile;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,15 +29,15 @@
   private final DiscoveryStub discovery;
   private final CallLedger ledger = new CallLedger();
   private final RoutingHistory routingHistory = new RoutingHistory();
-  private final Map<String, StandIn> servers = new LinkedHashMap<>();
+  private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
   private final List<PlatformBalancer> balancers = new ArrayList<>();
-  private final Shape shape;
+  private final ServerProfile shape;
   private final PlatformSettings settings;
   private long seed;
   private int serverCount;
 
   /** Creates a fleet without processes; the seed determines service times and loads. */
-  public PlatformFleet(long seed, PlatformSettings settings, Shape shape) {
+  public PlatformFleet(long seed, PlatformSettings settings, ServerProfile shape) {
     this.seed = seed;
     this.settings = settings;
     this.shape = shape;
@@ -49,8 +49,9 @@
   /** Starts a server and adds it to discovery's list; returns its id. */
   public String addServer(boolean justStarted) throws InterruptedException {
     String id = "s-" + ++serverCount;
-    StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routingHistory);
-    servers.put(id, server.onRun(ledger::recordRun).start(ANY_PORT));
+    SimulatedServer server =
+        new SimulatedServer(serverLoops.next(), id, shape, seed++, routingHistory);
+    servers.put(id, server.onWorkStarted(ledger::recordRun).start(ANY_PORT));
     long started = justStarted ? System.currentTimeMillis() : 0;
     discovery.publish(
         new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
@@ -64,7 +65,7 @@
 
   /** Marks a server as draining in discovery, and has it reject all new requests. */
   public void drainAndReject(String id) {
-    servers.get(id).faults().turnsAway(true);
+    servers.get(id).faults().refusing(true);
     drain(id);
   }
 
@@ -74,7 +75,7 @@
     discovery.publish(discovery.member(id).withPhase(ListedMember.Phase.TERMINATED));
   }
 
-  public StandIn server(String id) {
+  public SimulatedServer server(String id) {
     return servers.get(id);
   }
 
@@ -190,7 +191,7 @@
     for (PlatformBalancer balancer : balancers) {
       balancer.close();
     }
-    servers.values().forEach(StandIn::close);
+    servers.values().forEach(SimulatedServer::close);
     discovery.close();
     for (NioEventLoopGroup group : List.of(serverLoops, clientLoops)) {
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
--- a/src/main/java/heathswitch/testbed/platform/RoutingHistory.java
+++ b/src/main/java/heathswitch/testbed/platform/RoutingHistory.java
@@ -1,6 +1,6 @@
 package heathswitch.testbed.platform;
 
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,7 +11,7 @@
  * Records when which request reached which server, and checks this against what discovery had
  * delivered to the balancers. Thread-safe.
  */
-public final class RoutingHistory implements StandIn.Observer {
+public final class RoutingHistory implements SimulatedServer.RequestObserver {
   /** Tolerance of each time limit that is checked at sockets; covers delays in the test bed. */
   private static final long SLACK_NANOS = 100_000_000L;
 
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public synchronized void arrived(StandIn server, String path, long unixMillis) {
+  public synchronized void onRequest(SimulatedServer server, String path, long unixMillis) {
     arrivals.add(new Arrival(server.name(), path, System.nanoTime()));
   }
 
--- a/src/main/java/heathswitch/testbed/platform/SoakRun.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakRun.java
@@ -202,14 +202,14 @@
       case SERVER_HANGS -> {
         String id = randomServer();
         note("server hangs: " + id + " for " + span + " ms");
-        fleet.server(id).faults().silent(true);
-        schedule(span, () -> fleet.server(id).faults().silent(false));
+        fleet.server(id).faults().unresponsive(true);
+        schedule(span, () -> fleet.server(id).faults().unresponsive(false));
       }
       case SERVER_RESETS -> {
         String id = randomServer();
         note("server resets connections: " + id + " for " + span + " ms");
-        fleet.server(id).faults().resets(0.3);
-        schedule(span, () -> fleet.server(id).faults().resets(0));
+        fleet.server(id).faults().resetShare(0.3);
+        schedule(span, () -> fleet.server(id).faults().resetShare(0));
       }
       case DISCOVERY_REFUSES_ONE_BALANCER -> refuseOneBalancer(span);
       case BALANCERS_RECONFIGURED -> reconfigure();
--- a/src/main/java/heathswitch/testbed/platform/SoakScenario.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakScenario.java
@@ -1,7 +1,7 @@
 package heathswitch.testbed.platform;
 
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -18,7 +18,7 @@
     int servers,
     double perSecond,
     PlatformSettings settings,
-    Shape shape,
+    ServerProfile shape,
     boolean drainingServersReject,
     List<SoakFault> faults) {
   private static final int SOCKETS = 512;
@@ -49,7 +49,7 @@
         servers,
         perSecond,
         settings,
-        Shape.warm(8, 32, time),
+        ServerProfile.alwaysWarm(8, 32, time),
         reject,
         Arrays.stream(SoakFault.values())
             .filter(fault -> reject || !FAULTS_LIKE_OUTAGE.contains(fault))
--- a/src/main/java/heathswitch/testbed/server/ServiceTime.java
+++ b/src/main/java/heathswitch/testbed/server/ServiceTime.java
@@ -3,39 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a core works on a request.
+ * Distribution of the time that a core works on a request.
  *
  * @param meanMillis mean of the distribution
- * @param spread standard deviation over the mean, for the lognormal one
+ * @param variationCoefficient standard deviation divided by the mean, for the lognormal
+ *     distribution
  */
-public record ServiceTime(Kind kind, double meanMillis, double spread) {
-  /** The distribution. */
-  public enum Kind {
+public record ServiceTime(
+    Distribution distribution, double meanMillis, double variationCoefficient) {
+  /** Shape of the distribution. */
+  public enum Distribution {
     FIXED,
     EXPONENTIAL,
     LOGNORMAL
   }
 
   public static ServiceTime fixed(double millis) {
-    return new ServiceTime(Kind.FIXED, millis, 0);
+    return new ServiceTime(Distribution.FIXED, millis, 0);
   }
 
   public static ServiceTime exponential(double meanMillis) {
-    return new ServiceTime(Kind.EXPONENTIAL, meanMillis, 1);
+    return new ServiceTime(Distribution.EXPONENTIAL, meanMillis, 1);
   }
 
-  public static ServiceTime lognormal(double meanMillis, double spread) {
-    return new ServiceTime(Kind.LOGNORMAL, meanMillis, spread);
+  public static ServiceTime lognormal(double meanMillis, double variationCoefficient) {
+    return new ServiceTime(Distribution.LOGNORMAL, meanMillis, variationCoefficient);
   }
 
-  /** One draw, in nanoseconds. */
-  long drawNanos(SplittableRandom random) {
+  /** Draws one service time in nanoseconds. */
+  long sampleNanos(SplittableRandom random) {
     double millis =
-        switch (kind) {
+        switch (distribution) {
           case FIXED -> meanMillis;
           case EXPONENTIAL -> -meanMillis * Math.log(1 - random.nextDouble());
           case LOGNORMAL -> {
-            double variance = Math.log(1 + spread * spread);
+            double variance = Math.log(1 + variationCoefficient * variationCoefficient);
             double normal = random.nextGaussian();
             yield meanMillis * Math.exp(Math.sqrt(variance) * normal - variance / 2);
           }
--- a/src/main/java/heathswitch/testbed/server/package-info.java
+++ b/src/main/java/heathswitch/testbed/server/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in servers with configurable service times, cold starts and faults. */
+/** Simulated servers with configurable service times, cold starts and faults. */
 package heathswitch.testbed.server;
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -8,9 +8,9 @@
 import heathswitch.testbed.measure.Figures;
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -163,7 +163,8 @@
     FleetResult run() throws Exception {
       try (Fleet started = new Fleet(SEED)) {
         fleet = started;
-        fleet.servers(size.servers(), "front", Shape.warm(4, 64, ServiceTime.exponential(5)));
+        fleet.servers(
+            size.servers(), "front", ServerProfile.alwaysWarm(4, 64, ServiceTime.exponential(5)));
         fleet.withGossip("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").startInitially(size.first());
         if (subsetting) {
           fleet.withSubsetting(
@@ -303,7 +304,7 @@
     }
 
     private long[] received() {
-      return fleet.servers().stream().mapToLong(StandIn::received).toArray();
+      return fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).toArray();
     }
 
     /**
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -7,9 +7,9 @@
 import heathswitch.testbed.client.CallLedger;
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import heathswitch.testbed.site.Authority;
 import heathswitch.testbed.site.DelayLine;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -51,21 +51,22 @@
     /** The address of a listener that replaces the gateway, or null. */
     volatile InetSocketAddress replacement;
 
-    final List<StandIn> servers = new ArrayList<>();
+    final List<SimulatedServer> servers = new ArrayList<>();
     final Map<String, DelayLine> paths = new LinkedHashMap<>();
     final BalancerFolder workplace;
     String certificate;
     private final List<String> memberLines = new ArrayList<>();
     volatile StandaloneNode node;
 
-    Site(String key, String name, int servers, Shape shape) throws Exception {
+    Site(String key, String name, int servers, ServerProfile shape) throws Exception {
       this.key = key;
       this.name = name;
       certificate = key;
       workplace = new BalancerFolder("site");
       for (int i = 0; i < servers; i++) {
-        StandIn server =
-            new StandIn(group.next(), key + "-" + i, shape, seed++, null).onRun(ledger::recordRun);
+        SimulatedServer server =
+            new SimulatedServer(group.next(), key + "-" + i, shape, seed++, null)
+                .onWorkStarted(ledger::recordRun);
         this.servers.add(server.start(ANY));
       }
     }
@@ -84,7 +85,7 @@
     }
 
     long received() {
-      return servers.stream().mapToLong(StandIn::received).sum();
+      return servers.stream().mapToLong(SimulatedServer::receivedCount).sum();
     }
 
     /** The status page of the gateway, read on its event loop. */
@@ -204,7 +205,7 @@
         node.stop();
       }
       paths.values().forEach(DelayLine::close);
-      servers.forEach(StandIn::close);
+      servers.forEach(SimulatedServer::close);
       workplace.close();
     }
   }
@@ -222,7 +223,7 @@
   /** Adds a gateway of a site, with its own servers. */
   SitesFixture gateway(String key, String name, int servers, int cores, double millis)
       throws Exception {
-    Shape shape = Shape.warm(cores, 0, ServiceTime.fixed(millis));
+    ServerProfile shape = ServerProfile.alwaysWarm(cores, 0, ServiceTime.fixed(millis));
     sites.put(key, new Site(key, name, servers, shape));
     return this;
   }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -7,8 +7,8 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import heathswitch.testbed.site.DatagramLine.Weather;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -28,7 +28,8 @@
 
 /** Runs several processes of the program and checks their membership under network faults. */
 class PeersTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
   private static final String OLD_KEY = "k1 b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0\n";
   private static final String NEW_KEY = "k2 bmV3LW5ldy1uZXctbmV3LW5ldy0xMjM0\n";
 
@@ -119,8 +120,8 @@
       }
       nodes.get(3).post("peers/leave");
       awaitFullView(nodes.subList(0, 3));
-      long before = fleet.servers().get(0).received();
-      Await.until("calls", () -> fleet.servers().get(0).received() > before + 20);
+      long before = fleet.servers().get(0).receivedCount();
+      Await.until("calls", () -> fleet.servers().get(0).receivedCount() > before + 20);
       assertNoCallAffected(fleet);
     }
   }
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -22,7 +22,7 @@
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.MaintenanceSettings;
 import heathswitch.testbed.fleet.Node;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -241,7 +241,7 @@
       fleet.start(3, 3, MaintenanceSettings.serveWhenCutOff(2).withLines(FLOOR.formatted("0.75")));
       fixture.load(fleet);
       Node apart = fleet.node(3);
-      StandIn lost = fleet.servers().get(3);
+      SimulatedServer lost = fleet.servers().get(3);
       apart.serverProxy(lost).cut(true);
       Await.until(
           "one instance sees the server fail", () -> reportedCapacity(fleet.node(1), apart) == 3);
@@ -282,26 +282,26 @@
       fixture.load(fleet);
       long order = ask(fleet.node(1), "front-1");
       awaitOut(fleet, fleet.node(1), order, "front-1");
-      for (List<StandIn> listed :
+      for (List<SimulatedServer> listed :
           List.of(fleet.servers().subList(1, 3), fleet.servers(), fleet.servers().subList(1, 3))) {
         for (Node node : fleet.nodes()) {
           String version = listVersion(node);
           fleet.writeServerList(node, listed);
           Await.until("the list is in force", () -> !listVersion(node).equals(version));
         }
-        long before = fleet.servers().get(1).received();
-        Await.until("calls", () -> fleet.servers().get(1).received() > before + 30);
+        long before = fleet.servers().get(1).receivedCount();
+        Await.until("calls", () -> fleet.servers().get(1).receivedCount() > before + 30);
       }
       // Put back while no list names it: no instance has to report it warm, and it gets no calls
       // yet.
       fleet.node(2).post("work/done/" + order);
       Await.until("done", () -> phase(fleet.node(2), order).equals("done"));
       fleet.history().recordBack("front-1");
-      long received = fleet.servers().get(0).received();
+      long received = fleet.servers().get(0).receivedCount();
       for (Node node : fleet.nodes()) {
         fleet.writeServerList(node, fleet.servers());
       }
-      Await.until("it serves", () -> fleet.servers().get(0).received() > received);
+      Await.until("it serves", () -> fleet.servers().get(0).receivedCount() > received);
       fixture.verify(fleet);
     }
   }
@@ -330,8 +330,8 @@
       // Listed there again while it is out: it gets no calls from the first moment.
       fleet.writeServerList(fleet.node(3), fleet.servers());
       Await.until("the list is in force", () -> "3".equals(listVersion(fleet.node(3))));
-      long before = fleet.servers().get(0).received();
-      Await.until("calls", () -> fleet.servers().get(0).received() > before + 60);
+      long before = fleet.servers().get(0).receivedCount();
+      Await.until("calls", () -> fleet.servers().get(0).receivedCount() > before + 60);
       done(fleet, fleet.node(3), order, "front-4");
       Await.until("done", () -> phase(fleet.node(1), order).equals("done"));
       fixture.verify(fleet);
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -8,8 +8,8 @@
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.History;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -20,7 +20,8 @@
 
 /** Helpers for tests of maintenance orders with a fleet of processes, and their final checks. */
 final class MaintenanceFixture {
-  static final Shape SERVER_SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  static final ServerProfile SERVER_SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
 
   private static final int REQUESTS_PER_SECOND = 60;
 
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFleetTest.java
@@ -41,7 +41,7 @@
           .servers(3, "front", SERVER_SHAPE)
           .start(3, 3, MaintenanceSettings.stopWhenCutOff(2000, 2));
       fixture.load(fleet);
-      Await.until("calls", () -> fleet.servers().get(0).received() > 50);
+      Await.until("calls", () -> fleet.servers().get(0).receivedCount() > 50);
       Node leader = fleet.leader();
       assertNotNull(leader);
       Node asked = fleet.nodes().stream().filter(node -> node != leader).findFirst().get();
@@ -49,14 +49,14 @@
       assertEquals(
           first, ask(leader, "front-1"), "the same request at another instance is the same order");
       awaitOut(fleet, asked, first, "front-1");
-      long received = fleet.servers().get(0).received();
+      long received = fleet.servers().get(0).receivedCount();
       fleet.history().addNote("kill " + leader.name());
       leader.kill();
       long second = ask(asked, "front-2");
       awaitOut(fleet, asked, second, "front-2");
-      assertEquals(received, fleet.servers().get(0).received());
+      assertEquals(received, fleet.servers().get(0).receivedCount());
       done(fleet, asked, first, "front-1");
-      Await.until("back", () -> fleet.servers().get(0).received() > received);
+      Await.until("back", () -> fleet.servers().get(0).receivedCount() > received);
       leader.start();
       Await.until("the killed leader serves again", leader::acceptsConnections);
       Await.until("it has applied the grant", () -> phase(leader, second).equals("out"));
@@ -97,7 +97,7 @@
       fixture.load(fleet);
       Node leader = fleet.leader();
       Node paused = fleet.nodes().stream().filter(node -> node != leader).findFirst().get();
-      Await.until("calls", () -> fleet.servers().get(0).received() > 50);
+      Await.until("calls", () -> fleet.servers().get(0).receivedCount() > 50);
       if (atRest) {
         fixture.stopLoad(paused);
       }
@@ -109,14 +109,14 @@
       long order = ask(leader, "front-1");
       awaitOut(fleet, leader, order, "front-1");
       Thread.sleep(500); // Lets calls pile up.
-      long received = fleet.servers().get(0).received();
+      long received = fleet.servers().get(0).receivedCount();
       fleet.history().addNote("resume " + paused.name());
       paused.resume();
       Await.until(
           "it has joined again", () -> !fenced(leader, paused) && paused.acceptsConnections());
-      long others = fleet.servers().get(1).received();
-      Await.until("it serves", () -> fleet.servers().get(1).received() > others + 100);
-      long more = fleet.servers().get(0).received() - received;
+      long others = fleet.servers().get(1).receivedCount();
+      Await.until("it serves", () -> fleet.servers().get(1).receivedCount() > others + 100);
+      long more = fleet.servers().get(0).receivedCount() - received;
       assertTrue(more <= maxCalls, more + " sent after it resumed");
       done(fleet, leader, order, "front-1");
       fixture.verify(fleet, maxCalls);
@@ -145,8 +145,8 @@
       Object rows = rest.get(0).get("work/" + order).get("standings");
       String waits = String.valueOf(((Map<?, ?>) ((List<?>) rows).get(0)).get("waits_for"));
       assertTrue(waits.contains("edge-4") && !waits.contains("edge-1"), waits);
-      long before = fleet.servers().get(0).received();
-      Await.until("it serves", () -> fleet.servers().get(0).received() > before + 5);
+      long before = fleet.servers().get(0).receivedCount();
+      Await.until("it serves", () -> fleet.servers().get(0).receivedCount() > before + 5);
       fleet.setPartitioned(rest, List.of(cutOff), false);
       awaitOut(fleet, rest.get(0), order, "front-1");
       Await.until("it has applied the grant", () -> phase(cutOff, order).equals("out"));
@@ -242,8 +242,8 @@
         assertEquals("out", phase(node, out));
         assertEquals("waiting", phase(node, next));
       }
-      long before = fleet.servers().get(1).received();
-      Await.until("calls", () -> fleet.servers().get(1).received() > before + 50);
+      long before = fleet.servers().get(1).receivedCount();
+      Await.until("calls", () -> fleet.servers().get(1).receivedCount() > before + 50);
       done(fleet, fleet.node(2), out, "front-1");
       awaitOut(fleet, fleet.node(3), next, "front-2");
       done(fleet, fleet.node(3), next, "front-2");
@@ -334,8 +334,8 @@
         Files.writeString(node.serverListFile(), list);
         Await.until("the list is in force", () -> listVersion(node).equals("2"));
       }
-      long before = fleet.servers().get(1).received();
-      Await.until("calls", () -> fleet.servers().get(1).received() > before + 100);
+      long before = fleet.servers().get(1).receivedCount();
+      Await.until("calls", () -> fleet.servers().get(1).receivedCount() > before + 100);
       fixture.verify(fleet);
     }
   }
--- a/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
@@ -6,9 +6,9 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -23,7 +23,8 @@
  */
 @Timeout(120)
 class RollingRestartTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(40));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(40));
   private static final int PROCESSES = 3;
   private static final int CALLS_PER_SECOND = 60;
 
@@ -34,14 +35,14 @@
 
   /** Injects or ends a fault on the link between a balancer process and a server. */
   private interface Fault {
-    void apply(Node node, StandIn server);
+    void apply(Node node, SimulatedServer server);
   }
 
   /** Stops and starts each process under load, with a fault on one of its links meanwhile. */
   private static void restartAll(int seed, Fault fault, Fault repair) throws Exception {
     try (Fleet fleet =
         new Fleet(seed).servers(3, "front", SHAPE).withServerProxies().start(PROCESSES)) {
-      StandIn server = fleet.servers().get(0);
+      SimulatedServer server = fleet.servers().get(0);
       List<HttpLoadGenerator> loads = new ArrayList<>();
       for (Node node : fleet.nodes()) {
         HttpLoadGenerator load = fleet.startLoad(node, CALLS_PER_SECOND);
@@ -72,7 +73,7 @@
   }
 
   private static long received(Fleet fleet) {
-    return fleet.servers().stream().mapToLong(StandIn::received).sum();
+    return fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).sum();
   }
 
   @Test
--- a/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/ColdServerTest.java
@@ -6,9 +6,9 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.HashMap;
@@ -25,7 +25,8 @@
  */
 @Timeout(120)
 class ColdServerTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
   private static final int PROCESSES = 8;
   private static final int SERVERS = 4;
   private static final double CALLS_PER_SECOND = 30;
@@ -46,13 +47,13 @@
   @Test
   void sumOfCallsFromAllProcessesRespectsWarmUp() throws Exception {
     Fleet fleet = new Fleet(61).servers(SERVERS, "front", SHAPE);
-    List<StandIn> warm = fleet.servers().subList(0, SERVERS - 1);
+    List<SimulatedServer> warm = fleet.servers().subList(0, SERVERS - 1);
     try (fleet) {
       fleet.beforeFirstStart(node -> prepare(fleet, node, warm)).start(PROCESSES);
-      StandIn cold = fleet.servers().get(SERVERS - 1);
+      SimulatedServer cold = fleet.servers().get(SERVERS - 1);
       fleet.nodes().forEach(node -> startLoad(fleet, node));
       Await.until("calls", () -> received(fleet) > CALLS_BEFORE_CHANGE);
-      assertEquals(0, cold.received());
+      assertEquals(0, cold.receivedCount());
 
       Node paused = fleet.node(1);
       Node restarted = fleet.node(2);
@@ -61,7 +62,7 @@
       for (Node node : fleet.nodes()) {
         fleet.writeServerList(node, fleet.servers());
       }
-      Await.until("cold server receives calls", () -> cold.received() > 0);
+      Await.until("cold server receives calls", () -> cold.receivedCount() > 0);
       long before = received(fleet);
       long end = System.nanoTime() + OBSERVED_SECONDS * 1_000_000_000L;
       paused.resume();
@@ -75,7 +76,7 @@
       double warmCalls = (received(fleet) - before) / (double) SERVERS;
       double expected = warmCalls * meanShare();
       double allowed = expected + 2 * Math.sqrt(expected) + 2;
-      long actual = cold.received();
+      long actual = cold.receivedCount();
       assertTrue(
           actual <= allowed,
           actual + " calls, " + allowed + " allowed, a warm server gets " + warmCalls);
@@ -92,7 +93,8 @@
     return COLD_SHARE + (1 - COLD_SHARE) * OBSERVED_SECONDS / 2.0 / WARM_UP_SECONDS;
   }
 
-  private static void prepare(Fleet fleet, Node node, List<StandIn> listed) throws IOException {
+  private static void prepare(Fleet fleet, Node node, List<SimulatedServer> listed)
+      throws IOException {
     fleet.writeServerList(node, listed);
     String text = Files.readString(node.config());
     String replacement = "warm_up = \"" + WARM_UP_SECONDS + "s\"";
@@ -105,6 +107,6 @@
   }
 
   private static long received(Fleet fleet) {
-    return fleet.servers().stream().mapToLong(StandIn::received).sum();
+    return fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).sum();
   }
 }
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -4,9 +4,9 @@
 import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -23,7 +23,7 @@
   private static final InetSocketAddress EPHEMERAL = new InetSocketAddress("127.0.0.1", 0);
 
   final NioEventLoopGroup group = new NioEventLoopGroup(2);
-  final List<StandIn> servers = new ArrayList<>();
+  final List<SimulatedServer> servers = new ArrayList<>();
   final BalancerFolder workplace = new BalancerFolder("test");
   private StandaloneNode node;
 
@@ -35,9 +35,9 @@
 
   StandaloneFixture servers(int count, ServiceTime time) throws Exception {
     for (int i = 0; i < count; i++) {
-      Shape shape = Shape.warm(16, 256, time);
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, time);
       String name = "s-" + (servers.size() + 1);
-      servers.add(new StandIn(group.next(), name, shape, i, null).start(EPHEMERAL));
+      servers.add(new SimulatedServer(group.next(), name, shape, i, null).start(EPHEMERAL));
     }
     return this;
   }
@@ -90,7 +90,7 @@
     if (node != null) {
       node.stop();
     }
-    servers.forEach(StandIn::close);
+    servers.forEach(SimulatedServer::close);
     group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     workplace.close();
   }
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneTest.java
@@ -56,7 +56,7 @@
         }
       }
       for (int i = 0; i < 3; i++) {
-        assertEquals(100 << i, fixture.servers.get(i).served(), 25 << i, "server " + i);
+        assertEquals(100 << i, fixture.servers.get(i).servedCount(), 25 << i, "server " + i);
       }
     }
   }
@@ -99,7 +99,7 @@
       fixture.write(fixture.table(0, 1, 2));
       fixture.start(FAST_POLLING);
       HttpLoadGenerator load = fixture.load(400);
-      Await.until("calls", () -> fixture.servers.get(2).received() > 20);
+      Await.until("calls", () -> fixture.servers.get(2).receivedCount() > 20);
       fixture.write(fixture.table(0, 1));
       MembersWatcher members = fixture.node().members();
       Await.until(
@@ -111,9 +111,9 @@
           "no new calls to the removed server",
           () -> {
             boolean enoughCalls = load.stats().total() > seen[1] + 60;
-            boolean unchanged = enoughCalls && seen[0] == fixture.servers.get(2).received();
+            boolean unchanged = enoughCalls && seen[0] == fixture.servers.get(2).receivedCount();
             if (enoughCalls) {
-              seen[0] = fixture.servers.get(2).received();
+              seen[0] = fixture.servers.get(2).receivedCount();
               seen[1] = load.stats().total();
             }
             return unchanged;
@@ -122,7 +122,7 @@
       Await.until("drained", () -> members.status().draining() == 0);
       long furtherCalls = load.stats().total() + 200;
       Await.until("calls", () -> load.stats().total() > furtherCalls);
-      assertEquals(received, fixture.servers.get(2).received());
+      assertEquals(received, fixture.servers.get(2).receivedCount());
       load.stop();
       assertEquals(0, lostCount(load));
     }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -8,9 +8,9 @@
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,7 +23,8 @@
 
 /** Runs several balancer processes that share servers, with faults between them. */
 class SubsetFleetTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
   private static final int SERVERS = 12;
   private static final String TABLE =
       "width = 4\nstep = \"200ms\"\nsettle = \"500ms\"\nmost_moved = 0.3\nalone_steps = 5\n";
@@ -118,12 +119,12 @@
   /** Calls of the most loaded server during 3 s, divided by the mean. */
   private static double spread(Fleet fleet) {
     try {
-      long[] before = fleet.servers().stream().mapToLong(StandIn::received).toArray();
+      long[] before = fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).toArray();
       Thread.sleep(3000);
       long most = 0;
       long sum = 0;
       for (int i = 0; i < SERVERS; i++) {
-        long calls = fleet.servers().get(i).received() - before[i];
+        long calls = fleet.servers().get(i).receivedCount() - before[i];
         most = Math.max(most, calls);
         sum += calls;
       }
@@ -209,8 +210,8 @@
     try (Fleet fleet = fleet(64, 3, 3)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes, 3);
-      List<StandIn> rest = new ArrayList<>(fleet.servers());
-      StandIn removed = rest.remove(4);
+      List<SimulatedServer> rest = new ArrayList<>(fleet.servers());
+      SimulatedServer removed = rest.remove(4);
       for (Node node : nodes) {
         fleet.writeServerList(node, rest);
       }
@@ -222,9 +223,9 @@
                     && !subsetOf(node).contains(removed.name()));
       }
       Await.until("all other servers are used", () -> usedServers(nodes).size() == SERVERS - 1);
-      long calls = removed.received();
+      long calls = removed.receivedCount();
       Thread.sleep(500);
-      assertEquals(calls, removed.received());
+      assertEquals(calls, removed.receivedCount());
       assertFalse(subsetOf(nodes.get(0)).isEmpty());
       Map<String, Object> serverPage = nodes.get(0).get("subset/" + rest.get(0).name());
       assertTrue(((List<?>) serverPage.get("users")).size() >= 2, serverPage::toString);
@@ -243,15 +244,15 @@
       awaitSettled(nodes, 3);
       Node node = nodes.get(0);
       TreeSet<String> subset = awaitSubset(node);
-      List<StandIn> failing =
+      List<SimulatedServer> failing =
           fleet.servers().stream().filter(each -> subset.contains(each.name())).toList();
-      failing.forEach(each -> each.faults().errors(1));
+      failing.forEach(each -> each.faults().errorShare(1));
       long before = receivedOutside(fleet, subset);
       Await.until(
           "calls go to servers outside the subset",
           () -> receivedOutside(fleet, subset) > before + 50);
       Await.until("most calls are served", () -> servedShare(loads.get(node)) > 0.7);
-      failing.forEach(each -> each.faults().errors(0));
+      failing.forEach(each -> each.faults().errorShare(0));
       Await.until(
           "its own servers get the calls again",
           // Their windows grow again only slowly, so some calls still find no room there.
@@ -278,7 +279,7 @@
   private static long receivedOutside(Fleet fleet, TreeSet<String> subset) {
     return fleet.servers().stream()
         .filter(each -> !subset.contains(each.name()))
-        .mapToLong(StandIn::received)
+        .mapToLong(SimulatedServer::receivedCount)
         .sum();
   }
 }
--- a/src/test/java/heathswitch/testbed/TestbedTest.java
+++ b/src/test/java/heathswitch/testbed/TestbedTest.java
@@ -7,9 +7,9 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Checks that stand-in servers behave as configured and that the load counts every request. */
+/** Checks that simulated servers behave as configured and that the load counts every request. */
 @Timeout(120)
 class TestbedTest {
   private static final InetSocketAddress ANY_LOOPBACK_PORT = new InetSocketAddress("127.0.0.1", 0);
@@ -34,11 +34,11 @@
     loops.shutdownGracefully(0, 2, TimeUnit.SECONDS);
   }
 
-  private StandIn startServer(Shape shape) throws Exception {
-    return new StandIn(loops.next(), "s", shape, 1, null).start(ANY_LOOPBACK_PORT);
+  private SimulatedServer startServer(ServerProfile shape) throws Exception {
+    return new SimulatedServer(loops.next(), "s", shape, 1, null).start(ANY_LOOPBACK_PORT);
   }
 
-  private static Socket sendRequests(StandIn server, int requests) throws IOException {
+  private static Socket sendRequests(SimulatedServer server, int requests) throws IOException {
     Socket socket = new Socket("127.0.0.1", server.address().getPort());
     socket.setSoTimeout(30_000);
     for (int i = 0; i < requests; i++) {
@@ -67,26 +67,27 @@
   void addressesOutsideLoopbackAreRejected() {
     InetSocketAddress remote = new InetSocketAddress("192.0.2.1", 80);
     assertThrows(IllegalArgumentException.class, () -> newLoad(remote, 1, 1));
-    Shape shape = Shape.warm(1, 1, ServiceTime.fixed(1));
-    StandIn server = new StandIn(loops.next(), "s", shape, 1, null);
+    ServerProfile shape = ServerProfile.alwaysWarm(1, 1, ServiceTime.fixed(1));
+    SimulatedServer server = new SimulatedServer(loops.next(), "s", shape, 1, null);
     assertThrows(IllegalArgumentException.class, () -> server.start(remote));
   }
 
   /** One request is processed, one is queued, and the third is refused without being run. */
   @Test
   void aFullServerRefusesRequests() throws Exception {
-    try (StandIn server = startServer(Shape.warm(1, 1, ServiceTime.fixed(300_000)));
+    try (SimulatedServer server =
+            startServer(ServerProfile.alwaysWarm(1, 1, ServiceTime.fixed(300_000)));
         Socket first = sendRequests(server, 1)) {
-      while (server.received() < 1) {
+      while (server.receivedCount() < 1) {
         Thread.sleep(1);
       }
       try (Socket second = sendRequests(server, 1)) {
-        while (server.received() < 2) {
+        while (server.receivedCount() < 2) {
           Thread.sleep(1);
         }
         try (Socket third = sendRequests(server, 1)) {
           assertEquals("HTTP/1.1 503 Service Unavailable\r\n", read(third, 34));
-          assertEquals(1, server.turnedAway());
+          assertEquals(1, server.refusedCount());
         }
       }
     }
@@ -94,31 +95,32 @@
 
   @Test
   void faultsCanBeSwitchedWhileTheServerRuns() throws Exception {
-    try (StandIn server = startServer(Shape.warm(4, 4, ServiceTime.fixed(1)))) {
+    try (SimulatedServer server =
+        startServer(ServerProfile.alwaysWarm(4, 4, ServiceTime.fixed(1)))) {
       try (Socket good = sendRequests(server, 1)) {
         assertEquals("HTTP/1.1 200 OK", read(good, 15));
       }
-      server.faults().errors(1);
+      server.faults().errorShare(1);
       try (Socket bad = sendRequests(server, 1)) {
         assertEquals("HTTP/1.1 500 In", read(bad, 15));
       }
-      server.faults().errors(0).spoilt(1);
+      server.faults().errorShare(0).malformedShare(1);
       try (Socket bad = sendRequests(server, 1)) {
         assertTrue(read(bad, 28).contains("no colon"));
       }
-      server.faults().spoilt(0).resets(1);
+      server.faults().malformedShare(0).resetShare(1);
       try (Socket bad = sendRequests(server, 1)) {
         assertThrows(IOException.class, () -> bad.getInputStream().read());
       }
-      server.faults().resets(0).silent(true);
-      long received = server.received();
+      server.faults().resetShare(0).unresponsive(true);
+      long received = server.receivedCount();
       try (Socket silent = sendRequests(server, 1)) {
-        while (server.received() == received) {
+        while (server.receivedCount() == received) {
           Thread.sleep(1);
         }
         assertEquals(0, silent.getInputStream().available());
       }
-      server.faults().silent(false);
+      server.faults().unresponsive(false);
       try (Socket good = sendRequests(server, 1)) {
         assertEquals("HTTP/1.1 200 OK", read(good, 15));
       }
@@ -128,8 +130,8 @@
   /** The service time depends on the speed at the start of the work, which is low when cold. */
   @Test
   void aColdServerIsSlow() throws Exception {
-    Shape shape = new Shape(1, 10, ServiceTime.fixed(10), 0.02, 3_600_000);
-    try (StandIn server = startServer(shape)) {
+    ServerProfile shape = new ServerProfile(1, 10, ServiceTime.fixed(10), 0.02, 3_600_000);
+    try (SimulatedServer server = startServer(shape)) {
       long startNanos = System.nanoTime();
       try (Socket cold = sendRequests(server, 1)) {
         read(cold, 15);
@@ -143,7 +145,8 @@
   /** The latency of all requests during a stall counts from their intended times. */
   @Test
   void aStallIsMeasuredByEveryRequestThatIsDueDuringIt() throws Exception {
-    try (StandIn server = startServer(Shape.warm(64, 64, ServiceTime.fixed(400)))) {
+    try (SimulatedServer server =
+        startServer(ServerProfile.alwaysWarm(64, 64, ServiceTime.fixed(400)))) {
       HttpLoadGenerator load = newLoad(server.address(), 200, 20_000).start();
       awaitResults(load, 100);
       load.stop();
@@ -161,8 +164,9 @@
 
   @Test
   void requestsWithoutAnAnswerAreLost() throws Exception {
-    try (StandIn server = startServer(Shape.warm(4, 4, ServiceTime.fixed(1)))) {
-      server.faults().silent(true);
+    try (SimulatedServer server =
+        startServer(ServerProfile.alwaysWarm(4, 4, ServiceTime.fixed(1)))) {
+      server.faults().unresponsive(true);
       HttpLoadGenerator load = newLoad(server.address(), 100, 50).start();
       awaitResults(load, 20);
       load.stop();
--- a/src/test/java/heathswitch/testbed/fleet/HistoryTest.java
+++ b/src/test/java/heathswitch/testbed/fleet/HistoryTest.java
@@ -9,7 +9,7 @@
   private final History history = new History();
 
   private void call(String server) {
-    history.arrived(server, "/api/view-1", System.nanoTime());
+    history.onRequest(server, "/api/view-1", System.nanoTime());
   }
 
   @Test
--- a/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
+++ b/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -15,7 +15,7 @@
  */
 @Timeout(90)
 class ReloadSeriesTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
+  private static final ServerProfile SHAPE = ServerProfile.alwaysWarm(8, 64, ServiceTime.fixed(5));
   private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final long READ_DELAY_MILLIS = 400;
   private static final long RELOAD_INTERVAL_MILLIS = 50;
--- a/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
+++ b/src/test/java/heathswitch/testbed/platform/SystemFaultsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -23,7 +23,7 @@
 /** One balancer process whose system calls fail for a short time or whose wall clock is stepped. */
 @Timeout(120)
 class SystemFaultsTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
+  private static final ServerProfile SHAPE = ServerProfile.alwaysWarm(8, 64, ServiceTime.fixed(5));
   private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final int FAILURES = 4;
 
@@ -168,7 +168,7 @@
       KeepAliveLoad load = fleet.startKeepAliveLoad(balancer, 60);
       Await.until("served requests", () -> load.counts().served() > 150);
       load.stop();
-      long sent = fleet.server(cold).received();
+      long sent = fleet.server(cold).receivedCount();
       assertTrue(sent > 0 && sent < 15, "a full share is 25 requests, the cold server got " + sent);
     }
   }
--- a/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
@@ -5,8 +5,8 @@
 
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,8 @@
  */
 @Timeout(120)
 class UnreachableDiscoveryTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(20));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(20));
   private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final int BALANCERS = 3;
   private static final int SERVERS = 6;
