--- a/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
+++ b/src/main/java/heathswitch/proxy/grpc/AttemptStream.java
@@ -28,7 +28,7 @@
         BufferingTimer.Listener {
   private final GrpcServer server;
   private final GrpcCall call;
-  private UpstreamConnection connection;
+  private GrpcUpstreamConnection connection;
   private Attempt attempt;
   private int id = -1;
   private boolean mayHaveRun;
@@ -44,7 +44,8 @@
   /** Whether the answer is streamed to the caller as it arrives. */
   private boolean streaming;
 
-  AttemptStream(GrpcServer server, UpstreamConnection connection, Attempt attempt, GrpcCall call) {
+  AttemptStream(
+      GrpcServer server, GrpcUpstreamConnection connection, Attempt attempt, GrpcCall call) {
     this.server = server;
     this.connection = connection;
     this.attempt = attempt;
@@ -57,7 +58,7 @@
   }
 
   /** Moves the stream, which is not open yet, to another connection. */
-  void moveTo(UpstreamConnection other) {
+  void moveTo(GrpcUpstreamConnection other) {
     connection = other;
   }
 
--- a/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcCall.java
@@ -31,7 +31,7 @@
   private static final String HEALTH_SERVICE_PATH = "/grpc.health.v1.Health/";
 
   private final GrpcServer server;
-  private final ClientConnection connection;
+  private final GrpcClientConnection connection;
   private final int id;
   private Http2Headers headers;
   private GrpcConfig.MethodConfig method;
@@ -62,7 +62,7 @@
   /** When the end of the answer was written; 0 if it was not. */
   private long finalWriteNanos;
 
-  GrpcCall(GrpcServer server, ClientConnection connection, int id) {
+  GrpcCall(GrpcServer server, GrpcClientConnection connection, int id) {
     this.server = server;
     this.connection = connection;
     this.id = id;
--- a/src/main/java/heathswitch/proxy/grpc/ClientConnection.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcClientConnection.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http2.Http2Settings;
 
 /** A client's HTTP/2 connection; each stream on it is one gRPC call. */
-final class ClientConnection extends InboundConnection {
+final class GrpcClientConnection extends InboundConnection {
   /** PING and SETTINGS frames that a client may send within {@link #CONTROL_FRAME_WINDOW_NANOS}. */
   private static final int MAX_CONTROL_FRAMES = 200;
 
@@ -24,7 +24,7 @@
   private long idleSinceNanos;
   private long closeAtNanos;
 
-  ClientConnection(
+  GrpcClientConnection(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
--- a/src/main/java/heathswitch/proxy/grpc/GrpcConfig.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConfig.java
@@ -77,7 +77,7 @@
       String tenant = section.optionalString("tenant");
       BufferingMode mode = section.enumValue("mode", BufferingMode.AUTO, BufferingMode.class);
       if (validPath && methods.containsKey(path)) {
-        section.addError("path", "\"" + path + "\" stands twice; another one expected");
+        section.addError("path", "\"" + path + "\" is used twice; another one expected");
       }
       methods.put(path == null ? "?" : path, new MethodConfig(path, requestClass, tenant, mode));
       section.rejectUnknownKeys();
--- a/src/main/java/heathswitch/proxy/grpc/GrpcConnectionPool.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcConnectionPool.java
@@ -36,10 +36,10 @@
   private final Bootstrap bootstrap;
 
   /** The connections that accept new streams; others close after their last stream. */
-  private final Map<Upstream, List<UpstreamConnection>> available = new HashMap<>();
+  private final Map<Upstream, List<GrpcUpstreamConnection>> available = new HashMap<>();
 
   /** All connections that are not closed yet, including those that accept no new streams. */
-  private final Set<UpstreamConnection> openConnections = new HashSet<>();
+  private final Set<GrpcUpstreamConnection> openConnections = new HashSet<>();
 
   GrpcConnectionPool(
       GrpcServer server,
@@ -71,7 +71,7 @@
     if (upstream.grpcAddress == null) {
       return false;
     }
-    UpstreamConnection connection = acquire(upstream);
+    GrpcUpstreamConnection connection = acquire(upstream);
     if (connection == null) {
       return false;
     }
@@ -84,7 +84,7 @@
 
   /** Moves a stream for which its connection turned out to have no room to another connection. */
   void reassign(AttemptStream stream) {
-    UpstreamConnection connection = acquire(stream.upstream());
+    GrpcUpstreamConnection connection = acquire(stream.upstream());
     if (connection == null) {
       stream.onNoConnection();
     } else {
@@ -94,8 +94,8 @@
   }
 
   /** Returns a connection with room for a stream, or a new one; null if no descriptor is free. */
-  private UpstreamConnection acquire(Upstream upstream) {
-    for (UpstreamConnection connection : available.getOrDefault(upstream, List.of())) {
+  private GrpcUpstreamConnection acquire(Upstream upstream) {
+    for (GrpcUpstreamConnection connection : available.getOrDefault(upstream, List.of())) {
       if (connection.hasRoom()) {
         return connection;
       }
@@ -103,15 +103,15 @@
     return budget.availableConnections() > 0 || evictIdle.getAsBoolean() ? connect(upstream) : null;
   }
 
-  private UpstreamConnection connect(Upstream upstream) {
-    UpstreamConnection connection =
+  private GrpcUpstreamConnection connect(Upstream upstream) {
+    GrpcUpstreamConnection connection =
         MultiplexedConnection.build(
             false,
             0,
             GrpcHeaders.MAX_HEADER_BYTES,
             GrpcHeaders.NEVER_INDEXED,
             (decoder, encoder, settings) ->
-                new UpstreamConnection(decoder, encoder, settings, this, upstream, clock));
+                new GrpcUpstreamConnection(decoder, encoder, settings, this, upstream, clock));
     ChannelFuture connecting = bootstrap.clone().handler(connection).connect(upstream.grpcAddress);
     if (!Channels.hasSocket(connecting.channel())) {
       // Handled like a lack of descriptors: the attempt ends and may be made elsewhere.
@@ -125,13 +125,13 @@
     return connection;
   }
 
-  void onClosed(UpstreamConnection connection) {
+  void onClosed(GrpcUpstreamConnection connection) {
     remove(connection);
     openConnections.remove(connection);
   }
 
-  void remove(UpstreamConnection connection) {
-    List<UpstreamConnection> candidates = available.get(connection.upstream());
+  void remove(GrpcUpstreamConnection connection) {
+    List<GrpcUpstreamConnection> candidates = available.get(connection.upstream());
     if (candidates != null && candidates.remove(connection) && candidates.isEmpty()) {
       available.remove(connection.upstream());
     }
@@ -141,7 +141,7 @@
   @Override
   public void closeIdle(Upstream upstream) {
     List.copyOf(available.getOrDefault(upstream, List.of()))
-        .forEach(UpstreamConnection::stopNewStreams);
+        .forEach(GrpcUpstreamConnection::stopNewStreams);
   }
 
   @Override
--- a/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcServer.java
@@ -34,7 +34,7 @@
   private final GrpcConnectionPool pool;
   private final SplittableRandom random;
   private final BufferingTimer bufferingTimer;
-  private final Set<ClientConnection> connections = new HashSet<>();
+  private final Set<GrpcClientConnection> connections = new HashSet<>();
   private Channel listener;
   private boolean draining;
   private String forbiddenHeader;
@@ -82,13 +82,14 @@
       channel.close();
       return;
     }
-    ClientConnection connection =
+    GrpcClientConnection connection =
         MultiplexedConnection.build(
             true,
             config.maxStreamsPerConnection(),
             GrpcHeaders.MAX_HEADER_BYTES,
             GrpcHeaders.NEVER_INDEXED,
-            (decoder, encoder, settings) -> new ClientConnection(decoder, encoder, settings, this));
+            (decoder, encoder, settings) ->
+                new GrpcClientConnection(decoder, encoder, settings, this));
     connections.add(connection);
     channel.closeFuture().addListener(closed -> connections.remove(connection));
     long nowNanos = clock.nowNanos();
@@ -155,7 +156,7 @@
   @Override
   public void startDraining() {
     draining = true;
-    List.copyOf(connections).forEach(ClientConnection::closeGracefully);
+    List.copyOf(connections).forEach(GrpcClientConnection::closeGracefully);
   }
 
   @Override
@@ -175,6 +176,6 @@
 
   @Override
   public void closeIdle() {
-    List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
+    List.copyOf(connections).forEach(GrpcClientConnection::closeIfIdle);
   }
 }
--- a/src/main/java/heathswitch/proxy/grpc/UpstreamConnection.java
+++ b/src/main/java/heathswitch/proxy/grpc/GrpcUpstreamConnection.java
@@ -11,7 +11,7 @@
 import java.util.ArrayDeque;
 
 /** An HTTP/2 connection to an upstream; each stream on it is one attempt. */
-final class UpstreamConnection extends MultiplexedConnection {
+final class GrpcUpstreamConnection extends MultiplexedConnection {
   /**
    * Assumed limit until the SETTINGS of the upstream arrive: the minimum that RFC 9113, section
    * 6.5.2 recommends.
@@ -65,7 +65,7 @@
   private int resets;
   private long resetWindowStartNanos;
 
-  UpstreamConnection(
+  GrpcUpstreamConnection(
       Http2ConnectionDecoder decoder,
       Http2ConnectionEncoder encoder,
       Http2Settings settings,
