--- a/src/main/java/heathswitch/testbed/fleet/Fleet.java
+++ b/src/main/java/heathswitch/testbed/fleet/Fleet.java
@@ -10,8 +10,8 @@
 import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.SimulatedServer;
-import heathswitch.testbed.site.DatagramLine;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.DatagramProxy;
+import heathswitch.testbed.site.DelayProxy;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -139,12 +139,12 @@
       consensusAddresses.add(BalancerProcess.freeAddress());
     }
     for (int i = 0; i < count; i++) {
-      Map<String, DelayLine> peerProxies = new LinkedHashMap<>();
+      Map<String, DelayProxy> peerProxies = new LinkedHashMap<>();
       for (int j = 0; j < count; j++) {
         if (j != i) {
           peerProxies.put(
               instanceName(j),
-              new DelayLine(proxyLoops.next(), consensusAddresses.get(j), 0, 0, seed++).start());
+              new DelayProxy(proxyLoops.next(), consensusAddresses.get(j), 0, 0, seed++).start());
         }
       }
       Node node =
@@ -158,7 +158,8 @@
               JVM_FLAGS);
       nodes.put(node.name, node);
       for (SimulatedServer server : proxiesServers ? servers : List.<SimulatedServer>of()) {
-        DelayLine proxy = new DelayLine(proxyLoops.next(), server.address(), 0, 0, seed++).start();
+        DelayProxy proxy =
+            new DelayProxy(proxyLoops.next(), server.address(), 0, 0, seed++).start();
         node.serverProxies.put(server.name(), proxy);
       }
       writeServerList(node, servers);
@@ -170,7 +171,7 @@
           if (other != node) {
             node.datagramProxies.put(
                 other.name,
-                new DatagramLine(proxyLoops.next(), other.gossipAddress, seed++).start());
+                new DatagramProxy(proxyLoops.next(), other.gossipAddress, seed++).start());
           }
         }
         Files.writeString(node.gossipKeyFile(), gossipKeys);
@@ -208,7 +209,7 @@
   public ListedServer listEntry(Node node, SimulatedServer server) {
     String kind = server.name().substring(0, server.name().lastIndexOf('-'));
     ListedServer entry = BalancerFolder.listEntry(server, "a", kind, 1);
-    DelayLine proxy = node.serverProxy(server);
+    DelayProxy proxy = node.serverProxy(server);
     String address = proxy == null ? entry.endpoint() : "127.0.0.1:" + proxy.address().getPort();
     long cell = cellByServer.get(server.name());
     return new ListedServer(entry.id(), address, entry.zone(), kind, cell, 1, true);
@@ -343,11 +344,11 @@
   public void setPartitioned(List<Node> one, List<Node> other, boolean partitioned) {
     for (Node from : one) {
       for (Node to : other) {
-        from.peerProxies.get(to.name).cut(partitioned);
-        to.peerProxies.get(from.name).cut(partitioned);
+        from.peerProxies.get(to.name).setCut(partitioned);
+        to.peerProxies.get(from.name).setCut(partitioned);
         if (gossipKeys != null) {
-          from.datagramProxies.get(to.name).mute(partitioned, partitioned);
-          to.datagramProxies.get(from.name).mute(partitioned, partitioned);
+          from.datagramProxies.get(to.name).setMuted(partitioned, partitioned);
+          to.datagramProxies.get(from.name).setMuted(partitioned, partitioned);
         }
       }
     }
@@ -360,13 +361,13 @@
    * @param inbound whether traffic to the instance is discarded
    */
   public void setMuted(Node node, boolean outbound, boolean inbound) {
-    node.peerProxies.values().forEach(proxy -> proxy.mute(outbound, inbound));
-    node.datagramProxies.values().forEach(proxy -> proxy.mute(outbound, inbound));
+    node.peerProxies.values().forEach(proxy -> proxy.setMuted(outbound, inbound));
+    node.datagramProxies.values().forEach(proxy -> proxy.setMuted(outbound, inbound));
     for (Node other : nodes.values()) {
       if (other != node) {
-        other.peerProxies.get(node.name).mute(inbound, outbound);
+        other.peerProxies.get(node.name).setMuted(inbound, outbound);
         if (gossipKeys != null) {
-          other.datagramProxies.get(node.name).mute(inbound, outbound);
+          other.datagramProxies.get(node.name).setMuted(inbound, outbound);
         }
       }
     }
--- a/src/main/java/heathswitch/testbed/fleet/Node.java
+++ b/src/main/java/heathswitch/testbed/fleet/Node.java
@@ -4,8 +4,8 @@
 import heathswitch.testbed.balancer.BalancerProcess;
 import heathswitch.testbed.balancer.Folders;
 import heathswitch.testbed.server.SimulatedServer;
-import heathswitch.testbed.site.DatagramLine;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.DatagramProxy;
+import heathswitch.testbed.site.DelayProxy;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -49,18 +49,18 @@
   final BalancerFolder folder;
 
   /** Proxies to the other instances, by instance name. */
-  final Map<String, DelayLine> peerProxies;
+  final Map<String, DelayProxy> peerProxies;
 
   private final List<String> jvmFlags;
 
   /** Proxies to servers, by server name; empty if the instance connects to them directly. */
-  final Map<String, DelayLine> serverProxies = new HashMap<>();
+  final Map<String, DelayProxy> serverProxies = new HashMap<>();
 
   /** Address on which it receives gossip datagrams; null without gossip. */
   InetSocketAddress gossipAddress;
 
   /** Datagram proxies to the other instances, by instance name. */
-  final Map<String, DatagramLine> datagramProxies = new HashMap<>();
+  final Map<String, DatagramProxy> datagramProxies = new HashMap<>();
 
   /** JVM flags of this instance only. */
   private List<String> extraJvmFlags = List.of();
@@ -76,7 +76,7 @@
       InetSocketAddress admin,
       InetSocketAddress consensusAddress,
       BalancerFolder workplace,
-      Map<String, DelayLine> peerProxies,
+      Map<String, DelayProxy> peerProxies,
       List<String> jvmFlags) {
     this.name = name;
     this.listen = listen;
@@ -120,12 +120,12 @@
   }
 
   /** Returns its proxy to a server, or null if it connects to the server directly. */
-  public DelayLine serverProxy(SimulatedServer server) {
+  public DelayProxy serverProxy(SimulatedServer server) {
     return serverProxies.get(server.name());
   }
 
   /** Returns its datagram proxy to another instance. */
-  public DatagramLine datagramProxy(Node to) {
+  public DatagramProxy datagramProxy(Node to) {
     return datagramProxies.get(to.name);
   }
 
@@ -267,9 +267,9 @@
       process.kill();
       process.close();
     }
-    peerProxies.values().forEach(DelayLine::close);
-    serverProxies.values().forEach(DelayLine::close);
-    datagramProxies.values().forEach(DatagramLine::close);
+    peerProxies.values().forEach(DelayProxy::close);
+    serverProxies.values().forEach(DelayProxy::close);
+    datagramProxies.values().forEach(DatagramProxy::close);
     folder.close();
   }
 }
--- a/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/GatewayMeasurement.java
@@ -6,8 +6,8 @@
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.site.Authority;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.CertificateAuthority;
+import heathswitch.testbed.site.DelayProxy;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -78,14 +78,14 @@
 
   private void start(Path folder) throws Exception {
     Figures.progress("starting " + NAMES.size() + " sites with " + SiteRig.GATEWAYS + " gateways");
-    Authority authority = new Authority(folder, "ca");
+    CertificateAuthority authority = new CertificateAuthority(folder, "ca");
     ServerProfile shape =
         ServerProfile.alwaysWarm(CORES, QUEUE, ServiceTime.lognormal(WORK_MILLIS, SPREAD));
     for (String name : NAMES) {
       sites.add(new SiteRig(name, servers, SERVERS, shape, ledger, seed += 10));
     }
     for (SiteRig site : sites) {
-      authority.sign(site.name, site.name);
+      authority.issue(site.name, site.name);
     }
     ExecutorService starting = Executors.newFixedThreadPool(sites.size());
     List<Callable<Void>> starts = new ArrayList<>();
@@ -256,18 +256,18 @@
       loads.add(load(site, site == first ? 1.4 : EASY));
     }
     Thread.sleep(unit / 2);
-    List<DelayLine> reset = all(first, 0);
-    List<DelayLine> silent = all(first, 1);
+    List<DelayProxy> reset = all(first, 0);
+    List<DelayProxy> silent = all(first, 1);
     long crossedBefore = first.sum("served");
     Thread.sleep(500);
     double rate = (first.sum("served") - crossedBefore) / 0.5;
     long lateBefore = SiteRig.count(loads.get(0), LoadStats.Result.LOST);
     long crossed = first.sum("calls");
-    reset.forEach(line -> line.cut(true));
-    silent.forEach(line -> line.mute(true, true));
+    reset.forEach(line -> line.setCut(true));
+    silent.forEach(line -> line.setMuted(true, true));
     Thread.sleep(unit / 2);
-    reset.forEach(line -> line.cut(false));
-    silent.forEach(line -> line.mute(false, false));
+    reset.forEach(line -> line.setCut(false));
+    silent.forEach(line -> line.setMuted(false, false));
     long mended = System.nanoTime();
     double recovery = -1;
     long servedBefore = first.sum("served");
@@ -294,7 +294,7 @@
   }
 
   /** The ways of one gateway of a site to all others. */
-  private static List<DelayLine> all(SiteRig site, int gateway) {
+  private static List<DelayProxy> all(SiteRig site, int gateway) {
     return site.ways.get(gateway).values().stream().flatMap(List::stream).toList();
   }
 
--- a/src/main/java/heathswitch/testbed/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -8,8 +8,8 @@
 import heathswitch.testbed.client.RequestKind;
 import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.SimulatedServer;
-import heathswitch.testbed.site.Authority;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.CertificateAuthority;
+import heathswitch.testbed.site.DelayProxy;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,7 +37,7 @@
   final List<BalancerProcess> balancers = new ArrayList<>();
 
   /** Of each gateway here, its ways to the gateways of other sites. */
-  final List<Map<String, List<DelayLine>>> ways = new ArrayList<>();
+  final List<Map<String, List<DelayProxy>>> ways = new ArrayList<>();
 
   private final List<BalancerFolder> workplaces = new ArrayList<>();
 
@@ -64,23 +64,24 @@
    * Writes the configurations of all gateways here and starts them; returns when they run. The
    * authority has signed for the site.
    */
-  void start(List<SiteRig> all, NioEventLoopGroup group, Authority authority, Path folder)
+  void start(
+      List<SiteRig> all, NioEventLoopGroup group, CertificateAuthority authority, Path folder)
       throws Exception {
     for (int i = 0; i < GATEWAYS; i++) {
-      Map<String, List<DelayLine>> of = new LinkedHashMap<>();
+      Map<String, List<DelayProxy>> of = new LinkedHashMap<>();
       ways.add(of);
       StringBuilder table = new StringBuilder();
       table.append("[gateway]\nsite = \"").append(name).append("\"\nlisten = ");
       table.append(quoted(gateways.get(i)));
       table.append("\ncertificate = \"").append(folder.resolve(name + ".pem"));
       table.append("\"\nkey = \"").append(folder.resolve(name + ".key"));
-      table.append("\"\nauthority = \"").append(authority.certificate()).append("\"\n");
+      table.append("\"\nauthority = \"").append(authority.certificateFile()).append("\"\n");
       for (SiteRig other : all) {
         if (other != this) {
-          List<DelayLine> lines = new ArrayList<>();
+          List<DelayProxy> lines = new ArrayList<>();
           List<String> addresses = new ArrayList<>();
           for (InetSocketAddress gateway : other.gateways) {
-            lines.add(new DelayLine(group.next(), gateway, 5.6, 10, lines.size()).start());
+            lines.add(new DelayProxy(group.next(), gateway, 5.6, 10, lines.size()).start());
             addresses.add(quoted(lines.get(lines.size() - 1).address()));
           }
           of.put(other.name, lines);
@@ -190,7 +191,7 @@
       balancer.kill();
       balancer.close();
     }
-    ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayLine::close)));
+    ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayProxy::close)));
     servers.forEach(SimulatedServer::close);
     for (BalancerFolder workplace : workplaces) {
       workplace.close();
--- a/src/main/java/heathswitch/testbed/site/package-info.java
+++ b/src/main/java/heathswitch/testbed/site/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What lies between sites: ways that take time, lose things and break, and an authority for them.
+ * The network between sites: proxies that inject delays, losses and broken connections, and a
+ * certificate authority.
  */
 package heathswitch.testbed.site;
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import heathswitch.proxy.config.ConfigDocument;
-import heathswitch.testbed.site.Authority;
+import heathswitch.testbed.site.CertificateAuthority;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -103,10 +103,10 @@
 
   @Test
   void unusableFilesAreReported() throws Exception {
-    Authority authority = new Authority(folder, "ca");
-    authority.sign("a", "hat-yai");
-    authority.sign("b", "bangkok");
-    authority.signExpired("old", "hat-yai");
+    CertificateAuthority authority = new CertificateAuthority(folder, "ca");
+    authority.issue("a", "hat-yai");
+    authority.issue("b", "bangkok");
+    authority.issueExpired("old", "hat-yai");
     Files.writeString(folder.resolve("none.pem"), "nothing\n");
     assertNull(problem("a.pem", "a.key", "ca.pem", "hat-yai"));
     assertEquals(
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTest.java
@@ -6,7 +6,7 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.DelayProxy;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -117,12 +117,12 @@
     try (SitesFixture sites = peerSiteWithTwoGateways()) {
       SitesFixture.Site home = sites.site("hat-yai");
       HttpLoadGenerator load = loadUntilForwarded(sites, VIEW, 5000);
-      DelayLine path = home.paths.get("bangkok-1");
+      DelayProxy path = home.paths.get("bangkok-1");
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
       if (reset) {
-        path.breakAll();
+        path.resetConnections();
       } else {
-        path.mute(true, true);
+        path.setMuted(true, true);
       }
       Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long refusedBefore = load.stats().count(LoadStats.Result.FAILED);
@@ -151,12 +151,12 @@
       HttpLoadGenerator load =
           loadUntilForwarded(sites, type.equals("keyed") ? KEYED : PUBLISH, 5000);
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
-      DelayLine path = home.paths.get("bangkok-1");
+      DelayProxy path = home.paths.get("bangkok-1");
       long since = System.nanoTime();
       if (reset) {
-        path.breakAll();
+        path.resetConnections();
       } else {
-        path.mute(true, true);
+        path.setMuted(true, true);
       }
       Await.until("failure reported", () -> load.stats().count(LoadStats.Result.FAILED) > 0);
       long millis = (System.nanoTime() - since) / 1_000_000;
@@ -176,11 +176,11 @@
       SitesFixture.Site home = sites.site("hat-yai");
       HttpLoadGenerator load = loadUntilForwarded(sites, VIEW, 5000);
       Await.until("calls are in flight on both links", () -> inFlightOnBothLinks(home));
-      home.paths.get("bangkok-1").mute(outbound, !outbound);
+      home.paths.get("bangkok-1").setMuted(outbound, !outbound);
       Await.until("the broken link is detected", () -> home.links().get(0).get("state") != "up");
       long before = home.sum("bangkok", "served");
       Await.until("the other link serves calls", () -> home.sum("bangkok", "served") > before + 10);
-      home.paths.get("bangkok-1").mute(false, false);
+      home.paths.get("bangkok-1").setMuted(false, false);
       Await.until("the link is up again", () -> home.links().get(0).get("state").equals("up"));
       load.stop();
       assertEquals(0, load.stats().count(LoadStats.Result.LOST));
--- a/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/MutualTlsTest.java
@@ -8,7 +8,7 @@
 import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.client.RequestKind;
-import heathswitch.testbed.site.Authority;
+import heathswitch.testbed.site.CertificateAuthority;
 import io.netty.handler.ssl.JdkSslContext;
 import io.netty.handler.ssl.SslContextBuilder;
 import io.netty.handler.ssl.SslProvider;
@@ -63,29 +63,29 @@
         new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10).startLinked(true)) {
       SitesFixture.Site home = sites.site("hat-yai");
       Path folder = sites.folder();
-      Authority authority = sites.authority();
-      Authority otherAuthority = new Authority(folder, "other");
-      authority.sign("good", "bangkok");
-      authority.sign("stranger", "udon");
-      authority.signExpired("expired", "bangkok");
-      otherAuthority.sign("foreign", "bangkok");
-      assertTrue(accepts(home, clientContext(folder, "good", authority.certificate())));
+      CertificateAuthority authority = sites.authority();
+      CertificateAuthority otherAuthority = new CertificateAuthority(folder, "other");
+      authority.issue("good", "bangkok");
+      authority.issue("stranger", "udon");
+      authority.issueExpired("expired", "bangkok");
+      otherAuthority.issue("foreign", "bangkok");
+      assertTrue(accepts(home, clientContext(folder, "good", authority.certificateFile())));
       assertFalse(
-          accepts(home, clientContext(folder, "stranger", authority.certificate())),
+          accepts(home, clientContext(folder, "stranger", authority.certificateFile())),
           "not a peer site");
       assertFalse(
-          accepts(home, clientContext(folder, "expired", authority.certificate())), "expired");
+          accepts(home, clientContext(folder, "expired", authority.certificateFile())), "expired");
       assertFalse(
-          accepts(home, clientContext(folder, "foreign", authority.certificate())),
+          accepts(home, clientContext(folder, "foreign", authority.certificateFile())),
           "other authority");
       assertFalse(
-          accepts(home, clientContext(folder, "good", authority.certificate()), "TLSv1.2"),
+          accepts(home, clientContext(folder, "good", authority.certificateFile()), "TLSv1.2"),
           "TLS 1.2");
       SSLContext anonymous =
           ((JdkSslContext)
                   SslContextBuilder.forClient()
                       .sslProvider(SslProvider.JDK)
-                      .trustManager(authority.certificate().toFile())
+                      .trustManager(authority.certificateFile().toFile())
                       .build())
               .context();
       assertFalse(accepts(home, anonymous), "no certificate");
@@ -98,14 +98,14 @@
     try (SitesFixture sites =
         new SitesFixture().site("hat-yai", 1, 1, 10).site("bangkok", 1, 1, 10)) {
       Path folder = sites.folder();
-      Authority authority = sites.authority();
-      authority.sign("udon", "udon");
+      CertificateAuthority authority = sites.authority();
+      authority.issue("udon", "udon");
       SSLContext udon =
           ((JdkSslContext)
                   SslContextBuilder.forServer(
                           folder.resolve("udon.pem").toFile(), folder.resolve("udon.key").toFile())
                       .sslProvider(SslProvider.JDK)
-                      .trustManager(authority.certificate().toFile())
+                      .trustManager(authority.certificateFile().toFile())
                       .build())
               .context();
       SitesFixture.Site home = sites.site("hat-yai");
@@ -149,7 +149,7 @@
       Files.writeString(pem, good.substring(0, good.length() / 2));
       Thread.sleep(1500); // Several polls; the absence of a change raises no event.
       assertEquals(before, home.status().get("certificate_until"));
-      sites.authority().sign("hat-yai", "hat-yai", 2);
+      sites.authority().issue("hat-yai", "hat-yai", 2);
       Await.until(
           "new certificate is used", () -> !before.equals(home.status().get("certificate_until")));
       long served = home.sum("bangkok", "served");
--- a/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
+++ b/src/test/java/heathswitch/proxy/gateway/SitesFixture.java
@@ -10,8 +10,8 @@
 import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
 import heathswitch.testbed.server.SimulatedServer;
-import heathswitch.testbed.site.Authority;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.site.CertificateAuthority;
+import heathswitch.testbed.site.DelayProxy;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -36,7 +36,7 @@
   final Map<String, Site> sites = new LinkedHashMap<>();
   final CallLedger ledger = new CallLedger();
   private final Path folder = Files.createTempDirectory("heathswitch-sites-");
-  private Authority authority;
+  private CertificateAuthority authority;
   private long seed = 1;
   private String gatewaySetting = "";
 
@@ -52,7 +52,7 @@
     volatile InetSocketAddress replacement;
 
     final List<SimulatedServer> servers = new ArrayList<>();
-    final Map<String, DelayLine> paths = new LinkedHashMap<>();
+    final Map<String, DelayProxy> paths = new LinkedHashMap<>();
     final BalancerFolder workplace;
     String certificate;
     private final List<String> memberLines = new ArrayList<>();
@@ -163,10 +163,10 @@
       table.append("window = \"5s\"\naim = \"2500ms\"\ndeadline = \"6s\"\n");
       table.append("[gateway]\nsite = \"").append(name).append("\"\nlisten = \"127.0.0.1:0\"\n");
       if (tls) {
-        authority().sign(key, name);
+        authority().issue(key, name);
         table.append("certificate = \"").append(folder.resolve(certificate + ".pem"));
         table.append("\"\nkey = \"").append(folder.resolve(certificate + ".key"));
-        table.append("\"\nauthority = \"").append(authority().certificate()).append("\"\n");
+        table.append("\"\nauthority = \"").append(authority().certificateFile()).append("\"\n");
       } else {
         table.append("insecure = true\n");
       }
@@ -174,7 +174,7 @@
       Map<String, List<String>> others = new LinkedHashMap<>();
       for (Site other : sites.values()) {
         if (!other.name.equals(name)) {
-          DelayLine path = new DelayLine(group.next(), other::listen, 5.6, 10, seed++).start();
+          DelayProxy path = new DelayProxy(group.next(), other::listen, 5.6, 10, seed++).start();
           paths.put(other.key, path);
           others
               .computeIfAbsent(other.name, site -> new ArrayList<>())
@@ -204,7 +204,7 @@
       if (node != null) {
         node.stop();
       }
-      paths.values().forEach(DelayLine::close);
+      paths.values().forEach(DelayProxy::close);
       servers.forEach(SimulatedServer::close);
       workplace.close();
     }
@@ -238,9 +238,9 @@
     return folder;
   }
 
-  Authority authority() throws Exception {
+  CertificateAuthority authority() throws Exception {
     if (authority == null) {
-      authority = new Authority(folder, "ca");
+      authority = new CertificateAuthority(folder, "ca");
     }
     return authority;
   }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -9,7 +9,7 @@
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.site.DatagramLine.Weather;
+import heathswitch.testbed.site.DatagramProxy.Impairment;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -184,8 +184,8 @@
     try (Fleet fleet = fleet(34, 5)) {
       List<Node> nodes = fleet.nodes();
       awaitFullView(nodes);
-      Weather degraded = new Weather(0.2, 0.1, 0, 60);
-      forEachLink(nodes, (from, to) -> from.datagramProxy(to).weather(degraded));
+      Impairment degraded = new Impairment(0.2, 0.1, 0, 60);
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).setImpairment(degraded));
       for (int i = 0; i < 50; i++) {
         Thread.sleep(100);
         for (Node node : nodes) {
@@ -194,7 +194,7 @@
           }
         }
       }
-      forEachLink(nodes, (from, to) -> from.datagramProxy(to).weather(Weather.FAIR));
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).setImpairment(Impairment.NONE));
       awaitFullView(nodes);
       for (Node node : nodes) {
         assertTrue(count(node, "refused_replay") > 0, "duplicates were accepted");
@@ -275,7 +275,7 @@
       awaitFullView(nodes);
       Node victim = nodes.get(1);
       List<byte[]> recorded = Collections.synchronizedList(new ArrayList<>());
-      nodes.get(0).datagramProxy(victim).tap(recorded::add);
+      nodes.get(0).datagramProxy(victim).setTap(recorded::add);
       // The restarted sender has to learn the session id first, so both kinds are recorded.
       loads.get(0).stop();
       nodes.get(0).kill();
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFaultTest.java
@@ -242,7 +242,7 @@
       fixture.load(fleet);
       Node apart = fleet.node(3);
       SimulatedServer lost = fleet.servers().get(3);
-      apart.serverProxy(lost).cut(true);
+      apart.serverProxy(lost).setCut(true);
       Await.until(
           "one instance sees the server fail", () -> reportedCapacity(fleet.node(1), apart) == 3);
       Await.until("the others do not", () -> reportedCapacity(fleet.node(1), fleet.node(2)) == 4);
@@ -250,7 +250,7 @@
       assertEquals("waiting", phase(fleet.node(1), order));
       String waits = String.valueOf(machineStatus(fleet.node(1), order).get("waits_for"));
       assertTrue(waits.contains("edge-3 sees 3.00 in service, 3.00 must be left"), waits);
-      apart.serverProxy(lost).cut(false);
+      apart.serverProxy(lost).setCut(false);
       awaitOut(fleet, fleet.node(1), order, "front-1");
       done(fleet, apart, order, "front-1");
       Await.until("done", () -> phase(apart, order).equals("done"));
--- a/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
+++ b/src/test/java/heathswitch/proxy/platform/RollingRestartTest.java
@@ -86,8 +86,8 @@
   void noRequestIsLostWhenLinkBreaks() throws Exception {
     restartAll(
         52,
-        (node, server) -> node.serverProxy(server).cut(true),
-        (node, server) -> node.serverProxy(server).cut(false));
+        (node, server) -> node.serverProxy(server).setCut(true),
+        (node, server) -> node.serverProxy(server).setCut(false));
   }
 
   /** Open calls are never answered; the balancer has to give them up in time. */
@@ -95,7 +95,7 @@
   void noRequestIsLostWhenLinkFallsSilent() throws Exception {
     restartAll(
         53,
-        (node, server) -> node.serverProxy(server).mute(false, true),
-        (node, server) -> node.serverProxy(server).mute(false, false));
+        (node, server) -> node.serverProxy(server).setMuted(false, true),
+        (node, server) -> node.serverProxy(server).setMuted(false, false));
   }
 }
