--- a/src/main/java/heathswitch/testbed/site/DelayProxy.java
+++ b/src/main/java/heathswitch/testbed/site/DelayProxy.java
@@ -35,7 +35,7 @@
   private volatile double maxDelayMillis;
   private volatile boolean forwardMuted;
   private volatile boolean returnMuted;
-  private volatile boolean refusing;
+  private volatile boolean cut;
   private Channel listener;
 
   /** Creates a proxy to an address, with one-way delays between two bounds. */
@@ -92,9 +92,9 @@
   }
 
   /** Sets whether all existing and new connections are reset. */
-  public void setCut(boolean cut) {
-    refusing = cut;
-    if (cut) {
+  public void setCut(boolean enabled) {
+    cut = enabled;
+    if (enabled) {
       resetConnections();
     }
   }
@@ -105,7 +105,7 @@
   }
 
   private void connectToTarget(Channel client) {
-    InetSocketAddress address = refusing ? null : target.get();
+    InetSocketAddress address = cut ? null : target.get();
     if (address == null || !address.getAddress().isLoopbackAddress()) {
       reset(client);
       return;
