--- a/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
+++ b/src/main/java/heathswitch/testbed/measure/MembersMeasurement.java
@@ -2,14 +2,14 @@
 
 import heathswitch.policy.members.ListedServer;
 import heathswitch.proxy.members.MembersFormat;
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -73,8 +73,9 @@
     return figures;
   }
 
-  private static List<Kind> kinds() {
-    return List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static List<RequestKind> kinds() {
+    return List.of(
+        RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
   }
 
   // ---- thousands of rewrites ----
@@ -84,36 +85,37 @@
   private void rewrites(int count, Figures figures) throws Exception {
     SplittableRandom random = new SplittableRandom(17);
     NioEventLoopGroup group = new NioEventLoopGroup(3);
-    List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    List<SimulatedServer> servers = new ArrayList<>();
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < SERVERS; i++) {
-        StandIn server = new StandIn(group.next(), "s-" + i, shape, i, this::arrived);
+        SimulatedServer server =
+            new SimulatedServer(group.next(), "s-" + i, shape, i, this::arrived);
         arrivals.put(server.name(), new long[1024]);
         arrived.put(server.name(), 0);
         servers.add(server.start(ANY));
         String kind = List.of("front", "timetable", "store").get(i % 3);
-        all.add(Workplace.listed(server, i / 3 % 2 == 0 ? "a" : "b", kind, 1));
+        all.add(BalancerFolder.listEntry(server, i / 3 % 2 == 0 ? "a" : "b", kind, 1));
       }
       ListDraw draw = new ListDraw(random, all);
-      Files.writeString(workplace.members(), draw.text());
+      Files.writeString(workplace.serverListFile(), draw.text());
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         rewrite(count, balancer, workplace, draw, random, load, figures);
       }
     } finally {
-      servers.forEach(StandIn::close);
+      servers.forEach(SimulatedServer::close);
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
   }
 
-  private synchronized void arrived(StandIn server, String path, long unixMillis) {
+  private synchronized void arrived(SimulatedServer server, String path, long unixMillis) {
     int count = arrived.merge(server.name(), 1, Integer::sum);
     long[] times = arrivals.get(server.name());
     if (count > times.length) {
@@ -126,13 +128,13 @@
   private void rewrite(
       int count,
       BalancerProcess balancer,
-      Workplace workplace,
+      BalancerFolder workplace,
       ListDraw draw,
       SplittableRandom random,
-      OpenLoop load,
+      HttpLoadGenerator load,
       Figures figures)
       throws Exception {
-    Rewriter rewriter = new Rewriter(workplace.members(), random);
+    Rewriter rewriter = new Rewriter(workplace.serverListFile(), random);
     Set<String> good = new HashSet<>(Set.of(MembersFormat.digest(draw.listed())));
     List<Version> versions = new ArrayList<>();
     Histogram applied = new Histogram(3);
@@ -150,7 +152,7 @@
         balancer.get("status"); // The stalls of the start are none of the lists'.
       }
       if (i % (count / 10) == 0) {
-        Figures.progress("rewrite " + i + " of " + count + ", " + load.tally().total() + " calls");
+        Figures.progress("rewrite " + i + " of " + count + ", " + load.stats().total() + " calls");
       }
       Map<String, Object> before = balancer.get("members");
       if (i % 3 == 2) {
@@ -202,14 +204,14 @@
         .add("refused", refused)
         .add("bad_accepted", badAccepted)
         .add("strays", strays(versions))
-        .add("lost", load.tally().count(Tally.Result.LOST))
+        .add("lost", load.stats().count(LoadStats.Result.LOST))
         .rounded("apply_p50_ms", applied.getValueAtPercentile(50) / 1000.0)
         .rounded("apply_p99_ms", applied.getValueAtPercentile(99) / 1000.0)
         .rounded("heap_growth_mb", heapAfter - heapBefore)
         .add("missed", missed)
-        .add("calls", load.tally().total())
-        .add("failed", load.tally().count(Tally.Result.FAILED))
-        .add("turned_away", load.tally().count(Tally.Result.REFUSED))
+        .add("calls", load.stats().total())
+        .add("failed", load.stats().count(LoadStats.Result.FAILED))
+        .add("turned_away", load.stats().count(LoadStats.Result.REFUSED))
         .add("servers", SERVERS)
         .add("calls_per_s", PER_SECOND)
         .add("stray_grace_ms", STRAY_GRACE_MILLIS)
@@ -280,34 +282,34 @@
 
   private double many(int rewrites, Figures figures) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(4);
-    List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    List<SimulatedServer> servers = new ArrayList<>();
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       Figures.progress("starting " + MANY + " stand-in servers");
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, ServiceTime.exponential(3));
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, ServiceTime.exponential(3));
       for (int i = 0; i < MANY; i++) {
-        servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
-        all.add(Workplace.listed(servers.get(i), i % 2 == 0 ? "a" : "b", "front", 1));
+        servers.add(new SimulatedServer(group.next(), "s-" + i, shape, i, null).start(ANY));
+        all.add(BalancerFolder.listEntry(servers.get(i), i % 2 == 0 ? "a" : "b", "front", 1));
       }
-      Files.writeString(workplace.members(), Workplace.text(all));
+      Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         Thread.sleep(2000);
         double worst = 0;
         double slowest = 0;
         for (int i = -2; i < rewrites; i++) {
           List<ListedServer> next = next(all, i);
           balancer.get("status");
-          Path file = workplace.folder().resolve("next");
-          Files.writeString(file, Workplace.text(next));
+          Path file = workplace.path().resolve("next");
+          Files.writeString(file, BalancerFolder.formatServerList(next));
           String digest = MembersFormat.digest(next);
           long written = System.nanoTime();
-          Files.move(file, workplace.members(), StandardCopyOption.ATOMIC_MOVE);
+          Files.move(file, workplace.serverListFile(), StandardCopyOption.ATOMIC_MOVE);
           Map<String, Object> after =
               await(
                   balancer,
@@ -331,7 +333,7 @@
             .add("many_servers", MANY)
             .add("many_rewrites", rewrites)
             .rounded("many_apply_most_ms", slowest)
-            .add("many_lost", load.tally().count(Tally.Result.LOST));
+            .add("many_lost", load.stats().count(LoadStats.Result.LOST));
         return worst;
       }
     } finally {
@@ -360,26 +362,26 @@
   /** Greatest distance of a server's share from its due, in percent of that due. */
   private double shares(int seconds, ServiceTime time) throws Exception {
     NioEventLoopGroup group = new NioEventLoopGroup(2);
-    List<StandIn> servers = new ArrayList<>();
-    try (Workplace workplace = new Workplace("measure")) {
+    List<SimulatedServer> servers = new ArrayList<>();
+    try (BalancerFolder workplace = new BalancerFolder("measure")) {
       List<ListedServer> all = new ArrayList<>();
-      Shape shape = Shape.warm(16, 256, time);
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, time);
       for (int i = 0; i < 3; i++) {
-        servers.add(new StandIn(group.next(), "s-" + i, shape, i, null).start(ANY));
-        all.add(Workplace.listed(servers.get(i), "a", "front", 1 << i));
+        servers.add(new SimulatedServer(group.next(), "s-" + i, shape, i, null).start(ANY));
+        all.add(BalancerFolder.listEntry(servers.get(i), "a", "front", 1 << i));
       }
-      Files.writeString(workplace.members(), Workplace.text(all));
+      Files.writeString(workplace.serverListFile(), BalancerFolder.formatServerList(all));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, MEMBERS);
-      Path log = workplace.folder().resolve("log");
+      Path config = workplace.writeConfig(listen, admin, 1024, MEMBERS);
+      Path log = workplace.path().resolve("log");
       try (BalancerProcess balancer = BalancerProcess.start(config, log, listen, admin, FLAGS)) {
-        OpenLoop load =
-            new OpenLoop(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
+        HttpLoadGenerator load =
+            new HttpLoadGenerator(group.next(), listen, kinds(), PER_SECOND, 3000, 300, 1).start();
         Thread.sleep(1500);
-        long[] before = servers.stream().mapToLong(StandIn::received).toArray();
+        long[] before = servers.stream().mapToLong(SimulatedServer::receivedCount).toArray();
         Thread.sleep(seconds * 1000L);
-        long[] after = servers.stream().mapToLong(StandIn::received).toArray();
+        long[] after = servers.stream().mapToLong(SimulatedServer::receivedCount).toArray();
         load.stop();
         double total = Arrays.stream(after).sum() - Arrays.stream(before).sum();
         double worst = 0;
@@ -391,7 +393,7 @@
         return worst;
       }
     } finally {
-      servers.forEach(StandIn::close);
+      servers.forEach(SimulatedServer::close);
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     }
   }
--- a/src/main/java/heathswitch/testbed/measure/SiteRig.java
+++ b/src/main/java/heathswitch/testbed/measure/SiteRig.java
@@ -1,15 +1,15 @@
 package heathswitch.testbed.measure;
 
+import heathswitch.testbed.balancer.BalancerFolder;
 import heathswitch.testbed.balancer.BalancerProcess;
-import heathswitch.testbed.balancer.Workplace;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
-import heathswitch.testbed.site.Authority;
-import heathswitch.testbed.site.DelayLine;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
+import heathswitch.testbed.server.SimulatedServer;
+import heathswitch.testbed.site.CertificateAuthority;
+import heathswitch.testbed.site.DelayProxy;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,25 +27,33 @@
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final List<String> FLAGS =
       List.of("-XX:+UseSerialGC", "-Xmx128m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
-  private static final List<Kind> KINDS =
-      List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static final List<RequestKind> KINDS =
+      List.of(
+          RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   final String name;
-  final List<StandIn> servers = new ArrayList<>();
+  final List<SimulatedServer> servers = new ArrayList<>();
   final List<InetSocketAddress> gateways = new ArrayList<>();
   final List<BalancerProcess> balancers = new ArrayList<>();
 
   /** Of each gateway here, its ways to the gateways of other sites. */
-  final List<Map<String, List<DelayLine>>> ways = new ArrayList<>();
+  final List<Map<String, List<DelayProxy>>> ways = new ArrayList<>();
 
-  private final List<Workplace> workplaces = new ArrayList<>();
+  private final List<BalancerFolder> workplaces = new ArrayList<>();
 
-  SiteRig(String name, NioEventLoopGroup group, int count, Shape shape, Ledger ledger, long seed)
+  SiteRig(
+      String name,
+      NioEventLoopGroup group,
+      int count,
+      ServerProfile shape,
+      CallLedger ledger,
+      long seed)
       throws Exception {
     this.name = name;
     for (int i = 0; i < count; i++) {
-      StandIn server = new StandIn(group.next(), name + '-' + i, shape, seed + i, null);
-      servers.add(server.onRun(ledger::ran).start(ANY));
+      SimulatedServer server =
+          new SimulatedServer(group.next(), name + '-' + i, shape, seed + i, null);
+      servers.add(server.onWorkStarted(ledger::recordRun).start(ANY));
     }
     for (int i = 0; i < GATEWAYS; i++) {
       gateways.add(BalancerProcess.freeAddress());
@@ -56,23 +64,24 @@
    * Writes the configurations of all gateways here and starts them; returns when they run. The
    * authority has signed for the site.
    */
-  void start(List<SiteRig> all, NioEventLoopGroup group, Authority authority, Path folder)
+  void start(
+      List<SiteRig> all, NioEventLoopGroup group, CertificateAuthority authority, Path folder)
       throws Exception {
     for (int i = 0; i < GATEWAYS; i++) {
-      Map<String, List<DelayLine>> of = new LinkedHashMap<>();
+      Map<String, List<DelayProxy>> of = new LinkedHashMap<>();
       ways.add(of);
       StringBuilder table = new StringBuilder();
       table.append("[gateway]\nsite = \"").append(name).append("\"\nlisten = ");
       table.append(quoted(gateways.get(i)));
       table.append("\ncertificate = \"").append(folder.resolve(name + ".pem"));
       table.append("\"\nkey = \"").append(folder.resolve(name + ".key"));
-      table.append("\"\nauthority = \"").append(authority.certificate()).append("\"\n");
+      table.append("\"\nauthority = \"").append(authority.certificateFile()).append("\"\n");
       for (SiteRig other : all) {
         if (other != this) {
-          List<DelayLine> lines = new ArrayList<>();
+          List<DelayProxy> lines = new ArrayList<>();
           List<String> addresses = new ArrayList<>();
           for (InetSocketAddress gateway : other.gateways) {
-            lines.add(new DelayLine(group.next(), gateway, 5.6, 10, lines.size()).start());
+            lines.add(new DelayProxy(group.next(), gateway, 5.6, 10, lines.size()).start());
             addresses.add(quoted(lines.get(lines.size() - 1).address()));
           }
           of.put(other.name, lines);
@@ -80,18 +89,20 @@
           table.append("gateways = ").append(addresses).append('\n');
         }
       }
-      Workplace workplace = new Workplace("gateway");
+      BalancerFolder workplace = new BalancerFolder("gateway");
       workplaces.add(workplace);
       Files.writeString(
-          workplace.members(),
-          Workplace.text(
-              servers.stream().map(each -> Workplace.listed(each, "a", "front", 1)).toList()));
+          workplace.serverListFile(),
+          BalancerFolder.formatServerList(
+              servers.stream()
+                  .map(each -> BalancerFolder.listEntry(each, "a", "front", 1))
+                  .toList()));
       InetSocketAddress listen = BalancerProcess.freeAddress();
       InetSocketAddress admin = BalancerProcess.freeAddress();
-      Path config = workplace.configure(listen, admin, 1024, "");
+      Path config = workplace.writeConfig(listen, admin, 1024, "");
       Files.writeString(config, table, StandardOpenOption.APPEND);
       balancers.add(
-          BalancerProcess.start(config, workplace.folder().resolve("log"), listen, admin, FLAGS));
+          BalancerProcess.start(config, workplace.path().resolve("log"), listen, admin, FLAGS));
     }
   }
 
@@ -100,12 +111,16 @@
   }
 
   /** Calls of this site's own, spread over its gateways. */
-  List<OpenLoop> load(
-      NioEventLoopGroup group, double perSecond, long deadlineMillis, long seed, Ledger ledger) {
-    List<OpenLoop> loads = new ArrayList<>();
+  List<HttpLoadGenerator> load(
+      NioEventLoopGroup group,
+      double perSecond,
+      long deadlineMillis,
+      long seed,
+      CallLedger ledger) {
+    List<HttpLoadGenerator> loads = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
       loads.add(
-          new OpenLoop(
+          new HttpLoadGenerator(
                   group.next(),
                   balancers.get(i).listen(),
                   KINDS,
@@ -119,12 +134,12 @@
     return loads;
   }
 
-  static long count(List<OpenLoop> loads, Tally.Result result) {
-    return loads.stream().mapToLong(load -> load.tally().count(result)).sum();
+  static long count(List<HttpLoadGenerator> loads, LoadStats.Result result) {
+    return loads.stream().mapToLong(load -> load.stats().count(result)).sum();
   }
 
-  static long total(List<OpenLoop> loads) {
-    return loads.stream().mapToLong(load -> load.tally().total()).sum();
+  static long total(List<HttpLoadGenerator> loads) {
+    return loads.stream().mapToLong(load -> load.stats().total()).sum();
   }
 
   /** Takes all links out, or puts them back. */
@@ -176,9 +191,9 @@
       balancer.kill();
       balancer.close();
     }
-    ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayLine::close)));
-    servers.forEach(StandIn::close);
-    for (Workplace workplace : workplaces) {
+    ways.forEach(each -> each.values().forEach(lines -> lines.forEach(DelayProxy::close)));
+    servers.forEach(SimulatedServer::close);
+    for (BalancerFolder workplace : workplaces) {
       workplace.close();
     }
   }
--- a/src/main/java/heathswitch/testbed/platform/ListService.java
+++ b/src/main/java/heathswitch/testbed/platform/DiscoveryStub.java
@@ -42,25 +42,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for discovery. Where it is asked it is one service for all balancers, which works
- * through calls in turn and turns a call away when its answer would take too long; where lists are
- * pushed it stands for the agents beside the balancers, which answer at once and say nothing while
- * discovery is down. It can be down, busy with other callers, or forget its open watches. Each
- * balancer asks at an address of its own, so that it is known what each has been told. Everything
- * lives on one event loop; the methods may be called from any other thread.
+ * A stub of the discovery service. If balancers call it for the list, it is a single service for
+ * all of them: it processes calls one after another and rejects a call whose answer would take too
+ * long. If lists are pushed, it stands for the agents beside the balancers, which answer
+ * immediately and send nothing during an outage of discovery. Tests can inject an outage, load by
+ * other callers, and resets of open watches. Each balancer has an endpoint with its own address, so
+ * that the stub knows what each of them was sent. All state belongs to one event loop; the methods
+ * may be called from any other thread.
  */
-public final class ListService implements AutoCloseable {
-  /** A call waits for so long at most, and is then failed. */
+public final class DiscoveryStub implements AutoCloseable {
+  /** The longest time that a call waits for its answer; after that it fails. */
   static final long CALL_TIMEOUT_MILLIS = 3000;
 
   private static final long HEARTBEAT_MILLIS = 2000;
 
-  private static final int MOST_REQUEST_BYTES = 4096;
+  private static final int MAX_REQUEST_BYTES = 4096;
 
-  /** What a call that is turned away costs, as a part of one that is answered. */
-  private static final double TURNED_AWAY_COST = 0.2;
+  /** The processing time of a rejected call, as a fraction of that of an answered one. */
+  private static final double REJECTED_CALL_COST = 0.2;
 
-  /** A change of the list, and when discovery had it. */
+  /** A change of the list, and the time at which discovery made it. */
   record Change(long revision, ListedMember member, long nanos) {}
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -70,31 +71,32 @@
   private final long mustAskNanos;
   private final Map<String, ListedMember> members = new LinkedHashMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Map<String, Portal> portals = new HashMap<>();
-  private final Reachability reachability = new Reachability();
+  private final Map<String, Endpoint> endpoints = new HashMap<>();
+  private final DiscoveryOutages outages = new DiscoveryOutages();
   private long revision;
   private long busyUntilNanos = System.nanoTime();
   private long callNanos = MILLISECONDS.toNanos(5);
-  private double othersPerSecond;
+  private double otherCallsPerSecond;
   private boolean down;
-  private boolean turnsAway;
+  private boolean rejecting;
 
   /**
-   * One that lists nothing yet.
+   * Creates a stub with an empty list.
    *
-   * @param pushed whether it stands for agents that have the list, or is asked for it
-   * @param mustAskMillis for which a balancer with no watch is held to its list
+   * @param seed of the arrival times of other callers
+   * @param pushed whether lists are pushed by agents, instead of being called for
+   * @param mustAskMillis how long a balancer without a watch may use its list after its last call
    */
-  public ListService(long seed, boolean pushed, long mustAskMillis) {
+  public DiscoveryStub(long seed, boolean pushed, long mustAskMillis) {
     random = new SplittableRandom(seed);
     this.pushed = pushed;
     this.mustAskNanos = MILLISECONDS.toNanos(mustAskMillis);
   }
 
-  // ---- what it lists ----
+  // ---- the list ----
 
-  /** Lists an upstream, or tells of a change of one. */
-  void list(ListedMember member) {
+  /** Adds an upstream to the list, or changes or removes one, and sends this to open watches. */
+  void publish(ListedMember member) {
     run(
         () -> {
           revision++;
@@ -104,7 +106,7 @@
             members.put(member.id(), member);
           }
           changes.add(new Change(revision, member, System.nanoTime()));
-          portals.values().forEach(Portal::tellChange);
+          endpoints.values().forEach(Endpoint::sendChanges);
           return null;
         });
   }
@@ -113,66 +115,72 @@
     return run(() -> members.get(id));
   }
 
-  /** The whole list in discovery's form, as a balancer knows it at its start. */
-  Map<String, Object> known() {
+  /** The complete list in discovery's format, as a balancer's configuration contains it. */
+  Map<String, Object> knownList() {
     return run(() -> document(true, members.values()));
   }
 
-  private Map<String, Object> document(boolean whole, Collection<ListedMember> entries) {
+  private Map<String, Object> document(boolean complete, Collection<ListedMember> entries) {
     Map<String, Object> document = new LinkedHashMap<>();
     document.put("revision", revision);
-    document.put("complete", whole);
+    document.put("complete", complete);
     document.put("members", entries.stream().map(ListedMember::json).toList());
     return document;
   }
 
-  // ---- what goes wrong ----
+  // ---- fault injection ----
 
-  /** Down: watches are reset, calls wait and end with an error. */
-  public void down(boolean on) {
+  /**
+   * Begins or ends an outage. While it lasts, calls wait and then fail, and watches are reset; if
+   * lists are pushed, agents keep calls and watches open and send nothing until its end.
+   */
+  public void setDown(boolean on) {
     run(
         () -> {
           down = on;
-          reachability.down(on, System.nanoTime());
+          outages.setDown(on, System.nanoTime());
           if (on && !pushed) {
-            portals.values().forEach(Portal::resetWatches);
+            endpoints.values().forEach(Endpoint::resetWatches);
           } else if (!on && pushed) {
-            portals.values().forEach(Portal::back);
+            endpoints.values().forEach(Endpoint::recover);
           }
           return null;
         });
   }
 
-  /** Turns all calls away at once, as one does whose queue is full. */
-  public void turnAway(boolean on) {
-    run(() -> turnsAway = on);
+  /** Rejects all calls immediately, as a service with a full queue does. */
+  public void setRejecting(boolean on) {
+    run(() -> rejecting = on);
   }
 
-  /** Nobody listens any more where this one balancer asks, though discovery runs; or again. */
-  public void refuse(String balancer, boolean on) {
+  /**
+   * Closes the listener and the watches of one balancer's endpoint, so that its connections are
+   * refused while discovery serves all others; or opens the listener again.
+   */
+  public void setRefusing(String balancer, boolean on) {
     run(
         () -> {
-          portals.computeIfAbsent(balancer, any -> new Portal()).refuse(on);
+          endpoints.computeIfAbsent(balancer, name -> new Endpoint()).setRefusing(on);
           return null;
         });
   }
 
-  /** How long one call takes, and how many calls of others come in a second. */
-  public void load(long callMillis, double others) {
+  /** Sets the processing time of one call, and how many calls of others arrive per second. */
+  public void setLoad(long callMillis, double othersPerSecond) {
     run(
         () -> {
-          boolean idle = othersPerSecond <= 0;
+          boolean idle = otherCallsPerSecond <= 0;
           callNanos = MILLISECONDS.toNanos(callMillis);
-          othersPerSecond = others;
-          if (idle && others > 0) {
-            planOther();
+          otherCallsPerSecond = othersPerSecond;
+          if (idle && othersPerSecond > 0) {
+            scheduleOtherCall();
           }
           return null;
         });
   }
 
-  /** So much work is in the queue from now on. */
-  public void occupy(long millis) {
+  /** Adds work of other callers to the queue. */
+  public void addBacklog(long millis) {
     run(
         () ->
             busyUntilNanos =
@@ -183,80 +191,80 @@
   public void resetWatches() {
     run(
         () -> {
-          portals.values().forEach(Portal::resetWatches);
+          endpoints.values().forEach(Endpoint::resetWatches);
           return null;
         });
   }
 
-  /** Says nothing any more on the watches that are open now. */
+  /** Stops sending on the watches that are open now, without closing them. */
   public void silenceWatches() {
     run(
         () -> {
-          portals.values().forEach(Portal::silence);
+          endpoints.values().forEach(Endpoint::silence);
           return null;
         });
   }
 
-  private void planOther() {
-    long wait = (long) (-Math.log(1 - random.nextDouble()) / othersPerSecond * 1e9);
+  private void scheduleOtherCall() {
+    long wait = (long) (-Math.log(1 - random.nextDouble()) / otherCallsPerSecond * 1e9);
     loop.schedule(
         () -> {
-          if (othersPerSecond > 0) {
-            place();
-            planOther();
+          if (otherCallsPerSecond > 0) {
+            enqueue();
+            scheduleOtherCall();
           }
         },
         wait,
         NANOSECONDS);
   }
 
-  /** When a call that comes now is answered, or -1 if it is turned away. */
-  private long place() {
+  /** Queues a call that arrives now; the time of its answer, or -1 if it is rejected. */
+  private long enqueue() {
     long now = System.nanoTime();
     long end = Math.max(now, busyUntilNanos) + callNanos;
-    if (turnsAway || end - now > MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
-      busyUntilNanos = Math.max(now, busyUntilNanos) + (long) (TURNED_AWAY_COST * callNanos);
+    if (rejecting || end - now > MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
+      busyUntilNanos = Math.max(now, busyUntilNanos) + (long) (REJECTED_CALL_COST * callNanos);
       return -1;
     }
     busyUntilNanos = end;
     return end;
   }
 
-  // ---- whom it tells ----
+  // ---- balancers ----
 
-  /** Where a balancer asks from now on; the address that it had before ends. */
-  public InetSocketAddress open(String balancer) throws InterruptedException {
-    Portal portal = run(() -> portals.computeIfAbsent(balancer, any -> new Portal()));
-    return portal.move();
+  /** Opens a new address for a balancer's calls and closes its former one. */
+  public InetSocketAddress openEndpoint(String balancer) throws InterruptedException {
+    Endpoint endpoint = run(() -> endpoints.computeIfAbsent(balancer, name -> new Endpoint()));
+    return endpoint.move();
   }
 
-  /** A process of a balancer starts, with the list of its configuration. */
-  void started(String balancer) {
+  /** Records that a balancer's process starts, with the list in its configuration. */
+  void balancerStarted(String balancer) {
     run(
         () -> {
-          portals.get(balancer).history.started(System.nanoTime());
+          endpoints.get(balancer).history.balancerStarted(System.nanoTime());
           return null;
         });
   }
 
-  /** When a change counts as told to a balancer. */
-  long toldNanos(String balancer, Change change) {
+  /** The time from which a change counts as delivered to a balancer. */
+  long deliveryNanos(String balancer, Change change) {
     return run(
         () -> {
-          PortalHistory history = portals.get(balancer).history;
+          EndpointHistory history = endpoints.get(balancer).history;
           return pushed
-              ? history.pushedToldNanos(change, reachability.after(change.nanos(), 0))
-              : history.askedToldNanos(change, reachability, mustAskNanos);
+              ? history.pushedDeliveryNanos(change, outages.endOfSpan(change.nanos(), 0))
+              : history.polledDeliveryNanos(change, outages, mustAskNanos);
         });
   }
 
-  /** Balancers that have a watch which has spoken and has not been silenced. */
-  public int watching() {
+  /** The number of balancers with an answered watch that has not been silenced. */
+  public int watchingBalancers() {
     return run(
         () ->
             (int)
-                portals.values().stream()
-                    .filter(portal -> portal.watches.stream().anyMatch(watch -> !watch.silent))
+                endpoints.values().stream()
+                    .filter(endpoint -> endpoint.watches.stream().anyMatch(watch -> !watch.silent))
                     .count());
   }
 
@@ -264,14 +272,14 @@
     return run(() -> List.copyOf(changes));
   }
 
-  /** Calls that came, and of these the ones that were turned away. */
-  public long[] calls() {
+  /** The number of calls received, and of those rejected among them. */
+  public long[] callCounts() {
     return run(
         () -> {
           long[] sums = new long[2];
-          for (Portal portal : portals.values()) {
-            sums[0] += portal.calls;
-            sums[1] += portal.turnedAway;
+          for (Endpoint endpoint : endpoints.values()) {
+            sums[0] += endpoint.calls;
+            sums[1] += endpoint.rejected;
           }
           return sums;
         });
@@ -293,36 +301,36 @@
     channel.close();
   }
 
-  /** The address of one balancer, and what it has been told there. */
-  private final class Portal {
+  /** The address that one balancer calls, and the history of what it was sent there. */
+  private final class Endpoint {
     private final Set<Watch> watches = new LinkedHashSet<>();
-    private final PortalHistory history = new PortalHistory();
+    private final EndpointHistory history = new EndpointHistory();
 
-    /** Calls to an agent that says nothing while discovery is down. */
-    private final List<Runnable> held = new ArrayList<>();
+    /** Calls to an agent during an outage of discovery; answered at its end. */
+    private final List<Runnable> heldCalls = new ArrayList<>();
 
     private Channel listener;
-    private boolean refuses;
+    private boolean refusing;
     private InetSocketAddress address;
     private long calls;
-    private long turnedAway;
+    private long rejected;
 
     InetSocketAddress move() throws InterruptedException {
       Channel next =
-          Listeners.bootstrap(loop, this::accepted)
+          Listeners.bootstrap(loop, this::initialize)
               .bind(new InetSocketAddress("127.0.0.1", 0))
               .sync()
               .channel();
       run(
           () -> {
             if (listener != null) {
-              history.moved(System.nanoTime());
+              history.endpointMoved(System.nanoTime());
               listener.close();
               resetWatches();
             }
             listener = next;
             address = (InetSocketAddress) next.localAddress();
-            if (refuses) {
+            if (refusing) {
               listener.close();
             }
             return null;
@@ -330,9 +338,9 @@
       return (InetSocketAddress) next.localAddress();
     }
 
-    void refuse(boolean on) {
-      boolean change = on != refuses;
-      refuses = on;
+    void setRefusing(boolean on) {
+      boolean change = on != refusing;
+      refusing = on;
       if (listener == null || !change) {
         return;
       }
@@ -340,20 +348,20 @@
         listener.close();
         resetWatches();
       } else {
-        listener = Listeners.bootstrap(loop, this::accepted).bind(address).channel();
+        listener = Listeners.bootstrap(loop, this::initialize).bind(address).channel();
       }
     }
 
-    private void accepted(Channel channel) {
+    private void initialize(Channel channel) {
       channel
           .pipeline()
           .addLast(
               new HttpServerCodec(),
-              new HttpObjectAggregator(MOST_REQUEST_BYTES),
+              new HttpObjectAggregator(MAX_REQUEST_BYTES),
               new SimpleChannelInboundHandler<FullHttpRequest>() {
                 @Override
                 protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                  called(ctx.channel(), request.uri());
+                  handleCall(ctx.channel(), request.uri());
                 }
 
                 @Override
@@ -363,11 +371,11 @@
               });
     }
 
-    private void called(Channel channel, String uri) {
+    private void handleCall(Channel channel, String uri) {
       calls++;
-      Runnable failed = history.called(System.nanoTime());
+      Runnable failed = history.callReceived(System.nanoTime());
       if (down && pushed) {
-        held.add(() -> answer(channel, uri));
+        heldCalls.add(() -> answer(channel, uri));
         return;
       }
       if (down) {
@@ -375,9 +383,9 @@
         loop.schedule(() -> fail(channel), CALL_TIMEOUT_MILLIS, MILLISECONDS);
         return;
       }
-      long answered = pushed ? System.nanoTime() : place();
+      long answered = pushed ? System.nanoTime() : enqueue();
       if (answered < 0) {
-        turnedAway++;
+        rejected++;
         failed.run();
         fail(channel);
         return;
@@ -416,7 +424,7 @@
       List<String> index = new QueryStringDecoder(uri).parameters().get("index");
       Watch watch = new Watch(channel, index == null ? -1 : Long.parseLong(index.get(0)));
       watches.add(watch);
-      Runnable ended = history.watching(System.nanoTime());
+      Runnable ended = history.watchOpened(System.nanoTime());
       channel
           .closeFuture()
           .addListener(
@@ -424,65 +432,68 @@
                 watches.remove(watch);
                 ended.run();
               });
-      tell(watch);
-      beat(watch);
+      sendList(watch);
+      scheduleHeartbeat(watch);
     }
 
-    private void beat(Watch watch) {
+    private void scheduleHeartbeat(Watch watch) {
       loop.schedule(
           () -> {
             if (watch.channel.isActive()) {
               if (!watch.silent && !down) {
-                line(watch, "\n");
+                writeLine(watch, "\n");
               }
-              beat(watch);
+              scheduleHeartbeat(watch);
             }
           },
           HEARTBEAT_MILLIS,
           MILLISECONDS);
     }
 
-    private void tellChange() {
+    private void sendChanges() {
       if (!down) {
-        watches.stream().filter(watch -> !watch.silent).forEach(this::tell);
+        watches.stream().filter(watch -> !watch.silent).forEach(this::sendList);
       }
     }
 
-    /** Discovery is back: what waited is answered, and open watches hear what they missed. */
-    void back() {
-      List<Runnable> calls = List.copyOf(held);
-      held.clear();
+    /** Answers held calls and sends missed changes on open watches, after an outage. */
+    void recover() {
+      List<Runnable> calls = List.copyOf(heldCalls);
+      heldCalls.clear();
       calls.forEach(Runnable::run);
-      tellChange();
+      sendChanges();
     }
 
     void silence() {
       if (!watches.isEmpty()) {
-        history.silenced(System.nanoTime());
+        history.watchesSilenced(System.nanoTime());
         watches.forEach(watch -> watch.silent = true);
       }
     }
 
-    /** What has changed since the last line, or the whole list where that is not known. */
-    private void tell(Watch watch) {
-      boolean whole = watch.told < 0 || watch.told > revision;
+    /**
+     * Sends the changes since the revision that the watch was last sent, or the complete list if
+     * that revision is unknown.
+     */
+    private void sendList(Watch watch) {
+      boolean complete = watch.sentRevision < 0 || watch.sentRevision > revision;
       Map<String, ListedMember> entries = new LinkedHashMap<>();
       for (Change change : changes) {
-        if (whole || change.revision() > watch.told) {
-          history.wrote(change.revision(), System.nanoTime());
+        if (complete || change.revision() > watch.sentRevision) {
+          history.changeSent(change.revision(), System.nanoTime());
           entries.put(change.member().id(), change.member());
         }
       }
       try {
-        Collection<ListedMember> listed = whole ? members.values() : entries.values();
-        line(watch, JSON.std.asString(document(whole, listed)) + "\n");
+        Collection<ListedMember> listed = complete ? members.values() : entries.values();
+        writeLine(watch, JSON.std.asString(document(complete, listed)) + "\n");
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
-      watch.told = revision;
+      watch.sentRevision = revision;
     }
 
-    private void line(Watch watch, String text) {
+    private void writeLine(Watch watch, String text) {
       watch.channel.writeAndFlush(
           new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
@@ -492,14 +503,15 @@
     }
   }
 
+  /** An open response on which list changes are sent, one JSON document a line. */
   private static final class Watch {
     private final Channel channel;
-    private long told;
+    private long sentRevision;
     private boolean silent;
 
-    Watch(Channel channel, long told) {
+    Watch(Channel channel, long sentRevision) {
       this.channel = channel;
-      this.told = told;
+      this.sentRevision = sentRevision;
     }
   }
 }
--- a/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
+++ b/src/main/java/heathswitch/testbed/platform/PlatformFleet.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.platform;
 
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.Ledger;
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.client.CallLedger;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,68 +15,71 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Balancers of the platform in processes of their own, before stand-in servers that discovery
- * lists.
+ * Balancer processes in the platform's environment, with the discovery stub and the stand-in
+ * servers that it lists.
  */
 public final class PlatformFleet implements AutoCloseable {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-  private static final List<Kind> KINDS =
-      List.of(Kind.safe("view", "school", 0.8), Kind.unsafe("publish", "school", 0.2));
+  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
+  private static final List<RequestKind> KINDS =
+      List.of(
+          RequestKind.safe("view", "school", 0.8), RequestKind.unsafe("publish", "school", 0.2));
 
   private final NioEventLoopGroup serverLoops = new NioEventLoopGroup(1);
   private final NioEventLoopGroup clientLoops = new NioEventLoopGroup(1);
-  private final ListService discovery;
-  private final Ledger ledger = new Ledger();
-  private final RoutingRecord routing = new RoutingRecord();
-  private final Map<String, StandIn> servers = new LinkedHashMap<>();
-  private final List<PlatformProcess> balancers = new ArrayList<>();
-  private final Shape shape;
-  private final Terms terms;
+  private final DiscoveryStub discovery;
+  private final CallLedger ledger = new CallLedger();
+  private final RoutingHistory routingHistory = new RoutingHistory();
+  private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
+  private final List<PlatformBalancer> balancers = new ArrayList<>();
+  private final ServerProfile shape;
+  private final PlatformSettings settings;
   private long seed;
-  private int serversMade;
+  private int serverCount;
 
-  /** A fleet with no process yet; the seed draws times of work and loads. */
-  public PlatformFleet(long seed, Terms terms, Shape shape) {
+  /** Creates a fleet without processes; the seed determines service times and loads. */
+  public PlatformFleet(long seed, PlatformSettings settings, ServerProfile shape) {
     this.seed = seed;
-    this.terms = terms;
+    this.settings = settings;
     this.shape = shape;
-    this.discovery = new ListService(seed, terms.pushed(), terms.mustAskMillis());
+    this.discovery = new DiscoveryStub(seed, settings.pushed(), settings.mustAskMillis());
   }
 
   // ---- servers ----
 
-  /** Starts a server that discovery lists from now on; its id. */
+  /** Starts a server and adds it to discovery's list; returns its id. */
   public String addServer(boolean justStarted) throws InterruptedException {
-    String id = "s-" + ++serversMade;
-    StandIn server = new StandIn(serverLoops.next(), id, shape, seed++, routing);
-    servers.put(id, server.onRun(ledger::ran).start(ANY));
+    String id = "s-" + ++serverCount;
+    SimulatedServer server =
+        new SimulatedServer(serverLoops.next(), id, shape, seed++, routingHistory);
+    servers.put(id, server.onWorkStarted(ledger::recordRun).start(ANY_PORT));
     long started = justStarted ? System.currentTimeMillis() : 0;
-    discovery.list(new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
+    discovery.publish(
+        new ListedMember(id, server.address(), ListedMember.Phase.IN_SERVICE, started));
     return id;
   }
 
-  /** Discovery has it that a server drains; the server goes on answering. */
+  /** Marks a server as draining in discovery; the server continues to serve. */
   public void drain(String id) {
-    discovery.list(discovery.member(id).with(ListedMember.Phase.TERMINATING));
+    discovery.publish(discovery.member(id).withPhase(ListedMember.Phase.TERMINATING));
   }
 
-  /** The same of a server that turns all new work away from now on. */
-  public void drainAndTurnAway(String id) {
-    servers.get(id).faults().turnsAway(true);
+  /** Marks a server as draining in discovery, and has it reject all new requests. */
+  public void drainAndReject(String id) {
+    servers.get(id).faults().refusing(true);
     drain(id);
   }
 
-  /** A server is gone: nothing listens there any more, and discovery knows. */
+  /** Stops a server and removes it from discovery's list. */
   public void remove(String id) {
     servers.get(id).close();
-    discovery.list(discovery.member(id).with(ListedMember.Phase.TERMINATED));
+    discovery.publish(discovery.member(id).withPhase(ListedMember.Phase.TERMINATED));
   }
 
-  public StandIn server(String id) {
+  public SimulatedServer server(String id) {
     return servers.get(id);
   }
 
-  /** Those that discovery lists as in service. */
+  /** The ids of the servers that discovery lists as in service. */
   public List<String> inService() {
     return servers.keySet().stream()
         .filter(
@@ -89,102 +92,106 @@
 
   // ---- balancers ----
 
-  /** Starts so many balancers, one after another. */
-  public PlatformFleet start(int count) throws IOException, InterruptedException {
+  /** Adds balancers and starts them one after another. */
+  public PlatformFleet startBalancers(int count) throws IOException, InterruptedException {
     for (int i = 0; i < count; i++) {
-      restart(add());
+      start(addBalancer());
     }
     return this;
   }
 
-  /** One more balancer, whose process has not been started yet. */
-  public PlatformProcess add() throws IOException {
-    PlatformProcess balancer = new PlatformProcess("n" + balancers.size());
+  /** Adds a balancer without starting its process. */
+  public PlatformBalancer addBalancer() throws IOException {
+    PlatformBalancer balancer = new PlatformBalancer("n" + balancers.size());
     balancers.add(balancer);
     return balancer;
   }
 
-  /** Starts one that does not run; how long it took to be ready, in milliseconds. */
-  public long restart(PlatformProcess balancer) throws IOException, InterruptedException {
+  /**
+   * Starts the process of a balancer that isn't running.
+   *
+   * @return the time until it was ready, in milliseconds
+   */
+  public long start(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
-    discovery.started(balancer.name());
+    discovery.balancerStarted(balancer.name());
     return balancer.start();
   }
 
-  /** A new configuration moves the balancer's discovery to another port. */
-  public void reconfigure(PlatformProcess balancer) throws IOException, InterruptedException {
+  /** Reloads a balancer with a configuration that names another port for discovery. */
+  public void reconfigure(PlatformBalancer balancer) throws IOException, InterruptedException {
     configure(balancer);
     balancer.signal("HUP");
   }
 
-  /** A new configuration is written, and its signal is still to come. */
-  void configure(PlatformProcess balancer) throws IOException, InterruptedException {
-    InetSocketAddress asked = discovery.open(balancer.name());
+  /** Writes a new configuration, without the signal to reload it. */
+  void configure(PlatformBalancer balancer) throws IOException, InterruptedException {
+    InetSocketAddress endpoint = discovery.openEndpoint(balancer.name());
     Map<String, Object> config = new LinkedHashMap<>();
     config.put("name", balancer.name());
     config.put("listen", "127.0.0.1:" + balancer.listen().getPort());
-    config.put("discovery", "127.0.0.1:" + asked.getPort());
+    config.put("discovery", "127.0.0.1:" + endpoint.getPort());
     config.put("seed", String.format("%016x", seed++));
-    config.put("limits", Map.of("sockets", terms.sockets(), "memory_mb", 192));
-    config.put("known", discovery.known());
-    config.put("settings", terms.settings(balancers.indexOf(balancer), balancers.size()));
+    config.put("limits", Map.of("sockets", settings.sockets(), "memory_mb", 192));
+    config.put("known", discovery.knownList());
+    config.put("settings", settings.toJson(balancers.indexOf(balancer), balancers.size()));
     balancer.configure(config);
   }
 
-  public List<PlatformProcess> balancers() {
+  public List<PlatformBalancer> balancers() {
     return List.copyOf(balancers);
   }
 
-  public ListService discovery() {
+  public DiscoveryStub discovery() {
     return discovery;
   }
 
-  // ---- clients and what became of their requests ----
+  // ---- clients and the outcome of their requests ----
 
-  /** A load on one balancer. */
-  public OpenLoop load(PlatformProcess balancer, double perSecond) {
-    OpenLoop load =
-        new OpenLoop(
+  /** Starts an open-loop load on one balancer. */
+  public HttpLoadGenerator startLoad(PlatformBalancer balancer, double perSecond) {
+    HttpLoadGenerator load =
+        new HttpLoadGenerator(
             clientLoops.next(),
             balancer.listen(),
             KINDS,
             perSecond,
-            terms.deadlineMillis(),
+            settings.deadlineMillis(),
             200,
             seed++,
             ledger);
-    routing.loads(balancer.name(), load::owns);
+    routingHistory.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
-  /** Clients of one balancer that use what stays open, also while it ends. */
-  public SteadyLoad steadyLoad(PlatformProcess balancer, double perSecond) {
-    SteadyLoad load =
-        new SteadyLoad(
-            clientLoops.next(), balancer.listen(), perSecond, terms.deadlineMillis(), seed++);
-    routing.loads(balancer.name(), load::owns);
+  /** Starts a load of clients that keep using open connections while their balancer shuts down. */
+  public KeepAliveLoad startKeepAliveLoad(PlatformBalancer balancer, double perSecond) {
+    KeepAliveLoad load =
+        new KeepAliveLoad(
+            clientLoops.next(), balancer.listen(), perSecond, settings.deadlineMillis(), seed++);
+    routingHistory.addLoad(balancer.name(), load::owns);
     return load.start();
   }
 
-  public Terms terms() {
-    return terms;
+  public PlatformSettings settings() {
+    return settings;
   }
 
-  public Ledger ledger() {
+  public CallLedger ledger() {
     return ledger;
   }
 
-  /** Requests that went to a server after the balancer's grace for its drain was over. */
-  public List<RoutingRecord.LateSend> lateSends() {
-    return routing.lateSends(discovery, terms.graceMillis());
+  /** Requests that reached a draining or removed server after the grace time. */
+  public List<RoutingHistory.LateRequest> lateRequests() {
+    return routingHistory.lateRequests(discovery, settings.graceMillis());
   }
 
   @Override
   public void close() throws IOException {
-    for (PlatformProcess balancer : balancers) {
+    for (PlatformBalancer balancer : balancers) {
       balancer.close();
     }
-    servers.values().forEach(StandIn::close);
+    servers.values().forEach(SimulatedServer::close);
     discovery.close();
     for (NioEventLoopGroup group : List.of(serverLoops, clientLoops)) {
       group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
--- a/src/main/java/heathswitch/testbed/platform/SoakFault.java
+++ b/src/main/java/heathswitch/testbed/platform/SoakFault.java
@@ -1,10 +1,10 @@
 package heathswitch.testbed.platform;
 
-/** What goes wrong in a soak. */
+/** The kinds of faults that a soak test injects. */
 enum SoakFault {
   DISCOVERY_DOWN,
-  DISCOVERY_TURNS_AWAY,
-  DISCOVERY_OCCUPIED,
+  DISCOVERY_REJECTS_CALLS,
+  DISCOVERY_BUSY,
   WATCHES_RESET,
   WATCHES_SILENT,
   SERVER_DRAINS,
@@ -12,14 +12,14 @@
   SERVER_DIES,
   SERVER_HANGS,
   SERVER_RESETS,
-  /** One balancer's calls for the list are refused, while discovery runs for all others. */
-  CUT_OFF,
-  RECONFIGURED,
-  /** The file of a new configuration is read late, or only after it could not be read. */
-  RECONFIGURED_BADLY,
-  RESTARTED,
-  HELD_UP,
+  /** Discovery refuses the connections of one balancer and serves all others. */
+  DISCOVERY_REFUSES_ONE_BALANCER,
+  BALANCERS_RECONFIGURED,
+  /** Reads of a new configuration file are delayed, or fail at first. */
+  BALANCERS_RECONFIGURED_WITH_READ_FAULTS,
+  BALANCER_RESTARTED,
+  BALANCER_PAUSED,
   CLOCK_STEPPED,
-  CALLS_FAIL,
-  CROWD
+  SYSTEM_CALLS_FAIL,
+  IDLE_CONNECTIONS
 }
--- a/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
+++ b/src/main/java/heathswitch/testbed/subsetting/SubsetsMeasurement.java
@@ -1,16 +1,16 @@
 package heathswitch.testbed.subsetting;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
 import heathswitch.testbed.gossip.GossipTraffic;
 import heathswitch.testbed.measure.Figures;
 import heathswitch.testbed.measure.Measurement;
 import heathswitch.testbed.mutants.Mutant;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -150,8 +150,8 @@
     private final Size size;
     private final boolean subsetting;
     private final FleetResult result = new FleetResult();
-    private final Map<Node, OpenLoop> loads = new HashMap<>();
-    private final List<OpenLoop> allLoads = new ArrayList<>();
+    private final Map<Node, HttpLoadGenerator> loads = new HashMap<>();
+    private final List<HttpLoadGenerator> allLoads = new ArrayList<>();
     private final long startedNanos = System.nanoTime();
     private Fleet fleet;
 
@@ -163,10 +163,11 @@
     FleetResult run() throws Exception {
       try (Fleet started = new Fleet(SEED)) {
         fleet = started;
-        fleet.servers(size.servers(), "front", Shape.warm(4, 64, ServiceTime.exponential(5)));
-        fleet.gossiping("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").first(size.first());
+        fleet.servers(
+            size.servers(), "front", ServerProfile.alwaysWarm(4, 64, ServiceTime.exponential(5)));
+        fleet.withGossip("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n").startInitially(size.first());
         if (subsetting) {
-          fleet.subsetting(
+          fleet.withSubsetting(
               "width = "
                   + size.width()
                   + "\nstep = \"200ms\"\nsettle = \"1s\"\nmost_moved = 0.1\nalone_steps = 20");
@@ -179,7 +180,7 @@
         awaitSettled(first, first.size());
         measureSpread("first");
         progress("growth to " + nodes.size() + " instances");
-        fleet.rise(others);
+        fleet.startNodes(others);
         load(nodes);
         awaitSettled(nodes, nodes.size());
         measureSpread("grown");
@@ -207,11 +208,11 @@
         sum += relativeLoad(node);
       }
       for (Node node : nodes) {
-        OpenLoop previous = loads.remove(node);
+        HttpLoadGenerator previous = loads.remove(node);
         if (previous != null) {
           previous.stop();
         }
-        OpenLoop load = fleet.load(node, size.perSecond() * relativeLoad(node) / sum);
+        HttpLoadGenerator load = fleet.startLoad(node, size.perSecond() * relativeLoad(node) / sum);
         loads.put(node, load);
         allLoads.add(load);
       }
@@ -277,8 +278,8 @@
     /** Measures the calls of the most loaded server, divided by the mean, while nothing changes. */
     private void measureSpread(String name) throws InterruptedException {
       long[] before = received();
-      for (OpenLoop load : loads.values()) {
-        load.tally().interval();
+      for (HttpLoadGenerator load : loads.values()) {
+        load.stats().takeLatencies();
       }
       Thread.sleep(size.phaseMillis());
       long[] after = received();
@@ -293,8 +294,8 @@
       result.spread.put(name, (double) max * after.length / sum);
       if (name.equals("grown")) {
         var latencies = new org.HdrHistogram.Histogram(3_600_000_000L, 3);
-        for (Map.Entry<Node, OpenLoop> each : loads.entrySet()) {
-          latencies.add(each.getValue().tally().interval());
+        for (Map.Entry<Node, HttpLoadGenerator> each : loads.entrySet()) {
+          latencies.add(each.getValue().stats().takeLatencies());
           result.connections += (int) number(page(each.getKey(), "status"), "connected_servers");
         }
         result.p99 = latencies.getValueAtPercentile(99);
@@ -303,7 +304,7 @@
     }
 
     private long[] received() {
-      return fleet.servers().stream().mapToLong(StandIn::received).toArray();
+      return fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).toArray();
     }
 
     /**
@@ -327,7 +328,7 @@
         }
       }
       unload(List.of(leaving));
-      leaving.end();
+      leaving.terminate();
       awaitSettled(rest, rest.size());
       double sum = 0;
       for (Node node : rest) {
@@ -337,7 +338,7 @@
       result.moved = sum;
       result.minMoved = minMoved;
       progress("one instance has left: moved " + round(sum) + ", minimum " + round(minMoved));
-      fleet.rise(List.of(leaving));
+      fleet.startNodes(List.of(leaving));
       load(nodes);
       awaitSettled(nodes, nodes.size());
     }
@@ -348,7 +349,7 @@
       unload(killed);
       load(remaining);
       long killedNanos = System.nanoTime();
-      fleet.each(killed, Node::kill);
+      fleet.forEachNode(killed, Node::kill);
       List<Thread> watchers = new ArrayList<>();
       for (Node node : remaining) {
         Thread watcher = new Thread(() -> recordDetectionTimes(node, killed, killedNanos), "watch");
@@ -361,7 +362,7 @@
       awaitSettled(remaining, remaining.size());
       measureSpread("shrunk");
       progress("restart of the killed instances");
-      fleet.rise(killed);
+      fleet.startNodes(killed);
       load(fleet.nodes());
       awaitSettled(fleet.nodes(), fleet.nodes().size());
     }
@@ -397,11 +398,11 @@
       int half = nodes.size() / 2;
       List<Node> one = nodes.subList(0, half);
       List<Node> other = nodes.subList(half, nodes.size());
-      fleet.split(one, other, true);
+      fleet.setPartitioned(one, other, true);
       awaitSettled(one, one.size());
       awaitSettled(other, other.size());
       measureSpread("split");
-      fleet.split(one, other, false);
+      fleet.setPartitioned(one, other, false);
       awaitSettled(nodes, nodes.size());
       measureSpread("healed");
     }
@@ -438,18 +439,18 @@
     }
 
     private void collectResults() throws Exception {
-      for (OpenLoop load : loads.values()) {
+      for (HttpLoadGenerator load : loads.values()) {
         load.stop();
       }
       long served = 0;
       long calls = 0;
-      for (OpenLoop load : allLoads) {
-        served += load.tally().count(Tally.Result.SERVED);
-        calls += load.tally().total();
+      for (HttpLoadGenerator load : allLoads) {
+        served += load.stats().count(LoadStats.Result.SERVED);
+        calls += load.stats().total();
       }
       result.goodput = (double) served / Math.max(1, calls);
-      result.lost = fleet.ledger().lost();
-      result.doubleRuns = fleet.ledger().doubles(id -> id.contains("publish"));
+      result.lost = fleet.ledger().lostCount();
+      result.doubleRuns = fleet.ledger().duplicateRunCount(id -> id.contains("publish"));
       progress(calls + " calls, " + Arrays.toString(received()));
     }
   }
--- a/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
+++ b/src/test/java/heathswitch/proxy/gateway/GatewayTableTest.java
@@ -4,17 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.proxy.config.Document;
-import heathswitch.testbed.site.Authority;
+import heathswitch.proxy.config.ConfigDocument;
+import heathswitch.testbed.site.CertificateAuthority;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table [gateway] and the files that it names. */
+/** The configuration table [gateway] and the files that it names. */
 class GatewayTableTest {
-  private static final String PLAIN =
+  private static final String INSECURE =
       """
       [gateway]
       site = "hat-yai"
@@ -27,34 +27,34 @@
 
   @TempDir Path folder;
 
-  private Document read(String text) throws Exception {
-    return Document.read(Files.writeString(folder.resolve("c.toml"), text));
+  private ConfigDocument read(String text) throws Exception {
+    return ConfigDocument.read(Files.writeString(folder.resolve("c.toml"), text));
   }
 
   private List<String> faults(String from, String to) throws Exception {
-    assertTrue(PLAIN.contains(from), from);
-    Document document = read(PLAIN.replace(from, to));
+    assertTrue(INSECURE.contains(from), from);
+    ConfigDocument document = read(INSECURE.replace(from, to));
     GatewayTable.read(document);
-    document.root().end();
-    return document.faults().stream()
+    document.root().rejectUnknownKeys();
+    return document.errors().stream()
         .map(fault -> fault.toString().replaceAll("^.*c.toml:", ""))
         .toList();
   }
 
   @Test
-  void theShortestOneIsRead() throws Exception {
-    Document document = read(PLAIN);
+  void minimalTableIsReadWithDefaults() throws Exception {
+    ConfigDocument document = read(INSECURE);
     GatewayTable table = GatewayTable.read(document);
-    assertEquals(List.of(), document.faults());
+    assertEquals(List.of(), document.errors());
     assertEquals("hat-yai", table.site());
     assertNull(table.keys());
-    assertEquals(1_000_000_000L, table.silenceNanos());
+    assertEquals(1_000_000_000L, table.silenceTimeoutNanos());
     assertEquals(2, table.sites().get(0).gateways().size());
     assertNull(GatewayTable.read(read("")));
   }
 
   @Test
-  void faultsAreNamedWithTheirPlace() throws Exception {
+  void faultsAreReportedWithTheirPosition() throws Exception {
     assertEquals(
         List.of(
             "2:1: gateway.site: is \"Hat Yai\"; 1 to 32 of the characters a-z, 0-9 and - expected"),
@@ -89,37 +89,35 @@
             .count());
   }
 
-  private String unusable(String certificate, String key, String authority, String site) {
+  private String problem(String certificate, String key, String authority, String site) {
     GatewayTable.Keys keys =
         new GatewayTable.Keys(
             folder.resolve(certificate), folder.resolve(key), folder.resolve(authority));
     try {
       Identity.read(keys, site);
       return null;
-    } catch (Identity.Unusable e) {
+    } catch (Identity.UnusableFileException e) {
       return e.getMessage().replace(folder + "/", "");
     }
   }
 
   @Test
-  void filesThatCannotBeUsedAreNamed() throws Exception {
-    Authority authority = new Authority(folder, "ca");
-    authority.sign("a", "hat-yai");
-    authority.sign("b", "bangkok");
-    authority.signExpired("old", "hat-yai");
+  void unusableFilesAreReported() throws Exception {
+    CertificateAuthority authority = new CertificateAuthority(folder, "ca");
+    authority.issue("a", "hat-yai");
+    authority.issue("b", "bangkok");
+    authority.issueExpired("old", "hat-yai");
     Files.writeString(folder.resolve("none.pem"), "nothing\n");
-    assertNull(unusable("a.pem", "a.key", "ca.pem", "hat-yai"));
+    assertNull(problem("a.pem", "a.key", "ca.pem", "hat-yai"));
     assertEquals(
         "a.pem: names [hat-yai] and not the site \"udon\"",
-        unusable("a.pem", "a.key", "ca.pem", "udon"));
+        problem("a.pem", "a.key", "ca.pem", "udon"));
     assertEquals(
-        "b.key: is not the key of the certificate",
-        unusable("a.pem", "b.key", "ca.pem", "hat-yai"));
+        "b.key: is not the key of the certificate", problem("a.pem", "b.key", "ca.pem", "hat-yai"));
     assertTrue(
-        unusable("old.pem", "old.key", "ca.pem", "hat-yai")
-            .startsWith("old.pem: is not valid now"));
-    assertTrue(unusable("none.pem", "a.key", "ca.pem", "hat-yai").startsWith("none.pem: "));
-    assertTrue(unusable("a.pem", "none.pem", "ca.pem", "hat-yai").startsWith("none.pem: "));
-    assertTrue(unusable("a.pem", "a.key", "gone.pem", "hat-yai").startsWith("gone.pem: "));
+        problem("old.pem", "old.key", "ca.pem", "hat-yai").startsWith("old.pem: is not valid now"));
+    assertTrue(problem("none.pem", "a.key", "ca.pem", "hat-yai").startsWith("none.pem: "));
+    assertTrue(problem("a.pem", "none.pem", "ca.pem", "hat-yai").startsWith("none.pem: "));
+    assertTrue(problem("a.pem", "a.key", "gone.pem", "hat-yai").startsWith("gone.pem: "));
   }
 }
--- a/src/test/java/heathswitch/proxy/gossip/PeersTest.java
+++ b/src/test/java/heathswitch/proxy/gossip/PeersTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.site.DatagramLine.Weather;
+import heathswitch.testbed.site.DatagramProxy.Impairment;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -28,25 +28,26 @@
 
 /** Runs several processes of the program and checks their membership under network faults. */
 class PeersTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
   private static final String OLD_KEY = "k1 b2xkLW9sZC1vbGQtb2xkLW9sZC0xMjM0\n";
   private static final String NEW_KEY = "k2 bmV3LW5ldy1uZXctbmV3LW5ldy0xMjM0\n";
 
-  private final List<OpenLoop> loads = new ArrayList<>();
+  private final List<HttpLoadGenerator> loads = new ArrayList<>();
 
   private Fleet fleet(int seed, int count) throws Exception {
-    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).gossiping(OLD_KEY).start(count);
-    fleet.nodes().forEach(node -> loads.add(fleet.load(node, 20)));
+    Fleet fleet = new Fleet(seed).servers(2, "front", SHAPE).withGossip(OLD_KEY).start(count);
+    fleet.nodes().forEach(node -> loads.add(fleet.startLoad(node, 20)));
     return fleet;
   }
 
   /** No call may be lost or run twice. */
   private void assertNoCallAffected(Fleet fleet) throws InterruptedException {
-    for (OpenLoop load : loads) {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
-    assertEquals(0, fleet.ledger().lost());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().lostCount());
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 
   private static Map<String, Object> page(Node node) {
@@ -113,14 +114,14 @@
       awaitFullView(nodes);
       Node leaving = nodes.get(4);
       loads.get(4).stop();
-      leaving.end();
+      leaving.terminate();
       for (Node node : nodes.subList(0, 4)) {
         Await.until("seen as left", () -> status(node, leaving).equals("left"));
       }
       nodes.get(3).post("peers/leave");
       awaitFullView(nodes.subList(0, 3));
-      long before = fleet.servers().get(0).received();
-      Await.until("calls", () -> fleet.servers().get(0).received() > before + 20);
+      long before = fleet.servers().get(0).receivedCount();
+      Await.until("calls", () -> fleet.servers().get(0).receivedCount() > before + 20);
       assertNoCallAffected(fleet);
     }
   }
@@ -132,20 +133,20 @@
       awaitFullView(nodes);
       List<Node> one = nodes.subList(0, 2); // Both seeds.
       List<Node> other = nodes.subList(2, 5);
-      fleet.split(one, other, true);
+      fleet.setPartitioned(one, other, true);
       awaitFullView(one);
       awaitFullView(other);
-      fleet.split(one, other, false);
+      fleet.setPartitioned(one, other, false);
       awaitFullView(nodes);
       // A node that receives datagrams but whose own are all lost is absent for all others.
       Node mute = nodes.get(3);
-      fleet.mute(mute, true, false);
+      fleet.setMuted(mute, true, false);
       for (Node node : nodes) {
         if (node != mute) {
           Await.until("gone", () -> !present(node).contains(mute.name()));
         }
       }
-      fleet.mute(mute, false, false);
+      fleet.setMuted(mute, false, false);
       awaitFullView(nodes);
       assertNoCallAffected(fleet);
     }
@@ -183,8 +184,8 @@
     try (Fleet fleet = fleet(34, 5)) {
       List<Node> nodes = fleet.nodes();
       awaitFullView(nodes);
-      Weather degraded = new Weather(0.2, 0.1, 0, 60);
-      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(degraded));
+      Impairment degraded = new Impairment(0.2, 0.1, 0, 60);
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).setImpairment(degraded));
       for (int i = 0; i < 50; i++) {
         Thread.sleep(100);
         for (Node node : nodes) {
@@ -193,7 +194,7 @@
           }
         }
       }
-      forEachLink(nodes, (from, to) -> from.datagrams(to).weather(Weather.FAIR));
+      forEachLink(nodes, (from, to) -> from.datagramProxy(to).setImpairment(Impairment.NONE));
       awaitFullView(nodes);
       for (Node node : nodes) {
         assertTrue(count(node, "refused_replay") > 0, "duplicates were accepted");
@@ -218,9 +219,9 @@
   }
 
   private static void replaceKeys(Node node, String text) throws IOException {
-    var next = node.keys().resolveSibling("next.keys");
+    var next = node.gossipKeyFile().resolveSibling("next.keys");
     Files.writeString(next, text);
-    Files.move(next, node.keys(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(next, node.gossipKeyFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   @Test
@@ -259,7 +260,7 @@
 
   private static boolean logged(Node node, String text) {
     try {
-      return Files.readString(node.log()).contains(text);
+      return Files.readString(node.logFile()).contains(text);
     } catch (IOException e) {
       return false;
     }
@@ -274,7 +275,7 @@
       awaitFullView(nodes);
       Node victim = nodes.get(1);
       List<byte[]> recorded = Collections.synchronizedList(new ArrayList<>());
-      nodes.get(0).datagrams(victim).tap(recorded::add);
+      nodes.get(0).datagramProxy(victim).setTap(recorded::add);
       // The restarted sender has to learn the session id first, so both kinds are recorded.
       loads.get(0).stop();
       nodes.get(0).kill();
@@ -359,7 +360,7 @@
 
   private static void send(DatagramSocket socket, Node to, byte[] bytes) {
     try {
-      socket.send(new DatagramPacket(bytes, bytes.length, to.gossip()));
+      socket.send(new DatagramPacket(bytes, bytes.length, to.gossipAddress()));
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
@@ -368,8 +369,8 @@
   /** Of two processes with one name, one is silent until the other is gone, and logs that. */
   @Test
   void oneOfTwoNodesWithTheSameNameIsSilent() throws Exception {
-    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).gossiping(OLD_KEY)) {
-      fleet.before(
+    try (Fleet fleet = new Fleet(37).servers(2, "front", SHAPE).withGossip(OLD_KEY)) {
+      fleet.beforeFirstStart(
           node -> {
             String text = Files.readString(node.config());
             Files.writeString(
--- a/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
+++ b/src/test/java/heathswitch/proxy/maintenance/MaintenanceFixture.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.client.HttpLoadGenerator;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.History;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -20,19 +20,20 @@
 
 /** Helpers for tests of maintenance orders with a fleet of processes, and their final checks. */
 final class MaintenanceFixture {
-  static final Shape SERVER_SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  static final ServerProfile SERVER_SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
 
   private static final int REQUESTS_PER_SECOND = 60;
 
-  private final List<OpenLoop> loads = new ArrayList<>();
-  private final Map<Node, OpenLoop> latest = new HashMap<>();
+  private final List<HttpLoadGenerator> loads = new ArrayList<>();
+  private final Map<Node, HttpLoadGenerator> latest = new HashMap<>();
 
   void load(Fleet fleet) {
     fleet.nodes().forEach(node -> load(fleet, node));
   }
 
   void load(Fleet fleet, Node node) {
-    OpenLoop load = fleet.load(node, REQUESTS_PER_SECOND);
+    HttpLoadGenerator load = fleet.startLoad(node, REQUESTS_PER_SECOND);
     loads.add(load);
     latest.put(node, load);
   }
@@ -78,12 +79,12 @@
   static void awaitOut(Fleet fleet, Node node, long order, String machine)
       throws InterruptedException {
     Await.until(machine + " is out", () -> phase(node, order).equals("out"));
-    fleet.history().out(machine);
+    fleet.history().recordOut(machine);
   }
 
   /** Ends an order and notes that its machine may get calls again. */
   static void done(Fleet fleet, Node node, long order, String machine) throws IOException {
-    fleet.history().back(machine);
+    fleet.history().recordBack(machine);
     node.post("work/done/" + order);
   }
 
@@ -135,7 +136,7 @@
   /** The lines of a node's log, each of which must be a JSON object. */
   static List<Map<String, Object>> lines(Node node) throws IOException {
     List<Map<String, Object>> lines = new ArrayList<>();
-    for (String line : Files.readAllLines(node.log())) {
+    for (String line : Files.readAllLines(node.logFile())) {
       try {
         lines.add(JSON.std.mapFrom(line));
       } catch (IOException e) {
@@ -152,11 +153,11 @@
 
   /** Like {@link #verify(Fleet)}, but allows some calls at a machine that was out. */
   void verify(Fleet fleet, int maxCalls) throws InterruptedException {
-    for (OpenLoop load : loads) {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
     List<History.Breach> breaches = fleet.history().breaches();
     assertTrue(breaches.size() <= maxCalls, () -> breaches + " " + fleet.history().notes());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 }
--- a/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
+++ b/src/test/java/heathswitch/proxy/standalone/StandaloneFixture.java
@@ -1,12 +1,12 @@
 package heathswitch.proxy.standalone;
 
 import heathswitch.policy.members.ListedServer;
-import heathswitch.testbed.balancer.Workplace;
-import heathswitch.testbed.client.Kind;
-import heathswitch.testbed.client.OpenLoop;
+import heathswitch.testbed.balancer.BalancerFolder;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.RequestKind;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -18,13 +18,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A balancer of its own in this process, with stand-in servers and a load. */
+/** Runs a standalone balancer in this JVM, with stand-in servers and load generators. */
 final class StandaloneFixture implements AutoCloseable {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress EPHEMERAL = new InetSocketAddress("127.0.0.1", 0);
 
   final NioEventLoopGroup group = new NioEventLoopGroup(2);
-  final List<StandIn> servers = new ArrayList<>();
-  final Workplace workplace = new Workplace("test");
+  final List<SimulatedServer> servers = new ArrayList<>();
+  final BalancerFolder workplace = new BalancerFolder("test");
   private StandaloneNode node;
 
   StandaloneFixture() throws Exception {}
@@ -35,38 +35,39 @@
 
   StandaloneFixture servers(int count, ServiceTime time) throws Exception {
     for (int i = 0; i < count; i++) {
-      Shape shape = Shape.warm(16, 256, time);
+      ServerProfile shape = ServerProfile.alwaysWarm(16, 256, time);
       String name = "s-" + (servers.size() + 1);
-      servers.add(new StandIn(group.next(), name, shape, i, null).start(ANY));
+      servers.add(new SimulatedServer(group.next(), name, shape, i, null).start(EPHEMERAL));
     }
     return this;
   }
 
   ListedServer listed(int index, double weight) {
-    return Workplace.listed(servers.get(index), "a", "front", weight);
+    return BalancerFolder.listEntry(servers.get(index), "a", "front", weight);
   }
 
   String table(int... indexes) {
-    return Workplace.text(Arrays.stream(indexes).mapToObj(i -> listed(i, 1)).toList());
+    return BalancerFolder.formatServerList(
+        Arrays.stream(indexes).mapToObj(i -> listed(i, 1)).toList());
   }
 
   void write(String text) throws Exception {
-    Path next = workplace.folder().resolve("next");
+    Path next = workplace.path().resolve("next");
     Files.writeString(next, text);
-    Files.move(next, workplace.members(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(next, workplace.serverListFile(), StandardCopyOption.ATOMIC_MOVE);
   }
 
   StandaloneFixture start(String members) throws Exception {
     return start(members, "");
   }
 
-  /** Likewise with further lines, the first of them of the table [admin]. */
-  StandaloneFixture start(String members, String more) throws Exception {
-    Path file = workplace.configure(ANY, ANY, 512, members);
-    Files.writeString(file, more, StandardOpenOption.APPEND);
+  /** Appends further lines to the configuration, which start inside the table [admin]. */
+  StandaloneFixture start(String members, String furtherLines) throws Exception {
+    Path file = workplace.writeConfig(EPHEMERAL, EPHEMERAL, 512, members);
+    Files.writeString(file, furtherLines, StandardOpenOption.APPEND);
     StandaloneConfig.Result result = StandaloneConfig.read(file);
     if (result.config() == null) {
-      throw new AssertionError(result.faults());
+      throw new AssertionError(result.errors());
     }
     node = new StandaloneNode(file, result.config());
     node.start();
@@ -77,10 +78,11 @@
     return node;
   }
 
-  OpenLoop load(double perSecond) {
-    List<Kind> kinds = List.of(Kind.safe("view", "school", 3), Kind.unsafe("publish", "school", 1));
+  HttpLoadGenerator load(double perSecond) {
+    List<RequestKind> kinds =
+        List.of(RequestKind.safe("view", "school", 3), RequestKind.unsafe("publish", "school", 1));
     InetSocketAddress at = node.node().address();
-    return new OpenLoop(group.next(), at, kinds, perSecond, 6000, 100, 5).start();
+    return new HttpLoadGenerator(group.next(), at, kinds, perSecond, 6000, 100, 5).start();
   }
 
   @Override
@@ -88,7 +90,7 @@
     if (node != null) {
       node.stop();
     }
-    servers.forEach(StandIn::close);
+    servers.forEach(SimulatedServer::close);
     group.shutdownGracefully(0, 2, TimeUnit.SECONDS);
     workplace.close();
   }
--- a/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
+++ b/src/test/java/heathswitch/proxy/subsetting/SubsetFleetTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
 import heathswitch.testbed.fleet.Fleet;
 import heathswitch.testbed.fleet.Node;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
-import heathswitch.testbed.server.StandIn;
+import heathswitch.testbed.server.SimulatedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,20 +23,21 @@
 
 /** Runs several balancer processes that share servers, with faults between them. */
 class SubsetFleetTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(3));
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(3));
   private static final int SERVERS = 12;
   private static final String TABLE =
       "width = 4\nstep = \"200ms\"\nsettle = \"500ms\"\nmost_moved = 0.3\nalone_steps = 5\n";
 
-  private final Map<Node, OpenLoop> loads = new HashMap<>();
+  private final Map<Node, HttpLoadGenerator> loads = new HashMap<>();
 
   private Fleet fleet(int seed, int count, int first) throws Exception {
     Fleet fleet =
         new Fleet(seed)
             .servers(SERVERS, "front", SHAPE)
-            .gossiping("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n")
-            .subsetting(TABLE)
-            .first(first)
+            .withGossip("k1 c3Vic2V0LXN1YnNldC1zdWJzZXQtc3Vic2V0\n")
+            .withSubsetting(TABLE)
+            .startInitially(first)
             .start(count);
     load(fleet, fleet.nodes().subList(0, first));
     return fleet;
@@ -45,15 +46,15 @@
   private void load(Fleet fleet, List<Node> nodes) {
     // Unequal loads: the second balancer gets three times as many calls as each of the others.
     nodes.forEach(
-        node -> loads.put(node, fleet.load(node, node == fleet.nodes().get(1) ? 90 : 30)));
+        node -> loads.put(node, fleet.startLoad(node, node == fleet.nodes().get(1) ? 90 : 30)));
   }
 
   private void stopLoadsAndCheckLedger(Fleet fleet) throws InterruptedException {
-    for (OpenLoop load : loads.values()) {
+    for (HttpLoadGenerator load : loads.values()) {
       load.stop();
     }
-    assertEquals(0, fleet.ledger().lost());
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")));
+    assertEquals(0, fleet.ledger().lostCount());
+    assertEquals(0, fleet.ledger().duplicateRunCount(id -> id.contains("publish")));
   }
 
   private static Map<String, Object> page(Node node) {
@@ -118,12 +119,12 @@
   /** Calls of the most loaded server during 3 s, divided by the mean. */
   private static double spread(Fleet fleet) {
     try {
-      long[] before = fleet.servers().stream().mapToLong(StandIn::received).toArray();
+      long[] before = fleet.servers().stream().mapToLong(SimulatedServer::receivedCount).toArray();
       Thread.sleep(3000);
       long most = 0;
       long sum = 0;
       for (int i = 0; i < SERVERS; i++) {
-        long calls = fleet.servers().get(i).received() - before[i];
+        long calls = fleet.servers().get(i).receivedCount() - before[i];
         most = Math.max(most, calls);
         sum += calls;
       }
@@ -139,7 +140,7 @@
     try (Fleet fleet = fleet(61, 4, 2)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes.subList(0, 2), 2);
-      fleet.rise(nodes.subList(2, 4));
+      fleet.startNodes(nodes.subList(2, 4));
       load(fleet, nodes.subList(2, 4));
       awaitSettled(nodes, 4);
       Await.until("servers are evenly loaded by four balancers", () -> spread(fleet) < 1.25);
@@ -166,11 +167,11 @@
     try (Fleet fleet = fleet(62, 4, 4)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes, 4);
-      fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), true);
+      fleet.setPartitioned(nodes.subList(0, 2), nodes.subList(2, 4), true);
       awaitSettled(nodes.subList(0, 2), 2);
       awaitSettled(nodes.subList(2, 4), 2);
       Await.until("servers are evenly loaded by both halves", () -> spread(fleet) < 1.3);
-      fleet.split(nodes.subList(0, 2), nodes.subList(2, 4), false);
+      fleet.setPartitioned(nodes.subList(0, 2), nodes.subList(2, 4), false);
       awaitSettled(nodes, 4);
       stopLoadsAndCheckLedger(fleet);
     }
@@ -186,13 +187,13 @@
       Node isolated = nodes.get(2);
       awaitSettled(nodes, 3);
       awaitSubset(isolated);
-      fleet.split(List.of(isolated), nodes.subList(0, 2), true);
+      fleet.setPartitioned(List.of(isolated), nodes.subList(0, 2), true);
       Await.until(
           "the isolated balancer uses all servers",
           () -> subsetOf(isolated).size() == SERVERS && number(page(isolated), "unseen") == 2);
       awaitSettled(nodes.subList(0, 2), 2);
       // After it is paused and resumed, it takes part again.
-      fleet.split(List.of(isolated), nodes.subList(0, 2), false);
+      fleet.setPartitioned(List.of(isolated), nodes.subList(0, 2), false);
       awaitSettled(nodes, 3);
       loads.remove(isolated).stop();
       isolated.pause();
@@ -209,10 +210,10 @@
     try (Fleet fleet = fleet(64, 3, 3)) {
       List<Node> nodes = fleet.nodes();
       awaitSettled(nodes, 3);
-      List<StandIn> rest = new ArrayList<>(fleet.servers());
-      StandIn removed = rest.remove(4);
+      List<SimulatedServer> rest = new ArrayList<>(fleet.servers());
+      SimulatedServer removed = rest.remove(4);
       for (Node node : nodes) {
-        fleet.list(node, rest);
+        fleet.writeServerList(node, rest);
       }
       for (Node node : nodes) {
         Await.until(
@@ -222,9 +223,9 @@
                     && !subsetOf(node).contains(removed.name()));
       }
       Await.until("all other servers are used", () -> usedServers(nodes).size() == SERVERS - 1);
-      long calls = removed.received();
+      long calls = removed.receivedCount();
       Thread.sleep(500);
-      assertEquals(calls, removed.received());
+      assertEquals(calls, removed.receivedCount());
       assertFalse(subsetOf(nodes.get(0)).isEmpty());
       Map<String, Object> serverPage = nodes.get(0).get("subset/" + rest.get(0).name());
       assertTrue(((List<?>) serverPage.get("users")).size() >= 2, serverPage::toString);
@@ -243,15 +244,15 @@
       awaitSettled(nodes, 3);
       Node node = nodes.get(0);
       TreeSet<String> subset = awaitSubset(node);
-      List<StandIn> failing =
+      List<SimulatedServer> failing =
           fleet.servers().stream().filter(each -> subset.contains(each.name())).toList();
-      failing.forEach(each -> each.faults().errors(1));
+      failing.forEach(each -> each.faults().errorShare(1));
       long before = receivedOutside(fleet, subset);
       Await.until(
           "calls go to servers outside the subset",
           () -> receivedOutside(fleet, subset) > before + 50);
       Await.until("most calls are served", () -> servedShare(loads.get(node)) > 0.7);
-      failing.forEach(each -> each.faults().errors(0));
+      failing.forEach(each -> each.faults().errorShare(0));
       Await.until(
           "its own servers get the calls again",
           // Their windows grow again only slowly, so some calls still find no room there.
@@ -261,13 +262,13 @@
   }
 
   /** Share of the calls that are served during one second. */
-  private static double servedShare(OpenLoop load) {
+  private static double servedShare(HttpLoadGenerator load) {
     try {
-      long served = load.tally().count(Tally.Result.SERVED);
-      long total = load.tally().total();
+      long served = load.stats().count(LoadStats.Result.SERVED);
+      long total = load.stats().total();
       Thread.sleep(1000);
-      return (double) (load.tally().count(Tally.Result.SERVED) - served)
-          / Math.max(1, load.tally().total() - total);
+      return (double) (load.stats().count(LoadStats.Result.SERVED) - served)
+          / Math.max(1, load.stats().total() - total);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return Double.NaN;
@@ -278,7 +279,7 @@
   private static long receivedOutside(Fleet fleet, TreeSet<String> subset) {
     return fleet.servers().stream()
         .filter(each -> !subset.contains(each.name()))
-        .mapToLong(StandIn::received)
+        .mapToLong(SimulatedServer::receivedCount)
         .sum();
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
+++ b/src/test/java/heathswitch/testbed/platform/ReloadSeriesTest.java
@@ -2,78 +2,89 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import testing.Await;
 
 /**
- * Configurations in quick succession for one process: the newest is in force in the end, whatever
- * holds up or fails the reading of its file.
+ * Several reloads of one process in quick succession: at the end the latest configuration is in
+ * force, even if reads of its file are delayed or fail.
  */
 @Timeout(90)
 class ReloadSeriesTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.fixed(5));
-  private static final Terms TERMS = new Terms(1000, 2000, 512, false);
-  private static final long HELD_UP_MILLIS = 400;
-  private static final long BETWEEN_MILLIS = 50;
+  private static final ServerProfile SHAPE = ServerProfile.alwaysWarm(8, 64, ServiceTime.fixed(5));
+  private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
+  private static final long READ_DELAY_MILLIS = 400;
+  private static final long RELOAD_INTERVAL_MILLIS = 50;
 
-  private final SystemFaults system = new SystemFaults();
+  private final SystemFaultInjector injector = new SystemFaultInjector();
 
   ReloadSeriesTest() throws Exception {}
 
   @AfterEach
   void close() throws Exception {
-    system.close();
+    injector.close();
   }
 
-  private PlatformProcess start(PlatformFleet fleet) throws Exception {
+  private PlatformBalancer start(PlatformFleet fleet) throws Exception {
     fleet.addServer(false);
-    PlatformProcess balancer = fleet.add();
-    balancer.environment(system.environment());
-    fleet.restart(balancer);
-    Await.until("a watch", () -> fleet.discovery().watching() == 1);
+    PlatformBalancer balancer = fleet.addBalancer();
+    balancer.environment(injector.environment());
+    fleet.start(balancer);
+    Await.until("a watch", () -> fleet.discovery().watchingBalancers() == 1);
     return balancer;
   }
 
-  /** Only at the newest address somebody listens: a watch tells that it is in force. */
-  private static void awaitNewest(PlatformFleet fleet) throws Exception {
-    Thread.sleep(2 * HELD_UP_MILLIS);
-    Await.until("a watch at the newest address", () -> fleet.discovery().watching() == 1);
+  /**
+   * Discovery listens only at its latest address, so a watch shows that the latest configuration is
+   * in force.
+   */
+  private static void awaitLatest(PlatformFleet fleet) throws Exception {
+    Thread.sleep(2 * READ_DELAY_MILLIS);
+    Await.until("a watch at the latest address", () -> fleet.discovery().watchingBalancers() == 1);
   }
 
   @Test
-  void aReloadThatIsHeldUpDoesNotUndoTheNextOne() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(95, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      system.holdConfigurationRead(HELD_UP_MILLIS);
+  void delayedReloadDoesNotOverrideTheNextReload() throws Exception {
+    try (PlatformFleet fleet = new PlatformFleet(95, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      injector.delayConfigurationRead(READ_DELAY_MILLIS);
       fleet.reconfigure(balancer);
-      Thread.sleep(BETWEEN_MILLIS);
+      Thread.sleep(RELOAD_INTERVAL_MILLIS);
       fleet.reconfigure(balancer);
-      awaitNewest(fleet);
+      awaitLatest(fleet);
     }
   }
 
-  /** A process that is started anew has no configuration of before to go on with. */
+  /** A new process has no former configuration to continue with. */
   @Test
-  void aProcessStartsThoughItsFileCannotBeReadAtFirst() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(97, TERMS, SHAPE)) {
-      system.fail(SystemFaults.Call.READ_CONFIGURATION, SystemFaults.Errno.EIO, 3);
+  void processStartsWhenItsConfigurationFileIsUnreadableAtFirst() throws Exception {
+    try (PlatformFleet fleet = new PlatformFleet(97, SETTINGS, SHAPE)) {
+      injector.fail(
+          SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
       start(fleet);
-      assertEquals(0, system.left(SystemFaults.Call.READ_CONFIGURATION), "all have failed");
+      assertEquals(
+          0,
+          injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
+          "failures left");
     }
   }
 
   @Test
-  void aFileThatCouldNotBeReadIsReadAgain() throws Exception {
-    try (PlatformFleet fleet = new PlatformFleet(96, TERMS, SHAPE)) {
-      PlatformProcess balancer = start(fleet);
-      system.fail(SystemFaults.Call.READ_CONFIGURATION, SystemFaults.Errno.EIO, 3);
+  void reloadIsRetriedWhenConfigurationFileIsUnreadableAtFirst() throws Exception {
+    try (PlatformFleet fleet = new PlatformFleet(96, SETTINGS, SHAPE)) {
+      PlatformBalancer balancer = start(fleet);
+      injector.fail(
+          SystemFaultInjector.SystemCall.READ_CONFIGURATION, SystemFaultInjector.Errno.EIO, 3);
       fleet.reconfigure(balancer);
-      awaitNewest(fleet);
-      assertEquals(0, system.left(SystemFaults.Call.READ_CONFIGURATION), "all have failed");
+      awaitLatest(fleet);
+      assertEquals(
+          0,
+          injector.remaining(SystemFaultInjector.SystemCall.READ_CONFIGURATION),
+          "failures left");
     }
   }
 }
--- a/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
+++ b/src/test/java/heathswitch/testbed/platform/UnreachableDiscoveryTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import heathswitch.testbed.client.OpenLoop;
-import heathswitch.testbed.client.Tally;
+import heathswitch.testbed.client.HttpLoadGenerator;
+import heathswitch.testbed.client.LoadStats;
+import heathswitch.testbed.server.ServerProfile;
 import heathswitch.testbed.server.ServiceTime;
-import heathswitch.testbed.server.Shape;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,74 +14,86 @@
 import testing.Await;
 
 /**
- * One of several balancers in processes of their own cannot reach discovery, which goes on for all
- * others: it may not use servers for ever by what it knew, and need not leave off serving either.
+ * One of several balancer processes can't reach discovery, which serves all others. The balancer
+ * may not use the servers of its former list forever, but doesn't have to stop serving either.
  */
 @Timeout(120)
 class UnreachableDiscoveryTest {
-  private static final Shape SHAPE = Shape.warm(8, 64, ServiceTime.exponential(20));
-  private static final Terms TERMS = new Terms(1000, 2000, 512, false);
+  private static final ServerProfile SHAPE =
+      ServerProfile.alwaysWarm(8, 64, ServiceTime.exponential(20));
+  private static final PlatformSettings SETTINGS = new PlatformSettings(1000, 2000, 512, false);
   private static final int BALANCERS = 3;
   private static final int SERVERS = 6;
   private static final double PER_SECOND = 30;
 
-  /** As long as in the evidence, and longer than any sentence lets a change go untold. */
+  /**
+   * As long as in the observed failure, and longer than any rule allows until a change counts as
+   * delivered.
+   */
   private static final long UNREACHABLE_MILLIS = 14_000;
 
   private static PlatformFleet fleet(int seed) throws Exception {
-    PlatformFleet fleet = new PlatformFleet(seed, TERMS, SHAPE);
+    PlatformFleet fleet = new PlatformFleet(seed, SETTINGS, SHAPE);
     for (int i = 0; i < SERVERS; i++) {
       fleet.addServer(false);
     }
-    return fleet.start(BALANCERS);
+    return fleet.startBalancers(BALANCERS);
   }
 
-  private static List<OpenLoop> loads(PlatformFleet fleet) {
-    List<OpenLoop> loads = new ArrayList<>();
-    fleet.balancers().forEach(balancer -> loads.add(fleet.load(balancer, PER_SECOND)));
+  private static List<HttpLoadGenerator> loads(PlatformFleet fleet) {
+    List<HttpLoadGenerator> loads = new ArrayList<>();
+    fleet.balancers().forEach(balancer -> loads.add(fleet.startLoad(balancer, PER_SECOND)));
     return loads;
   }
 
-  private static long served(OpenLoop load) {
-    return load.tally().count(Tally.Result.SERVED);
+  private static long served(HttpLoadGenerator load) {
+    return load.stats().count(LoadStats.Result.SERVED);
   }
 
-  private static void end(PlatformFleet fleet, List<OpenLoop> loads) throws Exception {
-    for (OpenLoop load : loads) {
+  private static void stopAndCheck(PlatformFleet fleet, List<HttpLoadGenerator> loads)
+      throws Exception {
+    for (HttpLoadGenerator load : loads) {
       load.stop();
     }
-    List<RoutingRecord.LateSend> late = fleet.lateSends();
-    assertEquals(0, late.size(), () -> "sent to a server that drains, first " + late.get(0));
-    assertEquals(0, fleet.ledger().lost(), "without an answer");
-    assertEquals(0, fleet.ledger().doubles(id -> id.contains("publish")), "run twice");
+    List<RoutingHistory.LateRequest> late = fleet.lateRequests();
+    assertEquals(0, late.size(), () -> "sent to a draining server, first " + late.get(0));
+    assertEquals(0, fleet.ledger().lostCount(), "requests without an answer");
+    assertEquals(
+        0,
+        fleet.ledger().duplicateRunCount(id -> id.contains("publish")),
+        "duplicates of unsafe requests");
   }
 
-  private static void drainTwo(PlatformFleet fleet) throws Exception {
-    fleet.drainAndTurnAway("s-1");
+  private static void drainTwoServers(PlatformFleet fleet) throws Exception {
+    fleet.drainAndReject("s-1");
     Thread.sleep(500);
-    fleet.drainAndTurnAway("s-2");
+    fleet.drainAndReject("s-2");
   }
 
-  /** As n0 of the evidence: two configurations, then all calls are refused, then servers drain. */
+  /** Reproduces an observed failure: two reloads, then all calls refused, then servers drain. */
   @Test
-  void nothingIsSentToDrainingServersWhereEachCallIsRefusedAfterAMove() throws Exception {
+  void drainingServersGetNoRequestsAfterGraceWhenCallsAreRefusedAfterReload() throws Exception {
     try (PlatformFleet fleet = fleet(91)) {
-      List<OpenLoop> loads = loads(fleet);
-      Await.until("a watch of each", () -> fleet.discovery().watching() == BALANCERS);
-      PlatformProcess cutOff = fleet.balancers().get(0);
+      List<HttpLoadGenerator> loads = loads(fleet);
+      Await.until(
+          "a watch of each balancer", () -> fleet.discovery().watchingBalancers() == BALANCERS);
+      PlatformBalancer cutOff = fleet.balancers().get(0);
       fleet.reconfigure(cutOff);
       Thread.sleep(100);
       fleet.reconfigure(cutOff);
-      fleet.discovery().refuse(cutOff.name(), true);
-      drainTwo(fleet);
+      fleet.discovery().setRefusing(cutOff.name(), true);
+      drainTwoServers(fleet);
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long before = served(loads.get(0));
       Thread.sleep(UNREACHABLE_MILLIS / 2);
       long later = served(loads.get(0)) - before;
-      assertTrue(later > PER_SECOND * UNREACHABLE_MILLIS / 2000 / 2, "served on: " + later);
-      fleet.discovery().refuse(cutOff.name(), false);
-      Await.until("a watch of each again", () -> fleet.discovery().watching() == BALANCERS);
-      end(fleet, loads);
+      assertTrue(
+          later > PER_SECOND * UNREACHABLE_MILLIS / 2000 / 2, "served while cut off: " + later);
+      fleet.discovery().setRefusing(cutOff.name(), false);
+      Await.until(
+          "a watch of each balancer again",
+          () -> fleet.discovery().watchingBalancers() == BALANCERS);
+      stopAndCheck(fleet, loads);
     }
   }
 }
